--- a/crates/front/src/boxes/lanes.rs
+++ b/crates/front/src/boxes/lanes.rs
@@ -10,7 +10,7 @@
 use arc_swap::ArcSwap;
 use fernslip::facade::{Attempt, Dispatcher};
 use fernslip::{CacheId, Ending, Entry, ListKind, RequestId, Settings, SettingsError};
-use fernslip_pool::{Action, End, Event, Machine, Phase, Pool, Routed, Routes, Spec, Told};
+use fernslip_pool::{Action, AttemptOutcome, Endpoint, Event, Notified, Phase, Pool, Routed, Routes, Spec};
 use fernslip_site::State;
 use may::sync::Blocker;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -65,7 +65,7 @@
 struct Held {
     pool: Pool,
     /// What was handed out last, by id.
-    machines: BTreeMap<Arc<str>, Machine>,
+    machines: BTreeMap<Arc<str>, Endpoint>,
     /// The mean of the pool's weights: weights are relative, the module's are links.
     mean: f64,
     seats: HashMap<u64, Arc<Seat>>,
@@ -90,18 +90,18 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.lane.feed(&self.clock, Event::Left { request: self.number });
+        self.lane.feed(&self.clock, Event::Finished { request: self.number });
     }
 }
 
 /// What the module is told of an attempt's end, as the pool sees it. A machine that is crowded, slow or in error is
 /// the module's to judge, which compares it with its fellows; a pool acts on connections alone.
-fn end(ending: Ending) -> End {
+fn end(ending: Ending) -> AttemptOutcome {
     match ending {
-        Ending::Completed | Ending::LookupMiss => End::Good,
-        Ending::RefusedConn => End::Refused,
-        Ending::Severed => End::Failed,
-        _ => End::Neither,
+        Ending::Completed | Ending::LookupMiss => AttemptOutcome::Success,
+        Ending::RefusedConn => AttemptOutcome::ConnectionRefused,
+        Ending::Severed => AttemptOutcome::Failure,
+        _ => AttemptOutcome::Inconclusive,
     }
 }
 
@@ -109,13 +109,13 @@
     /// An attempt goes out.
     pub fn sent(&self, attempt: &Attempt) {
         let id = attempt.cache.0.clone();
-        self.lane.feed(&self.clock, Event::Sent { request: self.number, id });
+        self.lane.feed(&self.clock, Event::AttemptSent { request: self.number, id });
     }
 
     /// It ended.
     pub fn ended(&self, attempt: &Attempt, ending: Ending) {
         let id = attempt.cache.0.clone();
-        self.lane.feed(&self.clock, Event::Ended { request: self.number, id, end: end(ending) });
+        self.lane.feed(&self.clock, Event::AttemptEnded { request: self.number, id, outcome: end(ending) });
     }
 
     /// When an attempt that begins now ends at the latest, by the pool's and the member's own limits.
@@ -126,8 +126,8 @@
 
     /// Whether a further attempt may be made; if so, it is counted.
     pub fn again(&self) -> bool {
-        let left = self.lane.feed(&self.clock, Event::Again { request: self.number });
-        self.lane.held.is_none() || left.iter().any(|a| matches!(a, Action::Again { .. }))
+        let left = self.lane.feed(&self.clock, Event::RetryRequested { request: self.number });
+        self.lane.held.is_none() || left.iter().any(|a| matches!(a, Action::Retry { .. }))
     }
 }
 
@@ -146,29 +146,29 @@
         let mut actions = Vec::new();
         held.pool.handle(clock.now(), event, &mut actions);
         actions.retain(|a| match a {
-            Action::Machines(changed) => {
+            Action::Endpoints(changed) => {
                 self.hand_out(clock, held, changed);
                 false
             }
-            Action::Admit { request } | Action::Turn { request, .. } => {
+            Action::Admit { request } | Action::Reject { request, .. } => {
                 if let Some(seat) = held.seats.remove(request) {
                     *lock(&seat.admitted) = Some(matches!(a, Action::Admit { .. }));
                     seat.blocker.unpark();
                 }
                 false
             }
-            Action::Again { .. } | Action::Enough { .. } => true,
+            Action::Retry { .. } | Action::RetryDenied { .. } => true,
         });
         actions
     }
 
-    fn hand_out(&self, clock: &Clock, held: &mut Held, changed: &[Machine]) {
+    fn hand_out(&self, clock: &Clock, held: &mut Held, changed: &[Endpoint]) {
         let entries = changed.iter().map(|m| self.dispatcher.host().entry(m, held.mean)).collect();
         self.dispatcher.list(clock.now(), ListKind::Delta, entries);
         for m in changed {
             held.machines.insert(m.id.clone(), m.clone());
         }
-        held.machines.retain(|_, m| m.phase != Phase::Out);
+        held.machines.retain(|_, m| m.phase != Phase::OutOfService);
     }
 
     /// Takes a new description up.
@@ -181,11 +181,11 @@
             held.mean = mean;
             changed
         };
-        self.feed(clock, Event::Spec(spec));
+        self.feed(clock, Event::Reconfigured(spec));
         if again {
             // All shares are others now, also those of members that did not change.
             let mut held = lock(held);
-            let all: Vec<Machine> = held.machines.values().cloned().collect();
+            let all: Vec<Endpoint> = held.machines.values().cloned().collect();
             self.hand_out(clock, &mut held, &all);
         }
     }
@@ -254,7 +254,7 @@
 
 impl Machines {
     /// A pool's machine as the module's list has it; `mean` is that of the pool's weights.
-    pub fn entry(&self, m: &Machine, mean: f64) -> Entry {
+    pub fn entry(&self, m: &Endpoint, mean: f64) -> Entry {
         let all = lock(&self.all);
         let f = all.get(&m.id);
         Entry {
@@ -263,11 +263,11 @@
             zone: f.and_then(|f| f.zone),
             kind: f.and_then(|f| f.kind),
             cell: f.map_or(0, |f| f.cell),
-            born_ms: m.born_ms,
+            born_ms: m.started_ms,
             phase: match m.phase {
-                Phase::In => fernslip::Phase::In,
+                Phase::Serving => fernslip::Phase::In,
                 Phase::Draining => fernslip::Phase::Draining,
-                Phase::Out => fernslip::Phase::Out,
+                Phase::OutOfService => fernslip::Phase::Out,
             },
         }
     }
@@ -341,7 +341,7 @@
             let mean = mean(&spec);
             let pool = match from_file {
                 true => Pool::new(spec, seed),
-                false => Pool::listed(spec, seed),
+                false => Pool::awaiting_endpoint_list(spec, seed),
             };
             let held = Held { pool, machines: BTreeMap::new(), mean, seats: HashMap::new() };
             let (held, answers) = (Some(Mutex::new(held)), ArcSwap::from_pointee(answers));
@@ -487,11 +487,14 @@
             }
             for e in news.iter().filter(|e| !host.is_source(e.kind)) {
                 let told = match e.phase {
-                    fernslip::Phase::In => Told::Up,
-                    fernslip::Phase::Draining => Told::Draining,
-                    fernslip::Phase::Out => Told::Gone,
+                    fernslip::Phase::In => Notified::Up,
+                    fernslip::Phase::Draining => Notified::Draining,
+                    fernslip::Phase::Out => Notified::Removed,
                 };
-                lane.feed(clock, Event::Told { id: e.cache.0.clone(), told, born_ms: e.born_ms });
+                lane.feed(
+                    clock,
+                    Event::Notified { id: e.cache.0.clone(), state: told, started_ms: e.born_ms },
+                );
             }
         }
     }
@@ -568,7 +571,10 @@
                 sources.push(source(id, k, if fresh { now } else { 0.0 }));
             } else if elsewhere {
                 for lane in &self.lanes {
-                    lane.feed(clock, Event::Told { id: id.clone(), told: Told::Up, born_ms: now });
+                    lane.feed(
+                        clock,
+                        Event::Notified { id: id.clone(), state: Notified::Up, started_ms: now },
+                    );
                 }
             }
         }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -31,7 +31,7 @@
 use fernslip::facade::{Host, Waiter};
 use fernslip::json::Names;
 use fernslip::{CacheId, Effect, Entry, RequestId, Sign};
-use fernslip_pool::Machine;
+use fernslip_pool::Endpoint;
 use fernslip_site::Site;
 use fernslip_view::Stand;
 use gossip::Talk;
@@ -138,7 +138,7 @@
 
 impl Ways {
     /// A pool's machine as the module's list has it.
-    fn entry(&self, m: &Machine, mean: f64) -> Entry {
+    fn entry(&self, m: &Endpoint, mean: f64) -> Entry {
         self.machines.entry(m, mean)
     }
 
--- a/crates/pool/benches/request.rs
+++ b/crates/pool/benches/request.rs
@@ -1,7 +1,7 @@
 //! What a pool adds to a request: arrival, one attempt, its end, at several numbers of members; and a route.
 
 use criterion::Criterion;
-use fernslip_pool::{Action, End, Event, Pool, Routes, Spec};
+use fernslip_pool::{Action, AttemptOutcome, Event, Pool, Routes, Spec};
 use fernslip_site::Site;
 use std::sync::Arc;
 
@@ -35,9 +35,13 @@
                 n += 1;
                 let (now, id) = (n as f64, ids[n as usize % ids.len()].clone());
                 pool.handle(now, Event::Arrived { request: n, wait_until: now + 100.0 }, &mut actions);
-                pool.handle(now, Event::Sent { request: n, id: id.clone() }, &mut actions);
-                pool.handle(now, Event::Ended { request: n, id, end: End::Good }, &mut actions);
-                pool.handle(now, Event::Left { request: n }, &mut actions);
+                pool.handle(now, Event::AttemptSent { request: n, id: id.clone() }, &mut actions);
+                pool.handle(
+                    now,
+                    Event::AttemptEnded { request: n, id, outcome: AttemptOutcome::Success },
+                    &mut actions,
+                );
+                pool.handle(now, Event::Finished { request: n }, &mut actions);
                 actions.clear();
             });
         });
@@ -49,9 +53,18 @@
             b.iter(|| {
                 n += 1;
                 let (now, id) = (n as f64 * 1e6, ids[0].clone());
-                for end in [End::Failed, End::Failed, End::Failed, End::Good] {
-                    pool.handle(now, Event::Sent { request: n, id: id.clone() }, &mut actions);
-                    pool.handle(now, Event::Ended { request: n, id: id.clone(), end }, &mut actions);
+                for end in [
+                    AttemptOutcome::Failure,
+                    AttemptOutcome::Failure,
+                    AttemptOutcome::Failure,
+                    AttemptOutcome::Success,
+                ] {
+                    pool.handle(now, Event::AttemptSent { request: n, id: id.clone() }, &mut actions);
+                    pool.handle(
+                        now,
+                        Event::AttemptEnded { request: n, id: id.clone(), outcome: end },
+                        &mut actions,
+                    );
                     pool.handle(now + 9e5, Event::Tick, &mut actions);
                 }
                 actions.clear();
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -8,18 +8,18 @@
 //! # The contract
 //!
 //! - Times are milliseconds on the caller's one clock, which never runs back.
-//! - A request [`Event::Arrived`]s, is [`Action::Admit`]ted or [`Action::Turn`]ed away by exactly one action (unless it
-//!   left first), and if it was admitted it [`Event::Left`] in the end.
-//! - Each attempt of an admitted request is one [`Event::Sent`] and one [`Event::Ended`]. The caller sends only to
-//!   machines whose last [`Machine::phase`] is [`Phase::In`], and tells of each send before it takes the next step:
+//! - A request [`Event::Arrived`]s, is [`Action::Admit`]ted or [`Action::Reject`]ed away by exactly one action (unless it
+//!   left first), and if it was admitted it [`Event::Finished`] in the end.
+//! - Each attempt of an admitted request is one [`Event::AttemptSent`] and one [`Event::AttemptEnded`]. The caller sends only to
+//!   machines whose last [`Endpoint::phase`] is [`Phase::Serving`], and tells of each send before it takes the next step:
 //!   then limits hold exactly, and a machine in recovery gets one trial at a time.
-//! - Before a further attempt [`Event::Again`] asks; [`Action::Again`] or [`Action::Enough`] answers.
-//! - A machine whose administrative state is draining or stopped is never handed out as [`Phase::In`], from the very
+//! - Before a further attempt [`Event::RetryRequested`] asks; [`Action::Retry`] or [`Action::RetryDenied`] answers.
+//! - A machine whose administrative state is draining or stopped is never handed out as [`Phase::Serving`], from the very
 //!   event on that brings the state: not by recovery, not in place of another, not by a trial.
 //! - [`Pool::wake_at`] tells when the next [`Event::Tick`] is due; one that comes early does no harm.
 //!
 //! ```
-//! use fernslip_pool::{Action, End, Event, Phase, Pool, Spec};
+//! use fernslip_pool::{Action, AttemptOutcome, Event, Phase, Pool, Spec};
 //! use fernslip_site::Site;
 //!
 //! let text = r#"
@@ -31,15 +31,15 @@
 //! let mut pool = Pool::new(Spec::of(&site, &site.pools[0]), 7);
 //! let mut actions = Vec::new();
 //! pool.handle(0.0, Event::Tick, &mut actions);
-//! let Action::Machines(machines) = &actions[0] else { panic!() };
-//! assert_eq!(machines.iter().map(|m| m.phase).collect::<Vec<_>>(), [Phase::In, Phase::Draining]);
+//! let Action::Endpoints(machines) = &actions[0] else { panic!() };
+//! assert_eq!(machines.iter().map(|m| m.phase).collect::<Vec<_>>(), [Phase::Serving, Phase::Draining]);
 //!
 //! actions.clear();
 //! pool.handle(1.0, Event::Arrived { request: 1, wait_until: 1000.0 }, &mut actions);
 //! pool.handle(1.0, Event::Arrived { request: 2, wait_until: 1000.0 }, &mut actions);
 //! assert_eq!(actions, [Action::Admit { request: 1 }]); // the second waits for a place
 //! actions.clear();
-//! pool.handle(20.0, Event::Left { request: 1 }, &mut actions);
+//! pool.handle(20.0, Event::Finished { request: 1 }, &mut actions);
 //! assert_eq!(actions, [Action::Admit { request: 2 }]);
 //! # Ok::<(), fernslip_site::SiteError>(())
 //! ```
@@ -51,7 +51,7 @@
 mod select;
 mod spec;
 
-pub use health::End;
-pub use pool::{Action, Counts, Event, Machine, Phase, Pool, Told, Why};
+pub use health::AttemptOutcome;
+pub use pool::{Action, Counts, Endpoint, Event, Notified, Phase, Pool, RejectReason};
 pub use route::{Routed, Routes};
 pub use spec::{Part, Spec};
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -1,8 +1,8 @@
 //! One pool: events and the time in, actions out.
 
-use crate::health::{End, Health};
+use crate::health::{AttemptOutcome, Health};
 use crate::queue::Queue;
-use crate::select::{select, Shown};
+use crate::select::{select, MemberStatus};
 use crate::spec::Spec;
 use fernslip_site::State;
 use std::collections::{BTreeSet, HashMap};
@@ -18,27 +18,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// May be picked.
-    In,
-    /// Nothing new, be it by the operators' word, by what traffic shows, or because it is full.
+    Serving,
+    /// Takes nothing new, be it by the operators' word, by what traffic shows, or because it is at capacity.
     Draining,
     /// Out of service.
-    Out,
+    OutOfService,
 }
 
 /// What the list of machines says of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Notified {
     /// It runs.
     Up,
     /// It drains.
     Draining,
-    /// It is gone, or was never listed.
-    Gone,
+    /// It was removed from the endpoint list, or was never on it.
+    Removed,
 }
 
 /// A member for the decision module.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Machine {
+pub struct Endpoint {
     /// Its id.
     pub id: Arc<str>,
     /// Its phase.
@@ -46,31 +46,31 @@
     /// Its share.
     pub weight: f64,
     /// When it last started; 0: long ago.
-    pub born_ms: f64,
+    pub started_ms: f64,
 }
 
-/// Why a request is turned away.
+/// RejectReason a request is turned away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
-    /// As many wait already as may.
-    Crowded,
-    /// It waited as long as it may.
-    Waited,
+pub enum RejectReason {
+    /// The queue is full: as many requests wait already as may.
+    QueueFull,
+    /// It waited in the queue as long as it may.
+    QueueTimeout,
 }
 
 /// What happens.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The pool is described anew.
-    Spec(Spec),
+    /// The pool's specification changed.
+    Reconfigured(Spec),
     /// The list of machines says so of a member; it started then (0: long ago).
-    Told {
+    Notified {
         /// The member.
         id: Arc<str>,
-        /// What.
-        told: Told,
-        /// When it last started.
-        born_ms: f64,
+        /// What the endpoint list says of it.
+        state: Notified,
+        /// When it last started, in milliseconds on the caller's clock.
+        started_ms: f64,
     },
     /// A request comes; it may not wait beyond that time, whatever the pool allows.
     Arrived {
@@ -80,28 +80,28 @@
         wait_until: f64,
     },
     /// A request is over, or its client left.
-    Left {
+    Finished {
         /// Its number.
         request: u64,
     },
     /// An attempt goes out.
-    Sent {
+    AttemptSent {
         /// The request.
         request: u64,
         /// The member.
         id: Arc<str>,
     },
     /// An attempt ended.
-    Ended {
+    AttemptEnded {
         /// The request.
         request: u64,
         /// The member.
         id: Arc<str>,
-        /// How.
-        end: End,
+        /// How it ended.
+        outcome: AttemptOutcome,
     },
-    /// A request wants a further attempt.
-    Again {
+    /// A request wants a retry.
+    RetryRequested {
         /// Its number.
         request: u64,
     },
@@ -113,26 +113,26 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// These members have changed for the decision module.
-    Machines(Vec<Machine>),
+    Endpoints(Vec<Endpoint>),
     /// The request goes to the decision module.
     Admit {
         /// Its number.
         request: u64,
     },
-    /// The request is refused.
-    Turn {
+    /// The request is rejected.
+    Reject {
         /// Its number.
         request: u64,
-        /// Why.
-        why: Why,
+        /// Why it was rejected.
+        reason: RejectReason,
     },
-    /// The request may have a further attempt.
-    Again {
+    /// The request may have a retry.
+    Retry {
         /// Its number.
         request: u64,
     },
-    /// It may not.
-    Enough {
+    /// It may not retry.
+    RetryDenied {
         /// Its number.
         request: u64,
     },
@@ -145,16 +145,16 @@
     pub admitted: u64,
     /// Requests that waited first.
     pub waited: u64,
-    /// Requests turned away since too many waited.
-    pub crowded: u64,
-    /// Requests turned away since they waited too long.
-    pub overdue: u64,
-    /// Further attempts allowed.
+    /// Requests rejected since the queue was full.
+    pub queue_full: u64,
+    /// Requests rejected since they timed out in the queue.
+    pub timed_out: u64,
+    /// Retries allowed.
     pub retries: u64,
-    /// Further attempts not allowed.
-    pub no_retries: u64,
-    /// Members that failed.
-    pub failures: u64,
+    /// Retries denied.
+    pub retries_denied: u64,
+    /// Members ejected after consecutive failures.
+    pub ejections: u64,
     /// Members that came back.
     pub recoveries: u64,
 }
@@ -162,12 +162,12 @@
 #[derive(Clone, Debug)]
 struct Member {
     health: Health,
-    told: Told,
+    told: Notified,
     born: f64,
     in_flight: u64,
     /// At its limit, and not free enough since.
     full: bool,
-    given: Option<Machine>,
+    given: Option<Endpoint>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -181,7 +181,7 @@
     spec: Spec,
     seed: u64,
     /// What holds of a member that nothing was told of.
-    untold: Told,
+    untold: Notified,
     now: f64,
     by_id: HashMap<Arc<str>, usize>,
     /// As `spec.parts`.
@@ -212,15 +212,15 @@
     /// A pool whose members all run, as far as is known. `seed` differs from front to front and spreads their
     /// trials. The first event hands out all members.
     pub fn new(spec: Spec, seed: u64) -> Pool {
-        Pool::with(spec, seed, Told::Up)
+        Pool::with(spec, seed, Notified::Up)
     }
 
-    /// A pool whose members run when [`Event::Told`] says so, and not before.
-    pub fn listed(spec: Spec, seed: u64) -> Pool {
-        Pool::with(spec, seed, Told::Gone)
+    /// A pool whose members run when [`Event::Notified`] says so, and not before.
+    pub fn awaiting_endpoint_list(spec: Spec, seed: u64) -> Pool {
+        Pool::with(spec, seed, Notified::Removed)
     }
 
-    fn with(spec: Spec, seed: u64, untold: Told) -> Pool {
+    fn with(spec: Spec, seed: u64, untold: Notified) -> Pool {
         let retries = spec.retry_burst;
         let mut pool = Pool {
             spec: Spec { parts: Vec::new(), ..spec.clone() },
@@ -256,7 +256,7 @@
     }
 
     /// Requests in it, and requests that wait.
-    pub fn held(&self) -> (usize, usize) {
+    pub fn in_flight_and_queued(&self) -> (usize, usize) {
         (self.inside.len(), self.queue.len())
     }
 
@@ -274,16 +274,16 @@
         self.started = true;
         self.trials();
         match event {
-            Event::Spec(spec) => self.describe(spec, actions),
-            Event::Told { id, told, born_ms } => self.told(&id, told, born_ms),
+            Event::Reconfigured(spec) => self.describe(spec, actions),
+            Event::Notified { id, state, started_ms } => self.told(&id, state, started_ms),
             Event::Arrived { request, wait_until } => {
                 self.publish(actions);
                 self.arrived(request, wait_until, actions);
             }
-            Event::Left { request } => self.left(request),
-            Event::Sent { request, id } => self.sent(request, &id),
-            Event::Ended { request, id, end } => self.ended(request, &id, end),
-            Event::Again { request } => self.again(request, actions),
+            Event::Finished { request } => self.left(request),
+            Event::AttemptSent { request, id } => self.sent(request, &id),
+            Event::AttemptEnded { request, id, outcome } => self.ended(request, &id, outcome),
+            Event::RetryRequested { request } => self.again(request, actions),
             Event::Tick => {}
         }
         self.publish(actions);
@@ -308,15 +308,15 @@
                     // would let all fronts at a cold machine at once.
                     if state == State::Stopped && part.state != State::Stopped {
                         m.born = self.now;
-                        m.health = Health::UP;
+                        m.health = Health::HEALTHY;
                     }
                     m
                 }
                 None => Member {
-                    health: Health::UP,
+                    health: Health::HEALTHY,
                     told: self.untold,
                     // One that joins a pool in service may have been started for it; a list would tell.
-                    born: if self.started && self.untold == Told::Up { self.now } else { 0.0 },
+                    born: if self.started && self.untold == Notified::Up { self.now } else { 0.0 },
                     in_flight: back.unwrap_or(0),
                     full: false,
                     given: None,
@@ -329,31 +329,35 @@
             if m.in_flight > 0 {
                 self.gone.insert(id.clone(), m.in_flight);
             }
-            if let Some(given) = m.given.filter(|g| g.phase != Phase::Out) {
-                gone.push(Machine { phase: Phase::Out, ..given });
+            if let Some(given) = m.given.filter(|g| g.phase != Phase::OutOfService) {
+                gone.push(Endpoint { phase: Phase::OutOfService, ..given });
             }
         }
         if !gone.is_empty() {
             gone.sort_by(|a, b| a.id.cmp(&b.id));
-            actions.push(Action::Machines(gone));
+            actions.push(Action::Endpoints(gone));
         }
         self.by_id = spec.parts.iter().enumerate().map(|(i, p)| (p.id.clone(), i)).collect();
         self.retries = self.retries.min(spec.retry_burst);
         self.spec = spec;
-        self.due =
-            self.members.iter().enumerate().filter_map(|(i, m)| Some((micros(m.health.due()?), i))).collect();
+        self.due = self
+            .members
+            .iter()
+            .enumerate()
+            .filter_map(|(i, m)| Some((micros(m.health.probe_due_ms()?), i)))
+            .collect();
         for i in 0..self.members.len() {
             self.fill(i);
         }
         self.dirty = true;
     }
 
-    fn told(&mut self, id: &str, told: Told, born_ms: f64) {
+    fn told(&mut self, id: &str, told: Notified, started_ms: f64) {
         let Some(&i) = self.by_id.get(id) else { return };
         let m = &mut self.members[i];
-        if told == Told::Up && (born_ms > m.born || m.told == Told::Gone) {
-            m.born = m.born.max(born_ms);
-            m.health = Health::UP;
+        if told == Notified::Up && (started_ms > m.born || m.told == Notified::Removed) {
+            m.born = m.born.max(started_ms);
+            m.health = Health::HEALTHY;
             self.due.retain(|d| d.1 != i);
         }
         self.members[i].told = told;
@@ -387,7 +391,7 @@
 
     /// A place of a member was taken or given back.
     fn place(&mut self, i: usize, by: i64) {
-        let open = self.members[i].given.as_ref().is_some_and(|g| g.phase == Phase::In);
+        let open = self.members[i].given.as_ref().is_some_and(|g| g.phase == Phase::Serving);
         if let (true, Some(_), Some(places)) = (open, self.spec.parts[i].in_flight, &mut self.places) {
             *places = places.saturating_add_signed(by);
         }
@@ -412,7 +416,7 @@
         self.place(i, -1);
     }
 
-    fn ended(&mut self, request: u64, id: &str, end: End) {
+    fn ended(&mut self, request: u64, id: &str, end: AttemptOutcome) {
         let Some(&i) = self.by_id.get(id) else {
             if let Some(n) = self.gone.get_mut(id) {
                 *n -= 1;
@@ -433,8 +437,8 @@
         }
         self.counts.recoveries += u64::from(back.is_some());
         if m.health != before {
-            self.counts.failures += u64::from(before.is_up() && !m.health.is_up());
-            if let Some(due) = m.health.due() {
+            self.counts.ejections += u64::from(before.is_healthy() && !m.health.is_healthy());
+            if let Some(due) = m.health.probe_due_ms() {
                 self.due.insert((micros(due), i));
             }
             self.dirty = true;
@@ -458,13 +462,13 @@
         if !std::mem::take(&mut self.dirty) {
             return;
         }
-        let shown: Vec<Shown> = self
+        let shown: Vec<MemberStatus> = self
             .members
             .iter()
-            .map(|m| Shown {
-                listed: m.told == Told::Up,
-                up: m.health.is_up(),
-                trial: !m.health.is_up() && m.health.may_be_sent(),
+            .map(|m| MemberStatus {
+                listed: m.told == Notified::Up,
+                up: m.health.is_healthy(),
+                trial: !m.health.is_healthy() && m.health.may_be_sent(),
             })
             .collect();
         let chosen = select(&self.spec.parts, &shown);
@@ -473,23 +477,23 @@
         self.places = Some(0);
         for ((part, m), chosen) in self.spec.parts.iter().zip(&mut self.members).zip(chosen) {
             let phase = match (part.state, m.told) {
-                (State::Stopped, _) | (_, Told::Gone) => Phase::Out,
-                _ if chosen && !m.full => Phase::In,
+                (State::Stopped, _) | (_, Notified::Removed) => Phase::OutOfService,
+                _ if chosen && !m.full => Phase::Serving,
                 _ => Phase::Draining,
             };
-            if phase == Phase::In {
+            if phase == Phase::Serving {
                 self.open += 1;
                 let free = part.in_flight.map(|limit| limit.saturating_sub(m.in_flight));
                 self.places = self.places.zip(free).map(|(places, free)| places.saturating_add(free));
             }
-            let machine = Machine { id: part.id.clone(), phase, weight: part.weight, born_ms: m.born };
+            let machine = Endpoint { id: part.id.clone(), phase, weight: part.weight, started_ms: m.born };
             if m.given.as_ref() != Some(&machine) {
                 changed.push(machine.clone());
                 m.given = Some(machine);
             }
         }
         if !changed.is_empty() {
-            actions.push(Action::Machines(changed));
+            actions.push(Action::Endpoints(changed));
         }
     }
 
@@ -503,7 +507,7 @@
             return false;
         }
         match self.open {
-            0 => !self.members.iter().any(|m| m.full && m.told == Told::Up),
+            0 => !self.members.iter().any(|m| m.full && m.told == Notified::Up),
             _ => self.places.is_none_or(|places| self.unsent < places),
         }
     }
@@ -511,7 +515,7 @@
     fn arrived(&mut self, request: u64, wait_until: f64, actions: &mut Vec<Action>) {
         if self.inside.contains_key(&request) || self.queue.contains(request) {
             // The caller's numbers are unique; one that is not can't be told from the other.
-            return actions.push(Action::Turn { request, why: Why::Crowded });
+            return actions.push(Action::Reject { request, reason: RejectReason::QueueFull });
         }
         self.retries = (self.retries + self.spec.retry_budget).min(self.spec.retry_burst);
         if self.queue.len() == 0 && self.has_room() {
@@ -519,8 +523,8 @@
         }
         let until = (self.now + self.spec.wait_ms).min(wait_until);
         if self.queue.len() >= self.spec.waiting || until <= self.now {
-            self.counts.crowded += 1;
-            return actions.push(Action::Turn { request, why: Why::Crowded });
+            self.counts.queue_full += 1;
+            return actions.push(Action::Reject { request, reason: RejectReason::QueueFull });
         }
         self.counts.waited += 1;
         self.queue.push(request, until);
@@ -543,8 +547,8 @@
     /// Turns away who waited too long, and lets in who came first while there is room.
     fn let_in(&mut self, actions: &mut Vec<Action>) {
         while let Some(request) = self.queue.expired(self.now) {
-            self.counts.overdue += 1;
-            actions.push(Action::Turn { request, why: Why::Waited });
+            self.counts.timed_out += 1;
+            actions.push(Action::Reject { request, reason: RejectReason::QueueTimeout });
         }
         while self.queue.len() > 0 && self.has_room() {
             let Some(request) = self.queue.pop() else { return };
@@ -555,11 +559,11 @@
     fn again(&mut self, request: u64, actions: &mut Vec<Action>) {
         let attempts = self.inside.get(&request).map_or(u64::MAX, |i| i.attempts);
         if attempts >= self.spec.attempts || self.retries < 1.0 {
-            self.counts.no_retries += 1;
-            return actions.push(Action::Enough { request });
+            self.counts.retries_denied += 1;
+            return actions.push(Action::RetryDenied { request });
         }
         self.retries -= 1.0;
         self.counts.retries += 1;
-        actions.push(Action::Again { request });
+        actions.push(Action::Retry { request });
     }
 }
--- a/crates/pool/src/select.rs
+++ b/crates/pool/src/select.rs
@@ -8,7 +8,7 @@
 
 /// What is known of a member besides its part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Shown {
+pub(crate) struct MemberStatus {
     /// Listed, and neither draining nor gone by the list.
     pub listed: bool,
     /// Nothing is held against it.
@@ -28,7 +28,7 @@
 /// 6. Members due for a trial join, from tiers up to the serving one.
 ///
 /// Draining and stopped members never join. Being full is no reason to fall back: what is full is waited for.
-pub(crate) fn select(parts: &[Part], shown: &[Shown]) -> Vec<bool> {
+pub(crate) fn select(parts: &[Part], shown: &[MemberStatus]) -> Vec<bool> {
     let mut out = vec![false; parts.len()];
     let live = |i: usize| matches!(parts[i].state, State::Ready | State::Spare | State::Standby);
     let usable = |i: usize| live(i) && shown[i].listed && shown[i].up;
@@ -111,7 +111,7 @@
                 in_flight: None,
             });
             let (up, trial) = (!w.contains(['!', '?']), w.contains('?'));
-            shown.push(Shown { listed: true, up, trial });
+            shown.push(MemberStatus { listed: true, up, trial });
         }
         select(&parts, &shown).into_iter().map(|c| if c { '1' } else { '0' }).collect()
     }
--- a/crates/pool/src/spec.rs
+++ b/crates/pool/src/spec.rs
@@ -45,9 +45,9 @@
     /// Failures in a row after which a member counts as failed.
     pub failures: u64,
     /// From then to its first trial, in milliseconds.
-    pub first_ms: f64,
+    pub first_backoff_ms: f64,
     /// The longest wait for a trial, in milliseconds.
-    pub most_ms: f64,
+    pub max_backoff_ms: f64,
 }
 
 impl Spec {
@@ -90,8 +90,8 @@
                 retry_budget: p.retry.budget.unwrap_or(0.0),
                 retry_burst: p.retry.burst.unwrap_or(0) as f64,
                 failures: p.recovery.failures.unwrap_or(1).max(1),
-                first_ms: p.recovery.first_ms.unwrap_or(0) as f64,
-                most_ms: p.recovery.most_ms.unwrap_or(0) as f64,
+                first_backoff_ms: p.recovery.first_ms.unwrap_or(0) as f64,
+                max_backoff_ms: p.recovery.most_ms.unwrap_or(0) as f64,
             })
             .collect()
     }
--- a/crates/pool/tests/invariants.rs
+++ b/crates/pool/tests/invariants.rs
@@ -12,7 +12,7 @@
     Arrive,
     Leave(usize),
     Send(usize, usize),
-    End(usize, u8),
+    AttemptOutcome(usize, u8),
     Again(usize),
     Restate(usize, u8),
     Remove(usize),
@@ -26,7 +26,7 @@
         6 => Just(Step::Arrive),
         2 => (0usize..64).prop_map(Step::Leave),
         8 => (0usize..64, 0usize..8).prop_map(|(r, m)| Step::Send(r, m)),
-        6 => (0usize..64, 0u8..4).prop_map(|(r, e)| Step::End(r, e)),
+        6 => (0usize..64, 0u8..4).prop_map(|(r, e)| Step::AttemptOutcome(r, e)),
         2 => (0usize..64).prop_map(Step::Again),
         1 => (0usize..6, 0u8..5).prop_map(|(m, s)| Step::Restate(m, s)),
         1 => (0usize..6).prop_map(Step::Remove),
@@ -36,8 +36,13 @@
 }
 
 const STATES: [State; 5] = [State::Ready, State::Draining, State::Stopped, State::Standby, State::Spare];
-const TOLD: [Told; 3] = [Told::Up, Told::Draining, Told::Gone];
-const ENDS: [End; 4] = [End::Good, End::Refused, End::Failed, End::Neither];
+const TOLD: [Notified; 3] = [Notified::Up, Notified::Draining, Notified::Removed];
+const ENDS: [AttemptOutcome; 4] = [
+    AttemptOutcome::Success,
+    AttemptOutcome::ConnectionRefused,
+    AttemptOutcome::Failure,
+    AttemptOutcome::Inconclusive,
+];
 
 fn id(n: usize) -> Arc<str> {
     format!("m{n}").into()
@@ -61,8 +66,8 @@
     spec: Spec,
     now: f64,
     next: u64,
-    machines: BTreeMap<Arc<str>, Machine>,
-    told: HashMap<Arc<str>, Told>,
+    machines: BTreeMap<Arc<str>, Endpoint>,
+    told: HashMap<Arc<str>, Notified>,
     waiting: BTreeMap<u64, f64>,
     inside: BTreeMap<u64, Option<Arc<str>>>,
     attempts: HashMap<u64, u64>,
@@ -75,7 +80,7 @@
 
 impl Play {
     fn new(spec: Spec) -> Play {
-        let told = spec.parts.iter().map(|p| (p.id.clone(), Told::Up)).collect();
+        let told = spec.parts.iter().map(|p| (p.id.clone(), Notified::Up)).collect();
         let mut play = Play {
             pool: Pool::new(spec.clone(), 5),
             spec,
@@ -105,7 +110,7 @@
         }
         for a in actions {
             match a {
-                Action::Machines(all) => self.machines.extend(all.into_iter().map(|m| (m.id.clone(), m))),
+                Action::Endpoints(all) => self.machines.extend(all.into_iter().map(|m| (m.id.clone(), m))),
                 Action::Admit { request } => {
                     assert!(
                         self.will_have_a_place(),
@@ -115,14 +120,14 @@
                     assert!(self.waiting.remove(&request).is_some(), "admitted once, and while it waits");
                     self.inside.insert(request, None);
                 }
-                Action::Turn { request, .. } => {
+                Action::Reject { request, .. } => {
                     assert!(self.waiting.remove(&request).is_some(), "turned away once, and while it waits");
                 }
-                Action::Again { request } => {
+                Action::Retry { request } => {
                     self.retries += 1;
                     assert!(self.asked.remove(&request));
                 }
-                Action::Enough { request } => assert!(self.asked.remove(&request)),
+                Action::RetryDenied { request } => assert!(self.asked.remove(&request)),
             }
         }
         self.check();
@@ -130,9 +135,9 @@
 
     /// Whether the machines handed out have room for one more beside all those let in that were not sent yet.
     fn will_have_a_place(&self) -> bool {
-        let open: Vec<_> = self.machines.values().filter(|m| m.phase == Phase::In).collect();
-        let limit = |m: &Machine| self.spec.parts.iter().find(|p| p.id == m.id).and_then(|p| p.in_flight);
-        let free = |m: &&Machine| {
+        let open: Vec<_> = self.machines.values().filter(|m| m.phase == Phase::Serving).collect();
+        let limit = |m: &Endpoint| self.spec.parts.iter().find(|p| p.id == m.id).and_then(|p| p.in_flight);
+        let free = |m: &&Endpoint| {
             let used = self.in_flight.get(&m.id).copied().unwrap_or(0);
             limit(m).map_or(1000, |l| l.saturating_sub(used))
         };
@@ -143,18 +148,21 @@
     fn check(&self) {
         for p in &self.spec.parts {
             let Some(m) = self.machines.get(&p.id) else { continue };
-            if m.phase == Phase::In {
+            if m.phase == Phase::Serving {
                 assert!(!matches!(p.state, State::Draining | State::Stopped), "{}: {:?}", p.id, self.log);
-                assert_eq!(self.told[&p.id], Told::Up, "{}", p.id);
+                assert_eq!(self.told[&p.id], Notified::Up, "{}", p.id);
             }
-            assert_eq!(p.state == State::Stopped || self.told[&p.id] == Told::Gone, m.phase == Phase::Out);
+            assert_eq!(
+                p.state == State::Stopped || self.told[&p.id] == Notified::Removed,
+                m.phase == Phase::OutOfService
+            );
             if let Some(limit) = p.in_flight {
                 assert!(self.in_flight.get(&p.id).copied().unwrap_or(0) <= limit, "{}: over its limit", p.id);
             }
         }
         for (id, m) in &self.machines {
             let here = self.spec.parts.iter().any(|p| p.id == *id);
-            assert!(here || m.phase == Phase::Out, "{id} left the pool and may still be picked");
+            assert!(here || m.phase == Phase::OutOfService, "{id} left the pool and may still be picked");
         }
         assert!(self.spec.in_flight.is_none_or(|n| self.inside.len() as u64 <= n));
         assert!(self.waiting.len() <= self.spec.waiting);
@@ -164,7 +172,7 @@
         );
         let earned = self.spec.retry_burst + self.spec.retry_budget * self.arrivals as f64;
         assert!(self.retries as f64 <= earned + 1e-6, "the retry budget holds");
-        assert_eq!(self.pool.held(), (self.inside.len(), self.waiting.len()));
+        assert_eq!(self.pool.in_flight_and_queued(), (self.inside.len(), self.waiting.len()));
     }
 
     fn pass(&mut self, ms: f64) {
@@ -199,31 +207,31 @@
                 if let Some(request) = request {
                     self.waiting.remove(&request);
                     self.inside.remove(&request);
-                    self.feed(Event::Left { request });
+                    self.feed(Event::Finished { request });
                 }
             }
             Step::Send(r, m) => {
-                let open: Vec<_> = self.machines.values().filter(|m| m.phase == Phase::In).collect();
+                let open: Vec<_> = self.machines.values().filter(|m| m.phase == Phase::Serving).collect();
                 if let (Some((request, _)), false) = (self.nth(r, false), open.is_empty()) {
                     let id = open[m % open.len()].id.clone();
                     *self.in_flight.entry(id.clone()).or_default() += 1;
                     *self.attempts.entry(request).or_default() += 1;
                     self.inside.insert(request, Some(id.clone()));
-                    self.feed(Event::Sent { request, id });
+                    self.feed(Event::AttemptSent { request, id });
                 }
             }
-            Step::End(r, end) => {
+            Step::AttemptOutcome(r, end) => {
                 if let Some((request, Some(id))) = self.nth(r, true) {
                     *self.in_flight.entry(id.clone()).or_default() -= 1;
                     self.inside.insert(request, None);
-                    self.feed(Event::Ended { request, id, end: ENDS[usize::from(end)] });
+                    self.feed(Event::AttemptEnded { request, id, outcome: ENDS[usize::from(end)] });
                 }
             }
             Step::Again(r) => {
                 if let Some((request, _)) = self.nth(r, false) {
                     self.asked.insert(request);
                     let before = self.retries;
-                    self.feed(Event::Again { request });
+                    self.feed(Event::RetryRequested { request });
                     let made = self.attempts.get(&request).copied().unwrap_or(0);
                     assert!(self.retries == before || made < self.spec.attempts, "attempts are bounded");
                     assert!(self.asked.is_empty(), "answered at once");
@@ -233,24 +241,24 @@
                 if let Some(p) = self.spec.parts.iter_mut().find(|p| p.id == id(m)) {
                     p.state = STATES[usize::from(s)];
                 }
-                self.feed(Event::Spec(self.spec.clone()));
+                self.feed(Event::Reconfigured(self.spec.clone()));
             }
             Step::Remove(m) => {
                 self.spec.parts.retain(|p| p.id != id(m));
-                self.feed(Event::Spec(self.spec.clone()));
+                self.feed(Event::Reconfigured(self.spec.clone()));
             }
             Step::Add(m) => {
                 if !self.spec.parts.iter().any(|p| p.id == id(m)) {
                     self.spec.parts.push(part(m, self.spec.parts.first().and_then(|p| p.in_flight)));
-                    self.told.insert(id(m), Told::Up);
+                    self.told.insert(id(m), Notified::Up);
                 }
-                self.feed(Event::Spec(self.spec.clone()));
+                self.feed(Event::Reconfigured(self.spec.clone()));
             }
             Step::Tell(m, t) => {
                 if self.spec.parts.iter().any(|p| p.id == id(m)) {
                     let told = TOLD[usize::from(t)];
                     self.told.insert(id(m), told);
-                    self.feed(Event::Told { id: id(m), told, born_ms: 0.0 });
+                    self.feed(Event::Notified { id: id(m), state: told, started_ms: 0.0 });
                 }
             }
         }
@@ -268,8 +276,8 @@
         retry_budget: 0.25,
         retry_burst: 3.0,
         failures: 2,
-        first_ms: 100.0,
-        most_ms: 800.0,
+        first_backoff_ms: 100.0,
+        max_backoff_ms: 800.0,
     }
 }
 
@@ -295,10 +303,10 @@
 }
 
 fn phases(play: &Play) -> String {
-    let word = |m: &Machine| match m.phase {
-        Phase::In => 'i',
+    let word = |m: &Endpoint| match m.phase {
+        Phase::Serving => 'i',
         Phase::Draining => 'd',
-        Phase::Out => 'o',
+        Phase::OutOfService => 'o',
     };
     play.machines.values().map(word).collect()
 }
@@ -310,56 +318,56 @@
     let mut play = Play::new(Spec { parts: (0..3).map(|n| part(n, None)).collect(), ..spec(None, None) });
     play.spec.parts[2].state = State::Standby;
     play.spec.parts[0].instead = Some(id(2));
-    play.feed(Event::Spec(play.spec.clone()));
+    play.feed(Event::Reconfigured(play.spec.clone()));
     assert_eq!(phases(&play), "iid");
     for request in 1..=2 {
         play.play(Step::Arrive);
         *play.in_flight.entry(id(0)).or_default() += 1;
         play.inside.insert(request, Some(id(0)));
-        play.feed(Event::Sent { request, id: id(0) });
+        play.feed(Event::AttemptSent { request, id: id(0) });
     }
     for _ in 0..2 {
-        play.play(Step::End(0, 2));
+        play.play(Step::AttemptOutcome(0, 2));
     }
     assert_eq!(phases(&play), "dii", "m0 has failed, m2 stands in for it");
     // All three drain: neither the trial that is due, nor the standby, nor the stand-in is handed out.
     play.spec.parts.iter_mut().for_each(|p| p.state = State::Draining);
-    play.feed(Event::Spec(play.spec.clone()));
+    play.feed(Event::Reconfigured(play.spec.clone()));
     assert_eq!(phases(&play), "ddd");
     play.pass(5_000.0);
     assert_eq!(phases(&play), "ddd");
     play.spec.parts[0].state = State::Ready;
-    play.feed(Event::Spec(play.spec.clone()));
+    play.feed(Event::Reconfigured(play.spec.clone()));
     assert_eq!(phases(&play), "idd", "back: its trial was due long ago");
-    assert_eq!(play.machines[&id(0)].born_ms, 0.0, "draining is not out: it ran all the while");
+    assert_eq!(play.machines[&id(0)].started_ms, 0.0, "draining is not out: it ran all the while");
 }
 
 /// Guards machines that were out of service against all that is sent to warm ones.
 #[test]
 fn what_was_out_comes_back_as_just_started() {
     let mut play = Play::new(spec(None, None));
-    assert_eq!(play.machines[&id(0)].born_ms, 0.0);
+    assert_eq!(play.machines[&id(0)].started_ms, 0.0);
     play.spec.parts[0].state = State::Stopped;
-    play.feed(Event::Spec(play.spec.clone()));
+    play.feed(Event::Reconfigured(play.spec.clone()));
     play.pass(1000.0);
     play.spec.parts[0].state = State::Ready;
-    play.feed(Event::Spec(play.spec.clone()));
-    assert_eq!((play.machines[&id(0)].born_ms, play.machines[&id(0)].phase), (1000.0, Phase::In));
+    play.feed(Event::Reconfigured(play.spec.clone()));
+    assert_eq!((play.machines[&id(0)].started_ms, play.machines[&id(0)].phase), (1000.0, Phase::Serving));
     play.spec.parts.push(Part { id: "new".into(), ..part(0, None) });
-    play.told.insert("new".into(), Told::Up);
-    play.feed(Event::Spec(play.spec.clone()));
-    assert_eq!(play.machines["new"].born_ms, 1000.0, "it joined a pool in service");
+    play.told.insert("new".into(), Notified::Up);
+    play.feed(Event::Reconfigured(play.spec.clone()));
+    assert_eq!(play.machines["new"].started_ms, 1000.0, "it joined a pool in service");
 }
 
 #[test]
 fn waiting_is_first_come_first_served_and_bounded() {
     let mut play = Play::new(Spec { in_flight: Some(1), waiting: 2, ..spec(None, None) });
     (0..5).for_each(|_| play.play(Step::Arrive));
-    assert_eq!((play.inside.len(), play.waiting.len(), play.pool.counts().crowded), (1, 2, 2));
+    assert_eq!((play.inside.len(), play.waiting.len(), play.pool.counts().queue_full), (1, 2, 2));
     play.pass(60.0);
     play.inside.remove(&1);
-    play.feed(Event::Left { request: 1 });
+    play.feed(Event::Finished { request: 1 });
     assert_eq!(play.inside.keys().copied().collect::<Vec<_>>(), [2]);
     play.pass(60.1);
-    assert_eq!((play.waiting.len(), play.pool.counts().overdue), (0, 1));
+    assert_eq!((play.waiting.len(), play.pool.counts().timed_out), (0, 1));
 }
