--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -45,6 +45,7 @@
 //! ```
 
 mod health;
+mod message;
 mod pool;
 mod queue;
 mod route;
@@ -52,6 +53,7 @@
 mod spec;
 
 pub use health::AttemptOutcome;
-pub use pool::{Action, Counts, Endpoint, Event, Notified, Phase, Pool, RejectReason};
+pub use message::{Action, Counts, Endpoint, Event, Notified, Phase, RejectReason};
+pub use pool::Pool;
 pub use route::{Routed, Routes};
 pub use spec::{Part, Spec};
