--- a/crates/pool/src/select/tests.rs
+++ b/crates/pool/src/select/tests.rs
@@ -29,7 +29,7 @@
         let (up, trial) = (!w.contains(['!', '?']), w.contains('?'));
         shown.push(MemberStatus { listed: true, up, trial });
     }
-    select(&parts, &shown).into_iter().map(|c| if c { '1' } else { '0' }).collect()
+    select_endpoints(&parts, &shown).into_iter().map(|c| if c { '1' } else { '0' }).collect()
 }
 
 #[test]
