--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,5 +1,5 @@
-//! What stands between a request and the decision module: which pool it belongs to, whether the pool has room, and
-//! which of its machines the module may pick from.
+//! What stands between a request and the decision module: which pool it belongs to, whether the pool has capacity,
+//! and which of its endpoints (cache nodes) the module may pick from.
 //!
 //! [`Routes`] sends a host and a path to a pool, in the order of Apache or of mod_jk. [`Pool`] is one pool's state: it
 //! takes an [`Event`] and the time and returns [`Action`]s. There are no sockets, threads or clocks in here; equal
@@ -8,14 +8,14 @@
 //! # The contract
 //!
 //! - Times are milliseconds on the caller's one clock, which never runs back.
-//! - A request [`Event::Arrived`]s, is [`Action::Admit`]ted or [`Action::Reject`]ed away by exactly one action (unless it
-//!   left first), and if it was admitted it [`Event::Finished`] in the end.
-//! - Each attempt of an admitted request is one [`Event::AttemptSent`] and one [`Event::AttemptEnded`]. The caller sends only to
-//!   machines whose last [`Endpoint::phase`] is [`Phase::Serving`], and tells of each send before it takes the next step:
-//!   then limits hold exactly, and a machine in recovery gets one trial at a time.
-//! - Before a further attempt [`Event::RetryRequested`] asks; [`Action::Retry`] or [`Action::RetryDenied`] answers.
-//! - A machine whose administrative state is draining or stopped is never handed out as [`Phase::Serving`], from the very
-//!   event on that brings the state: not by recovery, not in place of another, not by a trial.
+//! - A request that arrives ([`Event::Arrived`]) is admitted ([`Action::Admit`]) or rejected ([`Action::Reject`]) by
+//!   exactly one action (unless it finished first), and if it was admitted it is [`Event::Finished`] in the end.
+//! - Each attempt of an admitted request is one [`Event::AttemptSent`] and one [`Event::AttemptEnded`]. The caller
+//!   sends only to endpoints whose last [`Endpoint::phase`] is [`Phase::Serving`], and reports each send before it
+//!   takes the next step: then limits hold exactly, and an ejected endpoint gets one half-open probe at a time.
+//! - Before a retry [`Event::RetryRequested`] asks; [`Action::Retry`] or [`Action::RetryDenied`] answers.
+//! - An endpoint whose administrative state is draining or stopped is never published as [`Phase::Serving`], from the
+//!   very event on that brings the state: not by recovery, not as a stand-in, not by a half-open probe.
 //! - [`Pool::wake_at`] tells when the next [`Event::Tick`] is due; one that comes early does no harm.
 //!
 //! ```
