--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -56,4 +56,4 @@
 pub use message::{Action, Counts, Endpoint, Event, Notified, Phase, RejectReason};
 pub use pool::Pool;
 pub use route::{Routed, Routes};
-pub use spec::{Part, Spec};
+pub use spec::{MemberSpec, Spec};
--- a/crates/pool/src/message.rs
+++ b/crates/pool/src/message.rs
@@ -34,9 +34,9 @@
     pub id: Arc<str>,
     /// Its phase.
     pub phase: Phase,
-    /// Its share.
+    /// Its weight relative to the pool's other members.
     pub weight: f64,
-    /// When it last started; 0: long ago.
+    /// When it last started, in milliseconds on the caller's clock; 0: long ago.
     pub started_ms: f64,
 }
 
@@ -67,7 +67,7 @@
     Arrived {
         /// Its number, unique among those in the pool.
         request: u64,
-        /// On the caller's clock.
+        /// The latest time it may wait until, in milliseconds on the caller's clock.
         wait_until: f64,
     },
     /// A request is over, or its client left.
--- a/crates/pool/src/select.rs
+++ b/crates/pool/src/select.rs
@@ -1,7 +1,7 @@
 //! Which members the decision module may pick from: administrative states, health, tiers, spares, standbys and
 //! stand-ins, all in one pure function.
 
-use crate::spec::Part;
+use crate::spec::MemberSpec;
 use fernslip_site::State;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -28,7 +28,7 @@
 /// 6. Members due for a trial join, from tiers up to the serving one.
 ///
 /// Draining and stopped members never join. Being full is no reason to fall back: what is full is waited for.
-pub(crate) fn select_endpoints(parts: &[Part], shown: &[MemberStatus]) -> Vec<bool> {
+pub(crate) fn select_endpoints(parts: &[MemberSpec], shown: &[MemberStatus]) -> Vec<bool> {
     let mut out = vec![false; parts.len()];
     let live = |i: usize| matches!(parts[i].state, State::Ready | State::Spare | State::Standby);
     let usable = |i: usize| live(i) && shown[i].listed && shown[i].up;
--- a/crates/pool/src/select/tests.rs
+++ b/crates/pool/src/select/tests.rs
@@ -11,7 +11,7 @@
     let mut shown = Vec::new();
     for (n, w) in words.iter().enumerate() {
         let tier = w.chars().find(char::is_ascii_digit).and_then(|c| c.to_digit(10)).unwrap_or(0);
-        parts.push(Part {
+        parts.push(MemberSpec {
             id: id(n),
             weight: 1.0,
             state: match w.chars().next() {
--- a/crates/pool/src/spec.rs
+++ b/crates/pool/src/spec.rs
@@ -1,63 +1,64 @@
-//! A pool as the operators wrote it, with every default filled in.
+//! A pool's specification as the operators wrote it in the site document, with every default filled in.
 
 use fernslip_site::{Pool, Site, State};
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A member's part.
+/// One member of a pool as the pool specification has it: the member's own settings merged with the pool's `use`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
+pub struct MemberSpec {
     /// The member.
     pub id: Arc<str>,
-    /// Its share, compared with the others'.
+    /// Its weight relative to the other members' (no unit; 1.0 by default).
     pub weight: f64,
-    /// What the operators want of it.
+    /// Its administrative state: the stricter of the member's and the pool's `use`.
     pub state: State,
-    /// The lowest tier with a usable member serves.
+    /// Its tier; the lowest tier with a usable member serves.
     pub tier: u64,
-    /// Who stands in for whom first.
+    /// Its failover group: members of a lost tier's groups stand in first.
     pub group: Option<Arc<str>>,
-    /// The member that takes its place.
+    /// The id of the member that stands in for it when it is unusable.
     pub instead: Option<Arc<str>>,
-    /// Requests at it at the same time; connections carry one each at least, so their limit is one too.
+    /// Its in-flight request limit; a connection carries one request at least, so a connection limit counts too.
     pub in_flight: Option<u64>,
 }
 
-/// A pool.
+/// A pool's specification, in the units that [`crate::Pool`] uses (milliseconds, counts).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Spec {
     /// Its name.
     pub name: String,
     /// Its members, in their order; each id once.
-    pub parts: Vec<Part>,
-    /// Requests in it at the same time; its members' connections together count as that too.
+    pub parts: Vec<MemberSpec>,
+    /// Its in-flight request limit; a connection limit counts too.
     pub in_flight: Option<u64>,
-    /// How long a request may wait for a place, in milliseconds.
+    /// How long a request may wait in the queue for capacity, in milliseconds.
     pub wait_ms: f64,
-    /// How many may wait.
+    /// How many requests may wait in the queue.
     pub waiting: usize,
-    /// Attempts at a request.
+    /// Attempts at a request, the first included.
     pub attempts: u64,
-    /// Further attempts that each request earns for all.
+    /// Retries that each arriving request adds to the pool's retry budget.
     pub retry_budget: f64,
-    /// Further attempts that can be saved up.
+    /// The most retries that the budget can save up.
     pub retry_burst: f64,
-    /// Failures in a row after which a member counts as failed.
+    /// Consecutive failures after which a member is ejected (at least 1).
     pub failures: u64,
-    /// From then to its first trial, in milliseconds.
+    /// The backoff from ejection to the first half-open probe, in milliseconds (KDL key `first-ms`).
     pub first_backoff_ms: f64,
-    /// The longest wait for a trial, in milliseconds.
+    /// The longest backoff before a half-open probe, in milliseconds (KDL key `most-ms`).
     pub max_backoff_ms: f64,
 }
 
 impl Spec {
-    /// From a pool of a site that was read and checked. Members that the site does not have are passed over.
+    /// The specification of one pool of a site that was read and checked. Members that the site does not have are
+    /// skipped.
     pub fn of(site: &Site, pool: &Pool) -> Spec {
         let one = Site { pools: vec![pool.clone()], routes: Vec::new(), ..site.clone() };
         Spec::all(&one).remove(0)
     }
 
-    /// Every pool of a site.
+    /// The specifications of every pool of a site, in the site's order.
     pub fn all(site: &Site) -> Vec<Spec> {
         let site = site.effective();
         let members: HashMap<&str, &fernslip_site::Member> =
@@ -71,7 +72,7 @@
                     .iter()
                     .filter_map(|u| {
                         let m = members.get(u.member.as_str())?;
-                        Some(Part {
+                        Some(MemberSpec {
                             id: u.member.as_str().into(),
                             weight: u.weight.or(m.weight).unwrap_or(1.0),
                             state: u.state.unwrap_or(m.state).stricter(m.state),
--- a/crates/pool/tests/invariants.rs
+++ b/crates/pool/tests/invariants.rs
@@ -48,8 +48,8 @@
     format!("m{n}").into()
 }
 
-fn part(n: usize, limit: Option<u64>) -> Part {
-    Part {
+fn part(n: usize, limit: Option<u64>) -> MemberSpec {
+    MemberSpec {
         id: id(n),
         weight: 1.0 + n as f64,
         state: STATES[[0, 0, 0, 4, 3, 0][n]],
@@ -353,7 +353,7 @@
     play.spec.parts[0].state = State::Ready;
     play.feed(Event::Reconfigured(play.spec.clone()));
     assert_eq!((play.machines[&id(0)].started_ms, play.machines[&id(0)].phase), (1000.0, Phase::Serving));
-    play.spec.parts.push(Part { id: "new".into(), ..part(0, None) });
+    play.spec.parts.push(MemberSpec { id: "new".into(), ..part(0, None) });
     play.told.insert("new".into(), Notified::Up);
     play.feed(Event::Reconfigured(play.spec.clone()));
     assert_eq!(play.machines["new"].started_ms, 1000.0, "it joined a pool in service");
