--- a/crates/pool/src/route.rs
+++ b/crates/pool/src/route.rs
@@ -16,7 +16,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum To {
+enum RuleTarget {
     Pool(usize),
     Nowhere,
     /// What would go to that pool goes nowhere.
@@ -30,28 +30,28 @@
 }
 
 #[derive(Debug)]
-struct Set {
+struct RuleSet {
     inherit: bool,
     /// Rules of the first order by their patterns: the place of the first with it.
-    exact: HashMap<String, Vec<(usize, To)>>,
-    prefix: HashMap<String, Vec<(usize, To)>>,
+    exact: HashMap<String, Vec<(usize, RuleTarget)>>,
+    prefix: HashMap<String, Vec<(usize, RuleTarget)>>,
     /// Those that only a look at each one tells, in the order in which they are asked.
-    others: Vec<(usize, Pattern, To)>,
+    others: Vec<(usize, Pattern, RuleTarget)>,
 }
 
 /// The rules of a site.
 #[derive(Debug)]
 pub struct Routes {
-    sets: Vec<Set>,
+    sets: Vec<RuleSet>,
     hosts: HashMap<String, usize>,
-    /// By what follows `*.`.
-    families: HashMap<String, usize>,
-    open: Option<usize>,
+    /// Sets of wildcard hosts (`*.example.com`), by what follows `*.`.
+    wildcard_hosts: HashMap<String, usize>,
+    default_set: Option<usize>,
 }
 
 /// Whether a text is as a pattern says, `*` standing for any text and `?` for one character. Its cost is bounded by
 /// the product of the lengths, not by a power.
-fn wild(pattern: &[char], text: &[char]) -> bool {
+fn wildcard_matches(pattern: &[char], text: &[char]) -> bool {
     let (mut p, mut t, mut star) = (0, 0, None);
     while t < text.len() {
         match pattern.get(p) {
@@ -73,7 +73,7 @@
 }
 
 /// A path without empty and dot parts. Guards rules on a folder against ways round it: `/a/../b`, `//b`.
-fn normal(path: &str) -> String {
+fn normalize_path(path: &str) -> String {
     let mut parts: Vec<&str> = Vec::new();
     for part in path.split('/') {
         match part {
@@ -88,8 +88,8 @@
     format!("/{}{end}", parts.join("/"))
 }
 
-impl Set {
-    fn of(set: &RouteSet, pools: &HashMap<&str, usize>) -> Set {
+impl RuleSet {
+    fn of(set: &RouteSet, pools: &HashMap<&str, usize>) -> RuleSet {
         let mut rules: Vec<(usize, &Route)> = set.rules.iter().enumerate().collect();
         if set.order == Some(Order::Longest) {
             // Sorted, the longest order is a first order too; what keeps back stands before what it keeps back.
@@ -99,7 +99,7 @@
             };
             rules.sort_by_key(|(_, r)| rank(r));
         }
-        let mut out = Set {
+        let mut out = RuleSet {
             inherit: set.inherit == Some(true),
             exact: HashMap::new(),
             prefix: HashMap::new(),
@@ -108,10 +108,10 @@
         for (place, (_, rule)) in rules.into_iter().enumerate() {
             let named = |p: &String| pools.get(p.as_str()).copied();
             let to = match &rule.target {
-                Target::Pool(p) => named(p).map_or(To::Nowhere, To::Pool),
-                Target::Exclude(None) => To::Nowhere,
+                Target::Pool(p) => named(p).map_or(RuleTarget::Nowhere, RuleTarget::Pool),
+                Target::Exclude(None) => RuleTarget::Nowhere,
                 Target::Exclude(Some(p)) => match named(p) {
-                    Some(p) => To::Without(p),
+                    Some(p) => RuleTarget::Without(p),
                     None => continue,
                 },
             };
@@ -133,10 +133,10 @@
     }
 
     fn route(&self, path: &str) -> Routed {
-        let mut best: Option<(usize, To)> = None;
+        let mut best: Option<(usize, RuleTarget)> = None;
         let mut kept: Vec<usize> = Vec::new();
-        let mut take = |place: usize, to: To| match to {
-            To::Without(pool) => kept.push(pool),
+        let mut take = |place: usize, to: RuleTarget| match to {
+            RuleTarget::Without(pool) => kept.push(pool),
             _ if best.is_none_or(|b| place < b.0) => best = Some((place, to)),
             _ => {}
         };
@@ -162,7 +162,7 @@
             for (place, pattern, to) in &self.others {
                 let matches = match pattern {
                     Pattern::Regex(r) => r.is_match(path),
-                    Pattern::Wildcard(w) => wild(w, &chars),
+                    Pattern::Wildcard(w) => wildcard_matches(w, &chars),
                 };
                 if matches {
                     take(*place, *to);
@@ -171,7 +171,7 @@
         }
         match best {
             None => Routed::Unrouted,
-            Some((_, To::Pool(p))) if !kept.contains(&p) => Routed::Pool(p),
+            Some((_, RuleTarget::Pool(p))) if !kept.contains(&p) => Routed::Pool(p),
             Some(_) => Routed::Excluded,
         }
     }
@@ -182,18 +182,22 @@
     pub fn of(site: &Site) -> Routes {
         let pools: HashMap<&str, usize> =
             site.pools.iter().enumerate().map(|(i, p)| (p.name.as_str(), i)).collect();
-        let mut out =
-            Routes { sets: Vec::new(), hosts: HashMap::new(), families: HashMap::new(), open: None };
+        let mut out = Routes {
+            sets: Vec::new(),
+            hosts: HashMap::new(),
+            wildcard_hosts: HashMap::new(),
+            default_set: None,
+        };
         for set in &site.routes {
             let at = out.sets.len();
-            out.sets.push(Set::of(set, &pools));
+            out.sets.push(RuleSet::of(set, &pools));
             if set.hosts.is_empty() {
-                out.open.get_or_insert(at);
+                out.default_set.get_or_insert(at);
             }
             for host in &set.hosts {
                 let host = host.to_ascii_lowercase();
                 match host.strip_prefix("*.") {
-                    Some(family) => out.families.entry(family.to_string()).or_insert(at),
+                    Some(family) => out.wildcard_hosts.entry(family.to_string()).or_insert(at),
                     None => out.hosts.entry(host).or_insert(at),
                 };
             }
@@ -209,19 +213,19 @@
     /// Where a request for that path of that host goes. A port behind the host is passed over; so is its case. The
     /// set of the host itself is asked, else that of the longest family above it, else the one without hosts.
     pub fn route(&self, host: &str, path: &str) -> Routed {
-        let path = normal(path);
+        let path = normalize_path(path);
         let host = host
             .rsplit_once(':')
             .filter(|(_, p)| p.bytes().all(|b| b.is_ascii_digit()))
             .map_or(host, |h| h.0);
         let host = host.to_ascii_lowercase();
         let above = host.match_indices('.').map(|(i, _)| &host[i + 1..]);
-        let family = || above.filter_map(|f| self.families.get(f)).next();
+        let family = || above.filter_map(|f| self.wildcard_hosts.get(f)).next();
         let own = self.hosts.get(&host).or_else(family).copied();
         let found = own.map_or(Routed::Unrouted, |at| self.sets[at].route(&path));
         let goes_on = own.is_none_or(|at| self.sets[at].inherit);
-        match (found, self.open.filter(|_| goes_on)) {
-            (Routed::Unrouted, Some(open)) => self.sets[open].route(&path),
+        match (found, self.default_set.filter(|_| goes_on)) {
+            (Routed::Unrouted, Some(default_set)) => self.sets[default_set].route(&path),
             (found, _) => found,
         }
     }
