--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,5 +1,5 @@
-//! What stands between a request and the decision module: which pool it belongs to, whether the pool has room, and
-//! which of its machines the module may pick from.
+//! What stands between a request and the decision module: which pool it belongs to, whether the pool has capacity,
+//! and which of its endpoints (cache nodes) the module may pick from.
 //!
 //! [`Routes`] sends a host and a path to a pool, in the order of Apache or of mod_jk. [`Pool`] is one pool's state: it
 //! takes an [`Event`] and the time and returns [`Action`]s. There are no sockets, threads or clocks in here; equal
@@ -8,18 +8,18 @@
 //! # The contract
 //!
 //! - Times are milliseconds on the caller's one clock, which never runs back.
-//! - A request [`Event::Arrived`]s, is [`Action::Admit`]ted or [`Action::Turn`]ed away by exactly one action (unless it
-//!   left first), and if it was admitted it [`Event::Left`] in the end.
-//! - Each attempt of an admitted request is one [`Event::Sent`] and one [`Event::Ended`]. The caller sends only to
-//!   machines whose last [`Machine::phase`] is [`Phase::In`], and tells of each send before it takes the next step:
-//!   then limits hold exactly, and a machine in recovery gets one trial at a time.
-//! - Before a further attempt [`Event::Again`] asks; [`Action::Again`] or [`Action::Enough`] answers.
-//! - A machine whose administrative state is draining or stopped is never handed out as [`Phase::In`], from the very
-//!   event on that brings the state: not by recovery, not in place of another, not by a trial.
+//! - A request that arrives ([`Event::Arrived`]) is admitted ([`Action::Admit`]) or rejected ([`Action::Reject`]) by
+//!   exactly one action (unless it finished first), and if it was admitted it is [`Event::Finished`] in the end.
+//! - Each attempt of an admitted request is one [`Event::AttemptSent`] and one [`Event::AttemptEnded`]. The caller
+//!   sends only to endpoints whose last [`Endpoint::phase`] is [`Phase::Serving`], and reports each send before it
+//!   takes the next step: then limits hold exactly, and an ejected endpoint gets one half-open probe at a time.
+//! - Before a retry [`Event::RetryRequested`] asks; [`Action::Retry`] or [`Action::RetryDenied`] answers.
+//! - An endpoint whose administrative state is draining or stopped is never published as [`Phase::Serving`], from the
+//!   very event on that brings the state: not by recovery, not as a stand-in, not by a half-open probe.
 //! - [`Pool::wake_at`] tells when the next [`Event::Tick`] is due; one that comes early does no harm.
 //!
 //! ```
-//! use fernslip_pool::{Action, End, Event, Phase, Pool, Spec};
+//! use fernslip_pool::{Action, AttemptOutcome, Event, Phase, Pool, Spec};
 //! use fernslip_site::Site;
 //!
 //! let text = r#"
@@ -31,27 +31,29 @@
 //! let mut pool = Pool::new(Spec::of(&site, &site.pools[0]), 7);
 //! let mut actions = Vec::new();
 //! pool.handle(0.0, Event::Tick, &mut actions);
-//! let Action::Machines(machines) = &actions[0] else { panic!() };
-//! assert_eq!(machines.iter().map(|m| m.phase).collect::<Vec<_>>(), [Phase::In, Phase::Draining]);
+//! let Action::Endpoints(machines) = &actions[0] else { panic!() };
+//! assert_eq!(machines.iter().map(|m| m.phase).collect::<Vec<_>>(), [Phase::Serving, Phase::Draining]);
 //!
 //! actions.clear();
 //! pool.handle(1.0, Event::Arrived { request: 1, wait_until: 1000.0 }, &mut actions);
 //! pool.handle(1.0, Event::Arrived { request: 2, wait_until: 1000.0 }, &mut actions);
 //! assert_eq!(actions, [Action::Admit { request: 1 }]); // the second waits for a place
 //! actions.clear();
-//! pool.handle(20.0, Event::Left { request: 1 }, &mut actions);
+//! pool.handle(20.0, Event::Finished { request: 1 }, &mut actions);
 //! assert_eq!(actions, [Action::Admit { request: 2 }]);
 //! # Ok::<(), fernslip_site::SiteError>(())
 //! ```
 
 mod health;
+mod message;
 mod pool;
 mod queue;
 mod route;
 mod select;
 mod spec;
 
-pub use health::End;
-pub use pool::{Action, Counts, Event, Machine, Phase, Pool, Told, Why};
+pub use health::AttemptOutcome;
+pub use message::{Action, Counts, Endpoint, Event, Notified, Phase, RejectReason};
+pub use pool::Pool;
 pub use route::{Routed, Routes};
-pub use spec::{Part, Spec};
+pub use spec::{MemberSpec, Spec};
