--- /dev/null
+++ b/crates/view/src/engine/receive.rs
@@ -0,0 +1,146 @@
+//! Receiving datagrams: opening and checking them, dispatching their items, and trimming the reply to the budget.
+
+use super::failure_detection::ReceivedAlert;
+use super::*;
+
+impl View {
+    pub(super) fn datagram(&mut self, at: f64, from: SocketAddr, bytes: &[u8], actions: &mut Vec<Action>) {
+        let Some(m) = Message::open(bytes, &self.keys) else {
+            self.counts.malformed += 1;
+            return;
+        };
+        if m.birth == self.own.birth || !self.replays.is_new(m.birth, 0, m.sequence, at) {
+            self.counts.replayed += 1;
+            return;
+        }
+        self.counts.taken += 1;
+        self.heard_ms = at;
+        let sender = self.table.get(m.from).map(|h| (h.fact.birth, h.fact.stand, h.rank));
+        let mut reply = Vec::new();
+        match sender {
+            Some((birth, stand, _)) if birth == m.birth && stand.counts() => self.watch.heard(m.from, at),
+            // It is taken for gone, and is not: it is told, and answers with a higher incarnation.
+            Some((birth, Stand::Gone, rank)) if birth == m.birth => reply.push(Item::Short(m.from, rank)),
+            Some((_, stand, _)) if m.from != self.id() && stand.counts() => {
+                // Another process of that name: it hears whom we hold, and we ask whom it tells of.
+                reply.extend(self.table.get(m.from).map(|h| Item::Whole(h.fact.clone())));
+            }
+            _ if m.from != self.id() => reply.push(Item::Want(vec![m.from])),
+            _ => {
+                let held = self.table.get(m.from).is_some_and(|h| h.fact.birth == m.birth);
+                self.meet_twin(at, from, held || !self.admitted, actions);
+                reply.push(Item::Whole(self.own.clone()));
+            }
+        }
+        let place = self.place(m.from, m.birth);
+        self.settle.heard(m.digest, &m.held, place, at);
+        let hello = m.items.iter().any(|i| matches!(i, Item::Hello(_)));
+        if hello || m.items.iter().any(|i| matches!(i, Item::Whole(f) if f.id() == m.from)) {
+            reply.retain(|i| !matches!(i, Item::Want(_)));
+        }
+        let mut wanted = Vec::new();
+        for (i, item) in m.items.iter().enumerate() {
+            match item {
+                Item::Ping(n) => reply.push(Item::Ack(*n)),
+                Item::Ack(n) => self.ack(at, *n, &m, actions),
+                Item::Ask(id, birth, n) => self.ask(at, *id, *birth, *n, from, actions),
+                Item::Hello(fact) => self.hello(at, fact, &m, &mut reply, actions),
+                Item::Namesake(addr) if *addr != self.own.addr => self.meet_twin(at, *addr, false, actions),
+                Item::Namesake(_) => {}
+                Item::Whole(fact) => {
+                    // Told by others, this process has been taken up.
+                    self.admitted |= fact.birth == self.own.birth && fact.stand.counts();
+                    self.take(at, fact, m.from, actions);
+                }
+                Item::Short(id, rank) => {
+                    let confirms = *id == self.id() && rank.birth == self.own.birth && rank.stand.counts();
+                    self.admitted |= confirms;
+                    if self.take_rank(at, *id, *rank, m.from, actions) && wanted.len() < MOST_WANTED {
+                        wanted.push(*id);
+                    }
+                }
+                Item::Want(ids) => {
+                    let whole = |id: &Id| self.table.get(*id).map(|h| Item::Whole(h.fact.clone()));
+                    let own = ids.contains(&self.id()).then(|| Item::Whole(self.own.clone()));
+                    let known = ids.iter().filter(|id| **id != self.id()).filter_map(whole);
+                    reply.extend(own.into_iter().chain(known.take(MOST_WANTED)));
+                }
+                Item::Sums(theirs) => {
+                    if self.has_room(at) {
+                        self.differ(theirs, &mut reply);
+                    }
+                }
+                Item::Differ(bits) => self.fill(*bits, &m.items[i + 1..], &mut reply),
+                Item::Alert { of, birth, incarnation, word, ping, stands, alone } => {
+                    let word =
+                        Word { number: *word, at_ms: at, birth: *birth, stands: *stands, alone: *alone };
+                    let alert = ReceivedAlert { of: *of, incarnation: *incarnation, word, ping: *ping };
+                    self.alert(at, alert, &m, &mut reply, actions);
+                }
+            }
+        }
+        if !wanted.is_empty() && self.has_room(at) {
+            reply.push(Item::Want(wanted));
+        }
+        let differs = m.digest != self.table.digest() && at - self.compared_ms >= COMPARE_MS;
+        if differs
+            && self.admitted
+            && !m.items.iter().any(|i| matches!(i, Item::Sums(_)))
+            && self.has_room(at)
+        {
+            self.compared_ms = at;
+            reply.push(Item::Sums(self.table.sums()));
+        }
+        if !self.admitted {
+            // This front's own fact reaches the others by its call alone, until it is taken up: another process of its
+            // name may be there.
+            let own = self.id();
+            reply.retain(|i| match i {
+                Item::Whole(f) => f.id() != own,
+                Item::Short(id, _) => *id != own,
+                Item::Sums(_) | Item::Differ(_) => false,
+                _ => true,
+            });
+        }
+        if !self.has_room(at) {
+            // What is left of the budget is for answers: a seed that spends all on newcomers would be taken for gone.
+            // A newcomer that gets no answer calls again; one that got half of one would know nobody and call no more.
+            let about = m.from;
+            reply.retain(|i| match i {
+                Item::Ack(_) => true,
+                Item::Short(id, rank) => *id == about && !rank.stand.counts(),
+                _ => false,
+            });
+        }
+        if !reply.is_empty() {
+            self.send(at, from, reply, actions);
+        }
+    }
+
+    pub(super) fn ack(&mut self, at: f64, number: u32, m: &Message, actions: &mut Vec<Action>) {
+        if let Some((to, theirs, _)) = self.forwards.remove(&number) {
+            self.send(at, to, vec![Item::Ack(theirs)], actions);
+            return;
+        }
+        if let Some((id, true)) = self.watch.answered(number, Some((m.from, m.birth)), at) {
+            self.speak(at, id, false, actions);
+        }
+    }
+
+    pub(super) fn ask(
+        &mut self,
+        at: f64,
+        id: Id,
+        birth: u64,
+        number: u32,
+        from: SocketAddr,
+        actions: &mut Vec<Action>,
+    ) {
+        let to = self.table.get(id).filter(|h| h.fact.birth == birth && id != self.id()).map(|h| h.fact.addr);
+        if let Some(to) = to.filter(|_| self.forwards.len() < MOST_FORWARDS) {
+            let own = self.fresh_number();
+            self.forwards.insert(own, (from, number, at));
+            self.send(at, to, vec![Item::Ping(own)], actions);
+        }
+    }
+}
