--- a/crates/view/src/engine/receive.rs
+++ b/crates/view/src/engine/receive.rs
@@ -4,17 +4,46 @@
 use super::*;
 
 impl View {
+    /// Takes one datagram: checks it, notes its sender, takes in its items, and answers within the budget.
     pub(super) fn datagram(&mut self, at: f64, from: SocketAddr, bytes: &[u8], actions: &mut Vec<Action>) {
+        let Some(m) = self.open_datagram(at, bytes) else { return };
+        self.counts.taken += 1;
+        self.heard_ms = at;
+        let mut reply = self.answer_sender(at, from, &m, actions);
+        let place = self.place(m.from, m.birth);
+        self.settle.heard(m.digest, &m.held, place, at);
+        let hello = m.items.iter().any(|i| matches!(i, Item::Hello(_)));
+        if hello || m.items.iter().any(|i| matches!(i, Item::Whole(f) if f.id() == m.from)) {
+            reply.retain(|i| !matches!(i, Item::Want(_)));
+        }
+        let wanted = self.receive_items(at, from, &m, &mut reply, actions);
+        self.finish_reply(at, &m, wanted, &mut reply);
+        if !reply.is_empty() {
+            self.send(at, from, reply, actions);
+        }
+    }
+
+    /// The datagram's message, where it is one of ours under a known key and not a replay; else counts it and drops it.
+    fn open_datagram(&mut self, at: f64, bytes: &[u8]) -> Option<Message> {
         let Some(m) = Message::open(bytes, &self.keys) else {
             self.counts.malformed += 1;
-            return;
+            return None;
         };
         if m.birth == self.own.birth || !self.replays.is_new(m.birth, 0, m.sequence, at) {
             self.counts.replayed += 1;
-            return;
+            return None;
         }
-        self.counts.taken += 1;
-        self.heard_ms = at;
+        Some(m)
+    }
+
+    /// What the sender is to hear of itself first, by what the view holds of its name.
+    fn answer_sender(
+        &mut self,
+        at: f64,
+        from: SocketAddr,
+        m: &Message,
+        actions: &mut Vec<Action>,
+    ) -> Vec<Item> {
         let sender = self.table.get(m.from).map(|h| (h.fact.birth, h.fact.stand, h.rank));
         let mut reply = Vec::new();
         match sender {
@@ -32,19 +61,25 @@
                 reply.push(Item::Whole(self.own.clone()));
             }
         }
-        let place = self.place(m.from, m.birth);
-        self.settle.heard(m.digest, &m.held, place, at);
-        let hello = m.items.iter().any(|i| matches!(i, Item::Hello(_)));
-        if hello || m.items.iter().any(|i| matches!(i, Item::Whole(f) if f.id() == m.from)) {
-            reply.retain(|i| !matches!(i, Item::Want(_)));
-        }
+        reply
+    }
+
+    /// Takes in each item of the message, adding answers to `reply`; returns the members whose texts are lacking.
+    fn receive_items(
+        &mut self,
+        at: f64,
+        from: SocketAddr,
+        m: &Message,
+        reply: &mut Vec<Item>,
+        actions: &mut Vec<Action>,
+    ) -> Vec<Id> {
         let mut wanted = Vec::new();
         for (i, item) in m.items.iter().enumerate() {
             match item {
                 Item::Ping(n) => reply.push(Item::Ack(*n)),
-                Item::Ack(n) => self.ack(at, *n, &m, actions),
+                Item::Ack(n) => self.ack(at, *n, m, actions),
                 Item::Ask(id, birth, n) => self.ask(at, *id, *birth, *n, from, actions),
-                Item::Hello(fact) => self.hello(at, fact, &m, &mut reply, actions),
+                Item::Hello(fact) => self.hello(at, fact, m, reply, actions),
                 Item::Namesake(addr) if *addr != self.own.addr => self.meet_twin(at, *addr, false, actions),
                 Item::Namesake(_) => {}
                 Item::Whole(fact) => {
@@ -67,18 +102,23 @@
                 }
                 Item::Sums(theirs) => {
                     if self.has_room(at) {
-                        self.differ(theirs, &mut reply);
+                        self.differ(theirs, reply);
                     }
                 }
-                Item::Differ(bits) => self.fill(*bits, &m.items[i + 1..], &mut reply),
+                Item::Differ(bits) => self.fill(*bits, &m.items[i + 1..], reply),
                 Item::Alert { of, birth, incarnation, word, ping, stands, alone } => {
                     let word =
                         Word { number: *word, at_ms: at, birth: *birth, stands: *stands, alone: *alone };
                     let alert = ReceivedAlert { of: *of, incarnation: *incarnation, word, ping: *ping };
-                    self.alert(at, alert, &m, &mut reply, actions);
+                    self.alert(at, alert, m, reply, actions);
                 }
             }
         }
+        wanted
+    }
+
+    /// Asks for lacking texts and compares digests, then trims the reply to what may be sent now.
+    fn finish_reply(&mut self, at: f64, m: &Message, wanted: Vec<Id>, reply: &mut Vec<Item>) {
         if !wanted.is_empty() && self.has_room(at) {
             reply.push(Item::Want(wanted));
         }
@@ -112,9 +152,6 @@
                 _ => false,
             });
         }
-        if !reply.is_empty() {
-            self.send(at, from, reply, actions);
-        }
     }
 
     pub(super) fn ack(&mut self, at: f64, number: u32, m: &Message, actions: &mut Vec<Action>) {
