--- a/crates/view/src/engine.rs
+++ b/crates/view/src/engine.rs
@@ -391,12 +391,12 @@
 
     /// Addresses of the others that are counted on, for whoever wants to send them something.
     pub fn peers(&self) -> Vec<SocketAddr> {
-        self.others().map(|(_, h)| h.fact.addr).collect()
+        self.counted_peers().map(|(_, h)| h.fact.addr).collect()
     }
 
     /// The others that are counted on and gossip: names and addresses.
     pub fn gossips(&self) -> Vec<(String, SocketAddr)> {
-        self.others().filter_map(|(_, h)| Some((h.fact.name.clone(), h.fact.gossip?))).collect()
+        self.counted_peers().filter_map(|(_, h)| Some((h.fact.name.clone(), h.fact.gossip?))).collect()
     }
 
     /// The view's digest: equal for all who hold the same.
@@ -440,7 +440,7 @@
             return f64::MAX;
         }
         let waiting = self.waiting.values().map(|w| w.until_ms).fold(f64::MAX, f64::min);
-        let round = self.round_every().map_or(f64::MAX, |every| self.round_ms + every);
+        let round = self.gossip_interval_ms().map_or(f64::MAX, |every| self.round_ms + every);
         let rings = self.rings_due.unwrap_or(f64::MAX);
         self.watch.wake_at().min(rings).min(round).min(self.next_call).min(self.next_fade).min(waiting)
     }
@@ -456,23 +456,23 @@
         self.last_ms = at;
         match event {
             Event::Tick => self.tick(at, actions),
-            Event::Datagram { from, bytes } => self.datagram(at, from, &bytes, actions),
+            Event::Datagram { from, bytes } => self.receive_datagram(at, from, &bytes, actions),
             Event::Stands(stand) => {
                 if self.own.stand != stand && !self.left {
                     self.own.stand = stand;
-                    self.raise(at, actions);
+                    self.bump_incarnation(at, actions);
                 }
             }
             Event::Configuration(hash) => {
                 if self.own.configuration != hash {
                     self.own.configuration = hash;
-                    self.raise(at, actions);
+                    self.bump_incarnation(at, actions);
                 }
             }
             Event::Keys(keys) => self.keys = keys,
             Event::Leave => {
                 self.own.stand = Stand::Left;
-                self.raise(at, actions);
+                self.bump_incarnation(at, actions);
                 let peers: Vec<SocketAddr> = self.peers();
                 for to in peers.choose_multiple(&mut self.rng, 8).copied().collect::<Vec<_>>() {
                     self.send(at, to, vec![Item::Whole(self.own.clone())], actions);
@@ -491,7 +491,7 @@
         self.own.id()
     }
 
-    fn others(&self) -> impl Iterator<Item = (Id, &Held)> {
+    fn counted_peers(&self) -> impl Iterator<Item = (Id, &Held)> {
         let own = self.id();
         self.table.counted().filter(move |(id, _)| *id != own)
     }
@@ -532,18 +532,18 @@
             return;
         }
         if self.table.count() > 1 && at - self.heard_ms > OUT_OF_TOUCH_MS {
-            self.begin_again(at);
+            self.rejoin(at);
         }
         for due in self.watch.due(at) {
             match due {
-                Due::Speak(id) => self.speak(at, id, true, actions),
-                Due::Ping(id, again) => self.ping(at, id, again, actions),
+                Due::Speak(id) => self.broadcast_suspicion(at, id, true, actions),
+                Due::Ping(id, again) => self.probe_member(at, id, again, actions),
             }
         }
         let doubted: Vec<Id> =
             self.watch.subjects.iter().filter(|(_, s)| s.doubted_ms.is_some()).map(|(id, _)| *id).collect();
         for id in doubted {
-            self.judge(at, id, actions);
+            self.judge_member(at, id, actions);
         }
         // Its side may join ours at any moment: who found it goes on telling it.
         let own = self.id();
@@ -555,26 +555,26 @@
             again.push((*id, w.rank));
         }
         for (id, rank) in again {
-            self.warn(at, id, rank, actions);
+            self.notify_suspected(at, id, rank, actions);
         }
         let over = self.waiting.iter().filter(|(_, w)| at >= w.until_ms);
         let over: Vec<(Id, Rank, Id)> = over.map(|(id, w)| (*id, w.rank, w.from)).collect();
         for (id, rank, from) in over {
             self.waiting.remove(&id);
             let merged = self.table.merge_rank(id, rank, at);
-            self.took(at, id, merged, Some(from), false, actions);
+            self.apply_merged(at, id, merged, Some(from), false, actions);
         }
         if at >= self.next_call {
             self.next_call = at + if self.admitted { CALL_MS } else { HELLO_MS };
-            self.call(at, actions);
+            self.poll_unreached(at, actions);
         }
         if at >= self.next_fade {
             self.next_fade = at + FADE_MS;
-            self.fade(at);
+            self.expire_old_entries(at);
         }
-        if self.round_every().is_some_and(|every| at >= self.round_ms + every) {
+        if self.gossip_interval_ms().is_some_and(|every| at >= self.round_ms + every) {
             self.round_ms = at;
-            self.round(at, actions);
+            self.gossip_round(at, actions);
         }
     }
 }
--- a/crates/view/src/engine/budget.rs
+++ b/crates/view/src/engine/budget.rs
@@ -44,17 +44,17 @@
     }
 
     /// Whether there is room for what can wait: pings, answers and words against a front go before it.
-    pub(super) fn has_room(&mut self, at: f64) -> bool {
+    pub(super) fn budget_has_room(&mut self, at: f64) -> bool {
         self.bucket.left(at) as u64 > self.config.burst_bytes / 8
     }
 
-    pub(super) fn fresh_number(&mut self) -> u32 {
+    pub(super) fn next_probe_number(&mut self) -> u32 {
         self.number = self.number.wrapping_add(1);
         self.number
     }
 
-    pub(super) fn random_others(&mut self, many: usize) -> Vec<SocketAddr> {
-        let all: Vec<SocketAddr> = self.others().map(|(_, h)| h.fact.addr).collect();
+    pub(super) fn random_peers(&mut self, many: usize) -> Vec<SocketAddr> {
+        let all: Vec<SocketAddr> = self.counted_peers().map(|(_, h)| h.fact.addr).collect();
         all.choose_multiple(&mut self.rng, many).copied().collect()
     }
 }
--- a/crates/view/src/engine/dissemination.rs
+++ b/crates/view/src/engine/dissemination.rs
@@ -5,7 +5,7 @@
 impl View {
     /// How often a piece of news is told. Of many at once each is told a few times only: who misses some asks for them,
     /// as views are compared, and what all tell each other grows with their number and not faster.
-    pub(super) fn times(&self) -> u32 {
+    pub(super) fn retransmit_count(&self) -> u32 {
         if self.news.len() > MANY {
             return TIMES_OF_MANY;
         }
@@ -13,11 +13,11 @@
     }
 
     /// Between two rounds of news; `None` while there is nothing to tell.
-    pub(super) fn round_every(&self) -> Option<f64> {
+    pub(super) fn gossip_interval_ms(&self) -> Option<f64> {
         if self.table.count() < 2 || !self.admitted {
             return None;
         }
-        if !self.news.is_empty() || self.waiting.values().any(|w| w.told < self.times()) {
+        if !self.news.is_empty() || self.waiting.values().any(|w| w.told < self.retransmit_count()) {
             return Some(ROUND_MS);
         }
         // Somebody who is cut off keeps a view unsettled for as long as it lasts.
@@ -27,10 +27,10 @@
     }
 
     /// Tells some others what is new, and who holds this view.
-    pub(super) fn round(&mut self, at: f64, actions: &mut Vec<Action>) {
-        let times = self.times();
-        for to in self.random_others(FANOUT) {
-            if !self.has_room(at) {
+    pub(super) fn gossip_round(&mut self, at: f64, actions: &mut Vec<Action>) {
+        let times = self.retransmit_count();
+        for to in self.random_peers(FANOUT) {
+            if !self.budget_has_room(at) {
                 return;
             }
             let mut room = MOST_BYTES.saturating_sub(TAG_BYTES + HEAD_BYTES + self.settle.bits().len());
--- a/crates/view/src/engine/duplicate_name.rs
+++ b/crates/view/src/engine/duplicate_name.rs
@@ -4,27 +4,27 @@
 
 impl View {
     /// This front says something new of itself.
-    pub(super) fn raise(&mut self, at: f64, actions: &mut Vec<Action>) {
+    pub(super) fn bump_incarnation(&mut self, at: f64, actions: &mut Vec<Action>) {
         self.own.incarnation += 1;
-        self.assert(at, actions);
+        self.publish_own_fact(at, actions);
     }
 
-    pub(super) fn assert(&mut self, at: f64, actions: &mut Vec<Action>) {
+    pub(super) fn publish_own_fact(&mut self, at: f64, actions: &mut Vec<Action>) {
         let (id, fact) = (self.id(), self.own.clone());
         let merged = self.table.merge(&fact, at);
-        self.took(at, id, merged, None, true, actions);
+        self.apply_merged(at, id, merged, None, true, actions);
     }
 
     /// Another word on this front's own name.
-    pub(super) fn namesake(&mut self, at: f64, other: &Fact, actions: &mut Vec<Action>) {
+    pub(super) fn resolve_own_name(&mut self, at: f64, other: &Fact, actions: &mut Vec<Action>) {
         if other.birth == self.own.birth {
             if other.rank() > self.own.rank() && !self.left {
                 // Others took this process for gone: it answers with a higher incarnation.
                 self.own.incarnation = other.incarnation + 1;
                 self.counts.refuted += 1;
-                self.assert(at, actions);
+                self.publish_own_fact(at, actions);
                 // At once, and from what the budget keeps for answers: others wait for it.
-                for to in self.random_others(2 * FANOUT) {
+                for to in self.random_peers(2 * FANOUT) {
                     self.send(at, to, vec![Item::Whole(self.own.clone())], actions);
                 }
             }
@@ -38,16 +38,16 @@
             if self.twin.take().is_some() || !self.admitted {
                 self.next_call = at;
             }
-            self.assert(at, actions);
+            self.publish_own_fact(at, actions);
             return;
         }
         // A lower fact may be of a process that has ended since; that it runs is told by its own messages alone.
         if other.rank() > self.own.rank() || !self.admitted {
-            self.meet_twin(at, other.addr, true, actions);
+            self.note_duplicate(at, other.addr, true, actions);
         }
     }
 
-    pub(super) fn meet_twin(
+    pub(super) fn note_duplicate(
         &mut self,
         at: f64,
         addr: SocketAddr,
--- a/crates/view/src/engine/failure_detection.rs
+++ b/crates/view/src/engine/failure_detection.rs
@@ -17,7 +17,7 @@
 
 impl View {
     /// Looks whether one that does not answer is gone.
-    pub(super) fn judge(&mut self, at: f64, id: Id, actions: &mut Vec<Action>) {
+    pub(super) fn judge_member(&mut self, at: f64, id: Id, actions: &mut Vec<Action>) {
         let Some(h) = self.table.get(id).filter(|h| h.fact.stand.counts()) else { return };
         let own = self.id();
         let watchers = self.rings.watchers(id);
@@ -31,32 +31,32 @@
         let names: Vec<String> = against.iter().map(|by| self.name(*by)).collect();
         if !sure && !self.waiting.contains_key(&id) {
             // Its side of a partition may join ours in this moment; its own answer comes first then.
-            self.tale(
+            self.record_history(
                 id,
                 at,
                 format!("no answer to {}; others who watch it are out of reach", names.join(", ")),
                 String::new(),
             );
             let from = own;
-            let until_ms = at + self.hear_out_ms();
+            let until_ms = at + self.answer_wait_ms();
             self.waiting.insert(id, Waiting { rank, from, until_ms, told: 0, warned_ms: at });
-            return self.warn(at, id, rank, actions);
+            return self.notify_suspected(at, id, rank, actions);
         }
         if sure {
-            self.tale(id, at, format!("no answer to {}", names.join(", ")), String::new());
+            self.record_history(id, at, format!("no answer to {}", names.join(", ")), String::new());
             let merged = self.table.merge_rank(id, rank, at);
-            self.took(at, id, merged, None, false, actions);
+            self.apply_merged(at, id, merged, None, false, actions);
         }
     }
 
-    pub(super) fn ping(&mut self, at: f64, id: Id, again: bool, actions: &mut Vec<Action>) {
+    pub(super) fn probe_member(&mut self, at: f64, id: Id, again: bool, actions: &mut Vec<Action>) {
         let Some((to, birth)) = self.table.get(id).map(|h| (h.fact.addr, h.fact.birth)) else { return };
-        let number = self.fresh_number();
+        let number = self.next_probe_number();
         self.send(at, to, vec![Item::Ping(number)], actions);
         self.watch.pinged(id, number, at);
         if again {
             let others: Vec<SocketAddr> =
-                self.others().filter(|(o, _)| *o != id).map(|(_, h)| h.fact.addr).collect();
+                self.counted_peers().filter(|(o, _)| *o != id).map(|(_, h)| h.fact.addr).collect();
             for to in others.choose_multiple(&mut self.rng, ASKED).copied().collect::<Vec<_>>() {
                 self.send(at, to, vec![Item::Ask(id, birth, number)], actions);
             }
@@ -64,7 +64,7 @@
     }
 
     /// Another watcher's word.
-    pub(super) fn alert(
+    pub(super) fn receive_alert(
         &mut self,
         at: f64,
         alert: ReceivedAlert,
@@ -94,20 +94,25 @@
         if self.watch.word(of, m.from, word) {
             let (by, what) =
                 (self.name(m.from), if word.stands { "suspected" } else { "no longer suspected" });
-            self.tale(of, at, what.into(), by);
+            self.record_history(of, at, what.into(), by);
         }
-        self.judge(at, of, actions);
+        self.judge_member(at, of, actions);
     }
 
     /// This front's own word on one that it watches, to all who watch it too and to itself.
-    pub(super) fn speak(&mut self, at: f64, of: Id, stands: bool, actions: &mut Vec<Action>) {
+    pub(super) fn broadcast_suspicion(&mut self, at: f64, of: Id, stands: bool, actions: &mut Vec<Action>) {
         let Some(h) = self.table.get(of).filter(|h| h.fact.stand.counts()) else { return };
         let (birth, incarnation, itself) = (h.fact.birth, h.fact.incarnation, h.fact.addr);
         self.word += 1;
         let own = self.id();
         let alone = self.watch.is_alone(of, at);
         if self.watch.word(of, own, Word { number: self.word, at_ms: at, birth, stands, alone }) {
-            self.tale(of, at, if stands { "suspected" } else { "no longer suspected" }.into(), String::new());
+            self.record_history(
+                of,
+                at,
+                if stands { "suspected" } else { "no longer suspected" }.into(),
+                String::new(),
+            );
         }
         let ping = self.watch.waits_for(of).unwrap_or(0);
         let item = Item::Alert { of, birth, incarnation, word: self.word, ping, stands, alone };
--- a/crates/view/src/engine/greeting.rs
+++ b/crates/view/src/engine/greeting.rs
@@ -4,7 +4,7 @@
 
 impl View {
     /// A newcomer, or one that calls since it holds us for gone.
-    pub(super) fn hello(
+    pub(super) fn answer_greeting(
         &mut self,
         at: f64,
         fact: &Fact,
@@ -23,7 +23,7 @@
             if !replaces || h.rank() >= fact.rank() {
                 // It hears whom we hold: it waits, or comes again with a higher generation.
                 if id == self.id() {
-                    self.namesake(at, fact, actions);
+                    self.resolve_own_name(at, fact, actions);
                 } else if h.stand.counts() {
                     // The one that is held hears of it too: the other does not know it.
                     self.send(at, h.addr, vec![Item::Namesake(fact.addr)], actions);
@@ -32,20 +32,20 @@
                 return;
             }
         }
-        self.take(at, fact, m.from, actions);
+        self.receive_fact(at, fact, m.from, actions);
         if let Some(h) = self.table.get(id) {
             reply.push(Item::Short(id, h.rank));
         }
         if m.digest != self.table.digest() {
             reply.push(Item::Whole(self.own.clone()));
             // A few others, so that newcomers don't all turn to the seeds.
-            let all: Vec<Item> = self.others().map(|(_, h)| Item::Whole(h.fact.clone())).collect();
+            let all: Vec<Item> = self.counted_peers().map(|(_, h)| Item::Whole(h.fact.clone())).collect();
             reply.extend(all.choose_multiple(&mut self.rng, 8).cloned());
         }
     }
 
     /// What is held in the buckets that differ, a datagram's worth after each list of them.
-    pub(super) fn differ(&mut self, theirs: &[u32], reply: &mut Vec<Item>) {
+    pub(super) fn digest_difference(&mut self, theirs: &[u32], reply: &mut Vec<Item>) {
         let own = self.table.sums();
         // From another one on each time: where all differ, a few fit in an answer.
         let from = self.rng.random_range(0..own.len());
@@ -58,7 +58,7 @@
     }
 
     /// What is held here in those buckets and was not among what follows, or is higher.
-    pub(super) fn fill(&self, bits: u32, follows: &[Item], reply: &mut Vec<Item>) {
+    pub(super) fn fill_difference(&self, bits: u32, follows: &[Item], reply: &mut Vec<Item>) {
         let theirs: BTreeMap<Id, Rank> = follows
             .iter()
             .take_while(|i| matches!(i, Item::Short(..)))
--- a/crates/view/src/engine/receive.rs
+++ b/crates/view/src/engine/receive.rs
@@ -5,7 +5,13 @@
 
 impl View {
     /// Takes one datagram: checks it, notes its sender, takes in its items, and answers within the budget.
-    pub(super) fn datagram(&mut self, at: f64, from: SocketAddr, bytes: &[u8], actions: &mut Vec<Action>) {
+    pub(super) fn receive_datagram(
+        &mut self,
+        at: f64,
+        from: SocketAddr,
+        bytes: &[u8],
+        actions: &mut Vec<Action>,
+    ) {
         let Some(m) = self.open_datagram(at, bytes) else { return };
         self.counts.taken += 1;
         self.heard_ms = at;
@@ -57,7 +63,7 @@
             _ if m.from != self.id() => reply.push(Item::Want(vec![m.from])),
             _ => {
                 let held = self.table.get(m.from).is_some_and(|h| h.fact.birth == m.birth);
-                self.meet_twin(at, from, held || !self.admitted, actions);
+                self.note_duplicate(at, from, held || !self.admitted, actions);
                 reply.push(Item::Whole(self.own.clone()));
             }
         }
@@ -77,20 +83,22 @@
         for (i, item) in m.items.iter().enumerate() {
             match item {
                 Item::Ping(n) => reply.push(Item::Ack(*n)),
-                Item::Ack(n) => self.ack(at, *n, m, actions),
-                Item::Ask(id, birth, n) => self.ask(at, *id, *birth, *n, from, actions),
-                Item::Hello(fact) => self.hello(at, fact, m, reply, actions),
-                Item::Namesake(addr) if *addr != self.own.addr => self.meet_twin(at, *addr, false, actions),
+                Item::Ack(n) => self.receive_ack(at, *n, m, actions),
+                Item::Ask(id, birth, n) => self.forward_ping(at, *id, *birth, *n, from, actions),
+                Item::Hello(fact) => self.answer_greeting(at, fact, m, reply, actions),
+                Item::Namesake(addr) if *addr != self.own.addr => {
+                    self.note_duplicate(at, *addr, false, actions)
+                }
                 Item::Namesake(_) => {}
                 Item::Whole(fact) => {
                     // Told by others, this process has been taken up.
                     self.admitted |= fact.birth == self.own.birth && fact.stand.counts();
-                    self.take(at, fact, m.from, actions);
+                    self.receive_fact(at, fact, m.from, actions);
                 }
                 Item::Short(id, rank) => {
                     let confirms = *id == self.id() && rank.birth == self.own.birth && rank.stand.counts();
                     self.admitted |= confirms;
-                    if self.take_rank(at, *id, *rank, m.from, actions) && wanted.len() < MOST_WANTED {
+                    if self.receive_rank(at, *id, *rank, m.from, actions) && wanted.len() < MOST_WANTED {
                         wanted.push(*id);
                     }
                 }
@@ -101,16 +109,16 @@
                     reply.extend(own.into_iter().chain(known.take(MOST_WANTED)));
                 }
                 Item::Sums(theirs) => {
-                    if self.has_room(at) {
-                        self.differ(theirs, reply);
+                    if self.budget_has_room(at) {
+                        self.digest_difference(theirs, reply);
                     }
                 }
-                Item::Differ(bits) => self.fill(*bits, &m.items[i + 1..], reply),
+                Item::Differ(bits) => self.fill_difference(*bits, &m.items[i + 1..], reply),
                 Item::Alert { of, birth, incarnation, word, ping, stands, alone } => {
                     let word =
                         Word { number: *word, at_ms: at, birth: *birth, stands: *stands, alone: *alone };
                     let alert = ReceivedAlert { of: *of, incarnation: *incarnation, word, ping: *ping };
-                    self.alert(at, alert, m, reply, actions);
+                    self.receive_alert(at, alert, m, reply, actions);
                 }
             }
         }
@@ -119,14 +127,14 @@
 
     /// Asks for lacking texts and compares digests, then trims the reply to what may be sent now.
     fn finish_reply(&mut self, at: f64, m: &Message, wanted: Vec<Id>, reply: &mut Vec<Item>) {
-        if !wanted.is_empty() && self.has_room(at) {
+        if !wanted.is_empty() && self.budget_has_room(at) {
             reply.push(Item::Want(wanted));
         }
         let differs = m.digest != self.table.digest() && at - self.compared_ms >= COMPARE_MS;
         if differs
             && self.admitted
             && !m.items.iter().any(|i| matches!(i, Item::Sums(_)))
-            && self.has_room(at)
+            && self.budget_has_room(at)
         {
             self.compared_ms = at;
             reply.push(Item::Sums(self.table.sums()));
@@ -142,7 +150,7 @@
                 _ => true,
             });
         }
-        if !self.has_room(at) {
+        if !self.budget_has_room(at) {
             // What is left of the budget is for answers: a seed that spends all on newcomers would be taken for gone.
             // A newcomer that gets no answer calls again; one that got half of one would know nobody and call no more.
             let about = m.from;
@@ -154,17 +162,17 @@
         }
     }
 
-    pub(super) fn ack(&mut self, at: f64, number: u32, m: &Message, actions: &mut Vec<Action>) {
+    pub(super) fn receive_ack(&mut self, at: f64, number: u32, m: &Message, actions: &mut Vec<Action>) {
         if let Some((to, theirs, _)) = self.forwards.remove(&number) {
             self.send(at, to, vec![Item::Ack(theirs)], actions);
             return;
         }
         if let Some((id, true)) = self.watch.answered(number, Some((m.from, m.birth)), at) {
-            self.speak(at, id, false, actions);
+            self.broadcast_suspicion(at, id, false, actions);
         }
     }
 
-    pub(super) fn ask(
+    pub(super) fn forward_ping(
         &mut self,
         at: f64,
         id: Id,
@@ -175,7 +183,7 @@
     ) {
         let to = self.table.get(id).filter(|h| h.fact.birth == birth && id != self.id()).map(|h| h.fact.addr);
         if let Some(to) = to.filter(|_| self.forwards.len() < MOST_FORWARDS) {
-            let own = self.fresh_number();
+            let own = self.next_probe_number();
             self.forwards.insert(own, (from, number, at));
             self.send(at, to, vec![Item::Ping(own)], actions);
         }
--- a/crates/view/src/engine/rejoin.rs
+++ b/crates/view/src/engine/rejoin.rs
@@ -4,10 +4,10 @@
 
 impl View {
     /// Calls those that may be there though the view does not hold them.
-    pub(super) fn call(&mut self, at: f64, actions: &mut Vec<Action>) {
+    pub(super) fn poll_unreached(&mut self, at: f64, actions: &mut Vec<Action>) {
         let hello = Item::Hello(self.own.clone());
         if self.twin.is_some() || !self.admitted {
-            let mut to = self.random_others(1);
+            let mut to = self.random_peers(1);
             let seeds: Vec<SocketAddr> =
                 self.config.seeds.iter().copied().filter(|s| *s != self.own.addr).collect();
             to.extend(seeds.choose_multiple(&mut self.rng, 2));
@@ -32,7 +32,7 @@
     }
 
     /// This front was out of touch for so long that others may have forgotten what it missed.
-    pub(super) fn begin_again(&mut self, at: f64) {
+    pub(super) fn rejoin(&mut self, at: f64) {
         let known: Vec<SocketAddr> = self.peers().into_iter().take(64).collect();
         self.config
             .seeds
@@ -46,7 +46,7 @@
         self.heard_ms = at;
     }
 
-    pub(super) fn fade(&mut self, at: f64) {
+    pub(super) fn expire_old_entries(&mut self, at: f64) {
         self.table.forget(FORGET_MS, at);
         if self.admitted && at > self.remembered_until {
             self.config.remembered.clear();
