--- a/crates/view/src/ring.rs
+++ b/crates/view/src/ring.rs
@@ -57,26 +57,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn each_front_is_watched_by_as_many_others_and_all_see_the_same() {
-        for n in [1u64, 2, 3, 4, 9, 100, 301] {
-            let ids: Vec<Id> = (0..n).map(|i| Id::of(&format!("f{i}"))).collect();
-            let most = 5.min(n as usize - 1);
-            let rings: Vec<Rings> = ids.iter().map(|own| Rings::new(&ids, *own, 5)).collect();
-            for of in &ids {
-                let w = rings[0].watchers(*of);
-                assert!(w.len() <= most && !w.contains(of), "{n}: {w:?}");
-                assert!(w.len() + 1 >= most.min(n as usize - 1), "{n}: {} of {most}", w.len());
-                for (own, r) in ids.iter().zip(&rings) {
-                    assert_eq!(r.watchers(*of), w);
-                    assert_eq!(r.subjects().contains(of), w.contains(own));
-                }
-            }
-            let busiest = rings.iter().map(|r| r.subjects().len()).max().unwrap_or(0);
-            assert!(busiest <= 12, "{n}: one watches {busiest}");
-        }
-    }
-}
+mod tests;
