--- a/crates/view/src/engine.rs
+++ b/crates/view/src/engine.rs
@@ -12,6 +12,17 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
+mod budget;
+mod dissemination;
+mod duplicate_name;
+mod facts;
+mod failure_detection;
+mod greeting;
+mod receive;
+mod rejoin;
+#[cfg(test)]
+mod tests;
+
 /// Others asked where a ping has no answer.
 const ASKED: usize = 3;
 /// News is told so many times the logarithm of the fleet, and once more.
@@ -380,12 +391,12 @@
 
     /// Addresses of the others that are counted on, for whoever wants to send them something.
     pub fn peers(&self) -> Vec<SocketAddr> {
-        self.others().map(|(_, h)| h.fact.addr).collect()
+        self.counted_peers().map(|(_, h)| h.fact.addr).collect()
     }
 
     /// The others that are counted on and gossip: names and addresses.
     pub fn gossips(&self) -> Vec<(String, SocketAddr)> {
-        self.others().filter_map(|(_, h)| Some((h.fact.name.clone(), h.fact.gossip?))).collect()
+        self.counted_peers().filter_map(|(_, h)| Some((h.fact.name.clone(), h.fact.gossip?))).collect()
     }
 
     /// The view's digest: equal for all who hold the same.
@@ -429,7 +440,7 @@
             return f64::MAX;
         }
         let waiting = self.waiting.values().map(|w| w.until_ms).fold(f64::MAX, f64::min);
-        let round = self.round_every().map_or(f64::MAX, |every| self.round_ms + every);
+        let round = self.gossip_interval_ms().map_or(f64::MAX, |every| self.round_ms + every);
         let rings = self.rings_due.unwrap_or(f64::MAX);
         self.watch.wake_at().min(rings).min(round).min(self.next_call).min(self.next_fade).min(waiting)
     }
@@ -445,23 +456,23 @@
         self.last_ms = at;
         match event {
             Event::Tick => self.tick(at, actions),
-            Event::Datagram { from, bytes } => self.datagram(at, from, &bytes, actions),
+            Event::Datagram { from, bytes } => self.receive_datagram(at, from, &bytes, actions),
             Event::Stands(stand) => {
                 if self.own.stand != stand && !self.left {
                     self.own.stand = stand;
-                    self.raise(at, actions);
+                    self.bump_incarnation(at, actions);
                 }
             }
             Event::Configuration(hash) => {
                 if self.own.configuration != hash {
                     self.own.configuration = hash;
-                    self.raise(at, actions);
+                    self.bump_incarnation(at, actions);
                 }
             }
             Event::Keys(keys) => self.keys = keys,
             Event::Leave => {
                 self.own.stand = Stand::Left;
-                self.raise(at, actions);
+                self.bump_incarnation(at, actions);
                 let peers: Vec<SocketAddr> = self.peers();
                 for to in peers.choose_multiple(&mut self.rng, 8).copied().collect::<Vec<_>>() {
                     self.send(at, to, vec![Item::Whole(self.own.clone())], actions);
@@ -480,34 +491,11 @@
         self.own.id()
     }
 
-    fn others(&self) -> impl Iterator<Item = (Id, &Held)> {
+    fn counted_peers(&self) -> impl Iterator<Item = (Id, &Held)> {
         let own = self.id();
         self.table.counted().filter(move |(id, _)| *id != own)
     }
 
-    /// How often a piece of news is told. Of many at once each is told a few times only: who misses some asks for them,
-    /// as views are compared, and what all tell each other grows with their number and not faster.
-    fn times(&self) -> u32 {
-        if self.news.len() > MANY {
-            return TIMES_OF_MANY;
-        }
-        (TIMES * (self.table.count().max(2) as f64).log2()).ceil() as u32 + 1
-    }
-
-    /// Between two rounds of news; `None` while there is nothing to tell.
-    fn round_every(&self) -> Option<f64> {
-        if self.table.count() < 2 || !self.admitted {
-            return None;
-        }
-        if !self.news.is_empty() || self.waiting.values().any(|w| w.told < self.times()) {
-            return Some(ROUND_MS);
-        }
-        // Somebody who is cut off keeps a view unsettled for as long as it lasts.
-        let fresh = self.heard_ms - self.settle.begun() < PATIENT_MS;
-        let open = self.settle.since().is_none();
-        open.then_some(if fresh { ROUND_MS } else { SLOW_ROUND_MS })
-    }
-
     /// After events: who watches whom, and whether the view is settled.
     fn refresh(&mut self, at: f64, actions: &mut Vec<Action>) {
         let own = self.id();
@@ -539,527 +527,23 @@
         held.and_then(|_| self.order.binary_search(&id).ok())
     }
 
-    // ---- sending ----
-
-    /// Sends items, in as many datagrams as they take, up to [`MOST_AT_ONCE`].
-    fn send(&mut self, at: f64, to: SocketAddr, items: Vec<Item>, actions: &mut Vec<Action>) -> bool {
-        let room = MOST_BYTES.saturating_sub(TAG_BYTES + HEAD_BYTES + self.settle.bits().len());
-        let mut parts: Vec<Vec<Item>> = vec![Vec::new()];
-        let mut used = 0;
-        for item in items {
-            let size = size(&item);
-            if used + size > room && used > 0 {
-                parts.push(Vec::new());
-                used = 0;
-            }
-            used += size;
-            if let Some(part) = parts.last_mut() {
-                part.push(item);
-            }
-        }
-        for items in parts.into_iter().take(MOST_AT_ONCE) {
-            let (digest, held) = (self.table.digest(), self.settle.bits().to_vec());
-            let (key, sequence) = (self.keys.signs(), self.sequence + 1);
-            let mut message = Message::new(key, self.id(), self.own.birth, sequence, digest, held);
-            message.items = items;
-            let bytes = message.seal(&self.keys);
-            if bytes.len() > MOST_BYTES || !self.bucket.take(at, bytes.len()) {
-                self.counts.held_back += 1;
-                return false;
-            }
-            self.sequence += 1;
-            self.counts.sent += 1;
-            self.counts.sent_bytes += bytes.len() as u64;
-            actions.push(Action::Send { to, bytes });
-        }
-        true
-    }
-
-    /// Whether there is room for what can wait: pings, answers and words against a front go before it.
-    fn has_room(&mut self, at: f64) -> bool {
-        self.bucket.left(at) as u64 > self.config.burst_bytes / 8
-    }
-
-    fn fresh_number(&mut self) -> u32 {
-        self.number = self.number.wrapping_add(1);
-        self.number
-    }
-
-    fn random_others(&mut self, many: usize) -> Vec<SocketAddr> {
-        let all: Vec<SocketAddr> = self.others().map(|(_, h)| h.fact.addr).collect();
-        all.choose_multiple(&mut self.rng, many).copied().collect()
-    }
-
-    // ---- own fact ----
-
-    /// This front says something new of itself.
-    fn raise(&mut self, at: f64, actions: &mut Vec<Action>) {
-        self.own.incarnation += 1;
-        self.assert(at, actions);
-    }
-
-    fn assert(&mut self, at: f64, actions: &mut Vec<Action>) {
-        let (id, fact) = (self.id(), self.own.clone());
-        let merged = self.table.merge(&fact, at);
-        self.took(at, id, merged, None, true, actions);
-    }
-
-    /// Another word on this front's own name.
-    fn namesake(&mut self, at: f64, other: &Fact, actions: &mut Vec<Action>) {
-        if other.birth == self.own.birth {
-            if other.rank() > self.own.rank() && !self.left {
-                // Others took this process for gone: it answers with a higher incarnation.
-                self.own.incarnation = other.incarnation + 1;
-                self.counts.refuted += 1;
-                self.assert(at, actions);
-                // At once, and from what the budget keeps for answers: others wait for it.
-                for to in self.random_others(2 * FANOUT) {
-                    self.send(at, to, vec![Item::Whole(self.own.clone())], actions);
-                }
-            }
-            return;
-        }
-        if !other.stand.counts() || other.addr == self.own.addr {
-            // A process before this one, that has ended; its clock may have been ahead. The address is ours now.
-            if other.rank() >= self.own.rank() {
-                self.own.generation = other.generation + 1;
-            }
-            if self.twin.take().is_some() || !self.admitted {
-                self.next_call = at;
-            }
-            self.assert(at, actions);
-            return;
-        }
-        // A lower fact may be of a process that has ended since; that it runs is told by its own messages alone.
-        if other.rank() > self.own.rank() || !self.admitted {
-            self.meet_twin(at, other.addr, true, actions);
-        }
-    }
-
-    fn meet_twin(&mut self, at: f64, addr: SocketAddr, other_is_held: bool, actions: &mut Vec<Action>) {
-        match &mut self.twin {
-            Some((known, told, seen)) if *known == addr && at - *told < TWIN_MS => *seen = at,
-            twin => {
-                *twin = Some((addr, at, at));
-                actions.push(Action::Twin { addr, other_is_held });
-            }
-        }
-    }
-
-    // ---- facts ----
-
-    fn tale(&mut self, id: Id, at_ms: f64, what: String, by: String) {
-        let tales = self.tales.entry(id).or_default();
-        if tales.len() >= TALES {
-            tales.pop_front();
-        }
-        tales.push_back(Tale { at_ms, what, by });
-    }
-
-    fn took(
-        &mut self,
-        at: f64,
-        id: Id,
-        merged: Merged,
-        by: Option<Id>,
-        whole: bool,
-        actions: &mut Vec<Action>,
-    ) {
-        let Merged::New(was) = merged else { return };
-        let Some(h) = self.table.get(id) else { return };
-        let (is, name, rank) = (h.fact.stand, h.fact.name.clone(), h.rank);
-        let whole = whole || self.news.get(&id).is_some_and(|n| n.1);
-        self.news.insert(id, (0, whole));
-        self.waiting.remove(&id);
-        self.stale = true;
-        let by = by.map(|b| self.name(b));
-        let mut what =
-            format!("{} (generation {}, incarnation {})", is.name(), rank.generation, rank.incarnation);
-        if is == Stand::Gone {
-            what = format!("{what}, found by {}", self.name(rank.by));
-        }
-        self.tale(id, at, what, by.clone().unwrap_or_default());
-        if is == Stand::Gone && !rank.sure {
-            self.unsure_ms = at;
-        }
-        // Who had ended before it was ever counted on here is no news.
-        if was != Some(is) && (was.is_some() || is.counts()) {
-            self.counts.changes += 1;
-            actions.push(Action::Changed { name, was, is, by });
-        }
-    }
-
-    /// Whether a word that a front is gone is to wait for that front's own answer: some who watch it were out of reach
-    /// too, so that it may be of another side of a partition; or it comes from one that this front itself did not
-    /// count on until lately, as after one.
-    fn hears_out(&mut self, at: f64, id: Id, rank: &Rank, from: Id) -> bool {
-        let held = self.table.get(id).filter(|h| h.fact.stand.counts() && h.rank < *rank);
-        if !held.is_some_and(|h| rank.stand == Stand::Gone && h.rank.birth == rank.birth) {
-            return false;
-        }
-        let lately = |h: &Held| !h.fact.stand.counts() || h.back_ms.is_some_and(|b| at - b < LATELY_MS);
-        if rank.sure && (rank.by == self.id() || !self.table.get(rank.by).is_none_or(lately)) {
-            return false;
-        }
-        let until_ms = at + self.hear_out_ms();
-        self.waiting.entry(id).or_insert(Waiting { rank: *rank, from, until_ms, told: 0, warned_ms: at });
-        true
-    }
-
-    /// A fact came: what is to be told the one it concerns, where it is taken for gone.
-    fn take(&mut self, at: f64, fact: &Fact, from: Id, actions: &mut Vec<Action>) {
-        let id = fact.id();
-        if !fact.is_sound() {
-            return;
-        }
-        if id == self.id() {
-            self.namesake(at, fact, actions);
-        } else if self.hears_out(at, id, &fact.rank(), from) {
-            return self.warn(at, id, fact.rank(), actions);
-        }
-        let merged = self.table.merge(fact, at);
-        self.took(at, id, merged, Some(from), true, actions);
-    }
-
-    /// The same for a rank alone; whether the texts are lacking.
-    fn take_rank(&mut self, at: f64, id: Id, rank: Rank, from: Id, actions: &mut Vec<Action>) -> bool {
-        if id == self.id() && rank.birth == self.own.birth {
-            let Rank { generation, incarnation, stand, sure, by, .. } = rank;
-            let fact = Fact { generation, incarnation, stand, sure, by, ..self.own.clone() };
-            if fact.is_sound() {
-                self.namesake(at, &fact, actions);
-            }
-            return false;
-        }
-        if id == self.id() {
-            // Another process's texts come with a whole fact.
-            return rank > self.own.rank();
-        }
-        if self.hears_out(at, id, &rank, from) {
-            self.warn(at, id, rank, actions);
-            return false;
-        }
-        let merged = self.table.merge_rank(id, rank, at);
-        self.took(at, id, merged, Some(from), false, actions);
-        merged == Merged::Lacks
-    }
-
-    /// How long a word of an end waits for an answer: longer where answers usually take long.
-    fn hear_out_ms(&self) -> f64 {
-        HEAR_OUT_MS + 2.0 * self.watch.usual_ms()
-    }
-
-    /// Tells a front that it is taken for gone, so that it can answer.
-    fn warn(&mut self, at: f64, id: Id, rank: Rank, actions: &mut Vec<Action>) {
-        if let Some(to) = self.table.get(id).map(|h| h.fact.addr) {
-            self.send(at, to, vec![Item::Short(id, rank)], actions);
-        }
-    }
-
-    /// Looks whether one that does not answer is gone.
-    fn judge(&mut self, at: f64, id: Id, actions: &mut Vec<Action>) {
-        let Some(h) = self.table.get(id).filter(|h| h.fact.stand.counts()) else { return };
-        let own = self.id();
-        let watchers = self.rings.watchers(id);
-        let Some(sure) = self.watch.verdict(id, h.fact.birth, own, watchers, self.table.count(), at) else {
-            return;
-        };
-        // Once some were out of reach, the rings are drawn without them: those left agree, and may all be of one side.
-        let sure = sure && at - self.unsure_ms > UNSURE_MS;
-        let rank = Rank { stand: Stand::Gone, sure, by: own, ..h.rank };
-        let against = self.watch.against(id, h.fact.birth, at);
-        let names: Vec<String> = against.iter().map(|by| self.name(*by)).collect();
-        if !sure && !self.waiting.contains_key(&id) {
-            // Its side of a partition may join ours in this moment; its own answer comes first then.
-            self.tale(
-                id,
-                at,
-                format!("no answer to {}; others who watch it are out of reach", names.join(", ")),
-                String::new(),
-            );
-            let from = own;
-            let until_ms = at + self.hear_out_ms();
-            self.waiting.insert(id, Waiting { rank, from, until_ms, told: 0, warned_ms: at });
-            return self.warn(at, id, rank, actions);
-        }
-        if sure {
-            self.tale(id, at, format!("no answer to {}", names.join(", ")), String::new());
-            let merged = self.table.merge_rank(id, rank, at);
-            self.took(at, id, merged, None, false, actions);
-        }
-    }
-
-    // ---- receiving ----
-
-    fn datagram(&mut self, at: f64, from: SocketAddr, bytes: &[u8], actions: &mut Vec<Action>) {
-        let Some(m) = Message::open(bytes, &self.keys) else {
-            self.counts.malformed += 1;
-            return;
-        };
-        if m.birth == self.own.birth || !self.replays.is_new(m.birth, 0, m.sequence, at) {
-            self.counts.replayed += 1;
-            return;
-        }
-        self.counts.taken += 1;
-        self.heard_ms = at;
-        let sender = self.table.get(m.from).map(|h| (h.fact.birth, h.fact.stand, h.rank));
-        let mut reply = Vec::new();
-        match sender {
-            Some((birth, stand, _)) if birth == m.birth && stand.counts() => self.watch.heard(m.from, at),
-            // It is taken for gone, and is not: it is told, and answers with a higher incarnation.
-            Some((birth, Stand::Gone, rank)) if birth == m.birth => reply.push(Item::Short(m.from, rank)),
-            Some((_, stand, _)) if m.from != self.id() && stand.counts() => {
-                // Another process of that name: it hears whom we hold, and we ask whom it tells of.
-                reply.extend(self.table.get(m.from).map(|h| Item::Whole(h.fact.clone())));
-            }
-            _ if m.from != self.id() => reply.push(Item::Want(vec![m.from])),
-            _ => {
-                let held = self.table.get(m.from).is_some_and(|h| h.fact.birth == m.birth);
-                self.meet_twin(at, from, held || !self.admitted, actions);
-                reply.push(Item::Whole(self.own.clone()));
-            }
-        }
-        let place = self.place(m.from, m.birth);
-        self.settle.heard(m.digest, &m.held, place, at);
-        let hello = m.items.iter().any(|i| matches!(i, Item::Hello(_)));
-        if hello || m.items.iter().any(|i| matches!(i, Item::Whole(f) if f.id() == m.from)) {
-            reply.retain(|i| !matches!(i, Item::Want(_)));
-        }
-        let mut wanted = Vec::new();
-        for (i, item) in m.items.iter().enumerate() {
-            match item {
-                Item::Ping(n) => reply.push(Item::Ack(*n)),
-                Item::Ack(n) => self.ack(at, *n, &m, actions),
-                Item::Ask(id, birth, n) => self.ask(at, *id, *birth, *n, from, actions),
-                Item::Hello(fact) => self.hello(at, fact, &m, &mut reply, actions),
-                Item::Namesake(addr) if *addr != self.own.addr => self.meet_twin(at, *addr, false, actions),
-                Item::Namesake(_) => {}
-                Item::Whole(fact) => {
-                    // Told by others, this process has been taken up.
-                    self.admitted |= fact.birth == self.own.birth && fact.stand.counts();
-                    self.take(at, fact, m.from, actions);
-                }
-                Item::Short(id, rank) => {
-                    let confirms = *id == self.id() && rank.birth == self.own.birth && rank.stand.counts();
-                    self.admitted |= confirms;
-                    if self.take_rank(at, *id, *rank, m.from, actions) && wanted.len() < MOST_WANTED {
-                        wanted.push(*id);
-                    }
-                }
-                Item::Want(ids) => {
-                    let whole = |id: &Id| self.table.get(*id).map(|h| Item::Whole(h.fact.clone()));
-                    let own = ids.contains(&self.id()).then(|| Item::Whole(self.own.clone()));
-                    let known = ids.iter().filter(|id| **id != self.id()).filter_map(whole);
-                    reply.extend(own.into_iter().chain(known.take(MOST_WANTED)));
-                }
-                Item::Sums(theirs) => {
-                    if self.has_room(at) {
-                        self.differ(theirs, &mut reply);
-                    }
-                }
-                Item::Differ(bits) => self.fill(*bits, &m.items[i + 1..], &mut reply),
-                Item::Alert { of, birth, incarnation, word, ping, stands, alone } => {
-                    let word =
-                        Word { number: *word, at_ms: at, birth: *birth, stands: *stands, alone: *alone };
-                    self.alert(at, *of, *incarnation, word, *ping, &m, &mut reply, actions);
-                }
-            }
-        }
-        if !wanted.is_empty() && self.has_room(at) {
-            reply.push(Item::Want(wanted));
-        }
-        let differs = m.digest != self.table.digest() && at - self.compared_ms >= COMPARE_MS;
-        if differs
-            && self.admitted
-            && !m.items.iter().any(|i| matches!(i, Item::Sums(_)))
-            && self.has_room(at)
-        {
-            self.compared_ms = at;
-            reply.push(Item::Sums(self.table.sums()));
-        }
-        if !self.admitted {
-            // This front's own fact reaches the others by its call alone, until it is taken up: another process of its
-            // name may be there.
-            let own = self.id();
-            reply.retain(|i| match i {
-                Item::Whole(f) => f.id() != own,
-                Item::Short(id, _) => *id != own,
-                Item::Sums(_) | Item::Differ(_) => false,
-                _ => true,
-            });
-        }
-        if !self.has_room(at) {
-            // What is left of the budget is for answers: a seed that spends all on newcomers would be taken for gone.
-            // A newcomer that gets no answer calls again; one that got half of one would know nobody and call no more.
-            let about = m.from;
-            reply.retain(|i| match i {
-                Item::Ack(_) => true,
-                Item::Short(id, rank) => *id == about && !rank.stand.counts(),
-                _ => false,
-            });
-        }
-        if !reply.is_empty() {
-            self.send(at, from, reply, actions);
-        }
-    }
-
-    fn ack(&mut self, at: f64, number: u32, m: &Message, actions: &mut Vec<Action>) {
-        if let Some((to, theirs, _)) = self.forwards.remove(&number) {
-            self.send(at, to, vec![Item::Ack(theirs)], actions);
-            return;
-        }
-        if let Some((id, true)) = self.watch.answered(number, Some((m.from, m.birth)), at) {
-            self.speak(at, id, false, actions);
-        }
-    }
-
-    fn ask(&mut self, at: f64, id: Id, birth: u64, number: u32, from: SocketAddr, actions: &mut Vec<Action>) {
-        let to = self.table.get(id).filter(|h| h.fact.birth == birth && id != self.id()).map(|h| h.fact.addr);
-        if let Some(to) = to.filter(|_| self.forwards.len() < MOST_FORWARDS) {
-            let own = self.fresh_number();
-            self.forwards.insert(own, (from, number, at));
-            self.send(at, to, vec![Item::Ping(own)], actions);
-        }
-    }
-
-    /// A newcomer, or one that calls since it holds us for gone.
-    fn hello(&mut self, at: f64, fact: &Fact, m: &Message, reply: &mut Vec<Item>, actions: &mut Vec<Action>) {
-        let id = fact.id();
-        if id != m.from || fact.birth != m.birth || !fact.is_sound() {
-            return;
-        }
-        let held = self.table.get(id).map(|h| h.fact.clone());
-        let other = held.filter(|h| h.birth != fact.birth);
-        if let Some(h) = other {
-            let replaces = !h.stand.counts() || h.addr == fact.addr;
-            if !replaces || h.rank() >= fact.rank() {
-                // It hears whom we hold: it waits, or comes again with a higher generation.
-                if id == self.id() {
-                    self.namesake(at, fact, actions);
-                } else if h.stand.counts() {
-                    // The one that is held hears of it too: the other does not know it.
-                    self.send(at, h.addr, vec![Item::Namesake(fact.addr)], actions);
-                }
-                reply.push(Item::Whole(if id == self.id() { self.own.clone() } else { h }));
-                return;
-            }
-        }
-        self.take(at, fact, m.from, actions);
-        if let Some(h) = self.table.get(id) {
-            reply.push(Item::Short(id, h.rank));
-        }
-        if m.digest != self.table.digest() {
-            reply.push(Item::Whole(self.own.clone()));
-            // A few others, so that newcomers don't all turn to the seeds.
-            let all: Vec<Item> = self.others().map(|(_, h)| Item::Whole(h.fact.clone())).collect();
-            reply.extend(all.choose_multiple(&mut self.rng, 8).cloned());
-        }
-    }
-
-    /// What is held in the buckets that differ, a datagram's worth after each list of them.
-    fn differ(&mut self, theirs: &[u32], reply: &mut Vec<Item>) {
-        let own = self.table.sums();
-        // From another one on each time: where all differ, a few fit in an answer.
-        let from = self.rng.random_range(0..own.len());
-        let all = (0..own.len()).map(|b| (b + from) % own.len());
-        for bucket in all.filter(|b| theirs.get(*b).is_some_and(|t| *t != own[*b])) {
-            reply.push(Item::Differ(1 << bucket));
-            let here = self.table.iter().filter(|(id, _)| Table::bucket(*id) == bucket);
-            reply.extend(here.map(|(id, h)| Item::Short(id, h.rank)));
-        }
-    }
-
-    /// What is held here in those buckets and was not among what follows, or is higher.
-    fn fill(&self, bits: u32, follows: &[Item], reply: &mut Vec<Item>) {
-        let theirs: BTreeMap<Id, Rank> = follows
-            .iter()
-            .take_while(|i| matches!(i, Item::Short(..)))
-            .filter_map(|i| if let Item::Short(id, rank) = i { Some((*id, *rank)) } else { None })
-            .collect();
-        let here = self.table.iter().filter(|(id, _)| bits & (1 << Table::bucket(*id)) != 0);
-        let higher = here.filter(|(id, h)| theirs.get(id).is_none_or(|t| *t < h.rank));
-        reply.extend(higher.map(|(id, h)| Item::Short(id, h.rank)));
-    }
-
-    /// Another watcher's word.
-    #[allow(clippy::too_many_arguments)]
-    fn alert(
-        &mut self,
-        at: f64,
-        of: Id,
-        incarnation: u32,
-        word: Word,
-        ping: u32,
-        m: &Message,
-        reply: &mut Vec<Item>,
-        actions: &mut Vec<Action>,
-    ) {
-        if of == self.id() {
-            if word.birth == self.own.birth {
-                reply.push(Item::Ack(ping));
-            }
-            return;
-        }
-        let Some(h) = self.table.get(of) else { return };
-        if !h.fact.stand.counts() || h.fact.birth != word.birth || h.fact.incarnation > incarnation {
-            reply.push(Item::Short(of, h.rank));
-            return;
-        }
-        if !self.rings.watchers(of).contains(&m.from) {
-            return;
-        }
-        // The answer tells the watcher that we are in reach, where no word of our own does.
-        if word.stands && reply.is_empty() && !self.watch.speaks_against(of) {
-            reply.push(Item::Ack(0));
-        }
-        if self.watch.word(of, m.from, word) {
-            let (by, what) =
-                (self.name(m.from), if word.stands { "suspected" } else { "no longer suspected" });
-            self.tale(of, at, what.into(), by);
-        }
-        self.judge(at, of, actions);
-    }
-
-    /// This front's own word on one that it watches, to all who watch it too and to itself.
-    fn speak(&mut self, at: f64, of: Id, stands: bool, actions: &mut Vec<Action>) {
-        let Some(h) = self.table.get(of).filter(|h| h.fact.stand.counts()) else { return };
-        let (birth, incarnation, itself) = (h.fact.birth, h.fact.incarnation, h.fact.addr);
-        self.word += 1;
-        let own = self.id();
-        let alone = self.watch.is_alone(of, at);
-        if self.watch.word(of, own, Word { number: self.word, at_ms: at, birth, stands, alone }) {
-            self.tale(of, at, if stands { "suspected" } else { "no longer suspected" }.into(), String::new());
-        }
-        let ping = self.watch.waits_for(of).unwrap_or(0);
-        let item = Item::Alert { of, birth, incarnation, word: self.word, ping, stands, alone };
-        let watchers = self.rings.watchers(of).iter().filter(|w| **w != own);
-        let mut to: Vec<SocketAddr> =
-            watchers.filter_map(|w| self.table.get(*w)).map(|h| h.fact.addr).collect();
-        to.extend(stands.then_some(itself));
-        for to in to {
-            self.send(at, to, vec![item.clone()], actions);
-        }
-    }
-
-    // ---- time ----
-
     fn tick(&mut self, at: f64, actions: &mut Vec<Action>) {
         if self.left {
             return;
         }
         if self.table.count() > 1 && at - self.heard_ms > OUT_OF_TOUCH_MS {
-            self.begin_again(at);
+            self.rejoin(at);
         }
         for due in self.watch.due(at) {
             match due {
-                Due::Speak(id) => self.speak(at, id, true, actions),
-                Due::Ping(id, again) => self.ping(at, id, again, actions),
+                Due::Speak(id) => self.broadcast_suspicion(at, id, true, actions),
+                Due::Ping(id, again) => self.probe_member(at, id, again, actions),
             }
         }
         let doubted: Vec<Id> =
             self.watch.subjects.iter().filter(|(_, s)| s.doubted_ms.is_some()).map(|(id, _)| *id).collect();
         for id in doubted {
-            self.judge(at, id, actions);
+            self.judge_member(at, id, actions);
         }
         // Its side may join ours at any moment: who found it goes on telling it.
         let own = self.id();
@@ -1071,178 +555,26 @@
             again.push((*id, w.rank));
         }
         for (id, rank) in again {
-            self.warn(at, id, rank, actions);
+            self.notify_suspected(at, id, rank, actions);
         }
         let over = self.waiting.iter().filter(|(_, w)| at >= w.until_ms);
         let over: Vec<(Id, Rank, Id)> = over.map(|(id, w)| (*id, w.rank, w.from)).collect();
         for (id, rank, from) in over {
             self.waiting.remove(&id);
             let merged = self.table.merge_rank(id, rank, at);
-            self.took(at, id, merged, Some(from), false, actions);
+            self.apply_merged(at, id, merged, Some(from), false, actions);
         }
         if at >= self.next_call {
             self.next_call = at + if self.admitted { CALL_MS } else { HELLO_MS };
-            self.call(at, actions);
+            self.poll_unreached(at, actions);
         }
         if at >= self.next_fade {
             self.next_fade = at + FADE_MS;
-            self.fade(at);
+            self.expire_old_entries(at);
         }
-        if self.round_every().is_some_and(|every| at >= self.round_ms + every) {
+        if self.gossip_interval_ms().is_some_and(|every| at >= self.round_ms + every) {
             self.round_ms = at;
-            self.round(at, actions);
-        }
-    }
-
-    fn ping(&mut self, at: f64, id: Id, again: bool, actions: &mut Vec<Action>) {
-        let Some((to, birth)) = self.table.get(id).map(|h| (h.fact.addr, h.fact.birth)) else { return };
-        let number = self.fresh_number();
-        self.send(at, to, vec![Item::Ping(number)], actions);
-        self.watch.pinged(id, number, at);
-        if again {
-            let others: Vec<SocketAddr> =
-                self.others().filter(|(o, _)| *o != id).map(|(_, h)| h.fact.addr).collect();
-            for to in others.choose_multiple(&mut self.rng, ASKED).copied().collect::<Vec<_>>() {
-                self.send(at, to, vec![Item::Ask(id, birth, number)], actions);
-            }
-        }
-    }
-
-    /// Tells some others what is new, and who holds this view.
-    fn round(&mut self, at: f64, actions: &mut Vec<Action>) {
-        let times = self.times();
-        for to in self.random_others(FANOUT) {
-            if !self.has_room(at) {
-                return;
-            }
-            let mut room = MOST_BYTES.saturating_sub(TAG_BYTES + HEAD_BYTES + self.settle.bits().len());
-            let mut order: Vec<(u32, Id, bool)> = self.news.iter().map(|(id, n)| (n.0, *id, n.1)).collect();
-            order.sort_unstable();
-            let mut items = Vec::new();
-            for (told, id, whole) in order {
-                let Some(h) = self.table.get(id) else {
-                    self.news.remove(&id);
-                    continue;
-                };
-                let item = if whole { Item::Whole(h.fact.clone()) } else { Item::Short(id, h.rank) };
-                let size = size(&item);
-                if size > room {
-                    break;
-                }
-                room -= size;
-                items.push(item);
-                if told + 1 >= times {
-                    self.news.remove(&id);
-                } else {
-                    self.news.insert(id, (told + 1, whole));
-                }
-            }
-            // A word that waits here is passed on meanwhile, so that it waits everywhere at the same time.
-            for (id, w) in self.waiting.iter_mut().filter(|(_, w)| w.told < times) {
-                let item = Item::Short(*id, w.rank);
-                let size = size(&item);
-                if size > room {
-                    break;
-                }
-                room -= size;
-                items.push(item);
-                w.told += 1;
-            }
-            self.send(at, to, items, actions);
-        }
-    }
-
-    /// Calls those that may be there though the view does not hold them.
-    fn call(&mut self, at: f64, actions: &mut Vec<Action>) {
-        let hello = Item::Hello(self.own.clone());
-        if self.twin.is_some() || !self.admitted {
-            let mut to = self.random_others(1);
-            let seeds: Vec<SocketAddr> =
-                self.config.seeds.iter().copied().filter(|s| *s != self.own.addr).collect();
-            to.extend(seeds.choose_multiple(&mut self.rng, 2));
-            let before = self.config.remembered.iter().map(|r| r.1);
-            let before: Vec<SocketAddr> = before.filter(|a| *a != self.own.addr).collect();
-            to.extend(before.choose_multiple(&mut self.rng, 2));
-            for to in to {
-                self.send(at, to, vec![hello.clone()], actions);
-            }
-            return;
-        }
-        let known: Vec<SocketAddr> = self.table.counted().map(|(_, h)| h.fact.addr).collect();
-        let seeds = self.config.begin_with().filter(|a| *a != self.own.addr);
-        let gone = self.table.iter().filter(|(_, h)| h.fact.stand == Stand::Gone).map(|(_, h)| h.fact.addr);
-        let lost: Vec<SocketAddr> = seeds.chain(gone).filter(|a| !known.contains(a)).collect();
-        let part = (lost.len() as f64 * CALLS_A_SECOND / known.len().max(1) as f64).min(1.0);
-        if !lost.is_empty() && self.rng.random::<f64>() < part {
-            if let Some(to) = lost.choose(&mut self.rng).copied() {
-                self.send(at, to, vec![hello], actions);
-            }
-        }
-    }
-
-    /// This front was out of touch for so long that others may have forgotten what it missed.
-    fn begin_again(&mut self, at: f64) {
-        let known: Vec<SocketAddr> = self.peers().into_iter().take(64).collect();
-        self.config
-            .seeds
-            .extend(known.iter().filter(|a| !self.config.seeds.contains(a)).copied().collect::<Vec<_>>());
-        self.config.seeds.truncate(256);
-        self.table.keep_only(self.own.id());
-        self.news.clear();
-        self.waiting.clear();
-        self.admitted = false;
-        self.stale = true;
-        self.heard_ms = at;
-    }
-
-    fn fade(&mut self, at: f64) {
-        self.table.forget(FORGET_MS, at);
-        if self.admitted && at > self.remembered_until {
-            self.config.remembered.clear();
-        }
-        let table = &self.table;
-        self.watch.fade(|id| table.get(id).is_some_and(|h| h.fact.stand.counts()), at);
-        self.tales.retain(|id, _| table.get(*id).is_some());
-        self.forwards.retain(|_, f| at - f.2 < 5_000.0);
-        if self.twin.is_some_and(|t| at - t.2 > TWIN_LASTS_MS) {
-            self.twin = None;
-        }
-        self.number = self.number.wrapping_add(u32::from(self.rng.random::<u8>()));
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use fernslip_gossip::Key;
-
-    #[test]
-    fn a_front_whom_many_newcomers_call_still_answers_pings() {
-        let keys = Keyring::new(Key::new(1, [7; 32]));
-        let now = Now { mono_ms: 0.0, unix_ms: 1.8e12 };
-        let config = Config { bytes_per_s: 4096, burst_bytes: 65_536, ..Config::default() };
-        let mut view = View::new(config, keys.clone(), 1, now);
-        let from = SocketAddr::from(([127, 0, 0, 2], 9));
-        let call = Item::Hello(view.own.clone());
-        let mut gets = |birth: u64, sequence: u32, item: Item| {
-            let fact = Fact { name: format!("n{birth}"), addr: from, birth, ..view.own.clone() };
-            let item = if let Item::Hello(_) = item { Item::Hello(fact.clone()) } else { item };
-            let mut m = Message::new(1, fact.id(), birth, sequence, 0, Vec::new());
-            m.items = vec![item];
-            let mut actions = Vec::new();
-            view.handle(now, Event::Datagram { from, bytes: m.seal(&keys) }, &mut actions);
-            let sent = actions.into_iter().filter_map(|a| match a {
-                Action::Send { bytes, .. } => Message::open(&bytes, &keys),
-                _ => None,
-            });
-            sent.flat_map(|m| m.items).collect::<Vec<Item>>()
-        };
-        for birth in 1..=400 {
-            gets(birth, 1, call.clone());
-        }
-        // Many, as a few small ones pass where a large one does not.
-        for n in 2..32 {
-            assert!(gets(7, n, Item::Ping(n)).contains(&Item::Ack(n)), "ping {n}");
+            self.gossip_round(at, actions);
         }
     }
 }
