--- a/crates/record/src/engine.rs
+++ b/crates/record/src/engine/mod.rs
@@ -1,6 +1,7 @@
 //! One front's part: events and the time in, what is to be written, sent and told out.
 
 use crate::agreed::{Agreed, Entry, VoterId};
+use crate::events::{Action, Config, Counts, Event};
 use crate::form::Form;
 use crate::offers::Offers;
 use crate::rules::{Answer, Command, Digest, Refusal};
@@ -13,104 +14,13 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+mod bootstrap;
+mod proposals;
+mod replication;
+
 /// Between two ticks of the voters, in milliseconds.
 pub(crate) const TICK_MS: f64 = 100.0;
 
-/// What a front is told.
-#[derive(Clone, Debug)]
-pub struct Config {
-    /// Its name.
-    pub name: String,
-    /// Its disk's id: another one where the disk is new, or is not believed.
-    pub disk: u64,
-    /// Names of the voters, alike at all fronts; with none there is no record.
-    pub voters: Vec<String>,
-}
-
-impl Config {
-    /// The voter that this front is with its present disk; never 0.
-    pub fn voter(&self) -> VoterId {
-        let d = Digest::of(format!("{}\0{:016x}", self.name, self.disk).as_bytes()).0;
-        d[..8].iter().fold(0, |n, b| n << 8 | u64::from(*b)).max(1)
-    }
-}
-
-/// What happens.
-#[derive(Clone, Debug)]
-pub enum Event {
-    /// Time went by.
-    Tick,
-    /// A datagram came.
-    Datagram(Vec<u8>),
-    /// The fronts that are there now.
-    Peers(Vec<String>),
-    /// Somebody at this front asks; an edit brings its text.
-    Ask {
-        /// What.
-        command: Command,
-        /// The text of an edit.
-        text: Option<Vec<u8>>,
-    },
-    /// Nobody waits for the answer to that key any more.
-    Forget(String),
-    /// Whether rules can be used by this front: what is wrong with them, if anything.
-    Checked {
-        /// Which.
-        digest: Digest,
-        /// Why not.
-        wrong: Option<String>,
-    },
-    /// This front serves by that version now.
-    InForce(u64),
-    /// A write failed.
-    DiskFailed,
-}
-
-/// What is to be done.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Action {
-    /// Make this durable, all of it, before what follows.
-    Write(Writes),
-    /// Send a datagram to a front; it may be lost.
-    Send {
-        /// Its name.
-        to: String,
-        /// The bytes.
-        bytes: Vec<u8>,
-    },
-    /// Look whether these rules can be used here, and tell by [`Event::Checked`].
-    Check {
-        /// Which.
-        digest: Digest,
-        /// Them.
-        text: Vec<u8>,
-    },
-    /// What became of a command that was asked at this front.
-    Answered {
-        /// Its key.
-        key: String,
-        /// It.
-        answer: Answer,
-    },
-    /// What is agreed has changed, or a text of it has come.
-    Changed,
-}
-
-/// What was done, for the operators.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    /// Datagrams sent.
-    pub sent: u64,
-    /// Their bytes.
-    pub sent_bytes: u64,
-    /// Datagrams dropped: no message of ours.
-    pub malformed: u64,
-    /// Datagrams of another version, and the last one's number.
-    pub other_version: (u64, u8),
-    /// Words of another record than the one held.
-    pub other_record: u64,
-}
-
 /// One front's part.
 pub struct Record {
     pub(crate) config: Config,
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -69,6 +69,7 @@
 
 pub mod agreed;
 mod engine;
+mod events;
 mod form;
 mod offers;
 pub mod rules;
@@ -78,5 +79,6 @@
 pub mod wire;
 
 pub use agreed::{Agreed, Entry, VoterId};
-pub use engine::{Action, Config, Counts, Event, Record};
+pub use engine::Record;
+pub use events::{Action, Config, Counts, Event};
 pub use voter::{Place, Saved, Writes};
