--- a/crates/record/src/engine/mod.rs
+++ b/crates/record/src/engine/mod.rs
@@ -300,10 +300,10 @@
         }
         for item in items {
             match item {
-                Item::Have(h) => self.heard_have(now, &from, h, actions),
+                Item::Have(h) => self.heard_have(&from, h, actions),
                 Item::Pull(birth, after) => self.pulled(&from, birth, after, actions),
                 Item::Entries(birth, entries) => self.entries(now, birth, entries, actions),
-                Item::Whole(birth, d, bytes) => self.whole(now, &from, birth, d, bytes, actions),
+                Item::Whole(birth, d, bytes) => self.whole(&from, birth, d, bytes, actions),
                 Item::Want(d, parts) => self.wanted(&from, d, &parts, actions),
                 Item::Part(d, part, bytes) => self.part(now, &from, d, part, &bytes, actions),
                 Item::Propose(command, hops) => self.proposed(&from, command, hops, actions),
@@ -311,12 +311,12 @@
                 Item::Holds(d, voter) => self.holds(d, voter),
                 Item::Ready(voter, empty) => self.ready(&from, voter, empty, actions),
                 Item::Found(birth, voters) => self.found(birth, voters, actions),
-                Item::Raft(to, bytes) => self.raft(now, &from, to, &bytes, actions),
+                Item::Raft(to, bytes) => self.raft(&from, to, &bytes, actions),
             }
         }
     }
 
-    fn raft(&mut self, now: f64, from: &str, to: VoterId, bytes: &[u8], actions: &mut Vec<Action>) {
+    fn raft(&mut self, from: &str, to: VoterId, bytes: &[u8], actions: &mut Vec<Action>) {
         let own = self.config.voter();
         if to != own || self.disk_failed {
             return;
@@ -330,7 +330,7 @@
         }
         if let Some(Err(words)) = self.voter.as_mut().map(|v| v.hear(bytes, held)) {
             if let Some((d, bytes)) = read_state_words(&words) {
-                self.fetch_state(now, from, d, bytes, actions);
+                self.fetch_state(from, d, bytes, actions);
             }
         }
     }
--- a/crates/record/src/engine/replication.rs
+++ b/crates/record/src/engine/replication.rs
@@ -103,19 +103,12 @@
     }
 
     /// A state that the leader, or one further on, has.
-    pub(crate) fn fetch_state(
-        &mut self,
-        _now: f64,
-        from: &str,
-        d: Digest,
-        bytes: u32,
-        actions: &mut Vec<Action>,
-    ) {
+    pub(crate) fn fetch_state(&mut self, from: &str, d: Digest, bytes: u32, actions: &mut Vec<Action>) {
         self.spread.hold(d, bytes, Some((0, from.into())));
         self.fetch(from, d, bytes, actions);
     }
 
-    pub(crate) fn heard_have(&mut self, _now: f64, from: &str, h: Have, actions: &mut Vec<Action>) {
+    pub(crate) fn heard_have(&mut self, from: &str, h: Have, actions: &mut Vec<Action>) {
         let (birth, index, asks) = (h.birth, h.index, h.asks);
         let other = birth != 0 && self.agreed.birth != 0 && birth != self.agreed.birth;
         if self.spread.said.len() < MOST_SAID || self.spread.said.contains_key(from) {
@@ -181,15 +174,7 @@
     }
 
     /// The whole state of a record, or (of no record) a text that a leader wants to have checked.
-    pub(crate) fn whole(
-        &mut self,
-        _now: f64,
-        from: &str,
-        birth: u64,
-        d: Digest,
-        bytes: u32,
-        actions: &mut Vec<Action>,
-    ) {
+    pub(crate) fn whole(&mut self, from: &str, birth: u64, d: Digest, bytes: u32, actions: &mut Vec<Action>) {
         if birth == 0 {
             match self.texts.get(&d).is_some() {
                 true => self.check(d, actions),
