--- a/crates/record/src/engine/bootstrap.rs
+++ b/crates/record/src/engine/bootstrapping.rs
@@ -19,11 +19,12 @@
         self.config.voters.contains(&self.config.name)
     }
 
-    pub(crate) fn form_tick(&mut self, now: f64, actions: &mut Vec<Action>) {
-        if !self.is_named() || self.voter.is_some() || self.has_failed_disk() || now < self.form.next_ms {
+    pub(crate) fn bootstrap_tick(&mut self, now: f64, actions: &mut Vec<Action>) {
+        if !self.is_named() || self.voter.is_some() || self.has_failed_disk() || now < self.bootstrap.next_ms
+        {
             return;
         }
-        self.form.next_ms = now + READY_MS;
+        self.bootstrap.next_ms = now + READY_MS;
         let item = Item::Ready(self.config.voter(), self.agreed.birth == 0);
         for to in self.config.voters.clone() {
             self.send(&to, vec![item.clone()], actions);
@@ -50,13 +51,13 @@
         if !empty {
             return;
         }
-        self.form.empty.insert(from.into(), id);
+        self.bootstrap.empty.insert(from.into(), id);
         // The first in the order of names founds; the others wait for its word.
         let first = self.config.voters.iter().min() == Some(&self.config.name);
         let all =
-            self.config.voters.iter().all(|v| *v == self.config.name || self.form.empty.contains_key(v));
+            self.config.voters.iter().all(|v| *v == self.config.name || self.bootstrap.empty.contains_key(v));
         if first && all && self.voter.is_none() && !self.has_failed_disk() {
-            let named = |v: &String| self.form.empty.get(v).map(|id| (*id, v.clone()));
+            let named = |v: &String| self.bootstrap.empty.get(v).map(|id| (*id, v.clone()));
             let mut voters: BTreeMap<VoterId, String> = self.config.voters.iter().filter_map(named).collect();
             voters.insert(self.config.voter(), self.config.name.clone());
             let birth = self.rng.random::<u64>().max(1);
--- a/crates/record/src/engine/mod.rs
+++ b/crates/record/src/engine/mod.rs
@@ -1,11 +1,11 @@
 //! One front's part: events and the time in, what is to be written, sent and told out.
 
 use crate::agreed::{Agreed, Entry, VoterId};
+use crate::bootstrap::Bootstrap;
 use crate::events::{Action, Config, Counts, Event};
-use crate::form::Form;
-use crate::offers::Offers;
+use crate::proposals::Proposals;
+use crate::replication::Replication;
 use crate::rules::{Answer, Command, Digest, Refusal};
-use crate::spread::Spread;
 use crate::texts::Texts;
 use crate::voter::{read_state_words, Place, Saved, Voter, Writes, KEPT};
 use crate::wire::{open, room, seal, size, Item, WireError};
@@ -14,9 +14,9 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-mod bootstrap;
-mod proposals;
-mod replication;
+mod bootstrapping;
+mod proposing;
+mod replicating;
 
 /// Between two ticks of the voters, in milliseconds.
 pub(crate) const TICK_MS: f64 = 100.0;
@@ -31,9 +31,9 @@
     /// Commands that were taken last, for those who are a little behind.
     pub(crate) recent: VecDeque<Entry>,
     pub(crate) texts: Texts,
-    pub(crate) form: Form,
-    pub(crate) offers: Offers,
-    pub(crate) spread: Spread,
+    pub(crate) bootstrap: Bootstrap,
+    pub(crate) proposals: Proposals,
+    pub(crate) replication: Replication,
     pub(crate) counts: Counts,
     next_tick: f64,
     disk_failed: bool,
@@ -61,9 +61,9 @@
             voter: None,
             recent: VecDeque::new(),
             texts,
-            form: Form::default(),
-            offers: Offers::default(),
-            spread: Spread::new(now_ms),
+            bootstrap: Bootstrap::default(),
+            proposals: Proposals::default(),
+            replication: Replication::new(now_ms),
             counts: Counts::default(),
             next_tick: now_ms + TICK_MS,
             disk_failed: false,
@@ -128,12 +128,12 @@
 
     /// Which version each other front said last that it serves by.
     pub fn in_force(&self) -> impl Iterator<Item = (&str, u64)> {
-        self.spread.said()
+        self.replication.said()
     }
 
     /// The version that this front said it serves by.
     pub fn own_in_force(&self) -> u64 {
-        self.spread.in_force
+        self.replication.in_force
     }
 
     /// When the next [`Event::Tick`] is due.
@@ -148,10 +148,10 @@
             Event::Datagram(bytes) => self.datagram(now_ms, &bytes, actions),
             Event::Peers(names) => {
                 let own = &self.config.name;
-                self.spread.peers = names.into_iter().filter(|n| n != own).collect();
+                self.replication.peers = names.into_iter().filter(|n| n != own).collect();
             }
             Event::Ask { command, text } => self.ask(now_ms, command, text, actions),
-            Event::Forget(key) => self.offers.forget(&key),
+            Event::Forget(key) => self.proposals.forget(&key),
             Event::Checked { digest, wrong } => self.checked(digest, wrong, actions),
             Event::InForce(version) => self.in_force_now(version, actions),
             Event::DiskFailed => {
@@ -171,9 +171,9 @@
         if let Some(v) = &mut self.voter {
             v.tick();
         }
-        self.form_tick(now, actions);
-        self.offers_tick(now, actions);
-        self.spread_tick(now, actions);
+        self.bootstrap_tick(now, actions);
+        self.proposals_tick(now, actions);
+        self.replication_tick(now, actions);
     }
 
     /// Carries a voter's steps out until there are none: what is written first, then what is said, then what is taken.
@@ -216,7 +216,7 @@
         for e in entries {
             let at = self.agreed.index;
             if let Some((key, answer)) = self.agreed.take(&e) {
-                self.offers.taken(&key);
+                self.proposals.taken(&key);
                 self.answer(&key, answer, actions);
             }
             if self.agreed.index > at {
@@ -229,8 +229,13 @@
         if self.agreed.index == before {
             return;
         }
-        let wanted: BTreeSet<Digest> =
-            self.agreed.texts().map(|t| t.0).chain(self.offers.texts()).chain(self.spread.states()).collect();
+        let wanted: BTreeSet<Digest> = self
+            .agreed
+            .texts()
+            .map(|t| t.0)
+            .chain(self.proposals.texts())
+            .chain(self.replication.states())
+            .collect();
         self.texts.keep(&wanted);
         if let Some(v) = &mut self.voter {
             let writes = v.took(&self.agreed);
@@ -243,10 +248,10 @@
     }
 
     pub(crate) fn answer(&mut self, key: &str, answer: Answer, actions: &mut Vec<Action>) {
-        if self.offers.answered(key) {
+        if self.proposals.answered(key) {
             actions.push(Action::Answered { key: key.into(), answer: answer.clone() });
         }
-        if let Some(to) = self.offers.asker(key) {
+        if let Some(to) = self.proposals.asker(key) {
             self.send(&to, vec![Item::Answered(key.into(), answer)], actions);
         }
     }
--- a/crates/record/src/engine/proposals.rs
+++ b/crates/record/src/engine/proposing.rs
@@ -4,7 +4,7 @@
 use super::Record;
 use crate::agreed::{VoterId, KIND_RULES};
 use crate::events::Action;
-use crate::offers::{text_of, Asked, Offered, MOST};
+use crate::proposals::{text_of, Asked, Offered, MOST};
 use crate::rules::{Command, Digest, Refusal};
 use crate::voter::{Place, Saved};
 use crate::wire::Item;
@@ -28,8 +28,8 @@
         if let Some(answer) = refused.map(Err).or(known) {
             return actions.push(Action::Answered { key: c.key, answer });
         }
-        if self.offers.asked.len() < MOST {
-            self.offers.asked.insert(c.key.clone(), Asked { command: c.clone(), next_ms: now + ASK_MS });
+        if self.proposals.asked.len() < MOST {
+            self.proposals.asked.insert(c.key.clone(), Asked { command: c.clone(), next_ms: now + ASK_MS });
         }
         self.pass(c, HOPS, actions);
     }
@@ -43,7 +43,8 @@
             true => self.config.voters.clone(),
             false => self.agreed.voters.values().cloned().collect(),
         };
-        let to = self.leader().map(str::to_string).or_else(|| self.spread.any_of(&voters, &mut self.rng));
+        let to =
+            self.leader().map(str::to_string).or_else(|| self.replication.any_of(&voters, &mut self.rng));
         if let Some(to) = to {
             self.send(&to, vec![Item::Propose(c, hops)], actions);
         }
@@ -64,7 +65,7 @@
             if let Some((d, bytes)) = text_of(&c) {
                 self.fetch(from, d, bytes, actions);
                 if self.texts.get(&d).is_none() {
-                    self.offers
+                    self.proposals
                         .offered
                         .insert(c.key.clone(), Offered { command: c, from: Some(from.into()), looks: 0 });
                     return;
@@ -77,19 +78,19 @@
     /// A leader takes a command on.
     fn offer(&mut self, from: Option<String>, c: Command, actions: &mut Vec<Action>) {
         let key = c.key.clone();
-        if self.offers.in_log.contains_key(&key) || self.offers.offered.len() >= MOST {
+        if self.proposals.in_log.contains_key(&key) || self.proposals.offered.len() >= MOST {
             return;
         }
         if let (Some((d, bytes)), Some(from)) = (text_of(&c), &from) {
             self.fetch(from, d, bytes, actions);
         }
-        self.offers.offered.entry(key).or_insert(Offered { command: c, from, looks: 0 });
+        self.proposals.offered.entry(key).or_insert(Offered { command: c, from, looks: 0 });
         self.look(actions);
     }
 
-    pub(crate) fn offers_tick(&mut self, now: f64, actions: &mut Vec<Action>) {
+    pub(crate) fn proposals_tick(&mut self, now: f64, actions: &mut Vec<Action>) {
         let mut again = Vec::new();
-        for a in self.offers.asked.values_mut().filter(|a| now >= a.next_ms) {
+        for a in self.proposals.asked.values_mut().filter(|a| now >= a.next_ms) {
             a.next_ms = now + ASK_MS;
             again.push(a.command.clone());
         }
@@ -101,12 +102,12 @@
             }
         }
         let leads = self.leads();
-        if leads != std::mem::replace(&mut self.offers.led, leads) {
+        if leads != std::mem::replace(&mut self.proposals.led, leads) {
             // What another leader had offered may be lost: who asked asks again.
-            self.offers.in_log.clear();
+            self.proposals.in_log.clear();
         }
-        self.offers.offered.values_mut().for_each(|o| o.looks += 1);
-        self.offers.offered.retain(|_, o| o.looks < LOOKS);
+        self.proposals.offered.values_mut().for_each(|o| o.looks += 1);
+        self.proposals.offered.retain(|_, o| o.looks < LOOKS);
         self.look(actions);
     }
 
@@ -114,7 +115,7 @@
     pub(crate) fn look(&mut self, actions: &mut Vec<Action>) {
         let mut moved = Vec::new();
         let mut wanted = Vec::new();
-        for (key, o) in &self.offers.offered {
+        for (key, o) in &self.proposals.offered {
             let Some((d, bytes)) = text_of(&o.command) else {
                 moved.push(key.clone());
                 continue;
@@ -124,11 +125,11 @@
             } else if !self.leads() {
                 moved.push(key.clone());
             } else {
-                match self.offers.checked.get(&d) {
+                match self.proposals.checked.get(&d) {
                     None => wanted.push((String::new(), d, bytes)),
                     Some(_) => {
                         let held =
-                            self.offers.holds.get(&d).map_or(0, |h| {
+                            self.proposals.holds.get(&d).map_or(0, |h| {
                                 h.iter().filter(|v| self.agreed.voters.contains_key(v)).count()
                             });
                         if 2 * held > self.agreed.voters.len() {
@@ -147,14 +148,14 @@
             }
         }
         for key in moved {
-            let Some(o) = self.offers.offered.remove(&key) else { continue };
+            let Some(o) = self.proposals.offered.remove(&key) else { continue };
             if !self.leads() {
                 self.pass(o.command, 1, actions);
                 continue;
             }
             let body = postcard::to_stdvec(&o.command).unwrap_or_default();
             if self.voter.as_mut().is_some_and(|v| v.propose(KIND_RULES, &body)) {
-                self.offers.in_log.insert(key, o.from);
+                self.proposals.in_log.insert(key, o.from);
             }
         }
     }
@@ -162,7 +163,7 @@
     /// A leader has a text: it is checked here, and the other voters are told that there is one to fetch and check.
     fn check_all(&mut self, d: Digest, bytes: u32, actions: &mut Vec<Action>) {
         self.check(d, actions);
-        let holds = self.offers.holds.get(&d).cloned().unwrap_or_default();
+        let holds = self.proposals.holds.get(&d).cloned().unwrap_or_default();
         let lacking: Vec<String> = self
             .agreed
             .voters
@@ -180,7 +181,7 @@
         if self.voter.is_none() {
             return;
         }
-        match self.offers.checked.get(&d) {
+        match self.proposals.checked.get(&d) {
             Some(None) => self.tell_holds(d, actions),
             Some(Some(_)) => {}
             None => {
@@ -194,7 +195,7 @@
     /// It may, or may not.
     pub(crate) fn checked(&mut self, d: Digest, wrong: Option<String>, actions: &mut Vec<Action>) {
         let good = wrong.is_none();
-        if self.offers.checked.insert(d, wrong).is_some() || !good {
+        if self.proposals.checked.insert(d, wrong).is_some() || !good {
             return;
         }
         if let Some(text) = self.texts.get(&d).filter(|_| self.voter.is_some()) {
@@ -216,11 +217,11 @@
 
     /// A voter has a text durably, and found it good.
     pub(crate) fn holds(&mut self, d: Digest, voter: VoterId) {
-        self.offers.holds.entry(d).or_default().insert(voter);
+        self.proposals.holds.entry(d).or_default().insert(voter);
     }
 
     /// What is wrong with a text, where it was checked here.
     pub fn wrong_with(&self, d: &Digest) -> Option<&str> {
-        self.offers.checked.get(d)?.as_deref()
+        self.proposals.checked.get(d)?.as_deref()
     }
 }
--- a/crates/record/src/engine/replication.rs
+++ b/crates/record/src/engine/replicating.rs
@@ -24,19 +24,19 @@
 impl Record {
     fn have(&self, asks: bool) -> Item {
         let Agreed { birth, index, chain, .. } = self.agreed;
-        Item::Have(Have { birth, index, chain, in_force: self.spread.in_force, asks })
+        Item::Have(Have { birth, index, chain, in_force: self.replication.in_force, asks })
     }
 
     /// This front serves by that version: others who wait for it are told.
     pub(crate) fn in_force_now(&mut self, version: u64, actions: &mut Vec<Action>) {
-        if std::mem::replace(&mut self.spread.in_force, version) != version {
-            self.spread.again = self.spread.again.max(1);
+        if std::mem::replace(&mut self.replication.in_force, version) != version {
+            self.replication.again = self.replication.again.max(1);
             self.tell(FANOUT, actions);
         }
     }
 
     fn tell(&mut self, many: usize, actions: &mut Vec<Action>) {
-        let to: Vec<String> = self.spread.peers.choose_multiple(&mut self.rng, many).cloned().collect();
+        let to: Vec<String> = self.replication.peers.choose_multiple(&mut self.rng, many).cloned().collect();
         for to in to {
             let have = self.have(false);
             self.send(&to, vec![have], actions);
@@ -45,22 +45,22 @@
 
     /// What is agreed has changed.
     pub(crate) fn news(&mut self, now: f64, actions: &mut Vec<Action>) {
-        self.spread.again = AGAIN;
+        self.replication.again = AGAIN;
         self.tell(FANOUT, actions);
-        self.spread.next_lack = now;
+        self.replication.next_lack = now;
         self.lack(now, actions);
     }
 
-    pub(crate) fn spread_tick(&mut self, now: f64, actions: &mut Vec<Action>) {
-        if now >= self.spread.next_tell {
-            self.spread.next_tell = now + TELL_MS;
+    pub(crate) fn replication_tick(&mut self, now: f64, actions: &mut Vec<Action>) {
+        if now >= self.replication.next_tell {
+            self.replication.next_tell = now + TELL_MS;
             self.tell(1, actions);
             if let Some(v) = &mut self.voter {
                 v.lost_states();
             }
         }
-        if self.spread.again > 0 {
-            self.spread.again -= 1;
+        if self.replication.again > 0 {
+            self.replication.again -= 1;
             self.tell(FANOUT, actions);
         }
         self.lack(now, actions);
@@ -68,11 +68,11 @@
 
     /// Asks for texts that are lacking: of a state from who has it, of versions from anybody.
     fn lack(&mut self, now: f64, actions: &mut Vec<Action>) {
-        if now < self.spread.next_lack {
+        if now < self.replication.next_lack {
             return;
         }
-        self.spread.next_lack = now + LACK_MS;
-        let states: Vec<_> = self.spread.states.iter().cloned().collect();
+        self.replication.next_lack = now + LACK_MS;
+        let states: Vec<_> = self.replication.states.iter().cloned().collect();
         for (d, bytes, of) in states {
             if let Some((_, from)) = of {
                 self.fetch(&from, d, bytes, actions);
@@ -85,7 +85,8 @@
         let lacking: Vec<(Digest, u32)> =
             all.into_iter().filter(|(d, _)| self.texts.get(d).is_none()).take(2).collect();
         for (d, bytes) in lacking {
-            let mut to: Vec<String> = self.spread.peers.choose_multiple(&mut self.rng, 1).cloned().collect();
+            let mut to: Vec<String> =
+                self.replication.peers.choose_multiple(&mut self.rng, 1).cloned().collect();
             let voters: Vec<String> = self.agreed.voters.values().cloned().collect();
             to.extend(voters.choose(&mut self.rng).cloned());
             for to in to {
@@ -104,15 +105,15 @@
 
     /// A state that the leader, or one further on, has.
     pub(crate) fn fetch_state(&mut self, from: &str, d: Digest, bytes: u32, actions: &mut Vec<Action>) {
-        self.spread.hold(d, bytes, Some((0, from.into())));
+        self.replication.hold(d, bytes, Some((0, from.into())));
         self.fetch(from, d, bytes, actions);
     }
 
     pub(crate) fn heard_have(&mut self, from: &str, h: Have, actions: &mut Vec<Action>) {
         let (birth, index, asks) = (h.birth, h.index, h.asks);
         let other = birth != 0 && self.agreed.birth != 0 && birth != self.agreed.birth;
-        if self.spread.said.len() < MOST_SAID || self.spread.said.contains_key(from) {
-            self.spread.said.insert(from.into(), h);
+        if self.replication.said.len() < MOST_SAID || self.replication.said.contains_key(from) {
+            self.replication.said.insert(from.into(), h);
         }
         if other {
             // Of a record that was founded beside this one: neither takes from the other.
@@ -142,7 +143,7 @@
             let bytes = self.agreed.to_bytes();
             let (own, len) = (self.agreed.birth, bytes.len() as u32);
             if let Some(d) = self.texts.put(bytes) {
-                self.spread.hold(d, len, None);
+                self.replication.hold(d, len, None);
                 self.send(from, vec![Item::Whole(own, d, len)], actions);
             }
             return;
@@ -181,7 +182,7 @@
                 false => self.fetch(from, d, bytes, actions),
             }
         } else if self.voter.is_none() && (self.agreed.birth == 0 || self.agreed.birth == birth) {
-            self.spread.hold(d, bytes, Some((birth, from.into())));
+            self.replication.hold(d, bytes, Some((birth, from.into())));
             self.fetch(from, d, bytes, actions);
         }
     }
@@ -190,7 +191,7 @@
         let own = self.agreed.to_bytes();
         if self.texts.get(&d).is_none() && Digest::of(&own) == d {
             // The state as the library's messages name it.
-            self.spread.hold(d, own.len() as u32, None);
+            self.replication.hold(d, own.len() as u32, None);
             self.texts.put(own);
         }
         let items: Vec<Item> = parts
@@ -221,7 +222,7 @@
             }
             return;
         }
-        let state = self.spread.states.iter().find(|s| s.0 == d).and_then(|s| s.2.clone());
+        let state = self.replication.states.iter().find(|s| s.0 == d).and_then(|s| s.2.clone());
         if let Some((birth, _)) = state {
             let read = self.texts.get(&d).and_then(Agreed::from_bytes);
             if let Some(a) = read.filter(|a| birth != 0 && a.birth == birth && self.voter.is_none()) {
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -68,12 +68,12 @@
 //! ```
 
 pub mod agreed;
+mod bootstrap;
 mod engine;
 mod events;
-mod form;
-mod offers;
+mod proposals;
+mod replication;
 pub mod rules;
-mod spread;
 pub mod texts;
 mod voter;
 pub mod wire;
--- a/crates/record/src/offers.rs
+++ b/crates/record/src/proposals.rs
@@ -1,7 +1,7 @@
 //! The state of commands on their way to be agreed: those asked at this front, those held by a leader until their
 //! texts are at a majority of voters, and which texts were checked.
 //!
-//! The steps that use it are in `engine/proposals.rs`.
+//! The steps that use it are in `engine/proposing.rs`.
 
 use crate::agreed::VoterId;
 use crate::rules::{Ask, Command, Digest};
@@ -26,7 +26,7 @@
 
 /// Commands on their way.
 #[derive(Debug, Default)]
-pub(crate) struct Offers {
+pub(crate) struct Proposals {
     pub(crate) asked: BTreeMap<String, Asked>,
     pub(crate) offered: BTreeMap<String, Offered>,
     /// Offered to the voters and not taken yet.
@@ -37,7 +37,7 @@
     pub(crate) led: bool,
 }
 
-impl Offers {
+impl Proposals {
     /// Whether that key was asked here and its answer not yet told.
     pub fn answered(&mut self, key: &str) -> bool {
         self.asked.remove(key).is_some()
--- a/crates/record/src/spread.rs
+++ b/crates/record/src/replication.rs
@@ -1,7 +1,7 @@
 //! What a front knows of the others while what is agreed reaches all fronts: their last word, and the states held
 //! for those who fetch them.
 //!
-//! The steps that use it are in `engine/replication.rs`.
+//! The steps that use it are in `engine/replicating.rs`.
 
 use crate::rules::Digest;
 use crate::wire::Have;
@@ -17,7 +17,7 @@
 
 /// What a front knows of the others, and what it waits for.
 #[derive(Debug)]
-pub(crate) struct Spread {
+pub(crate) struct Replication {
     pub peers: Vec<String>,
     /// The version that this front serves by.
     pub in_force: u64,
@@ -29,10 +29,10 @@
     pub(crate) states: VecDeque<State>,
 }
 
-impl Spread {
-    pub fn new(now: f64) -> Spread {
+impl Replication {
+    pub fn new(now: f64) -> Replication {
         let (peers, said, states) = Default::default();
-        Spread { peers, in_force: 0, said, next_tell: now, next_lack: now, again: 0, states }
+        Replication { peers, in_force: 0, said, next_tell: now, next_lack: now, again: 0, states }
     }
 
     pub fn said(&self) -> impl Iterator<Item = (&str, u64)> {
