--- a/crates/store/src/lying.rs
+++ b/crates/store/src/faulty_disk.rs
@@ -52,13 +52,13 @@
     opened: u64,
 }
 
-/// The disk, as the test holds it; programs get [`Platter::disk`].
+/// The disk, as the test holds it; programs get [`FaultyDisk::disk`].
 #[derive(Clone, Debug)]
-pub struct Platter(Arc<Mutex<State>>);
+pub struct FaultyDisk(Arc<Mutex<State>>);
 
 /// What a program has of it.
 #[derive(Debug)]
-pub struct Handle(Platter, u64);
+pub struct FaultyDiskHandle(FaultyDisk, u64);
 
 fn apply(to: &mut Vec<u8>, op: &Op) {
     match op {
@@ -73,10 +73,10 @@
     }
 }
 
-impl Platter {
+impl FaultyDisk {
     /// An empty disk without faults.
-    pub fn new(seed: u64) -> Platter {
-        Platter(Arc::new(Mutex::new(State {
+    pub fn new(seed: u64) -> FaultyDisk {
+        FaultyDisk(Arc::new(Mutex::new(State {
             durable: Vec::new(),
             seen: Vec::new(),
             since: Vec::new(),
@@ -93,10 +93,10 @@
     }
 
     /// For a program that starts; whoever had it before has it no more.
-    pub fn disk(&self) -> Handle {
+    pub fn disk(&self) -> FaultyDiskHandle {
         let mut s = self.lock();
         s.opened += 1;
-        Handle(self.clone(), s.opened)
+        FaultyDiskHandle(self.clone(), s.opened)
     }
 
     /// What is wrong from now on.
@@ -132,7 +132,7 @@
         s.opened += 1;
     }
 
-    /// The bytes that are durable now, for [`Platter::restore`].
+    /// The bytes that are durable now, for [`FaultyDisk::restore`].
     pub fn copy(&self) -> Vec<u8> {
         self.lock().durable.clone()
     }
@@ -157,7 +157,7 @@
     }
 }
 
-impl Handle {
+impl FaultyDiskHandle {
     fn state(&self) -> io::Result<MutexGuard<'_, State>> {
         let s = self.0.lock();
         match s.opened == self.1 {
@@ -178,7 +178,7 @@
     }
 }
 
-impl StorageBackend for Handle {
+impl StorageBackend for FaultyDiskHandle {
     fn len(&self) -> io::Result<u64> {
         Ok(self.state()?.seen.len() as u64)
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -14,22 +14,22 @@
 //!   what they remember with what the disk says.
 //!
 //! ```
-//! use fernslip_store::{lying::Platter, layers::Position, *};
+//! use fernslip_store::{faulty_disk::FaultyDisk, layers::Position, *};
 //!
-//! let platter = Platter::new(1);
-//! let (mut store, found) = Store::open(platter.disk(), 0xd15c)?;
+//! let faulty_disk = FaultyDisk::new(1);
+//! let (mut store, found) = Store::open(faulty_disk.disk(), 0xd15c)?;
 //! assert_eq!(found, None, "a new disk");
 //! store.commit(&[Change::put(&(), &Position { epoch: 7, offset: 41, at_unix_ms: 0 })?])?;
 //! let told = store.marks(); // others remember this
 //! drop(store);
-//! let (store, found) = Store::open(platter.disk(), 0xbeef)?;
+//! let (store, found) = Store::open(faulty_disk.disk(), 0xbeef)?;
 //! assert_eq!(store.get::<Position>(&())?.map(|p| p.offset), Some(41));
 //! assert_eq!(Marks::trust(found, Some(told)), Trust::Current);
 //! # Ok::<(), StoreError>(())
 //! ```
 
+pub mod faulty_disk;
 pub mod layers;
-pub mod lying;
 mod marks;
 mod ordered;
 
@@ -39,7 +39,7 @@
 use redb::{Database, Durability, StorageBackend, TableDefinition};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// A disk beneath the store: a file, or [`lying::Platter`].
+/// A disk beneath the store: a file, or [`faulty_disk::FaultyDisk`].
 pub use redb::StorageBackend as Disk;
 
 /// A file as a disk; it is held for this process alone.
--- a/crates/store/tests/disks.rs
+++ b/crates/store/tests/disks.rs
@@ -1,7 +1,7 @@
 //! The store over disks that lose power, tear, lie, fill up, fail to sync, flip bits and go back in time.
 
+use fernslip_store::faulty_disk::{Faults, FaultyDisk};
 use fernslip_store::layers::{Avoided, Position, Purge, Purged};
-use fernslip_store::lying::{Faults, Platter};
 use fernslip_store::{Change, Marks, Store, StoreError, Trust};
 use proptest::prelude::*;
 
@@ -34,9 +34,9 @@
     Ok(at)
 }
 
-fn play(platter: &Platter, from: u64, most: u64) -> (u64, Option<Marks>) {
+fn play(faulty_disk: &FaultyDisk, from: u64, most: u64) -> (u64, Option<Marks>) {
     let (mut done, mut told) = (from, None);
-    if let Ok((mut store, _)) = Store::open(platter.disk(), 9) {
+    if let Ok((mut store, _)) = Store::open(faulty_disk.disk(), 9) {
         told = Some(store.marks());
         for n in from + 1..=most {
             match put(&mut store, n) {
@@ -54,16 +54,16 @@
 /// Loses power at each operation, several times over with other seeds: the order in which the store writes its pages is
 /// another in each process, so one fate a place is a matter of luck.
 fn lose_power_everywhere(faults: &Faults) {
-    let whole = Platter::new(0);
+    let whole = FaultyDisk::new(0);
     play(&whole, 0, 6);
     let operations = whole.ops();
     assert!(operations > 30, "{operations}");
     for (at, seed) in (0..operations).flat_map(|at| (0..6).map(move |seed| (at, seed))) {
-        let platter = Platter::new(at * 100 + seed);
-        platter.faults(Faults { dies_at: Some(at), ..faults.clone() });
-        let (done, told) = play(&platter, 0, 6);
-        platter.power_loss();
-        let (store, found) = match Store::open(platter.disk(), 9) {
+        let faulty_disk = FaultyDisk::new(at * 100 + seed);
+        faulty_disk.faults(Faults { dies_at: Some(at), ..faults.clone() });
+        let (done, told) = play(&faulty_disk, 0, 6);
+        faulty_disk.power_loss();
+        let (store, found) = match Store::open(faulty_disk.disk(), 9) {
             Ok(opened) => opened,
             // The disk was being made: nothing was ever called durable.
             Err(e) if told.is_none() => {
@@ -95,18 +95,18 @@
 fn a_disk_that_lies_or_is_from_an_hour_ago_is_found_by_what_others_remember() {
     let (mut behind, mut broken) = (0, 0);
     for seed in 0..60 {
-        let platter = Platter::new(seed);
-        let (_, _) = play(&platter, 0, 3);
-        let old = platter.copy();
-        platter.faults(Faults { lies: true, ..Faults::default() });
-        let (done, told) = play(&platter, 3, 9);
+        let faulty_disk = FaultyDisk::new(seed);
+        let (_, _) = play(&faulty_disk, 0, 3);
+        let old = faulty_disk.copy();
+        faulty_disk.faults(Faults { lies: true, ..Faults::default() });
+        let (done, told) = play(&faulty_disk, 3, 9);
         let told = told.expect("opened");
         if seed % 2 == 0 {
-            platter.power_loss();
+            faulty_disk.power_loss();
         } else {
-            platter.restore(old);
+            faulty_disk.restore(old);
         }
-        match Store::open(platter.disk(), 77) {
+        match Store::open(faulty_disk.disk(), 77) {
             Ok((store, found)) => match Marks::trust(found, Some(told)) {
                 Trust::Current => assert_eq!(holds(&store).expect("sound"), done, "seed {seed}"),
                 Trust::Behind { by } => {
@@ -128,17 +128,17 @@
         Faults { fails_sync: Some(0), ..Faults::default() },
         Faults { fails_sync: Some(1), ..Faults::default() },
     ] {
-        let platter = Platter::new(3);
-        let (mut store, _) = Store::open(platter.disk(), 9).expect("a sound disk");
+        let faulty_disk = FaultyDisk::new(3);
+        let (mut store, _) = Store::open(faulty_disk.disk(), 9).expect("a sound disk");
         put(&mut store, 1).expect("a sound disk");
-        platter.faults(faults.clone());
+        faulty_disk.faults(faults.clone());
         let all: Vec<_> = (2..400).map_while(|n| put(&mut store, n).ok()).collect();
         assert!(all.len() < 398, "{faults:?}");
         assert!(store.has_failed(), "{faults:?}");
         let done = 1 + all.len() as u64;
         drop(store);
-        platter.power_loss();
-        let (store, _) = Store::open(platter.disk(), 9).expect("what was durable");
+        faulty_disk.power_loss();
+        let (store, _) = Store::open(faulty_disk.disk(), 9).expect("what was durable");
         let there = holds(&store).expect("sound");
         assert!(there == done || there == done + 1, "{there} of {done}");
     }
@@ -154,8 +154,8 @@
         const VERSION: u16 = 3;
         type Key = String;
     }
-    let platter = Platter::new(3);
-    let (mut store, _) = Store::open(platter.disk(), 9).expect("a sound disk");
+    let faulty_disk = FaultyDisk::new(3);
+    let (mut store, _) = Store::open(faulty_disk.disk(), 9).expect("a sound disk");
     let change = Change::put(&"box-1".to_string(), &Newer("later".into())).expect("short");
     store.commit(&[change]).expect("a sound disk");
     assert!(matches!(store.get::<Avoided>(&"box-1".into()), Err(StoreError::Later("avoided", 3))));
@@ -197,11 +197,11 @@
     /// Damage is found, or it hit what nobody reads: a wrong value is never handed out, and nothing panics.
     #[test]
     fn flipped_bits_never_become_knowledge(seed in any::<u64>(), bits in 1usize..400, commits in 1u64..8) {
-        let platter = Platter::new(seed);
-        let (done, _) = play(&platter, 0, commits);
+        let faulty_disk = FaultyDisk::new(seed);
+        let (done, _) = play(&faulty_disk, 0, commits);
         prop_assert_eq!(done, commits);
-        platter.flip(bits);
-        if let Ok((store, _)) = Store::open(platter.disk(), 1) {
+        faulty_disk.flip(bits);
+        if let Ok((store, _)) = Store::open(faulty_disk.disk(), 1) {
             if let Ok(there) = holds(&store) {
                 prop_assert_eq!(there, done);
             }
@@ -210,9 +210,9 @@
 
     #[test]
     fn any_bytes_are_no_store_and_no_panic(bytes in proptest::collection::vec(any::<u8>(), 0..6000)) {
-        let platter = Platter::new(1);
-        platter.restore(bytes);
-        if let Ok((store, _)) = Store::open(platter.disk(), 1) {
+        let faulty_disk = FaultyDisk::new(1);
+        faulty_disk.restore(bytes);
+        if let Ok((store, _)) = Store::open(faulty_disk.disk(), 1) {
             prop_assert_eq!(holds(&store).unwrap_or(0), 0);
         }
     }
