--- a/crates/record/src/form.rs
+++ b/crates/record/src/engine/bootstrapping.rs
@@ -3,8 +3,9 @@
 //! Founding takes all that are named, each without a record: a majority of them would not do, since one that lost its
 //! disk and one that never had a record look alike, and two of three could found a second record beside the first.
 
+use super::Record;
 use crate::agreed::{Agreed, VoterId};
-use crate::engine::{Action, Record};
+use crate::events::Action;
 use crate::voter::{Voter, Writes};
 use crate::wire::Item;
 use rand::Rng;
@@ -13,24 +14,17 @@
 /// Between two words of a front that is named as voter and is none.
 const READY_MS: f64 = 500.0;
 
-/// What a front knows of the others that are named.
-#[derive(Debug, Default)]
-pub(crate) struct Form {
-    /// Ids of those who are there without a record.
-    empty: BTreeMap<String, VoterId>,
-    next_ms: f64,
-}
-
 impl Record {
     fn is_named(&self) -> bool {
         self.config.voters.contains(&self.config.name)
     }
 
-    pub(crate) fn form_tick(&mut self, now: f64, actions: &mut Vec<Action>) {
-        if !self.is_named() || self.voter.is_some() || self.has_failed_disk() || now < self.form.next_ms {
+    pub(crate) fn bootstrap_tick(&mut self, now: f64, actions: &mut Vec<Action>) {
+        if !self.is_named() || self.voter.is_some() || self.has_failed_disk() || now < self.bootstrap.next_ms
+        {
             return;
         }
-        self.form.next_ms = now + READY_MS;
+        self.bootstrap.next_ms = now + READY_MS;
         let item = Item::Ready(self.config.voter(), self.agreed.birth == 0);
         for to in self.config.voters.clone() {
             self.send(&to, vec![item.clone()], actions);
@@ -57,13 +51,13 @@
         if !empty {
             return;
         }
-        self.form.empty.insert(from.into(), id);
+        self.bootstrap.empty.insert(from.into(), id);
         // The first in the order of names founds; the others wait for its word.
         let first = self.config.voters.iter().min() == Some(&self.config.name);
         let all =
-            self.config.voters.iter().all(|v| *v == self.config.name || self.form.empty.contains_key(v));
+            self.config.voters.iter().all(|v| *v == self.config.name || self.bootstrap.empty.contains_key(v));
         if first && all && self.voter.is_none() && !self.has_failed_disk() {
-            let named = |v: &String| self.form.empty.get(v).map(|id| (*id, v.clone()));
+            let named = |v: &String| self.bootstrap.empty.get(v).map(|id| (*id, v.clone()));
             let mut voters: BTreeMap<VoterId, String> = self.config.voters.iter().filter_map(named).collect();
             voters.insert(self.config.voter(), self.config.name.clone());
             let birth = self.rng.random::<u64>().max(1);
--- a/crates/record/src/engine.rs
+++ b/crates/record/src/engine/mod.rs
@@ -1,10 +1,11 @@
 //! One front's part: events and the time in, what is to be written, sent and told out.
 
 use crate::agreed::{Agreed, Entry, VoterId};
-use crate::form::Form;
-use crate::offers::Offers;
+use crate::bootstrap::Bootstrap;
+use crate::events::{Action, Config, Counts, Event};
+use crate::proposals::Proposals;
+use crate::replication::Replication;
 use crate::rules::{Answer, Command, Digest, Refusal};
-use crate::spread::Spread;
 use crate::texts::Texts;
 use crate::voter::{read_state_words, Place, Saved, Voter, Writes, KEPT};
 use crate::wire::{open, room, seal, size, Item, WireError};
@@ -13,104 +14,13 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+mod bootstrapping;
+mod proposing;
+mod replicating;
+
 /// Between two ticks of the voters, in milliseconds.
 pub(crate) const TICK_MS: f64 = 100.0;
 
-/// What a front is told.
-#[derive(Clone, Debug)]
-pub struct Config {
-    /// Its name.
-    pub name: String,
-    /// Its disk's id: another one where the disk is new, or is not believed.
-    pub disk: u64,
-    /// Names of the voters, alike at all fronts; with none there is no record.
-    pub voters: Vec<String>,
-}
-
-impl Config {
-    /// The voter that this front is with its present disk; never 0.
-    pub fn voter(&self) -> VoterId {
-        let d = Digest::of(format!("{}\0{:016x}", self.name, self.disk).as_bytes()).0;
-        d[..8].iter().fold(0, |n, b| n << 8 | u64::from(*b)).max(1)
-    }
-}
-
-/// What happens.
-#[derive(Clone, Debug)]
-pub enum Event {
-    /// Time went by.
-    Tick,
-    /// A datagram came.
-    Datagram(Vec<u8>),
-    /// The fronts that are there now.
-    Peers(Vec<String>),
-    /// Somebody at this front asks; an edit brings its text.
-    Ask {
-        /// What.
-        command: Command,
-        /// The text of an edit.
-        text: Option<Vec<u8>>,
-    },
-    /// Nobody waits for the answer to that key any more.
-    Forget(String),
-    /// Whether rules can be used by this front: what is wrong with them, if anything.
-    Checked {
-        /// Which.
-        digest: Digest,
-        /// Why not.
-        wrong: Option<String>,
-    },
-    /// This front serves by that version now.
-    InForce(u64),
-    /// A write failed.
-    DiskFailed,
-}
-
-/// What is to be done.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Action {
-    /// Make this durable, all of it, before what follows.
-    Write(Writes),
-    /// Send a datagram to a front; it may be lost.
-    Send {
-        /// Its name.
-        to: String,
-        /// The bytes.
-        bytes: Vec<u8>,
-    },
-    /// Look whether these rules can be used here, and tell by [`Event::Checked`].
-    Check {
-        /// Which.
-        digest: Digest,
-        /// Them.
-        text: Vec<u8>,
-    },
-    /// What became of a command that was asked at this front.
-    Answered {
-        /// Its key.
-        key: String,
-        /// It.
-        answer: Answer,
-    },
-    /// What is agreed has changed, or a text of it has come.
-    Changed,
-}
-
-/// What was done, for the operators.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    /// Datagrams sent.
-    pub sent: u64,
-    /// Their bytes.
-    pub sent_bytes: u64,
-    /// Datagrams dropped: no message of ours.
-    pub malformed: u64,
-    /// Datagrams of another version, and the last one's number.
-    pub other_version: (u64, u8),
-    /// Words of another record than the one held.
-    pub other_record: u64,
-}
-
 /// One front's part.
 pub struct Record {
     pub(crate) config: Config,
@@ -121,9 +31,9 @@
     /// Commands that were taken last, for those who are a little behind.
     pub(crate) recent: VecDeque<Entry>,
     pub(crate) texts: Texts,
-    pub(crate) form: Form,
-    pub(crate) offers: Offers,
-    pub(crate) spread: Spread,
+    pub(crate) bootstrap: Bootstrap,
+    pub(crate) proposals: Proposals,
+    pub(crate) replication: Replication,
     pub(crate) counts: Counts,
     next_tick: f64,
     disk_failed: bool,
@@ -151,9 +61,9 @@
             voter: None,
             recent: VecDeque::new(),
             texts,
-            form: Form::default(),
-            offers: Offers::default(),
-            spread: Spread::new(now_ms),
+            bootstrap: Bootstrap::default(),
+            proposals: Proposals::default(),
+            replication: Replication::new(now_ms),
             counts: Counts::default(),
             next_tick: now_ms + TICK_MS,
             disk_failed: false,
@@ -218,12 +128,12 @@
 
     /// Which version each other front said last that it serves by.
     pub fn in_force(&self) -> impl Iterator<Item = (&str, u64)> {
-        self.spread.said()
+        self.replication.said()
     }
 
     /// The version that this front said it serves by.
     pub fn own_in_force(&self) -> u64 {
-        self.spread.in_force
+        self.replication.in_force
     }
 
     /// When the next [`Event::Tick`] is due.
@@ -238,10 +148,10 @@
             Event::Datagram(bytes) => self.datagram(now_ms, &bytes, actions),
             Event::Peers(names) => {
                 let own = &self.config.name;
-                self.spread.peers = names.into_iter().filter(|n| n != own).collect();
+                self.replication.peers = names.into_iter().filter(|n| n != own).collect();
             }
             Event::Ask { command, text } => self.ask(now_ms, command, text, actions),
-            Event::Forget(key) => self.offers.forget(&key),
+            Event::Forget(key) => self.proposals.forget(&key),
             Event::Checked { digest, wrong } => self.checked(digest, wrong, actions),
             Event::InForce(version) => self.in_force_now(version, actions),
             Event::DiskFailed => {
@@ -261,9 +171,9 @@
         if let Some(v) = &mut self.voter {
             v.tick();
         }
-        self.form_tick(now, actions);
-        self.offers_tick(now, actions);
-        self.spread_tick(now, actions);
+        self.bootstrap_tick(now, actions);
+        self.proposals_tick(now, actions);
+        self.replication_tick(now, actions);
     }
 
     /// Carries a voter's steps out until there are none: what is written first, then what is said, then what is taken.
@@ -306,7 +216,7 @@
         for e in entries {
             let at = self.agreed.index;
             if let Some((key, answer)) = self.agreed.take(&e) {
-                self.offers.taken(&key);
+                self.proposals.taken(&key);
                 self.answer(&key, answer, actions);
             }
             if self.agreed.index > at {
@@ -319,8 +229,13 @@
         if self.agreed.index == before {
             return;
         }
-        let wanted: BTreeSet<Digest> =
-            self.agreed.texts().map(|t| t.0).chain(self.offers.texts()).chain(self.spread.states()).collect();
+        let wanted: BTreeSet<Digest> = self
+            .agreed
+            .texts()
+            .map(|t| t.0)
+            .chain(self.proposals.texts())
+            .chain(self.replication.states())
+            .collect();
         self.texts.keep(&wanted);
         if let Some(v) = &mut self.voter {
             let writes = v.took(&self.agreed);
@@ -333,10 +248,10 @@
     }
 
     pub(crate) fn answer(&mut self, key: &str, answer: Answer, actions: &mut Vec<Action>) {
-        if self.offers.answered(key) {
+        if self.proposals.answered(key) {
             actions.push(Action::Answered { key: key.into(), answer: answer.clone() });
         }
-        if let Some(to) = self.offers.asker(key) {
+        if let Some(to) = self.proposals.asker(key) {
             self.send(&to, vec![Item::Answered(key.into(), answer)], actions);
         }
     }
@@ -390,10 +305,10 @@
         }
         for item in items {
             match item {
-                Item::Have(h) => self.heard_have(now, &from, h, actions),
+                Item::Have(h) => self.heard_have(&from, h, actions),
                 Item::Pull(birth, after) => self.pulled(&from, birth, after, actions),
                 Item::Entries(birth, entries) => self.entries(now, birth, entries, actions),
-                Item::Whole(birth, d, bytes) => self.whole(now, &from, birth, d, bytes, actions),
+                Item::Whole(birth, d, bytes) => self.whole(&from, birth, d, bytes, actions),
                 Item::Want(d, parts) => self.wanted(&from, d, &parts, actions),
                 Item::Part(d, part, bytes) => self.part(now, &from, d, part, &bytes, actions),
                 Item::Propose(command, hops) => self.proposed(&from, command, hops, actions),
@@ -401,12 +316,12 @@
                 Item::Holds(d, voter) => self.holds(d, voter),
                 Item::Ready(voter, empty) => self.ready(&from, voter, empty, actions),
                 Item::Found(birth, voters) => self.found(birth, voters, actions),
-                Item::Raft(to, bytes) => self.raft(now, &from, to, &bytes, actions),
+                Item::Raft(to, bytes) => self.raft(&from, to, &bytes, actions),
             }
         }
     }
 
-    fn raft(&mut self, now: f64, from: &str, to: VoterId, bytes: &[u8], actions: &mut Vec<Action>) {
+    fn raft(&mut self, from: &str, to: VoterId, bytes: &[u8], actions: &mut Vec<Action>) {
         let own = self.config.voter();
         if to != own || self.disk_failed {
             return;
@@ -420,7 +335,7 @@
         }
         if let Some(Err(words)) = self.voter.as_mut().map(|v| v.hear(bytes, held)) {
             if let Some((d, bytes)) = read_state_words(&words) {
-                self.fetch_state(now, from, d, bytes, actions);
+                self.fetch_state(from, d, bytes, actions);
             }
         }
     }
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -68,15 +68,17 @@
 //! ```
 
 pub mod agreed;
+mod bootstrap;
 mod engine;
-mod form;
-mod offers;
+mod events;
+mod proposals;
+mod replication;
 pub mod rules;
-mod spread;
 pub mod texts;
 mod voter;
 pub mod wire;
 
 pub use agreed::{Agreed, Entry, VoterId};
-pub use engine::{Action, Config, Counts, Event, Record};
+pub use engine::Record;
+pub use events::{Action, Config, Counts, Event};
 pub use voter::{Place, Saved, Writes};
