--- a/crates/fernslip/src/api.rs
+++ b/crates/fernslip/src/api.rs
@@ -184,38 +184,83 @@
 
 impl std::error::Error for SettingsError {}
 
+/// Rejects a setting: the field as named in [`Settings`] (or below `classes[i].`), and what is wrong with it.
+fn rejected(field: &str, why: &'static str) -> Result<(), SettingsError> {
+    Err(SettingsError { field: field.to_string(), why })
+}
+
+/// Rejects a figure that is negative, infinite or not a number.
+fn check_non_negative(field: &str, value: f64) -> Result<(), SettingsError> {
+    if !(value.is_finite() && value >= 0.0) {
+        return rejected(field, "negative or not a number");
+    }
+    Ok(())
+}
+
 impl Settings {
     /// Tells the first field that is impossible, if any.
+    ///
+    /// The parts are checked in this order, and within each part field by field: zones, kinds, routers,
+    /// attempts and streams, durations and slow start, classes.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let bad = |field: &str, why| Err(SettingsError { field: field.to_string(), why });
+        self.check_zones()?;
+        self.check_kinds()?;
+        self.check_routers()?;
+        self.check_attempts_and_streams()?;
+        self.check_durations()?;
+        self.check_classes()
+    }
+
+    /// The own zone exists, and each per-zone list has one value for each zone.
+    fn check_zones(&self) -> Result<(), SettingsError> {
         if self.zone >= self.zones.len() {
-            return bad("zone", "no such zone");
+            return rejected("zone", "no such zone");
         }
         for (name, len) in
             [("zone_routers", self.zone_routers.len()), ("link_in_kb_per_s", self.link_in_kb_per_s.len())]
         {
             if len != self.zones.len() {
-                return bad(name, "needs one value for each zone");
+                return rejected(name, "needs one value for each zone");
             }
         }
         if self.link_in_kb_per_s.iter().any(|v| !(v.is_finite() && *v >= 0.0)) {
-            return bad("link_in_kb_per_s", "negative or not a number");
+            return rejected("link_in_kb_per_s", "negative or not a number");
         }
+        Ok(())
+    }
+
+    /// The parent and origin kinds are among the kinds.
+    fn check_kinds(&self) -> Result<(), SettingsError> {
         for (name, kind) in [("parent_kind", self.parent_kind), ("origin_kind", self.origin_kind)] {
             if kind.is_some_and(|k| k >= self.kinds) {
-                return bad(name, "no such kind");
+                return rejected(name, "no such kind");
             }
         }
+        Ok(())
+    }
+
+    /// This router's slot is among the routers.
+    fn check_routers(&self) -> Result<(), SettingsError> {
         if self.routers == 0 || self.slot >= self.routers {
-            return bad("slot", "not among the routers");
+            return rejected("slot", "not among the routers");
         }
+        Ok(())
+    }
+
+    /// At least one attempt is allowed, and streams have a rate above 0.
+    fn check_attempts_and_streams(&self) -> Result<(), SettingsError> {
         if self.max_attempts == 0 {
-            return bad("max_attempts", "no attempt is allowed");
+            return rejected("max_attempts", "no attempt is allowed");
         }
         if !(self.stream_kb_per_s.is_finite() && self.stream_kb_per_s > 0.0) {
-            return bad("stream_kb_per_s", "must be above 0");
+            return rejected("stream_kb_per_s", "must be above 0");
         }
-        for (name, v) in [
+        Ok(())
+    }
+
+    /// Durations, slow-start figures and purge times are finite and not negative.
+    fn check_durations(&self) -> Result<(), SettingsError> {
+        for (name, value) in [
             ("max_retry_after_ms", self.max_retry_after_ms),
             ("tick_ms", self.tick_ms),
             ("drain_grace_ms", self.drain_grace_ms),
@@ -229,31 +274,40 @@
             ("purge_slack_ms", self.purge_slack_ms),
             ("purge_done_ms", self.purge_done_ms),
         ] {
-            if !(v.is_finite() && v >= 0.0) {
-                return bad(name, "negative or not a number");
-            }
+            check_non_negative(name, value)?;
         }
+        Ok(())
+    }
+
+    /// There is at least one class, and each class is sound.
+    fn check_classes(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
-            return bad("classes", "no class");
+            return rejected("classes", "no class");
         }
-        for (i, c) in self.classes.iter().enumerate() {
-            let name = |f: &str| format!("classes[{i}].{f}");
-            if !(c.deadline_ms.is_finite() && c.deadline_ms > 0.0) {
-                return bad(&name("deadline_ms"), "must be above 0");
-            }
-            for (f, v) in [
-                ("aim_ms", c.aim_ms),
-                ("aim_stretch", c.aim_stretch),
-                ("worth", c.worth),
-                ("late_worth", c.late_worth),
-                ("repeat_window_ms", c.repeat_window_ms),
-                ("fresh_ms", c.fresh_ms),
-                ("grace_ms", c.grace_ms),
-            ] {
-                if !(v.is_finite() && v >= 0.0) {
-                    return bad(&name(f), "negative or not a number");
-                }
-            }
+        for (index, class) in self.classes.iter().enumerate() {
+            class.check(index)?;
+        }
+        Ok(())
+    }
+}
+
+impl Class {
+    /// The class at `index` of [`Settings::classes`] has a deadline above 0 and no negative figure.
+    fn check(&self, index: usize) -> Result<(), SettingsError> {
+        let name = |field: &str| format!("classes[{index}].{field}");
+        if !(self.deadline_ms.is_finite() && self.deadline_ms > 0.0) {
+            return rejected(&name("deadline_ms"), "must be above 0");
+        }
+        for (field, value) in [
+            ("aim_ms", self.aim_ms),
+            ("aim_stretch", self.aim_stretch),
+            ("worth", self.worth),
+            ("late_worth", self.late_worth),
+            ("repeat_window_ms", self.repeat_window_ms),
+            ("fresh_ms", self.fresh_ms),
+            ("grace_ms", self.grace_ms),
+        ] {
+            check_non_negative(&name(field), value)?;
         }
         Ok(())
     }
