--- a/crates/fernslip/src/welcome.rs
+++ b/crates/fernslip/src/bootstrap.rs
@@ -4,8 +4,8 @@
 //! A router that starts knows no width, no pace and no failure. It takes its location's link for as wide as told links
 //! let expect, sends to machines that others know to fail, and asks for fills without a limit until its own are late.
 
+use crate::bandwidth::Width;
 use crate::state::Cache;
-use crate::width::Width;
 
 /// Bytes of a message's head, and of a machine in it.
 const HEAD: usize = 5;
@@ -17,7 +17,7 @@
 pub struct Seen {
     /// The first bytes of its tag.
     pub tag: [u8; 3],
-    /// See [`crate::width::Link`].
+    /// See [`crate::bandwidth::Link`].
     pub width: Width,
     /// The same of what it was seen to send.
     pub proven: Width,
--- a/crates/fernslip/src/facade.rs
+++ b/crates/fernslip/src/facade.rs
@@ -64,7 +64,7 @@
 //! ```
 
 use crate::api::*;
-use crate::hand::Hand;
+use crate::manual_exclusion::Hand;
 use crate::policy::Router;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
--- a/crates/fernslip/src/share.rs
+++ b/crates/fernslip/src/in_flight.rs
@@ -230,7 +230,7 @@
         let (mut asked, mut taken) = (0, 0);
         for n in 0..1_000u64 {
             let now = 20.0 * n as f64;
-            if t.holds_back(now, crate::place::mix(n)) {
+            if t.holds_back(now, crate::rendezvous::mix(n)) {
                 t.held(now, true);
             } else {
                 let takes = taken as f64 <= now / 100.0;
--- a/crates/fernslip/src/lib.rs
+++ b/crates/fernslip/src/lib.rs
@@ -106,20 +106,20 @@
 //! ```
 
 pub mod api;
-mod cold;
+mod bandwidth;
+mod bootstrap;
 pub mod facade;
 pub mod filter;
-pub mod hand;
+mod in_flight;
 pub mod json;
-mod mates;
+pub mod manual_exclusion;
 mod message;
-mod place;
+mod peers;
 mod policy;
 mod purges;
-mod share;
+mod rendezvous;
+mod slow_start;
 mod state;
-mod welcome;
-mod width;
 
 pub use api::*;
 pub use policy::Router;
--- a/crates/fernslip/src/mates.rs
+++ b/crates/fernslip/src/peers.rs
@@ -1,6 +1,6 @@
 //! The location's other routers, by their messages, and since when this one learns.
 
-use crate::place::mix;
+use crate::rendezvous::mix;
 use std::collections::BTreeSet;
 
 /// Who was heard, and over how long things were learned, here or by one whose knowledge was taken over.
--- a/crates/fernslip/src/policy.rs
+++ b/crates/fernslip/src/policy.rs
@@ -7,10 +7,10 @@
 
 use crate::api::*;
 use crate::filter::Filter;
-use crate::mates::Mates;
+use crate::in_flight::{Gate, GivenUp, Turned};
 use crate::message;
+use crate::peers::Mates;
 use crate::purges::Purges;
-use crate::share::{Gate, GivenUp, Turned};
 use crate::state::{Cache, Req};
 use std::collections::BTreeMap;
 
--- a/crates/fernslip/src/policy/admission.rs
+++ b/crates/fernslip/src/policy/admission.rs
@@ -2,7 +2,7 @@
 
 use super::Router;
 use super::{COLD_TURNS, COLD_USE};
-use crate::cold::Warming;
+use crate::slow_start::Warming;
 use crate::state::{Cache, Req, Role};
 
 impl Router {
--- a/crates/fernslip/src/policy/capacity.rs
+++ b/crates/fernslip/src/policy/capacity.rs
@@ -3,8 +3,8 @@
 use super::Router;
 use super::{PACE_SEEN_MS, SLOW, SLOW_PART};
 use crate::api::*;
+use crate::bandwidth::{Answer, Width};
 use crate::state::{mean_proven, Cache};
-use crate::width::{Answer, Width};
 
 impl Router {
     /// The part of its weight that is left to a machine slower than its fellows. Guards against parents that
--- a/crates/fernslip/src/policy/health.rs
+++ b/crates/fernslip/src/policy/health.rs
@@ -7,7 +7,7 @@
     WATCH_MS,
 };
 use crate::api::*;
-use crate::place::spread;
+use crate::rendezvous::spread;
 use crate::state::{Attempt, Req, Role, Way};
 use std::collections::BTreeSet;
 
--- a/crates/fernslip/src/policy/nodes.rs
+++ b/crates/fernslip/src/policy/nodes.rs
@@ -4,7 +4,7 @@
 use super::{COUNTERS, FILLS_PER_WEIGHT, HASHES};
 use crate::api::*;
 use crate::filter::hash;
-use crate::place::word;
+use crate::rendezvous::word;
 use crate::state::{Cache, Role};
 use std::collections::BTreeSet;
 
--- a/crates/fernslip/src/policy/peers.rs
+++ b/crates/fernslip/src/policy/peers.rs
@@ -3,9 +3,9 @@
 use super::Router;
 use super::{COUNTERS, MESSAGE_BYTES, WELCOME_FROM_MS, WELCOME_PIECES};
 use crate::api::*;
+use crate::bootstrap::Welcome;
 use crate::message::{self, Message};
 use crate::state::{mean_proven, Cache, Role};
-use crate::welcome::Welcome;
 
 impl Router {
     /// Sends the location's routers what changed in the filters since the last time.
--- a/crates/fernslip/src/policy/placement.rs
+++ b/crates/fernslip/src/policy/placement.rs
@@ -3,7 +3,7 @@
 use super::Router;
 use super::{LATE_MARGIN, LEAST_TRY_MS, NO_SOURCE, SPILL_GAIN, TURNED};
 use crate::api::*;
-use crate::place::{mix, score, word};
+use crate::rendezvous::{mix, score, word};
 use crate::state::{Cache, Plan, Req, Role, Way};
 
 impl Router {
--- a/crates/fernslip/src/policy/retry.rs
+++ b/crates/fernslip/src/policy/retry.rs
@@ -3,7 +3,7 @@
 use super::Router;
 use super::RETRY_AFTER_MS;
 use crate::api::*;
-use crate::place::spread;
+use crate::rendezvous::spread;
 use crate::state::{Cache, Req};
 
 impl Router {
--- a/crates/fernslip/src/policy/sources.rs
+++ b/crates/fernslip/src/policy/sources.rs
@@ -3,7 +3,7 @@
 use super::Router;
 use super::PACE_BASE_MS;
 use crate::api::*;
-use crate::place::score;
+use crate::rendezvous::score;
 use crate::state::{Cache, Req, Role};
 
 impl Router {
--- a/crates/fernslip/src/state.rs
+++ b/crates/fernslip/src/state.rs
@@ -1,9 +1,9 @@
 //! What a router holds of each machine and of each request under way: data, and the questions one of them answers alone.
 
 use crate::api::*;
+use crate::bandwidth::{Delivered, Link};
 use crate::filter::{Change, Filter, Hashes};
-use crate::share::Crowd;
-use crate::width::{Delivered, Link};
+use crate::in_flight::Crowd;
 use std::collections::{BTreeSet, VecDeque};
 
 /// A machine's pace is forgotten so fast, in milliseconds.
