--- a/crates/fernslip/src/message.rs
+++ b/crates/fernslip/src/message.rs
@@ -47,23 +47,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_written_is_read_and_what_is_cut_or_odd_is_not() {
-        let changes: Vec<Change> = (0..60).map(|n| Change { at: n * 9, up: n % 4 > 0 }).collect();
-        let piece = encode(&changes, 251).remove(0);
-        let data = [head(7, [1, 2, 3]), piece].concat();
-        assert_eq!(read(&data, 16384), Some((7, Message::Changes([1, 2, 3], changes))));
-        for asks in [false, true] {
-            assert_eq!(read(&greeting(7, asks), 16384), Some((7, Message::Greeting(asks))));
-        }
-        let odd: [&[u8]; 7] =
-            [&[], &[2], &[2, 7], &[2, 7, 2], &[2, 7, 1, 2, 3], &[3, 7, 1], &[2, 7, 1, 2, 3, 255, 255]];
-        for data in odd {
-            assert_eq!(read(data, 16384), None, "{data:?}");
-        }
-        assert_eq!(read(&data, 16), None, "places that the filter does not have");
-    }
-}
+mod tests;
--- a/crates/fernslip/src/peers.rs
+++ b/crates/fernslip/src/peers.rs
@@ -66,30 +66,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn each_has_a_place_of_its_own_and_one_comes_next() {
-        let numbers = [3u32, 7, 20, 21];
-        let of = |own: u32| {
-            let mut m = Mates::default();
-            numbers.iter().filter(|n| **n != own).for_each(|n| m.heard(*n, true));
-            m
-        };
-        let places: Vec<u32> = numbers.iter().map(|n| of(*n).place(*n, 4)).collect();
-        assert_eq!(places, [0, 1, 2, 3]);
-        let next = |other: u32| {
-            numbers.iter().filter(|n| **n != other && of(**n).comes_after(**n, other)).collect::<Vec<_>>()
-        };
-        assert_eq!([next(3), next(7), next(20), next(21)], [[&7], [&20], [&21], [&3]]);
-    }
-
-    #[test]
-    fn what_is_taken_over_counts_from_then_on() {
-        let mut m = Mates::default();
-        m.event(1_000.0);
-        assert!(m.take_over(1_010.0, 9_000.0) && !m.take_over(1_020.0, 5_000.0));
-        assert_eq!(m.known_ms(2_010.0), 10_000.0);
-    }
-}
+mod tests;
