--- a/crates/front/src/control/ops.rs
+++ b/crates/front/src/control/admin.rs
@@ -11,7 +11,7 @@
 //!
 //! Anything else is answered `400` and the reason. The door never waits on the serving path: a caller has a thread
 //! of its own, at most `callers` of the front's [budget](crate::budget::Budget) of them, and one that says nothing, half a line or too long a line is
-//! closed after [`PATIENCE`] or answered `400` at once. Nodes out by hand are [kept](crate::excluded) for a process that
+//! closed after [`LINE_TIMEOUT`] or answered `400` at once. Nodes out by hand are [kept](crate::manual_exclusion) for a process that
 //! replaces this one.
 
 use crate::tally::figure;
@@ -25,22 +25,22 @@
 use std::time::{Duration, Instant};
 
 /// The variable that names the door's address, before the configuration's `ops`.
-pub const VARIABLE: &str = "RELAY_OPS";
+pub const ADDRESS_VARIABLE: &str = "RELAY_OPS";
 /// A call is one line of at most so many bytes; guards the door against callers that never end a line.
-pub const MOST_LINE: usize = 512;
+pub const MAX_LINE_BYTES: usize = 512;
 /// A caller ends its line within this time, or is closed; callers wait 1 s for their answer.
-pub const PATIENCE: Duration = Duration::from_millis(2000);
+pub const LINE_TIMEOUT: Duration = Duration::from_millis(2000);
 /// Between two looks at what another process of this front has out by hand; a call holds 1 s after it at the latest.
-const FOLLOW: Duration = Duration::from_millis(100);
+const FOLLOW_INTERVAL: Duration = Duration::from_millis(100);
 /// After its answer a caller closes within this time, or is closed: a close over bytes that were not read would reset the
 /// connection, and the answer with it.
-const LAST_READ: Duration = Duration::from_millis(200);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time to write an answer to a caller that does not read.
-const WRITE: Duration = Duration::from_millis(1000);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// What a call asks.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum AdminCommand {
     /// Whether the process serves.
     Ready,
     /// The figures.
@@ -56,15 +56,15 @@
 }
 
 /// Reads one line; why it is no call.
-pub fn parse(line: &str) -> Result<Call, &'static str> {
+pub fn parse(line: &str) -> Result<AdminCommand, &'static str> {
     let mut words = line.split_ascii_whitespace();
     let call = match (words.next(), words.next()) {
-        (Some("readyz"), None) => Call::Ready,
-        (Some("telemetry"), None) => Call::Telemetry,
-        (Some("evacuate"), None) => Call::Evacuate,
-        (Some("activate"), None) => Call::Activate,
-        (Some("exclude"), Some(id)) => Call::Exclude(id.into()),
-        (Some("include"), Some(id)) => Call::Include(id.into()),
+        (Some("readyz"), None) => AdminCommand::Ready,
+        (Some("telemetry"), None) => AdminCommand::Telemetry,
+        (Some("evacuate"), None) => AdminCommand::Evacuate,
+        (Some("activate"), None) => AdminCommand::Activate,
+        (Some("exclude"), Some(id)) => AdminCommand::Exclude(id.into()),
+        (Some("include"), Some(id)) => AdminCommand::Include(id.into()),
         (Some("exclude" | "include"), None) => return Err("an id is wanted"),
         (None, _) => return Err("empty line"),
         _ => return Err("unknown call"),
@@ -113,9 +113,9 @@
 
 /// Reads a line within the time; what came, or why nothing did.
 fn read_line(caller: &mut TcpStream) -> Result<String, &'static str> {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + LINE_TIMEOUT;
     let mut line = Vec::with_capacity(64);
-    let mut byte = [0; MOST_LINE];
+    let mut byte = [0; MAX_LINE_BYTES];
     loop {
         let left = until.saturating_duration_since(Instant::now());
         if left.is_zero() || caller.set_read_timeout(Some(left)).is_err() {
@@ -134,14 +134,14 @@
             line.truncate(end);
             return String::from_utf8(line).map_err(|_| "malformed");
         }
-        if line.len() > MOST_LINE {
+        if line.len() > MAX_LINE_BYTES {
             return Err("too_long");
         }
     }
 }
 
 fn serve(front: &Shared, mut caller: TcpStream) -> &'static str {
-    let _ = caller.set_write_timeout(Some(WRITE));
+    let _ = caller.set_write_timeout(Some(WRITE_TIMEOUT));
     let answer = match read_line(&mut caller) {
         Ok(line) => match parse(line.trim_end_matches('\r')) {
             Ok(call) => answer(front, call),
@@ -153,13 +153,13 @@
     if caller.write_all(answer.as_bytes()).is_err() {
         return "slow_reader";
     }
-    read_out(&mut caller);
+    read_until_closed(&mut caller);
     "answered"
 }
 
 /// Shuts the sending half and reads on, within bounds, until the caller closes.
-fn read_out(caller: &mut TcpStream) {
-    let (until, mut dropped) = (Instant::now() + LAST_READ, [0; MOST_LINE]);
+fn read_until_closed(caller: &mut TcpStream) {
+    let (until, mut dropped) = (Instant::now() + CLOSE_TIMEOUT, [0; MAX_LINE_BYTES]);
     let _ = caller.shutdown(Shutdown::Write);
     loop {
         let left = until.saturating_duration_since(Instant::now());
@@ -175,12 +175,12 @@
 }
 
 /// Carries a call out; the answer's lines.
-pub fn answer(front: &Shared, call: Call) -> String {
+pub fn answer(front: &Shared, call: AdminCommand) -> String {
     let lanes = front.lanes.all();
     match call {
-        Call::Ready if front.is_well() => "200 ready\n".into(),
-        Call::Ready => "400 not ready\n".into(),
-        Call::Telemetry => {
+        AdminCommand::Ready if front.is_well() => "200 ready\n".into(),
+        AdminCommand::Ready => "400 not ready\n".into(),
+        AdminCommand::Telemetry => {
             let (listed, avoided) = lanes.first().map_or((0, 0), |l| l.dispatcher.listed());
             let view = front.fleet.as_ref().map_or(String::new(), |f| f.lines());
             let figures = front.figures.lines(listed, avoided);
@@ -188,15 +188,17 @@
             let given_up = given_up(front);
             format!("200 telemetry\n{figures}{violations}{reasons}{given_up}{view}EOF\n")
         }
-        Call::Exclude(id) | Call::Include(id) if lanes.is_empty() => format!("400 unknown {id}\n"),
-        Call::Exclude(id) => by_hand(front, &id, true),
-        Call::Include(id) => by_hand(front, &id, false),
-        Call::Evacuate => {
+        AdminCommand::Exclude(id) | AdminCommand::Include(id) if lanes.is_empty() => {
+            format!("400 unknown {id}\n")
+        }
+        AdminCommand::Exclude(id) => set_manual_exclusion(front, &id, true),
+        AdminCommand::Include(id) => set_manual_exclusion(front, &id, false),
+        AdminCommand::Evacuate => {
             front.server.evacuate(true);
             tracing::info!("admin: evacuating");
             "200 evacuating\n".into()
         }
-        Call::Activate => {
+        AdminCommand::Activate => {
             front.server.evacuate(false);
             tracing::info!("admin: active");
             "200 active\n".into()
@@ -215,10 +217,10 @@
 
 /// Takes a node out by hand, or puts it back, in every lane. What is answered with yes is kept for a process that replaces
 /// this one; where it can't be kept nothing changes, and the answer is no.
-fn by_hand(front: &Shared, id: &str, out: bool) -> String {
+fn set_manual_exclusion(front: &Shared, id: &str, out: bool) -> String {
     let (lanes, cache) = (front.lanes.all(), CacheId::from(id));
     let _one_at_a_time = front.excluded.change();
-    let mut set = excluded(front);
+    let mut set = manually_excluded(front);
     let listed = lanes.iter().any(|l| l.dispatcher.is_listed(&cache));
     if !listed && (out || !set.contains(&cache)) {
         return format!("400 unknown {id}\n");
@@ -233,19 +235,19 @@
         tracing::warn!(node = %id, "admin: {}: {e}; nothing is changed", front.excluded);
         return format!("400 {id} can't be kept: {e}\n");
     }
-    take_up(front, &set);
+    apply_manual_exclusions(front, &set);
     let what = if out { "excluded" } else { "included" };
     tracing::info!(node = %id, "admin: {what}");
     format!("200 {what} {id}\n")
 }
 
 /// The nodes out by hand in any lane.
-fn excluded(front: &Shared) -> BTreeSet<CacheId> {
+fn manually_excluded(front: &Shared) -> BTreeSet<CacheId> {
     front.lanes.all().iter().flat_map(|l| l.dispatcher.excluded()).collect()
 }
 
 /// Makes the nodes out by hand those of the set.
-fn take_up(front: &Shared, set: &BTreeSet<CacheId>) {
+fn apply_manual_exclusions(front: &Shared, set: &BTreeSet<CacheId>) {
     for lane in front.lanes.all() {
         let now = front.clock.now();
         let dispatcher = &lane.dispatcher;
@@ -263,7 +265,7 @@
 }
 
 /// Takes the set kept by an earlier process up; a file that can't be used is reported with its place and left.
-pub fn restore(front: &Shared) {
+pub fn restore_manual_exclusions(front: &Shared) {
     front.excluded.tidy();
     match front.excluded.load_at_start() {
         Ok(ids) if ids.is_empty() => {}
@@ -282,10 +284,10 @@
 ///
 /// # Errors
 /// No thread can be had.
-pub fn follow(front: Arc<Shared>) -> io::Result<()> {
+pub fn follow_manual_exclusions(front: Arc<Shared>) -> io::Result<()> {
     let follower = std::thread::Builder::new().name("excluded".into());
     follower.spawn(move || loop {
-        std::thread::sleep(FOLLOW);
+        std::thread::sleep(FOLLOW_INTERVAL);
         if !front.excluded.changed() {
             continue;
         }
@@ -296,7 +298,7 @@
                     nodes = ids.len(),
                     "admin: out by hand, as another process of this front has them"
                 );
-                take_up(&front, &ids.into_iter().collect());
+                apply_manual_exclusions(&front, &ids.into_iter().collect());
             }
             Err(e) => tracing::warn!("admin: {e}; the nodes out by hand stay as they are"),
         }
@@ -305,5 +307,5 @@
 }
 
 #[cfg(test)]
-#[path = "ops/tests.rs"]
+#[path = "admin/tests.rs"]
 mod tests;
--- a/crates/front/src/control/bus.rs
+++ b/crates/front/src/control/discovery_watch.rs
@@ -3,11 +3,11 @@
 use crate::buffer::Buffer;
 use crate::clock::Clock;
 use crate::failure::Failure;
-use crate::history::{History, Line};
 use crate::link::{lock, Link};
 use crate::log::Reason;
 use crate::tally::Kind;
 use crate::wall::WallClock;
+use crate::watch_history::{History, Line};
 use crate::Shared;
 use fernslip::json::{self, JsonError, Names};
 use fernslip::{CacheId, Entry, ObjectId, Phase};
@@ -226,7 +226,7 @@
 }
 
 /// The way to the bus: its address, which may change while the front runs, and the present connection.
-pub struct Bus {
+pub struct DiscoveryWatch {
     state: Mutex<State>,
     starts: Starts,
     seed: u64,
@@ -243,11 +243,11 @@
     patience: Duration,
 }
 
-impl Bus {
+impl DiscoveryWatch {
     /// A bus at that address; `None`: there is none to follow. The seed spreads when it is asked again.
-    pub fn new(addr: Option<SocketAddr>, seed: u64) -> Bus {
+    pub fn new(addr: Option<SocketAddr>, seed: u64) -> DiscoveryWatch {
         let addr = addr.unwrap_or(([0, 0, 0, 0], 0).into());
-        Bus {
+        DiscoveryWatch {
             state: Mutex::new(State {
                 addr,
                 link: Arc::default(),
@@ -351,5 +351,5 @@
 }
 
 #[cfg(test)]
-#[path = "bus/tests.rs"]
+#[path = "discovery_watch/tests.rs"]
 mod tests;
--- a/crates/front/src/control/excluded.rs
+++ b/crates/front/src/control/manual_exclusion.rs
@@ -6,7 +6,7 @@
 //!
 //! A file is whole and durable before a call is answered: written beside, synced, renamed, and the folder synced. Two processes
 //! of one front may run side by side while one replaces the other; each looks for what the other has changed
-//! ([`Excluded::changed`]).
+//! ([`ManualExclusions::changed`]).
 //!
 //! The earlier version kept one file a front's name. It is still read where this front has no file of its own, and still
 //! written, so that either version may replace the other; what this version writes there has the deployment in a line
@@ -37,7 +37,7 @@
 
 /// Where a front keeps them.
 #[derive(Debug)]
-pub struct Excluded {
+pub struct ManualExclusions {
     folder: PathBuf,
     own: PathBuf,
     shared: PathBuf,
@@ -85,21 +85,21 @@
 
 impl std::error::Error for FileError {}
 
-impl std::fmt::Display for Excluded {
+impl std::fmt::Display for ManualExclusions {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}", self.own.display())
     }
 }
 
-impl Excluded {
+impl ManualExclusions {
     /// In that folder, for the front of that name and address in the deployment of those names.
-    pub fn of(folder: &Path, name: &str, listen: SocketAddr, names: &Names) -> Excluded {
+    pub fn of(folder: &Path, name: &str, listen: SocketAddr, names: &Names) -> ManualExclusions {
         let Names { zones, kinds, classes, .. } = names;
         let deployment =
             format!("{:016x}", Id::of(&format!("{:?}", (name, listen, zones, kinds, classes))).0);
         let safe: String =
             name.chars().map(|c| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' }).collect();
-        Excluded {
+        ManualExclusions {
             folder: folder.into(),
             own: folder.join(format!("fernslip-{safe}-{deployment}.excluded")),
             shared: folder.join(format!("fernslip-{safe}.excluded")),
@@ -241,5 +241,5 @@
 }
 
 #[cfg(test)]
-#[path = "excluded/tests.rs"]
+#[path = "manual_exclusion/tests.rs"]
 mod tests;
--- a/crates/front/src/control/excluded/tests.rs
+++ b/crates/front/src/control/manual_exclusion/tests.rs
@@ -10,14 +10,14 @@
     }
 
     /// A front of the same name in the deployment with that class, at that port.
-    fn front(&self, class: &str, port: u16) -> Excluded {
+    fn front(&self, class: &str, port: u16) -> ManualExclusions {
         let names = Names {
             zones: vec!["edge".into()],
             kinds: vec!["standard".into()],
             classes: vec![class.into()],
             reports: Vec::new(),
         };
-        Excluded::of(&self.0, "n0", ([127, 0, 0, 1], port).into(), &names)
+        ManualExclusions::of(&self.0, "n0", ([127, 0, 0, 1], port).into(), &names)
     }
 }
 
--- a/crates/front/src/control/mod.rs
+++ b/crates/front/src/control/mod.rs
@@ -1,14 +1,15 @@
-//! What operators, other fronts and the event bus see: configuration, lists of machines, messages among fronts, the door.
+//! The front's control plane: its configuration, the discovery watch on the event bus, its peers and the gossip among
+//! them, the view of the fleet, the admin interface, manual exclusions and the snapshot kept on disk, and SIGHUP reload.
 
-pub mod bus;
+pub mod admin;
 pub mod config;
-pub mod excluded;
+pub mod discovery_watch;
 pub mod gossip;
-pub mod history;
-pub mod keep;
 pub mod keyfile;
-pub mod ops;
+pub mod manual_exclusion;
 pub mod peers;
 pub mod plan;
 pub mod reload;
+pub mod snapshot;
 pub mod view;
+pub mod watch_history;
--- a/crates/front/src/control/keep.rs
+++ b/crates/front/src/control/snapshot.rs
@@ -15,19 +15,19 @@
 /// Between two looks whether there is something to keep.
 const LOOK: Duration = Duration::from_secs(2);
 /// Fronts that are remembered: any one address that still holds is enough.
-const MOST_FELLOWS: usize = 256;
+const MAX_REMEMBERED_PEERS: usize = 256;
 
 /// What a front finds on its disk.
 #[derive(Debug, Default)]
-pub struct Found {
-    /// Its fellows, and where they were.
-    pub fellows: Vec<(String, SocketAddr)>,
+pub struct RestoredState {
+    /// The peers found in the snapshot, by name, with their last known address.
+    pub peers: Vec<(String, SocketAddr)>,
     /// The disk's marks at the last commit before this start; `None`: it was empty.
     pub marks: Option<Marks>,
 }
 
 /// A front's disk.
-pub struct Keep {
+pub struct Snapshot {
     store: Store,
     kept: BTreeMap<String, Fellow>,
 }
@@ -45,12 +45,12 @@
     std::fs::rename(path, &aside).is_ok().then_some(aside)
 }
 
-impl Keep {
+impl Snapshot {
     /// Opens the disk and reads what is there. What is damaged is set aside and an empty one begun.
     ///
     /// # Errors
     /// Neither can be had: the front goes on without.
-    pub fn open(path: &Path, fresh: u64) -> Result<(Keep, Found), StoreError> {
+    pub fn open(path: &Path, fresh: u64) -> Result<(Snapshot, RestoredState), StoreError> {
         let opened = file(path).and_then(|f| Store::open(f, fresh));
         let (store, marks) = match opened {
             Ok(opened) => opened,
@@ -68,16 +68,16 @@
         }
         let kept: BTreeMap<String, Fellow> = all.into_iter().collect();
         let place = |(n, f): (&String, &Fellow)| Some((n.clone(), f.addr.parse().ok()?));
-        let fellows = kept.iter().filter_map(place).collect();
-        Ok((Keep { store, kept }, Found { fellows, marks }))
+        let peers = kept.iter().filter_map(place).collect();
+        Ok((Snapshot { store, kept }, RestoredState { peers, marks }))
     }
 
     /// The same, within two seconds. A disk that stalls keeps its thread, not the front.
-    pub fn open_soon(path: &Path, fresh: u64) -> Option<(Keep, Found)> {
+    pub fn open_soon(path: &Path, fresh: u64) -> Option<(Snapshot, RestoredState)> {
         let (tell, hear) = mpsc::channel();
         let own = path.to_path_buf();
         let opens = std::thread::Builder::new().name("store-open".into()).spawn(move || {
-            let _ = tell.send(Keep::open(&own, fresh));
+            let _ = tell.send(Snapshot::open(&own, fresh));
         });
         let why = match opens.map(|_| hear.recv_timeout(OPENS_IN)) {
             Ok(Ok(Ok(opened))) => return Some(opened),
@@ -92,7 +92,7 @@
     /// Keeps which fronts there are. Those that are gone are forgotten only once others are there: after a loss of power
     /// nobody is, and the addresses are needed.
     fn look(&mut self, fleet: &Fleet) -> Result<(), StoreError> {
-        let now: BTreeMap<String, Fellow> = fleet.fellows().into_iter().take(MOST_FELLOWS).collect();
+        let now: BTreeMap<String, Fellow> = fleet.fellows().into_iter().take(MAX_REMEMBERED_PEERS).collect();
         if now.is_empty() || now == self.kept {
             return Ok(());
         }
@@ -132,30 +132,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_damaged_disk_is_set_aside_and_one_that_another_has_is_left_alone() {
-        let dir = std::env::temp_dir().join(format!("fernslip-keep-{}", std::process::id()));
-        std::fs::create_dir_all(&dir).expect("a folder");
-        let path = dir.join("n1.store");
-        let (mut keep, found) = Keep::open(&path, 1).expect("an empty one");
-        assert!(found.marks.is_none() && found.fellows.is_empty());
-        let fellow = Fellow { addr: "127.0.0.1:7".into(), location: "z".into(), generation: 1 };
-        let change = Change::put(&"f2".to_string(), &fellow).expect("short");
-        keep.store.commit(&[change]).expect("a sound disk");
-        assert!(matches!(Keep::open(&path, 2).err(), Some(StoreError::Held)));
-        drop(keep);
-        let (keep, found) = Keep::open(&path, 3).expect("the same");
-        assert_eq!(found.fellows, [("f2".to_string(), ([127, 0, 0, 1], 7).into())]);
-        drop(keep);
-        std::fs::write(&path, [7; 9000]).expect("written over");
-        let (_keep, found) = Keep::open(&path, 4).expect("an empty one");
-        assert!(found.marks.is_none() && found.fellows.is_empty());
-        let kept = std::fs::read_dir(&dir).expect("it").flatten().map(|e| e.file_name());
-        let aside = kept.filter(|n| n.to_string_lossy().contains(".bad-")).count();
-        std::fs::remove_dir_all(&dir).expect("ours");
-        assert_eq!(aside, 1);
-    }
-}
+#[path = "snapshot/tests.rs"]
+mod tests;
--- a/crates/front/src/control/history.rs
+++ b/crates/front/src/control/watch_history.rs
@@ -6,7 +6,7 @@
 //! that drained by what was known stays draining in that list, as long as it has not started since: its event may be
 //! among those that were lost.
 
-use crate::bus::{event, Event};
+use crate::discovery_watch::{event, Event};
 use crate::log::Reason;
 use fernslip::json::{JsonError, Names};
 use fernslip::{CacheId, Entry, Phase};
@@ -141,5 +141,5 @@
 }
 
 #[cfg(test)]
-#[path = "history/tests.rs"]
+#[path = "watch_history/tests.rs"]
 mod tests;
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -21,11 +21,14 @@
 
 pub use boxes::{guard, lanes, resp, sending, upstream};
 pub use clients::{budget, call, figures, listen, msgpack_rpc, relay, server};
-pub use control::{bus, config, excluded, gossip, history, keep, keyfile, ops, peers, plan, reload, view};
+pub use control::{
+    admin, config, discovery_watch, gossip, keyfile, manual_exclusion, peers, plan, reload, snapshot, view,
+    watch_history,
+};
 
-use bus::Bus;
 use clock::Clock;
 use config::{Config, ConfigError};
+use discovery_watch::DiscoveryWatch;
 use ending::Ending;
 use failure::{patiently, Failure};
 use fernslip::facade::{Host, Waiter};
@@ -212,7 +215,7 @@
     /// Messages between fronts, where there are any.
     pub peers: Option<Arc<Peers>>,
     /// The event bus.
-    pub bus: Bus,
+    pub bus: DiscoveryWatch,
     /// The list of machines is held.
     pub listed: AtomicBool,
     leaving: AtomicBool,
@@ -225,7 +228,7 @@
     /// After a node was told to drain, what goes there may still begin for so long, in milliseconds.
     pub drain_grace_ms: f64,
     /// Where the nodes out by hand are kept for a process that replaces this one.
-    pub excluded: excluded::Excluded,
+    pub excluded: manual_exclusion::ManualExclusions,
 }
 
 impl Shared {
@@ -275,7 +278,7 @@
             StartError::Control(path, e) => write!(f, "cannot answer at {}: {e}", path.display()),
             StartError::Panic => f.write_str("a defect ended what keeps house; its message is above"),
             StartError::Thread(e) => write!(f, "cannot start a thread: {e}"),
-            StartError::Door(v) => write!(f, "{}={v:?} is no address", ops::VARIABLE),
+            StartError::Door(v) => write!(f, "{}={v:?} is no address", admin::ADDRESS_VARIABLE),
         }
     }
 }
@@ -341,13 +344,14 @@
     };
     let fleet = match &view {
         Some(v) => {
-            let kept = v.store.as_deref().and_then(|file| keep::Keep::open_soon(file, rand_id()));
+            let kept = v.store.as_deref().and_then(|file| snapshot::Snapshot::open_soon(file, rand_id()));
             // Another number for each process: births and orders must differ where all else is the same.
             let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
             let seed = config.seed ^ unix.as_nanos() as u64 ^ u64::from(std::process::id()).rotate_left(32);
             let gossips = talk.as_ref().map(|t| t.told_addr());
-            let (keep, found) = kept.map_or((None, keep::Found::default()), |(k, f)| (Some(k), f));
-            let f = Fleet::bind(v, &clock, seed, gossips, found.fellows);
+            let (keep, found) =
+                kept.map_or((None, snapshot::RestoredState::default()), |(k, f)| (Some(k), f));
+            let f = Fleet::bind(v, &clock, seed, gossips, found.peers);
             let f = Arc::new(f.map_err(|e| StartError::Bind(v.listen, e))?);
             if let Some(keep) = keep {
                 let fleet = f.clone();
@@ -371,7 +375,7 @@
         sources,
     };
     let kept = std::env::temp_dir();
-    let excluded = excluded::Excluded::of(&kept, &config.name, config.listen, &config.names);
+    let excluded = manual_exclusion::ManualExclusions::of(&kept, &config.name, config.listen, &config.names);
     let classes = config.settings.classes.clone();
     let classes_named = classes.iter().map(|c| c.name.to_string()).collect();
     let longest = classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
@@ -387,7 +391,7 @@
         upstream,
         server: server::Server::new(budget, classes),
         peers: peers.clone(),
-        bus: Bus::new(config.bus, config.seed),
+        bus: DiscoveryWatch::new(config.bus, config.seed),
         listed: AtomicBool::new(false),
         leaving: AtomicBool::new(false),
         figures: figures::Figures::new(classes_named),
@@ -396,7 +400,7 @@
         drain_grace_ms: config.settings.drain_grace_ms,
         excluded,
     });
-    ops::restore(&front);
+    admin::restore_manual_exclusions(&front);
     startup.exclusions_restored = true;
     front.lanes.begin(&front.clock, &front.upstream);
     front.tell_members();
@@ -406,12 +410,12 @@
     if front.lanes.from_file() {
         front.listed.store(true, Ordering::Release);
     }
-    let mut history = history::History::new(config.offset);
+    let mut history = watch_history::History::new(config.offset);
     for v in &config.batch {
-        match bus::event(v, &front.names) {
+        match discovery_watch::event(v, &front.names) {
             Ok(e) => {
                 history.learn(&e);
-                bus::apply(&front, e, None);
+                discovery_watch::apply(&front, e, None);
             }
             Err(e) => tracing::warn!("known: {e}"),
         }
@@ -437,14 +441,14 @@
     }
     if origin == listen::Origin::Passed {
         tracing::info!("the clients' socket is the one handed over in {}", listen::PASSED);
-        ops::follow(front.clone()).map_err(StartError::Thread)?;
+        admin::follow_manual_exclusions(front.clone()).map_err(StartError::Thread)?;
     }
-    let door = match std::env::var(ops::VARIABLE) {
+    let door = match std::env::var(admin::ADDRESS_VARIABLE) {
         Ok(v) if !v.trim().is_empty() => Some(v.trim().parse().map_err(|_| StartError::Door(v))?),
         _ => config.ops,
     };
     if let Some(at) = door {
-        let door = bound(at, || ops::open(front.clone(), at, budget.callers))?;
+        let door = bound(at, || admin::open(front.clone(), at, budget.callers))?;
         tracing::info!("operators' door at {door}");
     }
     startup.may_serve(&front.invariants);
