--- a/crates/front/src/control/plan.rs
+++ b/crates/front/src/control/plan.rs
@@ -194,6 +194,45 @@
     let site = site.effective();
     let front =
         site.front.as_ref().ok_or(vec!["it has no `front`, and no configuration is named".to_string()])?;
+    let listen = validated_listen(&site, front)?;
+    let zones = zone_names(&site);
+    let own = front.zone.as_ref().and_then(|z| zones.iter().position(|n| n == z)).unwrap_or(0);
+    let budget = Budget::of(front.sockets.unwrap_or(0) as usize, front.memory_mb.unwrap_or(0) as usize);
+    let classes: Vec<Class> = site.classes.iter().map(class_of).collect();
+    let names = Names {
+        zones: zones.clone(),
+        kinds: KINDS.map(String::from).to_vec(),
+        classes: classes.iter().map(|c| c.name.clone()).collect(),
+        reports: Vec::new(),
+    };
+    let settings = settings_of(&site, front, own, zones, &budget, classes);
+    settings.check().map_err(|e| vec![e.to_string()])?;
+    Ok(Config {
+        file: None,
+        name: front.name.clone(),
+        listen,
+        seed: random_seed(),
+        budget,
+        peer_listen: None,
+        peers: Vec::new(),
+        peers_all: None,
+        bus: None,
+        offset: 0,
+        batch: Vec::new(),
+        settings,
+        names,
+        streams: 32,
+        connect_timeout: std::time::Duration::from_millis(fernslip_site::defaults::CONNECT_MS),
+        idle: std::time::Duration::from_millis(fernslip_site::defaults::IDLE_MS),
+        ops: None,
+    })
+}
+
+/// The front's listen address, once the site is one a front can serve alone.
+///
+/// # Errors
+/// Every reason why not: members from the bus, no class, or a listen value that is no IP address and port.
+fn validated_listen(site: &Site, front: &fernslip_site::Front) -> Result<SocketAddr, Vec<String>> {
     let mut wrong = Vec::new();
     if site.members_from != Some(MembersFrom::File) {
         wrong.push("members-from=\"bus\" needs a configuration that names the bus".to_string());
@@ -206,17 +245,29 @@
         wrong.push(format!("front listen=\"{}\" is no IP address and port", front.listen));
     }
     let (Ok(listen), true) = (listen, wrong.is_empty()) else { return Err(wrong) };
+    Ok(listen)
+}
+
+/// The site's zone names; a site without zones has one, named `zone`.
+fn zone_names(site: &Site) -> Vec<String> {
     let mut zones: Vec<String> = site.zones.iter().map(|z| z.name.clone()).collect();
     if zones.is_empty() {
         zones.push("zone".into());
     }
-    let own = front.zone.as_ref().and_then(|z| zones.iter().position(|n| n == z)).unwrap_or(0);
-    let by_zone = |f: &dyn Fn(&fernslip_site::Zone) -> f64, none| match site.zones.is_empty() {
+    zones
+}
+
+/// One figure per zone of the site, or `none` alone where the site has no zones.
+fn per_zone(site: &Site, figure: &dyn Fn(&fernslip_site::Zone) -> f64, none: f64) -> Vec<f64> {
+    match site.zones.is_empty() {
         true => vec![none],
-        false => site.zones.iter().map(f).collect::<Vec<f64>>(),
-    };
-    let fronts = by_zone(&|z| z.fronts.unwrap_or(1) as f64, 1.0);
-    let class = |c: &fernslip_site::Class| Class {
+        false => site.zones.iter().map(figure).collect::<Vec<f64>>(),
+    }
+}
+
+/// A request class of the settings, made of a class of the site document.
+fn class_of(c: &fernslip_site::Class) -> Class {
+    Class {
         name: c.name.clone(),
         aim_ms: c.aim_ms as f64,
         aim_stretch: c.aim_stretch.unwrap_or(0.0),
@@ -233,20 +284,24 @@
         write: c.write.unwrap_or(false),
         fresh_ms: c.fresh_ms.unwrap_or(0) as f64,
         grace_ms: c.grace_ms.unwrap_or(0) as f64,
-    };
-    let budget = Budget::of(front.sockets.unwrap_or(0) as usize, front.memory_mb.unwrap_or(0) as usize);
-    let classes: Vec<Class> = site.classes.iter().map(class).collect();
-    let names = Names {
-        zones: zones.clone(),
-        kinds: KINDS.map(String::from).to_vec(),
-        classes: classes.iter().map(|c| c.name.clone()).collect(),
-        reports: Vec::new(),
-    };
+    }
+}
+
+/// The settings of a front made of a site document; `own` is the index of the front's zone in `zones`.
+fn settings_of(
+    site: &Site,
+    front: &fernslip_site::Front,
+    own: usize,
+    zones: Vec<String>,
+    budget: &Budget,
+    classes: Vec<Class>,
+) -> Settings {
+    let fronts = per_zone(site, &|z| z.fronts.unwrap_or(1) as f64, 1.0);
     // The rules' figures are those of the first deployment; a site with other machines tells them by a configuration.
-    let settings = Settings {
+    Settings {
         zone: own,
         zone_routers: fronts.iter().map(|n| *n as u32).collect(),
-        link_in_kb_per_s: by_zone(&|z| z.link_in_kb_per_s.unwrap_or(0.0), 0.0),
+        link_in_kb_per_s: per_zone(site, &|z| z.link_in_kb_per_s.unwrap_or(0.0), 0.0),
         zones,
         kinds: KINDS.len(),
         parent_kind: Some(1),
@@ -277,32 +332,17 @@
         purge_slack_ms: 1000.0,
         purge_done_ms: 6000.0,
         classes,
-    };
-    settings.check().map_err(|e| vec![e.to_string()])?;
+    }
+}
+
+/// A seed from `/dev/urandom`, or 0 where it can't be read.
+fn random_seed() -> u64 {
     let mut seed = [0; 8];
     // Without a source of randomness hints and trials are spread alike at every start, which harms nobody alone.
     if let Ok(mut f) = std::fs::File::open("/dev/urandom") {
         let _ = std::io::Read::read_exact(&mut f, &mut seed);
     }
-    Ok(Config {
-        file: None,
-        name: front.name.clone(),
-        listen,
-        seed: u64::from_le_bytes(seed),
-        budget,
-        peer_listen: None,
-        peers: Vec::new(),
-        peers_all: None,
-        bus: None,
-        offset: 0,
-        batch: Vec::new(),
-        settings,
-        names,
-        streams: 32,
-        connect_timeout: std::time::Duration::from_millis(fernslip_site::defaults::CONNECT_MS),
-        idle: std::time::Duration::from_millis(fernslip_site::defaults::IDLE_MS),
-        ops: None,
-    })
+    u64::from_le_bytes(seed)
 }
 
 #[cfg(test)]
