--- a/crates/front/src/control/admin.rs
+++ b/crates/front/src/control/admin.rs
@@ -1,6 +1,7 @@
-//! The operators' door: one address, one call a connection, one line each way, answered on threads of its own.
+//! The admin interface: a TCP listener that takes one command per connection, one line each way, and serves each
+//! connection on a thread of its own so that the request path never waits on it.
 //!
-//! | call | answer |
+//! | command | answer |
 //! | --- | --- |
 //! | `readyz` | `200 ready` once the process serves and is not being emptied; else `400 not ready` |
 //! | `telemetry` | `200 telemetry`, the figures as `name=value` lines, then `EOF` |
@@ -9,10 +10,10 @@
 //! | `evacuate` | `200 evacuating`: readiness turns no, connections close as they fall idle |
 //! | `activate` | `200 active`: the end of it |
 //!
-//! Anything else is answered `400` and the reason. The door never waits on the serving path: a caller has a thread
-//! of its own, at most `callers` of the front's [budget](crate::budget::Budget) of them, and one that says nothing, half a line or too long a line is
-//! closed after [`LINE_TIMEOUT`] or answered `400` at once. Nodes out by hand are [kept](crate::manual_exclusion) for a process that
-//! replaces this one.
+//! Anything else is answered `400` and the reason. At most `callers` of the front's [budget](crate::budget::Budget)
+//! connections are served at once; a caller that sends nothing or half a line is closed after [`LINE_TIMEOUT`], one that
+//! sends too long a line is answered `400` at once. Manual exclusions are [stored](crate::manual_exclusion) so that a
+//! process that replaces this one starts with them.
 
 use crate::tally::figure;
 use crate::Shared;
@@ -24,38 +25,42 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The variable that names the door's address, before the configuration's `ops`.
+/// Environment variable with the admin interface's listen address; it takes precedence over the configuration's `ops`.
 pub const ADDRESS_VARIABLE: &str = "RELAY_OPS";
-/// A call is one line of at most so many bytes; guards the door against callers that never end a line.
+/// Longest command line accepted, in bytes; bounds the memory a caller that never ends its line can take.
 pub const MAX_LINE_BYTES: usize = 512;
-/// A caller ends its line within this time, or is closed; callers wait 1 s for their answer.
+/// Time a caller has to send its whole command line before the connection is closed.
 pub const LINE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Between two looks at what another process of this front has out by hand; a call holds 1 s after it at the latest.
+/// Interval between two checks of the manual exclusion file for changes made by another process of this front; a
+/// command takes effect at both within 1 s.
 const FOLLOW_INTERVAL: Duration = Duration::from_millis(100);
-/// After its answer a caller closes within this time, or is closed: a close over bytes that were not read would reset the
-/// connection, and the answer with it.
+/// Time a caller has to close after its answer: closing while unread bytes remain would reset the connection and lose
+/// the answer.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
-/// Time to write an answer to a caller that does not read.
+/// Write timeout for an answer to a caller that does not read.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// What a call asks.
+/// A parsed admin command.
 #[derive(Debug, PartialEq, Eq)]
 pub enum AdminCommand {
-    /// Whether the process serves.
+    /// `readyz`: whether the process is serving.
     Ready,
-    /// The figures.
+    /// `telemetry`: the metrics.
     Telemetry,
-    /// A node out.
+    /// `exclude ID`: manually exclude a cache node.
     Exclude(String),
-    /// A node back.
+    /// `include ID`: end the manual exclusion of a cache node.
     Include(String),
-    /// Empty the front.
+    /// `evacuate`: start draining the front.
     Evacuate,
-    /// The end of the drain.
+    /// `activate`: end the drain.
     Activate,
 }
 
-/// Reads one line; why it is no call.
+/// Parses one command line.
+///
+/// # Errors
+/// The reason the line is no command; it is sent to the caller after `400 `.
 pub fn parse(line: &str) -> Result<AdminCommand, &'static str> {
     let mut words = line.split_ascii_whitespace();
     let call = match (words.next(), words.next()) {
@@ -75,8 +80,8 @@
     }
 }
 
-/// Opens the door; calls are served on threads of their own until the process ends. Of more than `most` callers at once
-/// the rest are closed at once, so that those who hold a connection and say nothing can't take all threads and
+/// Binds the admin interface at `at` and serves it on a thread of its own until the process ends; returns the bound
+/// address. Connections beyond `most` at once are closed at once, so that idle callers can't take all threads and file
 /// descriptors.
 ///
 /// # Errors
@@ -111,7 +116,10 @@
     Ok(bound)
 }
 
-/// Reads a line within the time; what came, or why nothing did.
+/// Reads one command line within [`LINE_TIMEOUT`].
+///
+/// # Errors
+/// The log reason why no line came: `stalled`, `peer_closed`, `reset`, `malformed` or `too_long`.
 fn read_line(caller: &mut TcpStream) -> Result<String, &'static str> {
     let until = Instant::now() + LINE_TIMEOUT;
     let mut line = Vec::with_capacity(64);
@@ -157,7 +165,7 @@
     "answered"
 }
 
-/// Shuts the sending half and reads on, within bounds, until the caller closes.
+/// Shuts down the write half and discards input until the caller closes or [`CLOSE_TIMEOUT`] passes.
 fn read_until_closed(caller: &mut TcpStream) {
     let (until, mut dropped) = (Instant::now() + CLOSE_TIMEOUT, [0; MAX_LINE_BYTES]);
     let _ = caller.shutdown(Shutdown::Write);
@@ -174,7 +182,7 @@
     }
 }
 
-/// Carries a call out; the answer's lines.
+/// Executes a command; returns the answer's lines.
 pub fn answer(front: &Shared, call: AdminCommand) -> String {
     let lanes = front.lanes.all();
     match call {
@@ -206,7 +214,7 @@
     }
 }
 
-/// What the decisions gave up, by reason: one line each, `relay.given_up.REASON=COUNT`.
+/// Requests given up, by reason: one line each, `relay.given_up.REASON=COUNT`.
 fn given_up(front: &Shared) -> String {
     let mut all: BTreeMap<&'static str, u64> = BTreeMap::new();
     for (reason, n) in front.lanes.all().iter().flat_map(|l| l.dispatcher.given_up()) {
@@ -215,8 +223,9 @@
     all.iter().map(|(reason, n)| format!("relay.given_up.{}={n}\n", figure(reason))).collect()
 }
 
-/// Takes a node out by hand, or puts it back, in every lane. What is answered with yes is kept for a process that replaces
-/// this one; where it can't be kept nothing changes, and the answer is no.
+/// Manually excludes a cache node (`exclude`), or ends its exclusion, in every lane. The new set is stored before it is
+/// applied, so that a process that replaces this one has it; where it can't be stored nothing changes and the answer is
+/// `400`.
 fn set_manual_exclusion(front: &Shared, id: &str, out: bool) -> String {
     let (lanes, cache) = (front.lanes.all(), CacheId::from(id));
     let _one_at_a_time = front.excluded.change();
@@ -241,12 +250,12 @@
     format!("200 {what} {id}\n")
 }
 
-/// The nodes out by hand in any lane.
+/// The cache nodes manually excluded in any lane.
 fn manually_excluded(front: &Shared) -> BTreeSet<CacheId> {
     front.lanes.all().iter().flat_map(|l| l.dispatcher.excluded()).collect()
 }
 
-/// Makes the nodes out by hand those of the set.
+/// Makes `set` the manually excluded cache nodes of every lane.
 fn apply_manual_exclusions(front: &Shared, set: &BTreeSet<CacheId>) {
     for lane in front.lanes.all() {
         let now = front.clock.now();
@@ -264,7 +273,8 @@
     }
 }
 
-/// Takes the set kept by an earlier process up; a file that can't be used is reported with its place and left.
+/// Applies the manual exclusions stored by an earlier process; a file that can't be used is logged with its path and
+/// left as it is.
 pub fn restore_manual_exclusions(front: &Shared) {
     front.excluded.tidy();
     match front.excluded.load_at_start() {
@@ -279,11 +289,11 @@
     }
 }
 
-/// Follows what another process of this front does to the set, while one replaces the other, on a thread of its own: a call
-/// at either holds at both.
+/// Follows, on a thread of its own, the changes another process of this front makes to the manual exclusions while one
+/// replaces the other, so that a command at either takes effect at both.
 ///
 /// # Errors
-/// No thread can be had.
+/// The thread can't be spawned.
 pub fn follow_manual_exclusions(front: Arc<Shared>) -> io::Result<()> {
     let follower = std::thread::Builder::new().name("excluded".into());
     follower.spawn(move || loop {
--- a/crates/front/src/control/snapshot.rs
+++ b/crates/front/src/control/snapshot.rs
@@ -1,5 +1,5 @@
-//! What a front keeps on disk across its restarts, on a thread of its own: the worker never waits for a disk, and a front
-//! whose disk fails serves on and says so.
+//! The front's durable state: a snapshot of its peers in a `fernslip-store` file, kept across restarts and written on a
+//! thread of its own, so that the request path never waits for a disk and a front whose disk fails serves on and logs it.
 
 use crate::view::Fleet;
 use fernslip_store::layers::Fellow;
@@ -10,23 +10,23 @@
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// A front that starts waits so long for its disk; a slower one is not waited for, and what it knows is not used.
+/// Longest wait for the snapshot at start; a slower disk is not waited for, and its contents are not used.
 const OPENS_IN: Duration = Duration::from_secs(2);
-/// Between two looks whether there is something to keep.
+/// Interval between two checks for peer changes to write.
 const LOOK: Duration = Duration::from_secs(2);
-/// Fronts that are remembered: any one address that still holds is enough.
+/// Most peers stored; any one address that is still valid is enough to rejoin.
 const MAX_REMEMBERED_PEERS: usize = 256;
 
-/// What a front finds on its disk.
+/// The state restored from the snapshot at start.
 #[derive(Debug, Default)]
 pub struct RestoredState {
     /// The peers found in the snapshot, by name, with their last known address.
     pub peers: Vec<(String, SocketAddr)>,
-    /// The disk's marks at the last commit before this start; `None`: it was empty.
+    /// The store's marks at the last commit before this start; `None` where the store was empty.
     pub marks: Option<Marks>,
 }
 
-/// A front's disk.
+/// An open snapshot store and the peers last written to it.
 pub struct Snapshot {
     store: Store,
     kept: BTreeMap<String, Fellow>,
@@ -46,10 +46,11 @@
 }
 
 impl Snapshot {
-    /// Opens the disk and reads what is there. What is damaged is set aside and an empty one begun.
+    /// Opens the store at `path` and reads the peers in it; a damaged file is renamed aside and an empty store begun.
     ///
     /// # Errors
-    /// Neither can be had: the front goes on without.
+    /// The store was written by a later version, is held by another process, or no empty store can be begun: the front
+    /// goes on without a snapshot.
     pub fn open(path: &Path, fresh: u64) -> Result<(Snapshot, RestoredState), StoreError> {
         let opened = file(path).and_then(|f| Store::open(f, fresh));
         let (store, marks) = match opened {
@@ -72,7 +73,8 @@
         Ok((Snapshot { store, kept }, RestoredState { peers, marks }))
     }
 
-    /// The same, within two seconds. A disk that stalls keeps its thread, not the front.
+    /// [`Snapshot::open`] on a thread of its own, waiting at most `OPENS_IN` (2 s); a disk that stalls holds that thread,
+    /// not the front. `None`, logged, where it fails or is late.
     pub fn open_soon(path: &Path, fresh: u64) -> Option<(Snapshot, RestoredState)> {
         let (tell, hear) = mpsc::channel();
         let own = path.to_path_buf();
@@ -89,8 +91,8 @@
         None
     }
 
-    /// Keeps which fronts there are. Those that are gone are forgotten only once others are there: after a loss of power
-    /// nobody is, and the addresses are needed.
+    /// Writes the current peers where they changed. Departed peers are removed only while the present ones number at
+    /// least half of those stored: after a power loss none are present, and the stored addresses are needed to rejoin.
     fn look(&mut self, fleet: &Fleet) -> Result<(), StoreError> {
         let now: BTreeMap<String, Fellow> = fleet.fellows().into_iter().take(MAX_REMEMBERED_PEERS).collect();
         if now.is_empty() || now == self.kept {
@@ -117,7 +119,7 @@
         Ok(())
     }
 
-    /// Keeps what changes, until a write fails; on a thread of its own.
+    /// Writes peer changes every `LOOK` (2 s) until a write fails; runs on a thread of its own.
     pub fn run(mut self, fleet: Arc<Fleet>) {
         let Marks { boots, commits, .. } = self.store.marks();
         tracing::info!(boots, commits, "store: open");
