--- a/crates/front/src/control/keep.rs
+++ b/crates/front/src/control/snapshot.rs
@@ -1,5 +1,5 @@
-//! What a front keeps on disk across its restarts, on a thread of its own: the worker never waits for a disk, and a front
-//! whose disk fails serves on and says so.
+//! The front's durable state: a snapshot of its peers in a `fernslip-store` file, kept across restarts and written on a
+//! thread of its own, so that the request path never waits for a disk and a front whose disk fails serves on and logs it.
 
 use crate::view::Fleet;
 use fernslip_store::layers::Fellow;
@@ -10,24 +10,24 @@
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// A front that starts waits so long for its disk; a slower one is not waited for, and what it knows is not used.
+/// Longest wait for the snapshot at start; a slower disk is not waited for, and its contents are not used.
 const OPENS_IN: Duration = Duration::from_secs(2);
-/// Between two looks whether there is something to keep.
+/// Interval between two checks for peer changes to write.
 const LOOK: Duration = Duration::from_secs(2);
-/// Fronts that are remembered: any one address that still holds is enough.
-const MOST_FELLOWS: usize = 256;
+/// Most peers stored; any one address that is still valid is enough to rejoin.
+const MAX_REMEMBERED_PEERS: usize = 256;
 
-/// What a front finds on its disk.
+/// The state restored from the snapshot at start.
 #[derive(Debug, Default)]
-pub struct Found {
-    /// Its fellows, and where they were.
-    pub fellows: Vec<(String, SocketAddr)>,
-    /// The disk's marks at the last commit before this start; `None`: it was empty.
+pub struct RestoredState {
+    /// The peers found in the snapshot, by name, with their last known address.
+    pub peers: Vec<(String, SocketAddr)>,
+    /// The store's marks at the last commit before this start; `None` where the store was empty.
     pub marks: Option<Marks>,
 }
 
-/// A front's disk.
-pub struct Keep {
+/// An open snapshot store and the peers last written to it.
+pub struct Snapshot {
     store: Store,
     kept: BTreeMap<String, Fellow>,
 }
@@ -45,12 +45,13 @@
     std::fs::rename(path, &aside).is_ok().then_some(aside)
 }
 
-impl Keep {
-    /// Opens the disk and reads what is there. What is damaged is set aside and an empty one begun.
+impl Snapshot {
+    /// Opens the store at `path` and reads the peers in it; a damaged file is renamed aside and an empty store begun.
     ///
     /// # Errors
-    /// Neither can be had: the front goes on without.
-    pub fn open(path: &Path, fresh: u64) -> Result<(Keep, Found), StoreError> {
+    /// The store was written by a later version, is held by another process, or no empty store can be begun: the front
+    /// goes on without a snapshot.
+    pub fn open(path: &Path, fresh: u64) -> Result<(Snapshot, RestoredState), StoreError> {
         let opened = file(path).and_then(|f| Store::open(f, fresh));
         let (store, marks) = match opened {
             Ok(opened) => opened,
@@ -68,16 +69,17 @@
         }
         let kept: BTreeMap<String, Fellow> = all.into_iter().collect();
         let place = |(n, f): (&String, &Fellow)| Some((n.clone(), f.addr.parse().ok()?));
-        let fellows = kept.iter().filter_map(place).collect();
-        Ok((Keep { store, kept }, Found { fellows, marks }))
+        let peers = kept.iter().filter_map(place).collect();
+        Ok((Snapshot { store, kept }, RestoredState { peers, marks }))
     }
 
-    /// The same, within two seconds. A disk that stalls keeps its thread, not the front.
-    pub fn open_soon(path: &Path, fresh: u64) -> Option<(Keep, Found)> {
+    /// [`Snapshot::open`] on a thread of its own, waiting at most `OPENS_IN` (2 s); a disk that stalls holds that thread,
+    /// not the front. `None`, logged, where it fails or is late.
+    pub fn open_soon(path: &Path, fresh: u64) -> Option<(Snapshot, RestoredState)> {
         let (tell, hear) = mpsc::channel();
         let own = path.to_path_buf();
         let opens = std::thread::Builder::new().name("store-open".into()).spawn(move || {
-            let _ = tell.send(Keep::open(&own, fresh));
+            let _ = tell.send(Snapshot::open(&own, fresh));
         });
         let why = match opens.map(|_| hear.recv_timeout(OPENS_IN)) {
             Ok(Ok(Ok(opened))) => return Some(opened),
@@ -89,10 +91,10 @@
         None
     }
 
-    /// Keeps which fronts there are. Those that are gone are forgotten only once others are there: after a loss of power
-    /// nobody is, and the addresses are needed.
+    /// Writes the current peers where they changed. Departed peers are removed only while the present ones number at
+    /// least half of those stored: after a power loss none are present, and the stored addresses are needed to rejoin.
     fn look(&mut self, fleet: &Fleet) -> Result<(), StoreError> {
-        let now: BTreeMap<String, Fellow> = fleet.fellows().into_iter().take(MOST_FELLOWS).collect();
+        let now: BTreeMap<String, Fellow> = fleet.fellows().into_iter().take(MAX_REMEMBERED_PEERS).collect();
         if now.is_empty() || now == self.kept {
             return Ok(());
         }
@@ -117,7 +119,7 @@
         Ok(())
     }
 
-    /// Keeps what changes, until a write fails; on a thread of its own.
+    /// Writes peer changes every `LOOK` (2 s) until a write fails; runs on a thread of its own.
     pub fn run(mut self, fleet: Arc<Fleet>) {
         let Marks { boots, commits, .. } = self.store.marks();
         tracing::info!(boots, commits, "store: open");
@@ -132,30 +134,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_damaged_disk_is_set_aside_and_one_that_another_has_is_left_alone() {
-        let dir = std::env::temp_dir().join(format!("fernslip-keep-{}", std::process::id()));
-        std::fs::create_dir_all(&dir).expect("a folder");
-        let path = dir.join("n1.store");
-        let (mut keep, found) = Keep::open(&path, 1).expect("an empty one");
-        assert!(found.marks.is_none() && found.fellows.is_empty());
-        let fellow = Fellow { addr: "127.0.0.1:7".into(), location: "z".into(), generation: 1 };
-        let change = Change::put(&"f2".to_string(), &fellow).expect("short");
-        keep.store.commit(&[change]).expect("a sound disk");
-        assert!(matches!(Keep::open(&path, 2).err(), Some(StoreError::Held)));
-        drop(keep);
-        let (keep, found) = Keep::open(&path, 3).expect("the same");
-        assert_eq!(found.fellows, [("f2".to_string(), ([127, 0, 0, 1], 7).into())]);
-        drop(keep);
-        std::fs::write(&path, [7; 9000]).expect("written over");
-        let (_keep, found) = Keep::open(&path, 4).expect("an empty one");
-        assert!(found.marks.is_none() && found.fellows.is_empty());
-        let kept = std::fs::read_dir(&dir).expect("it").flatten().map(|e| e.file_name());
-        let aside = kept.filter(|n| n.to_string_lossy().contains(".bad-")).count();
-        std::fs::remove_dir_all(&dir).expect("ours");
-        assert_eq!(aside, 1);
-    }
-}
+#[path = "snapshot/tests.rs"]
+mod tests;
