--- /dev/null
+++ b/crates/store/tests/stored_data.rs
@@ -0,0 +1,115 @@
+//! Stored data stays readable: a store file written by the code of an earlier landing opens with the code of now and
+//! reads back the same values and marks.
+//!
+//! # How `tests/data/written-by-e2efe9d.redb` was made
+//!
+//! In a scratch worktree at commit `e2efe9d` ("Starts of nodes keep their time; which finds had a failing test first"),
+//! a temporary example (never committed) opened `fernslip_store::file(...)` on a new, empty file with the fresh disk id
+//! [`DISK_ID`] and made two commits after the one that `Store::open` makes:
+//!
+//! 1. one change of every layer kind in `src/layers.rs`: a [`Position`]; a [`Purge`] under each kind of [`Purged`]
+//!    key (`Object`, `Group`, `All`); two [`Avoided`] cache nodes (one excluded by hand, one not); three [`Fellow`]
+//!    peers (`front-1`, `front-2`, `front-gone`); an [`OpenWrite`] under id 77; and a [`Raw`] value under
+//!    `("view", 2)`;
+//! 2. a removal of the peer `front-gone` and an [`OpenWrite`] under id 78.
+//!
+//! It then dropped the store. The example printed `Marks { disk: 15593365331693, boots: 1, commits: 3 }`. To make a
+//! file for a later landing, do the same at that commit with the values below, and add a file beside this one.
+
+use fernslip_store::layers::{Avoided, Fellow, OpenWrite, Position, Purge, Purged, Raw};
+use fernslip_store::{file, Marks, Store, StoreError};
+use std::path::PathBuf;
+
+/// The fresh disk id that the writing program gave to the empty file.
+const DISK_ID: u64 = 0x0e2e_9d00_5eed;
+/// The fresh disk id offered on reopening; it must not be taken, since the disk is not empty.
+const UNUSED_DISK_ID: u64 = 0xbeef;
+
+/// Copies the committed file to a temporary directory, so that the committed file is never opened for writing, and
+/// opens the copy with the code of now.
+fn open_copy_of(name: &str) -> Result<(tempfile::TempDir, Store, Option<Marks>), StoreError> {
+    let committed: PathBuf = [env!("CARGO_MANIFEST_DIR"), "tests", "data", name].iter().collect();
+    let scratch = tempfile::tempdir().expect("a temporary directory");
+    let copy = scratch.path().join(name);
+    std::fs::copy(&committed, &copy).expect("the committed store file can be copied");
+    let opened = std::fs::OpenOptions::new().read(true).write(true).open(&copy).expect("the copy opens");
+    let (store, found) = Store::open(file(opened)?, UNUSED_DISK_ID)?;
+    Ok((scratch, store, found))
+}
+
+#[test]
+fn a_store_written_by_e2efe9d_opens_with_the_marks_of_its_last_commit() -> Result<(), StoreError> {
+    let (_scratch, store, found) = open_copy_of("written-by-e2efe9d.redb")?;
+    assert_eq!(found, Some(Marks { disk: DISK_ID, boots: 1, commits: 3 }));
+    assert_eq!(
+        store.marks(),
+        Marks { disk: DISK_ID, boots: 2, commits: 4 },
+        "this start is counted on the old disk"
+    );
+    Ok(())
+}
+
+#[test]
+fn a_store_written_by_e2efe9d_reads_back_every_value_it_was_given() -> Result<(), StoreError> {
+    let (_scratch, store, _found) = open_copy_of("written-by-e2efe9d.redb")?;
+
+    assert_eq!(
+        store.get::<Position>(&())?,
+        Some(Position { epoch: 1_700_000_000_000, offset: 4_242, at_unix_ms: 1_700_000_123_456 })
+    );
+
+    assert_eq!(
+        store.all::<Purge>()?,
+        (
+            vec![
+                (Purged::Object(17), Purge { at_unix_ms: 1_700_000_001_000 }),
+                (Purged::Group(9), Purge { at_unix_ms: 1_700_000_002_000 }),
+                (Purged::All, Purge { at_unix_ms: 1_699_999_000_000 }),
+            ],
+            0
+        )
+    );
+
+    assert_eq!(
+        store.all::<Avoided>()?,
+        (
+            vec![
+                ("cache-a:7070".to_string(), Avoided { by_hand: true, since_unix_ms: 1_700_000_003_000 }),
+                ("cache-b:7070".to_string(), Avoided { by_hand: false, since_unix_ms: 1_700_000_004_000 }),
+            ],
+            0
+        )
+    );
+
+    assert_eq!(
+        store.all::<Fellow>()?,
+        (
+            vec![
+                (
+                    "front-1".to_string(),
+                    Fellow { addr: "10.0.0.1:9000".into(), location: "ams".into(), generation: 3 }
+                ),
+                (
+                    "front-2".to_string(),
+                    Fellow { addr: "10.0.0.2:9000".into(), location: "fra".into(), generation: 5 }
+                ),
+            ],
+            0
+        )
+    );
+    assert_eq!(store.get::<Fellow>(&"front-gone".to_string())?, None, "a removed peer stays removed");
+
+    assert_eq!(
+        store.all::<OpenWrite>()?,
+        (
+            vec![
+                (77, OpenWrite { until_unix_ms: 1_700_000_005_000 }),
+                (78, OpenWrite { until_unix_ms: 1_700_000_006_000 }),
+            ],
+            0
+        )
+    );
+
+    assert_eq!(store.all::<Raw>()?, (vec![(("view".to_string(), 2), Raw(vec![0, 1, 2, 254, 255]))], 0));
+    Ok(())
+}
