--- a/crates/front/src/boxes/lanes.rs
+++ b/crates/front/src/boxes/lanes.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::link::lock;
 use crate::plan::{Answers, Known, Plan};
-use crate::steps;
+use crate::sleep;
 use crate::upstream::Upstream;
 use crate::Ways;
 use arc_swap::ArcSwap;
@@ -210,7 +210,7 @@
             if let Some(admitted) = admitted {
                 return admitted.then_some(place);
             }
-            steps::park(&seat.blocker, LOOK);
+            sleep::park(&seat.blocker, LOOK);
         }
     }
 
--- a/crates/front/src/boxes/upstream.rs
+++ b/crates/front/src/boxes/upstream.rs
@@ -4,11 +4,11 @@
 use crate::invariants::{Invariant, Invariants};
 use crate::link::{lock, Departure, Gate, Link};
 use crate::log::Reason;
+use crate::reason_counts::{Kind, ReasonCounts};
 use crate::resp;
 use crate::sending::{Denied, Sending, Times};
+use crate::sleep;
 use crate::spawn::spawn;
-use crate::steps;
-use crate::tally::{Kind, Tally};
 use fernslip::facade::{Attempt, Waiter};
 use fernslip::json::HOLDS;
 use fernslip::{CacheId, Ending, RequestId};
@@ -359,7 +359,7 @@
         // The node gives up what is open here when it hears of the end, be it of this close or of a reset on the way: the
         // next attempt, over another connection, must not be there before.
         if let Some(word) = word {
-            steps::sleep(word);
+            sleep::sleep(word);
         }
         let slots = std::mem::take(&mut lock(&self.open).slots);
         for (id, slot) in slots {
@@ -443,12 +443,12 @@
     attempts: Mutex<HashMap<RequestId, Arc<Slot>>>,
     connections: Arc<AtomicUsize>,
     invariants: Arc<Invariants>,
-    tally: Arc<Tally>,
+    reason_counts: Arc<ReasonCounts>,
 }
 
 impl Upstream {
     /// No machine is known yet; what must hold is counted there.
-    pub fn new(limits: Limits, invariants: Arc<Invariants>, tally: Arc<Tally>) -> Upstream {
+    pub fn new(limits: Limits, invariants: Arc<Invariants>, reason_counts: Arc<ReasonCounts>) -> Upstream {
         Upstream {
             limits,
             nodes: Mutex::default(),
@@ -456,7 +456,7 @@
             attempts: Mutex::default(),
             connections: Arc::default(),
             invariants,
-            tally,
+            reason_counts,
         }
     }
 
@@ -549,7 +549,7 @@
         let mut times = times;
         let now = Instant::now();
         if let Err(why) = slot.sending.check(now) {
-            self.tally.add(Kind::Denied, why.name());
+            self.reason_counts.add(Kind::Denied, why.name());
             return End::without_answer(why.ending());
         }
         let conn = match self.checkout(a, slot) {
@@ -565,7 +565,7 @@
             }
             let denied = lock(&slot.progress).denied;
             if let Some(why) = denied {
-                self.tally.add(Kind::Denied, why.name());
+                self.reason_counts.add(Kind::Denied, why.name());
                 conn.end(a.id, End::without_answer(why.ending()));
                 continue;
             }
@@ -584,7 +584,7 @@
                 Ending::Overdue
             } else {
                 let begin = times.begin_by.map_or(left, |by| by.saturating_duration_since(now));
-                steps::park(&slot.blocker, left.min(begin));
+                sleep::park(&slot.blocker, left.min(begin));
                 continue;
             };
             // The word that gives it up and the next attempt go over two connections, and the second may be there
@@ -592,7 +592,7 @@
             if conn.give_up(a.id, trace, ending) {
                 // Read before the wait: a lock that is held across a yield stops the worker for good.
                 let handshake = lock(&conn.open).handshake;
-                steps::sleep(handshake.clamp(WORD[0], WORD[1]));
+                sleep::sleep(handshake.clamp(WORD[0], WORD[1]));
             }
         }
     }
@@ -637,7 +637,8 @@
         node.conns.push(conn.clone());
         let timeout = node.timing.connect.unwrap_or(self.limits.connect_timeout);
         let (dialled, addr) = (conn.clone(), node.addr);
-        let (name, count, tally) = (a.cache.clone(), self.connections.clone(), self.tally.clone());
+        let (name, count, reason_counts) =
+            (a.cache.clone(), self.connections.clone(), self.reason_counts.clone());
         spawn(move || {
             // A defect costs this connection: its attempts end, and its place is given back.
             let ended = catch_unwind(AssertUnwindSafe(|| serve(addr, timeout, &dialled)));
@@ -645,7 +646,7 @@
             dialled.lost(unwritten);
             count.fetch_sub(1, Ordering::Relaxed);
             let asked = lock(&dialled.open).asked;
-            tally.add(Kind::UpstreamClosed, why.code());
+            reason_counts.add(Kind::UpstreamClosed, why.code());
             tracing::info!(kind = %"upstream", node = %name.0, %addr, reason = %why.code(), asked, "end");
         });
         Ok(conn)
--- a/crates/front/src/clients/relay.rs
+++ b/crates/front/src/clients/forward.rs
@@ -4,8 +4,8 @@
 use crate::guard::SendGuard;
 use crate::invariants::Invariant;
 use crate::lanes::{Caller, Lane};
+use crate::reason_counts::Kind;
 use crate::sending::Times;
-use crate::tally::Kind;
 use crate::upstream::Reply;
 use crate::Shared;
 use fernslip::facade::{Decision, Ended};
@@ -86,7 +86,7 @@
                 // The guard for repeating: the module does not ask for this, and were it to, nothing runs twice.
                 let allowed = !may_have_run || effect != Effect::AtMostOnce;
                 if let Some(ending) = last {
-                    front.tally.add(Kind::Retried, ending_name(ending));
+                    front.reason_counts.add(Kind::Retried, ending_name(ending));
                 }
                 let seen = || format!("trace={} n={} after one that may have run", ask.trace, a.number);
                 if !front.invariants.check(Invariant::RepeatAllowed, allowed, seen) {
@@ -107,7 +107,7 @@
                 may_have_run |= !end.ending.never_ran();
                 last = Some(end.ending);
                 if end.whole {
-                    front.figures.sent(ask_class);
+                    front.metrics.sent(ask_class);
                 }
                 if end.ending == Ending::Completed {
                     reply = end.reply;
--- a/crates/front/src/clients/figures.rs
+++ b/crates/front/src/clients/metrics.rs
@@ -23,17 +23,17 @@
 }
 
 /// The counts, by class in the order of the settings.
-pub struct Figures {
+pub struct Metrics {
     names: Vec<String>,
     classes: Vec<Class>,
     current: AtomicI64,
 }
 
-impl Figures {
+impl Metrics {
     /// All at 0, for these classes.
-    pub fn new(names: Vec<String>) -> Figures {
+    pub fn new(names: Vec<String>) -> Metrics {
         let classes = names.iter().map(|_| Class::default()).collect();
-        Figures { names, classes, current: AtomicI64::new(0) }
+        Metrics { names, classes, current: AtomicI64::new(0) }
     }
 
     /// A request was taken.
@@ -98,7 +98,7 @@
 
     #[test]
     fn counts_stand_under_their_class_and_current_follows_what_is_open() {
-        let f = Figures::new(vec!["docs".into(), "pay".into()]);
+        let f = Metrics::new(vec!["docs".into(), "pay".into()]);
         f.taken();
         f.taken();
         f.ended(Some(1), Some(Outcome::Answered));
--- a/crates/front/src/clients/mod.rs
+++ b/crates/front/src/clients/mod.rs
@@ -2,8 +2,8 @@
 
 pub mod budget;
 pub mod call;
-pub mod figures;
+pub mod forward;
 pub mod listen;
+pub mod metrics;
 pub mod msgpack_rpc;
-pub mod relay;
 pub mod server;
--- a/crates/front/src/clients/server.rs
+++ b/crates/front/src/clients/server.rs
@@ -4,17 +4,17 @@
 use crate::buffer::Buffer;
 use crate::call;
 use crate::failure::Failure;
-use crate::figures::Outcome;
+use crate::forward::{self, Answer};
 use crate::invariants::Invariant;
 use crate::lanes::{Caller, Lane};
 use crate::link::Stream;
 use crate::link::{lock, Link};
 use crate::listen::{Listener, Origin};
 use crate::log::Reason;
+use crate::metrics::Outcome;
 use crate::msgpack_rpc::{self as rpc, Fields, Message};
-use crate::relay::{self, Answer};
+use crate::reason_counts::Kind;
 use crate::spawn::spawn;
-use crate::tally::Kind;
 use crate::Shared;
 use fernslip::{Class, Request, RequestId};
 use std::collections::HashMap;
@@ -166,7 +166,7 @@
             let mut open = lock(&self.open);
             // Another call may have its number by now, of a client that counts its own way.
             if open.calls.get(&call).is_none_or(|c| !Arc::ptr_eq(&c.caller, caller)) {
-                front.figures.ended(class, None);
+                front.metrics.ended(class, None);
                 return;
             }
             let trace = open.calls.remove(&call).map_or(0, |c| c.id.0);
@@ -183,7 +183,7 @@
             }
             open.calls.is_empty()
         };
-        front.figures.ended(class, outcome);
+        front.metrics.ended(class, outcome);
         front.server.keep_room_for_answers();
         // The front is being emptied: a connection closes after its last answer, not only at the next sweep.
         if idle && front.server.ending.load(Ordering::Acquire) {
@@ -240,7 +240,7 @@
         };
         let class = Some(request.class);
         let Some(lane) = front.lanes.route(&ask.class, &ask.item).cloned() else {
-            front.figures.count(class, Outcome::Errored);
+            front.metrics.count(class, Outcome::Errored);
             self.send(rpc::error(number, "Fault", &[("route", "none")]));
             return Ok(());
         };
@@ -248,7 +248,7 @@
         // The front is ending or being emptied: a busy connection must fall idle and close before the process is
         // killed, so what comes on it now is turned away at once instead of being taken and lost with the process.
         if front.server.ending.load(Ordering::Acquire) {
-            front.figures.count(class, Outcome::Deferred);
+            front.metrics.count(class, Outcome::Deferred);
             self.send(rpc::error(number, "Shed", &[("pause", ENDING_PAUSE)]));
             if lock(&self.open).calls.is_empty() {
                 self.finish(front, Reason::Shutdown);
@@ -267,7 +267,7 @@
                 || bodies.load(Ordering::Relaxed) + bytes > front.server.budget.bodies
             {
                 drop(open);
-                front.figures.count(class, Outcome::Deferred);
+                front.metrics.count(class, Outcome::Deferred);
                 let pause = (front.lanes.pause_ms() as u64).to_string();
                 self.send(rpc::error(number, "Shed", &[("pause", &pause)]));
                 return Ok(());
@@ -277,12 +277,12 @@
             open.idle_since = None;
             open.taken += 1;
         }
-        front.figures.taken();
+        front.metrics.taken();
         let (client, front, ask) = (self.clone(), front.clone(), Arc::new(ask));
         spawn(move || {
             // A defect costs its own request alone: it is answered, and what it took is given back.
             let served =
-                catch_unwind(AssertUnwindSafe(|| relay::serve(&front, &lane, request, &ask, &caller)));
+                catch_unwind(AssertUnwindSafe(|| forward::serve(&front, &lane, request, &ask, &caller)));
             let answer = served.unwrap_or(Answer::Failed);
             front.server.bodies.fetch_sub(bytes, Ordering::Relaxed);
             client.answer(&front, number, &caller, class, answer);
@@ -408,7 +408,7 @@
         }
         server.held.fetch_sub(1, Ordering::Relaxed);
         let unanswered = left.len();
-        front.tally.add(Kind::ClientClosed, why.code());
+        front.reason_counts.add(Kind::ClientClosed, why.code());
         front.invariants.check(Invariant::CloseSettled, !why.is_own_choice() || unanswered == 0, || {
             format!("{peer} closed as {} with {unanswered} calls open", why.code())
         });
@@ -498,7 +498,7 @@
         loop {
             // Those that were told to close must have given their descriptors back.
             while self.held.load(Ordering::Relaxed) >= self.budget.clients + self.budget.closing + CLOSING {
-                crate::steps::sleep(Duration::from_millis(1));
+                crate::sleep::sleep(Duration::from_millis(1));
             }
             let accepted = match (self.closed.load(Ordering::Acquire), origin) {
                 (true, Origin::Passed) => Ok(None),
@@ -514,7 +514,7 @@
                     if !self.make_place(front) {
                         drop(stream);
                         self.held.fetch_sub(1, Ordering::Relaxed);
-                        front.tally.add(Kind::ClientClosed, Reason::TooMany.code());
+                        front.reason_counts.add(Kind::ClientClosed, Reason::TooMany.code());
                         tracing::info!(kind = %"client", %peer, reason = %Reason::TooMany.code(), "end");
                         continue;
                     }
@@ -531,10 +531,10 @@
                     if Failure::of(&e) == Failure::Descriptors {
                         tracing::warn!(held = self.held.load(Ordering::Relaxed), "accept: {e}");
                         self.evict(front);
-                        crate::steps::sleep(pause);
+                        crate::sleep::sleep(pause);
                         pause = (pause * 2).min(NO_DESCRIPTOR[1]);
                     } else {
-                        crate::steps::sleep(NO_DESCRIPTOR[0]);
+                        crate::sleep::sleep(NO_DESCRIPTOR[0]);
                     }
                 }
             }
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -1,4 +1,4 @@
-//! The module's time: the monotonic clock in milliseconds. What the wall clock says is [`crate::wall`]'s.
+//! The module's time: the monotonic clock in milliseconds. What the wall clock says is [`crate::wall_clock`]'s.
 
 use std::time::{Duration, Instant};
 
--- a/crates/front/src/control/admin.rs
+++ b/crates/front/src/control/admin.rs
@@ -15,7 +15,7 @@
 //! sends too long a line is answered `400` at once. Manual exclusions are [stored](crate::manual_exclusion) so that a
 //! process that replaces this one starts with them.
 
-use crate::tally::figure;
+use crate::reason_counts::figure;
 use crate::Shared;
 use fernslip::CacheId;
 use std::collections::{BTreeMap, BTreeSet};
@@ -191,8 +191,8 @@
         AdminCommand::Telemetry => {
             let (listed, avoided) = lanes.first().map_or((0, 0), |l| l.dispatcher.listed());
             let view = front.fleet.as_ref().map_or(String::new(), |f| f.lines());
-            let figures = front.figures.lines(listed, avoided);
-            let (violations, reasons) = (front.invariants.lines(), front.tally.lines());
+            let figures = front.metrics.lines(listed, avoided);
+            let (violations, reasons) = (front.invariants.lines(), front.reason_counts.lines());
             let given_up = given_up(front);
             format!("200 telemetry\n{figures}{violations}{reasons}{given_up}{view}EOF\n")
         }
--- a/crates/front/src/control/discovery_watch.rs
+++ b/crates/front/src/control/discovery_watch.rs
@@ -5,8 +5,8 @@
 use crate::failure::Failure;
 use crate::link::{lock, Link};
 use crate::log::Reason;
-use crate::tally::Kind;
-use crate::wall::WallClock;
+use crate::reason_counts::Kind;
+use crate::wall_clock::WallClock;
 use crate::watch_history::{History, Line};
 use crate::Shared;
 use fernslip::json::{self, JsonError, Names};
@@ -338,13 +338,13 @@
                 Reason::Defect
             });
             let offset = history.offset();
-            front.tally.add(Kind::BusClosed, why.code());
+            front.reason_counts.add(Kind::BusClosed, why.code());
             // Lines and events that could not be used, since the start.
             let malformed = u64::from(why == Reason::Malformed);
             let odd = self.odd.fetch_add(malformed, Ordering::Relaxed) + malformed;
             tracing::info!(kind = %"bus", %addr, reason = %why.code(), offset, odd, "end");
             if why != Reason::Moved {
-                crate::steps::sleep(retry_after(self.seed, n));
+                crate::sleep::sleep(retry_after(self.seed, n));
             }
         }
     }
--- a/crates/front/src/control/gossip.rs
+++ b/crates/front/src/control/gossip.rs
@@ -212,7 +212,7 @@
             match self.socket.recv_from(&mut data) {
                 Ok((n, from)) => self.feed(lanes, Event::Datagram { from, bytes: data[..n].to_vec() }),
                 // An error of one datagram, such as a port that nobody has: the next may be fine.
-                Err(_) => crate::steps::sleep(AFTER_ERROR),
+                Err(_) => crate::sleep::sleep(AFTER_ERROR),
             }
         }
     }
@@ -250,7 +250,7 @@
             if due <= self.clock.now() {
                 self.feed(lanes, Event::Tick);
             }
-            crate::steps::sleep(LOOK);
+            crate::sleep::sleep(LOOK);
         }
     }
 
--- a/crates/front/src/control/peers.rs
+++ b/crates/front/src/control/peers.rs
@@ -69,7 +69,7 @@
         loop {
             let Ok((n, from)) = self.receive(&mut data) else {
                 // An error of one datagram, such as a port that nobody has: the next may be fine.
-                crate::steps::sleep(AFTER_ERROR);
+                crate::sleep::sleep(AFTER_ERROR);
                 continue;
             };
             let sender = self.each.iter().position(|p| *p == from);
--- a/crates/front/src/failure.rs
+++ b/crates/front/src/failure.rs
@@ -1,7 +1,7 @@
 //! Failures of system calls, sorted by whose they are: this machine's, to be tried again, or the other side's. Only the other
 //! side's is held against it.
 
-use crate::steps;
+use crate::sleep;
 use std::io;
 use std::time::{Duration, Instant};
 
@@ -72,7 +72,7 @@
     loop {
         match attempt(until.saturating_duration_since(Instant::now())) {
             Err(e) if again(&e) && Instant::now() + pause < until => {
-                steps::sleep(pause);
+                sleep::sleep(pause);
                 pause = (pause * 2).min(PAUSE[1]);
             }
             other => return other,
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -9,18 +9,18 @@
 pub mod clients;
 pub mod clock;
 pub mod control;
-pub mod ending;
 pub mod failure;
 pub mod invariants;
 pub mod link;
 pub mod log;
+pub mod reason_counts;
+pub mod shutdown;
+pub mod sleep;
 mod spawn;
-pub mod steps;
-pub mod tally;
-pub mod wall;
+pub mod wall_clock;
 
 pub use boxes::{guard, lanes, resp, sending, upstream};
-pub use clients::{budget, call, figures, listen, msgpack_rpc, relay, server};
+pub use clients::{budget, call, forward, listen, metrics, msgpack_rpc, server};
 pub use control::{
     admin, config, discovery_watch, gossip, keyfile, manual_exclusion, peers, plan, reload, snapshot, view,
     watch_history,
@@ -29,7 +29,6 @@
 use clock::Clock;
 use config::{Config, ConfigError};
 use discovery_watch::DiscoveryWatch;
-use ending::Ending;
 use failure::{patiently, Failure};
 use fernslip::facade::{Host, Waiter};
 use fernslip::json::Names;
@@ -43,17 +42,18 @@
 use may::sync::Blocker;
 use peers::Peers;
 use plan::Plan;
+use reason_counts::ReasonCounts;
 use reload::{Reload, Signals};
+use shutdown::ShutdownPlan;
 use spawn::{spawn, spawn_deep};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tally::Tally;
 use upstream::{Limits, Upstream, Wait};
 use view::Fleet;
-use wall::WallClock;
+use wall_clock::WallClock;
 
 /// One core: one worker.
 const WORKERS: usize = 1;
@@ -220,9 +220,9 @@
     pub listed: AtomicBool,
     leaving: AtomicBool,
     /// What is counted for the operators.
-    pub figures: figures::Figures,
+    pub metrics: metrics::Metrics,
     /// Why things happened, by kind and reason.
-    pub tally: Arc<Tally>,
+    pub reason_counts: Arc<ReasonCounts>,
     /// What must hold, and how often it did not.
     pub invariants: Arc<Invariants>,
     /// After a node was told to drain, what goes there may still begin for so long, in milliseconds.
@@ -313,8 +313,8 @@
         idle: config.idle,
         connections: budget.upstream,
     };
-    let (invariants, tally) = (Arc::new(Invariants::default()), Arc::new(Tally::default()));
-    let upstream = Arc::new(Upstream::new(limits, invariants.clone(), tally.clone()));
+    let (invariants, reason_counts) = (Arc::new(Invariants::default()), Arc::new(ReasonCounts::default()));
+    let upstream = Arc::new(Upstream::new(limits, invariants.clone(), reason_counts.clone()));
     let peers = match config.peer_listen {
         Some(at) => {
             let bound = bound(at, || Peers::bind(at, config.peers.clone(), config.peers_all))?;
@@ -394,8 +394,8 @@
         bus: DiscoveryWatch::new(config.bus, config.seed),
         listed: AtomicBool::new(false),
         leaving: AtomicBool::new(false),
-        figures: figures::Figures::new(classes_named),
-        tally,
+        metrics: metrics::Metrics::new(classes_named),
+        reason_counts,
         invariants,
         drain_grace_ms: config.settings.drain_grace_ms,
         excluded,
@@ -461,10 +461,10 @@
         let next = f.lanes.all().iter().filter_map(|l| l.tick(&f.clock)).reduce(f64::min);
         // The decisions and what they want of the host stand behind locks.
         let wait = next.map_or(TICK, |at| f.clock.until(at).clamp(Duration::from_millis(1), TICK));
-        steps::sleep_beside_the_worker(wait);
+        sleep::sleep_beside_the_worker(wait);
     });
     let housekeeper = may::go!(move || {
-        keep_house(&front, &leave, reload, Ending::of(longest, origin), &waker);
+        keep_house(&front, &leave, reload, ShutdownPlan::of(longest, origin), &waker);
     });
     housekeeper.join().map_err(|_| StartError::Panic)
 }
@@ -499,13 +499,13 @@
     front: &Shared,
     leave: &AtomicBool,
     mut reload: Reload,
-    plan: Ending,
+    plan: ShutdownPlan,
     accepting: &may::io::WaitIoWaker,
 ) {
     let mut left: Option<Instant> = None;
     let (mut lost, mut odd) = (0, 0);
     loop {
-        steps::sleep(if left.is_some() { SWEEP_AT_END } else { SWEEP });
+        sleep::sleep(if left.is_some() { SWEEP_AT_END } else { SWEEP });
         let dropped = log::dropped();
         if dropped > lost {
             tracing::warn!(dropped = dropped - lost, total = dropped, "log");
@@ -577,7 +577,7 @@
     front.server.close();
     accepting.wakeup();
     loop {
-        steps::sleep(SWEEP_AT_END);
+        sleep::sleep(SWEEP_AT_END);
         front.server.sweep(front, true);
         // What is called off still ends by itself, as a rule within the same moment.
         if Instant::now() >= by || front.server.is_empty() && front.upstream.held().0 == 0 {
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -7,7 +7,7 @@
 use crate::buffer::Buffer;
 use crate::failure::Failure;
 use crate::log::Reason;
-use crate::steps;
+use crate::sleep;
 use may::io::{CoIo, WaitIo, WaitIoWaker};
 use may::net::TcpStream;
 use std::collections::VecDeque;
@@ -329,7 +329,7 @@
     /// Waits a moment where the machine had no buffers for what is to be written, and writes it.
     fn recover(&self) {
         while std::mem::take(&mut lock(&self.out).starved) {
-            steps::sleep(STARVED);
+            sleep::sleep(STARVED);
             self.flush();
         }
     }
@@ -400,7 +400,7 @@
                     }
                     Err(e) if e.kind() == ErrorKind::Interrupted => {}
                     Err(e) if e.kind() == ErrorKind::WouldBlock => break Ok(()),
-                    Err(e) if Failure::of(&e).is_for_a_moment() => steps::sleep(STARVED),
+                    Err(e) if Failure::of(&e).is_for_a_moment() => sleep::sleep(STARVED),
                     Err(_) => break Err(Reason::Reset),
                 }
             };
@@ -442,7 +442,7 @@
                 Ok(n) => left -= n,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => wire.stream.wait_io(),
-                Err(e) if Failure::of(&e).is_for_a_moment() => steps::sleep(STARVED),
+                Err(e) if Failure::of(&e).is_for_a_moment() => sleep::sleep(STARVED),
                 Err(_) => return,
             }
         }
--- a/crates/front/src/tally.rs
+++ b/crates/front/src/reason_counts.rs
@@ -35,9 +35,9 @@
 
 /// The counts since the process started.
 #[derive(Debug, Default)]
-pub struct Tally(Mutex<BTreeMap<(Kind, &'static str), u64>>);
+pub struct ReasonCounts(Mutex<BTreeMap<(Kind, &'static str), u64>>);
 
-impl Tally {
+impl ReasonCounts {
     /// One more, for that reason.
     pub fn add(&self, kind: Kind, reason: &'static str) {
         *lock(&self.0).entry((kind, reason)).or_default() += 1;
@@ -56,5 +56,5 @@
 }
 
 #[cfg(test)]
-#[path = "tally/tests.rs"]
+#[path = "reason_counts/tests.rs"]
 mod tests;
--- /dev/null
+++ b/crates/front/src/reason_counts/tests.rs
@@ -0,0 +1,11 @@
+use super::*;
+
+#[test]
+fn reasons_are_counted_under_their_kind() {
+    let reason_counts = ReasonCounts::default();
+    reason_counts.add(Kind::ClientClosed, "idle");
+    reason_counts.add(Kind::ClientClosed, "idle");
+    reason_counts.add(Kind::Retried, "severed");
+    assert_eq!(reason_counts.lines(), "relay.client_closed.idle=2\nrelay.retried.severed=1\n");
+    assert_eq!(figure("no time or attempts left"), "no_time_or_attempts_left");
+}
--- a/crates/front/src/ending.rs
+++ b/crates/front/src/shutdown.rs
@@ -17,7 +17,7 @@
 
 /// Times after SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ending {
+pub struct ShutdownPlan {
     /// Work is taken up to then, and turned away at once afterwards.
     pub coming: Duration,
     /// All that was taken is answered by then, be it with an error.
@@ -28,17 +28,22 @@
     pub hands_over: bool,
 }
 
-impl Ending {
+impl ShutdownPlan {
     /// Where the longest that a client waits is so many milliseconds. A handed socket is served by the process that
     /// replaces this one: nothing more is taken here.
-    pub fn of(longest_ms: f64, origin: Origin) -> Ending {
+    pub fn of(longest_ms: f64, origin: Origin) -> ShutdownPlan {
         let kill = Duration::from_secs_f64(longest_ms.max(LEAST_LONGEST_MS) / 1000.0) + KILLED_AFTER;
         let coming = if origin == Origin::Passed { Duration::ZERO } else { STILL_COMING };
         let over_by = kill - SPARE;
-        Ending { coming, answered_by: over_by - LAST_CLOSES, over_by, hands_over: origin == Origin::Passed }
+        ShutdownPlan {
+            coming,
+            answered_by: over_by - LAST_CLOSES,
+            over_by,
+            hands_over: origin == Origin::Passed,
+        }
     }
 }
 
 #[cfg(test)]
-#[path = "ending/tests.rs"]
+#[path = "shutdown/tests.rs"]
 mod tests;
--- a/crates/front/src/ending/tests.rs
+++ b/crates/front/src/shutdown/tests.rs
@@ -6,7 +6,7 @@
 fn the_front_has_ended_before_the_platform_kills_it() {
     for longest_ms in [200.0, 1_500.0, 3_000.0, 5_000.0, 60_000.0] {
         for origin in [Origin::Bound, Origin::Passed] {
-            let e = Ending::of(longest_ms, origin);
+            let e = ShutdownPlan::of(longest_ms, origin);
             let kill =
                 Duration::from_secs_f64(f64::max(longest_ms, 3_000.0) / 1000.0) + Duration::from_millis(700);
             assert!(e.coming < e.answered_by && e.answered_by < e.over_by && e.over_by < kill, "{e:?}");
--- a/crates/front/src/steps.rs
+++ b/crates/front/src/sleep.rs
@@ -60,5 +60,5 @@
 }
 
 #[cfg(test)]
-#[path = "steps/tests.rs"]
+#[path = "sleep/tests.rs"]
 mod tests;
--- a/crates/front/src/wall.rs
+++ b/crates/front/src/wall_clock.rs
@@ -98,5 +98,5 @@
 }
 
 #[cfg(test)]
-#[path = "wall/tests.rs"]
+#[path = "wall_clock/tests.rs"]
 mod tests;
--- a/crates/front/tests/steps.rs
+++ b/crates/front/tests/sleep.rs
@@ -1,6 +1,6 @@
 //! Where coroutines go on after a wait, with one worker as the program has it.
 
-use fernslip_front::steps::{park, sleep};
+use fernslip_front::sleep::{park, sleep};
 use may::sync::Blocker;
 use std::time::Duration;
 
