--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,4 +1,4 @@
-//! What can be said on the command line.
+//! The command line. Doc comments on arguments and variants are the help texts that users read.
 
 use clap::{Args as ClapArgs, Parser, Subcommand, ValueEnum};
 use clap_complete::Shell;
@@ -37,7 +37,7 @@
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Serve as a front until SIGTERM; SIGHUP reads the files again.
-    Run(Run),
+    Run(RunOptions),
     /// Read site documents and tell every mistake in them.
     Check {
         /// The documents.
@@ -55,22 +55,22 @@
     /// Make a site document of another program's files, with a report of every directive.
     Import {
         #[command(subcommand)]
-        from: Import,
+        source: ImportSource,
     },
     /// Ask a running front about its gossip.
     Gossip {
         #[command(subcommand)]
-        what: Gossip,
+        command: GossipCommand,
     },
     /// Ask a running front about its view of the fleet.
     Fleet {
         #[command(subcommand)]
-        what: Fleet,
+        command: FleetCommand,
     },
     /// Make, rotate or show the keys that gossip is signed with.
     Keys {
         #[command(subcommand)]
-        what: Keys,
+        command: KeysCommand,
     },
     /// Write a shell's completions to standard output.
     Completions {
@@ -80,7 +80,7 @@
 }
 
 #[derive(Debug, Default, ClapArgs)]
-pub struct Run {
+pub struct RunOptions {
     /// The platform's configuration, JSON; without it what RELAY_CONFIG names.
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
@@ -96,14 +96,14 @@
 }
 
 #[derive(Debug, Subcommand)]
-pub enum Import {
+pub enum ImportSource {
     /// Files of Apache httpd: mod_proxy, its balancers, and mod_jk's directives.
     Httpd {
         /// Read one after the other as if they were one.
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
         #[command(flatten)]
-        out: Out,
+        out: ImportOutput,
     },
     /// Files of mod_jk: workers and mounts.
     Modjk {
@@ -117,12 +117,12 @@
         #[arg(long, value_name = "FILE")]
         httpd: Vec<PathBuf>,
         #[command(flatten)]
-        out: Out,
+        out: ImportOutput,
     },
 }
 
 #[derive(Debug, Subcommand)]
-pub enum Gossip {
+pub enum GossipCommand {
     /// Members, words, trust, hearsay and bytes.
     Status {
         /// The front's local socket, as `gossip control=` names it.
@@ -131,7 +131,7 @@
 }
 
 #[derive(Debug, Subcommand)]
-pub enum Fleet {
+pub enum FleetCommand {
     /// The fronts that it knows, and whether all hold the same view; 4 where they don't.
     Members {
         /// The front's local socket, as `view control=` names it.
@@ -166,7 +166,7 @@
 }
 
 #[derive(Debug, Subcommand)]
-pub enum Keys {
+pub enum KeysCommand {
     /// Make a file with one new key; one that is there is left alone.
     New {
         /// The file.
@@ -178,7 +178,7 @@
         file: PathBuf,
         /// Which step.
         #[arg(long, value_enum)]
-        step: Step,
+        step: RotationStep,
     },
     /// Show the numbers of the keys, not the keys.
     Show {
@@ -188,7 +188,7 @@
 }
 
 #[derive(Clone, Copy, Debug, ValueEnum)]
-pub enum Step {
+pub enum RotationStep {
     /// A new key is accepted; the old one signs. Copy the file to the other fronts.
     Add,
     /// The new key signs; the old one is accepted.
@@ -198,7 +198,7 @@
 }
 
 #[derive(Debug, ClapArgs)]
-pub struct Out {
+pub struct ImportOutput {
     /// Where the site document goes; without it to standard output.
     #[arg(short, long, value_name = "SITE.kdl")]
     pub output: Option<PathBuf>,
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -1,158 +1,156 @@
-//! What the sub-commands do. 0: done; 1: failed; 2: usage (clap's own); 3: `--strict` and something was left out.
+//! Dispatch and implementation of the sub-commands.
+//!
+//! Exit codes: 0 for success, 1 for a failure, 2 for a usage error (clap's own), 3 when `import --strict` left something
+//! out, 4 when `fleet members` finds a view that has not settled (see [`crate::fleet`]).
 
-use crate::args::{Args, Command, Gossip, Import, Keys, LogFormat, LogLevel, Out, Run, ShowFormat, Step};
+use crate::args::{
+    Args, Command, GossipCommand, ImportOutput, ImportSource, KeysCommand, LogFormat, LogLevel, RotationStep,
+    RunOptions, ShowFormat,
+};
 use crate::files::write_all;
 use crate::fleet;
+use crate::output::{fail, print};
 use clap::CommandFactory;
+use clap_complete::Shell;
 use fernslip_front::keyfile;
 use fernslip_front::log::{install, Format};
 use fernslip_front::reload::{self, Signals};
-use fernslip_import::{Disk, ImportError, Imported, Options, Verdict};
+use fernslip_import::{Disk, Imported, Options, Verdict};
 use fernslip_site::{Read, Site};
-use std::io::{self, Read as _, Write};
+use std::io::{self, Read as _};
 use std::os::unix::net::UnixStream;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 use tracing::level_filters::LevelFilter;
 
-/// A front answers its operators within this time.
-const STATUS: Duration = Duration::from_secs(5);
-/// `--strict`, and something was left out.
-const LEFT_OUT: u8 = 3;
+/// Read timeout on a front's local control socket.
+const CONTROL_SOCKET_TIMEOUT: Duration = Duration::from_secs(5);
+/// Exit code when `--strict` is given and the import left something out.
+const EXIT_INCOMPLETE_IMPORT: u8 = 3;
 
-pub(crate) fn failed(why: impl std::fmt::Display) -> ExitCode {
-    eprintln!("fernslip: {why}");
-    ExitCode::FAILURE
-}
-
-/// Writes to standard output; a reader that has gone is no failure of ours.
-pub(crate) fn say(text: &str) -> ExitCode {
-    match io::stdout().lock().write_all(text.as_bytes()) {
-        Err(e) if e.kind() != io::ErrorKind::BrokenPipe => failed(format!("standard output: {e}")),
-        _ => ExitCode::SUCCESS,
-    }
-}
-
-/// Does what was asked.
+/// Runs the sub-command that was parsed; without one, serves as a front.
 pub fn run(args: Args) -> ExitCode {
     match args.command {
-        None => serve(Run::default(), args.log_format, args.log_level),
-        Some(Command::Run(run)) => serve(run, args.log_format, args.log_level),
+        None => serve(RunOptions::default(), args.log_format, args.log_level),
+        Some(Command::Run(options)) => serve(options, args.log_format, args.log_level),
         Some(Command::Check { files }) => check(&files),
-        Some(Command::Show { file, format }) => match read(&file) {
-            Ok(read) => {
-                let site = read.site.effective();
-                say(&match format {
-                    ShowFormat::Kdl => site.to_kdl(),
-                    ShowFormat::Json => site.to_json() + "\n",
-                })
-            }
-            Err(why) => failed(why),
-        },
-        Some(Command::Import { from }) => import(from),
-        Some(Command::Gossip { what: Gossip::Status { socket } }) => match status(&socket) {
-            Ok(text) => say(&text),
-            Err(why) => failed(format!("{}: {why}", socket.display())),
-        },
-        Some(Command::Fleet { what }) => fleet::run(&what),
-        Some(Command::Keys { what }) => keys(&what),
-        Some(Command::Completions { shell }) => {
-            let mut text = Vec::new();
-            clap_complete::generate(shell, &mut Args::command(), "fernslip", &mut text);
-            say(&String::from_utf8_lossy(&text))
-        }
+        Some(Command::Show { file, format }) => show(&file, format),
+        Some(Command::Import { source }) => import(source),
+        Some(Command::Gossip { command: GossipCommand::Status { socket } }) => gossip_status(&socket),
+        Some(Command::Fleet { command }) => fleet::run(&command),
+        Some(Command::Keys { command }) => keys(&command),
+        Some(Command::Completions { shell }) => completions(shell),
     }
 }
 
-fn serve(run: Run, format: LogFormat, level: LogLevel) -> ExitCode {
+/// Serves as a front until SIGTERM.
+fn serve(options: RunOptions, format: LogFormat, level: LogLevel) -> ExitCode {
     let format = match format {
         LogFormat::Text => Format::Text,
         LogFormat::Json => Format::Json,
     };
-    let least = match level {
+    let max_level = match level {
         LogLevel::Error => LevelFilter::ERROR,
         LogLevel::Warn => LevelFilter::WARN,
         LogLevel::Info => LevelFilter::INFO,
         LogLevel::Debug => LevelFilter::DEBUG,
         LogLevel::Trace => LevelFilter::TRACE,
     };
-    // Before anything is read: the default of either signal would end the process.
+    // Installed before any file is read: the default action of either signal would end the process.
     let signals = match Signals::catch() {
         Ok(signals) => signals,
-        Err(why) => return failed(why),
+        Err(why) => return fail(why),
     };
-    let start = match reload::read(run.config, run.site) {
+    let start = match reload::read(options.config, options.site) {
         Ok(start) => start,
-        Err(why) => return failed(why),
+        Err(why) => return fail(why),
     };
-    // Held to the end: what waits is written then.
-    let _guard = match install(format, least) {
+    // The guard flushes buffered log lines when it is dropped, so it must live until the front has stopped.
+    let _guard = match install(format, max_level) {
         Ok(guard) => guard,
-        Err(why) => return failed(why),
+        Err(why) => return fail(why),
     };
     match fernslip_front::start(start, signals) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => failed(why),
+        Err(why) => fail(why),
+    }
+}
+
+/// Prints a site document with every default filled in.
+fn show(file: &Path, format: ShowFormat) -> ExitCode {
+    match read(file) {
+        Ok(read) => {
+            let site = read.site.effective();
+            print(&match format {
+                ShowFormat::Kdl => site.to_kdl(),
+                ShowFormat::Json => site.to_json() + "\n",
+            })
+        }
+        Err(why) => fail(why),
+    }
+}
+
+/// Prints the shell completions.
+fn completions(shell: Shell) -> ExitCode {
+    let mut script = Vec::new();
+    clap_complete::generate(shell, &mut Args::command(), "fernslip", &mut script);
+    print(&String::from_utf8_lossy(&script))
+}
+
+/// Prints the gossip status of a running front.
+fn gossip_status(socket: &Path) -> ExitCode {
+    match read_gossip_status(socket) {
+        Ok(text) => print(&text),
+        Err(why) => fail(format!("{}: {why}", socket.display())),
     }
 }
 
-/// What a running front says at its local socket.
-fn status(socket: &Path) -> io::Result<String> {
+/// Reads the status that a front writes to every connection on its gossip control socket.
+fn read_gossip_status(socket: &Path) -> io::Result<String> {
     let mut front = UnixStream::connect(socket)?;
-    front.set_read_timeout(Some(STATUS))?;
+    front.set_read_timeout(Some(CONTROL_SOCKET_TIMEOUT))?;
     let mut text = String::new();
     front.read_to_string(&mut text)?;
     Ok(text)
 }
 
-fn keys(what: &Keys) -> ExitCode {
-    let (file, done) = match what {
-        Keys::New { file } => (file, keyfile::create(file)),
-        Keys::Rotate { file, step } => {
+/// Creates, rotates or shows a key file, and prints the key numbers it then holds.
+fn keys(command: &KeysCommand) -> ExitCode {
+    let (file, result) = match command {
+        KeysCommand::New { file } => (file, keyfile::create(file)),
+        KeysCommand::Rotate { file, step } => {
             let step = match step {
-                Step::Add => keyfile::Step::Add,
-                Step::Switch => keyfile::Step::Switch,
-                Step::Drop => keyfile::Step::Drop,
+                RotationStep::Add => keyfile::Step::Add,
+                RotationStep::Switch => keyfile::Step::Switch,
+                RotationStep::Drop => keyfile::Step::Drop,
             };
             (file, keyfile::rotate(file, step))
         }
-        Keys::Show { file } => (file, keyfile::read(file)),
+        KeysCommand::Show { file } => (file, keyfile::read(file)),
     };
-    match done {
+    match result {
         Ok(ring) => {
-            let all: Vec<String> = ring.accepts().iter().map(u8::to_string).collect();
-            say(&format!("signs {}, accepts {}\n", ring.signs(), all.join(" and ")))
+            let accepted: Vec<String> = ring.accepts().iter().map(u8::to_string).collect();
+            print(&format!("signs {}, accepts {}\n", ring.signs(), accepted.join(" and ")))
         }
-        Err(why) => failed(format!("{}: {why}", file.display())),
+        Err(why) => fail(format!("{}: {why}", file.display())),
     }
 }
 
+/// Reads and parses one site document; the error names the file.
 fn read(file: &Path) -> Result<Read, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
     Site::parse(&name, &text).map_err(|e| e.to_string())
 }
 
-fn check(files: &[std::path::PathBuf]) -> ExitCode {
+/// Checks every document and reports all of their errors and warnings before the exit code is decided.
+fn check(files: &[PathBuf]) -> ExitCode {
     let mut code = ExitCode::SUCCESS;
     for file in files {
-        let name = file.display();
         match read(file) {
-            Ok(read) => {
-                for w in &read.warnings {
-                    eprintln!("{name}:{}:{}: warning: {w}", w.line, w.column);
-                    w.hint.iter().for_each(|h| eprintln!("  hint: {h}"));
-                }
-                let s = &read.site;
-                let rules: usize = s.routes.iter().map(|r| r.rules.len()).sum();
-                let (members, pools) = (s.members.len(), s.pools.len());
-                println!("{name}: fine: {members} members, {pools} pools, {rules} routes");
-                for m in s.members.iter().filter(|m| m.protocol.is_some_and(|p| !p.is_spoken())) {
-                    let protocol = m.protocol.map_or("", fernslip_site::Word::word);
-                    eprintln!("{name}: note: `{}` speaks {protocol}, which `run` can't serve from yet", m.id);
-                }
-            }
+            Ok(read) => report_checked(file, &read),
             Err(why) => {
                 eprintln!("{why}");
                 code = ExitCode::FAILURE;
@@ -162,47 +160,71 @@
     code
 }
 
-fn import(from: Import) -> ExitCode {
-    let options = |out: &Out| Options {
-        name: out.name.clone(),
-        root: out.root.clone(),
-        defines: out
-            .defines
-            .iter()
-            .map(|d| d.split_once('=').map_or((d.clone(), String::new()), |(n, v)| (n.into(), v.into())))
-            .collect(),
-    };
-    let (imported, out): (Result<Imported, ImportError>, Out) = match from {
-        Import::Httpd { files, out } => (fernslip_import::httpd(&Disk, &files, &options(&out)), out),
-        Import::Modjk { workers, mounts, httpd, out } => {
-            (fernslip_import::modjk(&Disk, &workers, &mounts, &httpd, &options(&out)), out)
+/// Prints the warnings and the summary of a document that parsed.
+fn report_checked(file: &Path, read: &Read) {
+    let name = file.display();
+    for warning in &read.warnings {
+        eprintln!("{name}:{}:{}: warning: {warning}", warning.line, warning.column);
+        warning.hint.iter().for_each(|hint| eprintln!("  hint: {hint}"));
+    }
+    let site = &read.site;
+    let rules: usize = site.routes.iter().map(|route| route.rules.len()).sum();
+    let (members, pools) = (site.members.len(), site.pools.len());
+    println!("{name}: fine: {members} members, {pools} pools, {rules} routes");
+    for member in site.members.iter().filter(|m| m.protocol.is_some_and(|p| !p.is_spoken())) {
+        let protocol = member.protocol.map_or("", fernslip_site::Word::word);
+        eprintln!("{name}: note: `{}` speaks {protocol}, which `run` can't serve from yet", member.id);
+    }
+}
+
+/// Converts another program's files, writes the document and the report, and prints what has no file of its own.
+fn import(source: ImportSource) -> ExitCode {
+    let (imported, out) = match source {
+        ImportSource::Httpd { files, out } => {
+            (fernslip_import::httpd(&Disk, &files, &import_options(&out)), out)
+        }
+        ImportSource::Modjk { workers, mounts, httpd, out } => {
+            (fernslip_import::modjk(&Disk, &workers, &mounts, &httpd, &import_options(&out)), out)
         }
     };
     let Imported { site, report } = match imported {
         Ok(imported) => imported,
-        Err(why) => return failed(why),
+        Err(why) => return fail(why),
     };
     let text = site.to_kdl();
-    // What is written can be read: a document that can't would be found by the office, and too late.
+    // Parsed back before it is written: a document that can't be read would otherwise be noticed only by the operators.
     if let Err(why) = Site::parse("the imported document", &text) {
-        return failed(format!("this is a mistake of the importer, please report it: {why}"));
+        return fail(format!("this is a mistake of the importer, please report it: {why}"));
     }
     let json = report.to_json();
     let files: Vec<(&Path, &str)> = [(&out.output, &text), (&out.report, &json)]
         .into_iter()
         .filter_map(|(path, text)| Some((path.as_deref()?, text.as_str())))
         .collect();
-    if let Err((file, why)) = write_all(&files) {
-        return failed(format!("{file}: {why}"));
+    if let Err(why) = write_all(&files) {
+        return fail(why);
     }
     if !out.quiet {
         eprint!("{}", report.to_table());
     }
-    if out.output.is_none() && say(&text) != ExitCode::SUCCESS {
+    if out.output.is_none() && print(&text) != ExitCode::SUCCESS {
         return ExitCode::FAILURE;
     }
     match out.strict && report.count(Verdict::LeftOut) > 0 {
-        true => ExitCode::from(LEFT_OUT),
+        true => ExitCode::from(EXIT_INCOMPLETE_IMPORT),
         false => ExitCode::SUCCESS,
     }
 }
+
+/// The importer's options as the command line gives them; a define without `=` has an empty value.
+fn import_options(out: &ImportOutput) -> Options {
+    Options {
+        name: out.name.clone(),
+        root: out.root.clone(),
+        defines: out
+            .defines
+            .iter()
+            .map(|d| d.split_once('=').map_or((d.clone(), String::new()), |(n, v)| (n.into(), v.into())))
+            .collect(),
+    }
+}
--- a/crates/cli/src/files.rs
+++ b/crates/cli/src/files.rs
@@ -1,60 +1,55 @@
-//! Files that are written whole or not at all.
+//! Atomic file writes: a file is replaced completely or not at all.
 
 use std::io::{self, Write};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use tempfile::NamedTempFile;
 
-/// Writes several files: each beside its place first, then all are renamed. An error before the first rename changes
-/// nothing; one of a later rename, such as a folder of that name, leaves the earlier files new and whole.
-pub fn write_all(files: &[(&Path, &str)]) -> Result<(), (String, io::Error)> {
-    let named = |path: &Path, e| (path.display().to_string(), e);
-    let mut ready = Vec::new();
+/// A file that could not be written.
+#[derive(Debug, thiserror::Error)]
+#[error("{}: {source}", .path.display())]
+pub struct WriteError {
+    path: PathBuf,
+    source: io::Error,
+}
+
+/// Writes several files: each to a temporary file in its own folder first, then all are renamed into position.
+///
+/// # Errors
+/// A folder can't be written to, or a path is a folder. An error before the first rename changes nothing; one of a later
+/// rename leaves the earlier files replaced and complete.
+pub fn write_all(files: &[(&Path, &str)]) -> Result<(), WriteError> {
+    let error = |path: &Path, source| WriteError { path: path.into(), source };
+    let mut written = Vec::new();
     for (path, text) in files {
         if path.is_dir() {
-            return Err(named(path, io::ErrorKind::IsADirectory.into()));
+            return Err(error(path, io::ErrorKind::IsADirectory.into()));
         }
         let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
-        let written = NamedTempFile::new_in(folder).and_then(|mut f| {
+        let temporary = NamedTempFile::new_in(folder).and_then(|mut f| {
             f.write_all(text.as_bytes())?;
             f.as_file().sync_all()?;
-            readable(f.as_file())?;
+            make_world_readable(f.as_file())?;
             Ok(f)
         });
-        ready.push((path, written.map_err(|e| named(path, e))?));
+        written.push((path, temporary.map_err(|e| error(path, e))?));
     }
-    for (path, file) in ready {
-        file.persist(path).map_err(|e| named(path, e.error))?;
+    for (path, file) in written {
+        file.persist(path).map_err(|e| error(path, e.error))?;
     }
     Ok(())
 }
 
-/// Temporary files are their owner's alone; a site document is a file as any other.
+/// Temporary files are created for their owner alone; a site document gets the usual permissions.
 #[cfg(unix)]
-fn readable(file: &std::fs::File) -> io::Result<()> {
+fn make_world_readable(file: &std::fs::File) -> io::Result<()> {
     use std::os::unix::fs::PermissionsExt;
     file.set_permissions(std::fs::Permissions::from_mode(0o644))
 }
 
 #[cfg(not(unix))]
-fn readable(_: &std::fs::File) -> io::Result<()> {
+fn make_world_readable(_: &std::fs::File) -> io::Result<()> {
     Ok(())
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn all_or_nothing() {
-        let folder = tempfile::tempdir().expect("a folder");
-        let (a, b) = (folder.path().join("a"), folder.path().join("no-folder/b"));
-        std::fs::write(&a, "old").expect("a file");
-        assert!(write_all(&[(&a, "new"), (&b, "new")]).is_err());
-        assert_eq!(std::fs::read_to_string(&a).expect("it"), "old");
-        assert_eq!(std::fs::read_dir(folder.path()).expect("it").count(), 1, "nothing is left behind");
-        assert!(write_all(&[(&a, "new"), (folder.path(), "x")]).is_err());
-        assert_eq!(std::fs::read_to_string(&a).expect("it"), "old");
-        write_all(&[(&a, "new")]).expect("written");
-        assert_eq!(std::fs::read_to_string(&a).expect("it"), "new");
-    }
-}
+mod tests;
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,7 +1,7 @@
-//! `fernslip fleet`: what a front's view holds, for operators.
+//! `fernslip fleet`: queries a front's view of the fleet over its control socket and renders it for operators.
 
-use crate::args::Fleet;
-use crate::commands::{failed, say};
+use crate::args::FleetCommand;
+use crate::output::{fail, print};
 use serde_json::Value;
 use std::fmt::Write as _;
 use std::io::{self, Read as _, Write as _};
@@ -10,24 +10,26 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// A front answers within this time.
-const ANSWER: Duration = Duration::from_secs(5);
-/// Between two looks of `watch`.
-const LOOK: Duration = Duration::from_millis(500);
-/// The view is not settled.
-const UNSETTLED: u8 = 4;
+/// Read timeout on the control socket.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Poll interval of `watch`.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Exit code when the view has not settled.
+const EXIT_UNSETTLED: u8 = 4;
 
-fn call(socket: &Path, call: &str) -> io::Result<String> {
+/// Sends one command to a front's control socket and reads the answer to its end.
+fn call(socket: &Path, command: &str) -> io::Result<String> {
     let mut front = UnixStream::connect(socket)?;
-    front.set_read_timeout(Some(ANSWER))?;
-    front.write_all(format!("{call}\n").as_bytes())?;
+    front.set_read_timeout(Some(ANSWER_TIMEOUT))?;
+    front.write_all(format!("{command}\n").as_bytes())?;
     let mut text = String::new();
     front.read_to_string(&mut text)?;
     Ok(text)
 }
 
-fn ask(socket: &Path, what: &str) -> Result<Value, String> {
-    let text = call(socket, what).map_err(|e| format!("{}: {e}", socket.display()))?;
+/// The JSON answer to a command; an answer that holds `error` is an error.
+fn query(socket: &Path, command: &str) -> Result<Value, String> {
+    let text = call(socket, command).map_err(|e| format!("{}: {e}", socket.display()))?;
     let v: Value = serde_json::from_str(&text).map_err(|e| format!("{}: {e}", socket.display()))?;
     match v["error"].as_str() {
         Some(why) => Err(format!("{}: {why}", socket.display())),
@@ -35,64 +37,66 @@
     }
 }
 
-/// Does what was asked.
-pub fn run(what: &Fleet) -> ExitCode {
-    match what {
-        Fleet::Members { socket, json } => match ask(socket, "members") {
+/// Runs one `fleet` sub-command.
+pub fn run(command: &FleetCommand) -> ExitCode {
+    match command {
+        FleetCommand::Members { socket, json } => match query(socket, "members") {
             Ok(v) => {
-                let said = say(&if *json { format!("{v}\n") } else { members(&v) });
+                let code = print(&if *json { format!("{v}\n") } else { render_members(&v) });
                 match v["settled"] == true {
-                    true => said,
-                    false => ExitCode::from(UNSETTLED),
+                    true => code,
+                    false => ExitCode::from(EXIT_UNSETTLED),
                 }
             }
-            Err(why) => failed(why),
+            Err(why) => fail(why),
         },
-        Fleet::Watch { socket, json } => watch(socket, *json),
-        Fleet::Explain { socket, name, json } => match ask(socket, &format!("explain {name}")) {
-            Ok(v) => say(&if *json { format!("{v}\n") } else { story(&v) }),
-            Err(why) => failed(why),
+        FleetCommand::Watch { socket, json } => watch(socket, *json),
+        FleetCommand::Explain { socket, name, json } => match query(socket, &format!("explain {name}")) {
+            Ok(v) => print(&if *json { format!("{v}\n") } else { render_explanation(&v) }),
+            Err(why) => fail(why),
         },
-        Fleet::Metrics { socket } => match call(socket, "metrics") {
-            Ok(text) => say(&text),
-            Err(why) => failed(format!("{}: {why}", socket.display())),
+        FleetCommand::Metrics { socket } => match call(socket, "metrics") {
+            Ok(text) => print(&text),
+            Err(why) => fail(format!("{}: {why}", socket.display())),
         },
     }
 }
 
-/// Shows the view whenever its digest, its settledness or who is suspected has changed.
+/// Prints the view whenever its digest, its settled flag or the state of a member has changed.
 fn watch(socket: &Path, json: bool) -> ExitCode {
     let mut last = None;
     loop {
-        let v = match ask(socket, "members") {
+        let v = match query(socket, "members") {
             Ok(v) => v,
-            Err(why) => return failed(why),
+            Err(why) => return fail(why),
         };
         let states: Vec<String> =
             v["members"].as_array().into_iter().flatten().map(|m| m["state"].to_string()).collect();
         let now = (v["digest"].clone(), v["settled"].clone(), states);
         if last.as_ref() != Some(&now) {
             last = Some(now);
-            let text = if json { format!("{v}\n") } else { members(&v) + "\n" };
-            // A reader that has gone ends the watch.
+            let text = if json { format!("{v}\n") } else { render_members(&v) + "\n" };
+            // A reader that has closed its end ends the watch.
             if io::stdout().lock().write_all(text.as_bytes()).is_err() {
                 return ExitCode::SUCCESS;
             }
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-fn word(v: &Value) -> String {
+/// A JSON string without its quotes; any other value as JSON.
+fn scalar(v: &Value) -> String {
     v.as_str().map_or_else(|| v.to_string(), str::to_string)
 }
 
+/// An array's elements, separated by commas.
 fn list(v: &Value) -> String {
-    v.as_array().into_iter().flatten().map(word).collect::<Vec<_>>().join(", ")
+    v.as_array().into_iter().flatten().map(scalar).collect::<Vec<_>>().join(", ")
 }
 
-/// Milliseconds as people read them.
-fn ago(v: &Value) -> String {
+/// A duration of so many milliseconds, in the unit that suits it.
+fn duration(v: &Value) -> String {
     match v.as_u64().unwrap_or(0) {
         ms if ms < 10_000 => format!("{:.1} s", ms as f64 / 1000.0),
         ms if ms < 600_000 => format!("{} s", ms / 1000),
@@ -101,7 +105,7 @@
     }
 }
 
-/// Columns, each as wide as its widest.
+/// Rows as aligned columns, each as wide as its widest cell.
 fn table(rows: &[Vec<String>]) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |c: usize| rows.iter().filter_map(|r| r.get(c)).map(|t| t.chars().count()).max().unwrap_or(0);
@@ -114,12 +118,13 @@
     out
 }
 
-fn members(v: &Value) -> String {
+/// A view as `fleet members` prints it: a summary line and a table of members.
+fn render_members(v: &Value) -> String {
     let mut out =
-        format!("front {}: view {}, {} fronts, ", word(&v["front"]), word(&v["digest"]), v["count"]);
+        format!("front {}: view {}, {} fronts, ", scalar(&v["front"]), scalar(&v["digest"]), v["count"]);
     match v["settled"] == true {
         true => {
-            let _ = writeln!(out, "settled for {}", ago(&v["settled_for_ms"]));
+            let _ = writeln!(out, "settled for {}", duration(&v["settled_for_ms"]));
         }
         false => {
             let missing = list(&v["missing"]);
@@ -138,28 +143,29 @@
     let mut rows = vec![head.map(String::from).to_vec()];
     for m in v["members"].as_array().into_iter().flatten() {
         rows.push(vec![
-            word(&m["name"]),
-            word(&m["state"]),
-            ago(&m["for_ms"]),
-            word(&m["address"]),
-            word(&m["location"]),
-            word(&m["program"]),
-            word(&m["configuration"]),
+            scalar(&m["name"]),
+            scalar(&m["state"]),
+            duration(&m["for_ms"]),
+            scalar(&m["address"]),
+            scalar(&m["location"]),
+            scalar(&m["program"]),
+            scalar(&m["configuration"]),
             list(&m["suspected_by"]),
         ]);
     }
     out + &table(&rows)
 }
 
-fn story(v: &Value) -> String {
+/// The explanation of one member's state: a summary line and the recorded state changes.
+fn render_explanation(v: &Value) -> String {
     let m = &v["member"];
     let mut out = format!(
         "{} is {} for {}: {} in `{}`, generation {}, incarnation {}\n",
-        word(&m["name"]),
-        word(&m["state"]),
-        ago(&m["for_ms"]),
-        word(&m["address"]),
-        word(&m["location"]),
+        scalar(&m["name"]),
+        scalar(&m["state"]),
+        duration(&m["for_ms"]),
+        scalar(&m["address"]),
+        scalar(&m["location"]),
         m["generation"],
         m["incarnation"]
     );
@@ -169,34 +175,15 @@
             None | Some("") => "this front".into(),
             Some(by) => by.to_string(),
         };
-        rows.push(vec![format!("{} ago", ago(&t["ago_ms"])), word(&t["what"]), format!("told by {by}")]);
+        rows.push(vec![
+            format!("{} ago", duration(&t["ago_ms"])),
+            scalar(&t["what"]),
+            format!("told by {by}"),
+        ]);
     }
     out += &table(&rows);
     out
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use serde_json::json;
-
-    #[test]
-    fn views_are_shown_as_tables() {
-        let v = json!({
-            "front": "n1", "digest": "00ff", "count": 2, "settled": false, "missing": ["n2"], "other_process": null,
-            "members": [
-                {"name": "n1", "state": "ready", "for_ms": 1500, "address": "127.0.0.1:1", "location": "north",
-                 "program": "0.1.0", "configuration": "01", "suspected_by": []},
-                {"name": "n2", "state": "suspected", "for_ms": 700_000, "address": "127.0.0.1:2", "location": "s",
-                 "program": "0.1.0", "configuration": "01", "suspected_by": ["n1", "n3"]},
-            ],
-        });
-        assert_eq!(
-            members(&v),
-            "front n1: view 00ff, 2 fronts, not settled; not heard to hold it: n2\n\
-             NAME  STATE      FOR     ADDRESS      LOCATION  PROGRAM  CONFIG  SUSPECTED BY\n\
-             n1    ready      1.5 s   127.0.0.1:1  north     0.1.0    01\n\
-             n2    suspected  11 min  127.0.0.1:2  s         0.1.0    01      n1, n3\n"
-        );
-    }
-}
+mod tests;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,9 +1,10 @@
-//! fernslip's one program. Without arguments it runs a front that is told all by its environment.
+//! The `fernslip` program. Without arguments it serves as a front that is configured by its environment alone.
 
 mod args;
 mod commands;
 mod files;
 mod fleet;
+mod output;
 
 use clap::Parser;
 use std::process::ExitCode;
