--- a/crates/front/src/boxes/lanes.rs
+++ b/crates/front/src/boxes/lanes.rs
@@ -199,7 +199,7 @@
         let seat = Arc::new(Seat { blocker: Blocker::current(), admitted: Mutex::default() });
         lock(held).seats.insert(number, seat.clone());
         *lock(&caller.waits) = Some(seat.blocker.clone());
-        self.feed(clock, Event::Arrived { request: number, wait_until });
+        self.feed(clock, Event::Arrived { request: number, wait_until_ms: wait_until });
         loop {
             // Its place in the queue is free with that: others would wait behind a request that nobody wants.
             if caller.has_left() {
@@ -233,8 +233,8 @@
 }
 
 fn mean(spec: &Spec) -> f64 {
-    let n = spec.parts.len().max(1) as f64;
-    spec.parts.iter().map(|p| p.weight).sum::<f64>() / n
+    let n = spec.members.len().max(1) as f64;
+    spec.members.iter().map(|p| p.weight).sum::<f64>() / n
 }
 
 /// What is known of the machines that pools name, beside what pools know.
--- a/crates/front/src/control/plan/tests.rs
+++ b/crates/front/src/control/plan/tests.rs
@@ -33,7 +33,7 @@
     let Ok(c) = config(&s) else { panic!("a front") };
     let plan = Plan::of(&s, &c.names, &c.settings).expect("a plan");
     assert_eq!(plan.pools.len(), 1);
-    let parts = &plan.pools[0].parts;
+    let parts = &plan.pools[0].members;
     assert_eq!((parts.len(), &*parts[0].id, parts[0].weight, parts[0].state), (1, "a", 3.0, State::Draining));
     assert!(plan.members["p"].is_source && plan.routes.is_empty());
 }
--- a/crates/pool/benches/request.rs
+++ b/crates/pool/benches/request.rs
@@ -27,14 +27,14 @@
     for members in [10, 100, 1000] {
         let site = site(members, "limits in-flight=1000");
         let mut pool = Pool::new(Spec::all(&site).remove(0), 1);
-        let ids: Vec<Arc<str>> = pool.spec().parts.iter().map(|p| p.id.clone()).collect();
+        let ids: Vec<Arc<str>> = pool.spec().members.iter().map(|p| p.id.clone()).collect();
         let mut actions: Vec<Action> = Vec::new();
         let mut n = 0;
         c.bench_function(&format!("request/{members}"), |b| {
             b.iter(|| {
                 n += 1;
                 let (now, id) = (n as f64, ids[n as usize % ids.len()].clone());
-                pool.handle(now, Event::Arrived { request: n, wait_until: now + 100.0 }, &mut actions);
+                pool.handle(now, Event::Arrived { request: n, wait_until_ms: now + 100.0 }, &mut actions);
                 pool.handle(now, Event::AttemptSent { request: n, id: id.clone() }, &mut actions);
                 pool.handle(
                     now,
@@ -53,7 +53,7 @@
             b.iter(|| {
                 n += 1;
                 let (now, id) = (n as f64 * 1e6, ids[0].clone());
-                for end in [
+                for outcome in [
                     AttemptOutcome::Failure,
                     AttemptOutcome::Failure,
                     AttemptOutcome::Failure,
@@ -62,7 +62,7 @@
                     pool.handle(now, Event::AttemptSent { request: n, id: id.clone() }, &mut actions);
                     pool.handle(
                         now,
-                        Event::AttemptEnded { request: n, id: id.clone(), outcome: end },
+                        Event::AttemptEnded { request: n, id: id.clone(), outcome },
                         &mut actions,
                     );
                     pool.handle(now + 9e5, Event::Tick, &mut actions);
--- a/crates/pool/src/health.rs
+++ b/crates/pool/src/health.rs
@@ -1,4 +1,4 @@
-//! What traffic shows of one member: in use, failed, or in recovery by single trials.
+//! A member's health as its traffic shows it: healthy, ejected, or half-open while single requests probe it.
 
 use crate::spec::Spec;
 
@@ -15,7 +15,16 @@
     Inconclusive,
 }
 
-/// In use, failed, or on trial.
+/// How an ejected member came back.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Recovery {
+    /// Its process ran all the while.
+    SameProcess,
+    /// Its connections were refused before: the process that answers now has just started.
+    JustStarted,
+}
+
+/// A member's health. All times are milliseconds on the pool's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Health {
     /// In use.
@@ -23,21 +32,21 @@
         /// Consecutive failures.
         failures: u64,
     },
-    /// Ejected: not used until a half-open probe is due.
+    /// Not used until a half-open probe is due.
     Ejected {
-        /// When the half-open probe is due, in milliseconds.
-        until: f64,
-        /// This backoff, in milliseconds.
-        wait: f64,
-        /// The connection was refused: what comes back has just started.
+        /// When the half-open probe is due.
+        until_ms: f64,
+        /// The backoff that led to it, without jitter.
+        backoff_ms: f64,
+        /// A connection was refused: what comes back has just started.
         refused: bool,
     },
     /// Half-open: one request at a time may probe it.
     HalfOpen {
-        /// That request is out.
-        out: Option<u64>,
-        /// How long it waited.
-        wait: f64,
+        /// The request that probes it now.
+        probe: Option<u64>,
+        /// The last backoff, without jitter.
+        backoff_ms: f64,
         /// As in `Ejected`.
         refused: bool,
     },
@@ -46,74 +55,82 @@
 impl Health {
     pub const HEALTHY: Health = Health::Healthy { failures: 0 };
 
-    /// Nothing is held against it.
     pub fn is_healthy(self) -> bool {
         matches!(self, Health::Healthy { .. })
     }
 
-    /// A request may go there, be it as a trial.
-    pub fn may_be_sent(self) -> bool {
-        matches!(self, Health::Healthy { .. } | Health::HalfOpen { out: None, .. })
+    /// Whether a request may be sent to it, be it as a half-open probe.
+    pub fn accepts_requests(self) -> bool {
+        matches!(self, Health::Healthy { .. } | Health::HalfOpen { probe: None, .. })
     }
 
     /// When a half-open probe is due, in milliseconds.
     pub fn probe_due_ms(self) -> Option<f64> {
         match self {
-            Health::Ejected { until, .. } => Some(until),
+            Health::Ejected { until_ms, .. } => Some(until_ms),
             _ => None,
         }
     }
 
-    /// Time goes by.
-    pub fn tick(&mut self, now: f64) {
-        if let Health::Ejected { until, wait, refused } = *self {
-            if now >= until {
-                *self = Health::HalfOpen { out: None, wait, refused };
+    /// An ejected member whose backoff is over becomes half-open.
+    pub fn tick(&mut self, now_ms: f64) {
+        if let Health::Ejected { until_ms, backoff_ms, refused } = *self {
+            if now_ms >= until_ms {
+                *self = Health::HalfOpen { probe: None, backoff_ms, refused };
             }
         }
     }
 
-    /// A request goes there.
-    pub fn sent(&mut self, request: u64) {
-        if let Health::HalfOpen { out: out @ None, .. } = self {
-            *out = Some(request);
+    /// An attempt of a request was sent to it; to a half-open member that is the probe.
+    pub fn on_sent(&mut self, request: u64) {
+        if let Health::HalfOpen { probe: probe @ None, .. } = self {
+            *probe = Some(request);
         }
     }
 
-    /// A request's attempt there ended; whether the member has come back, and has just started.
+    /// A request's attempt at it ended. `Some` if the member has recovered with it.
     ///
-    /// `spread` from 1 up stretches waits, so that the fronts' trials of one member don't fall together.
-    pub fn ended(
+    /// `jitter`, a factor of at least 1, stretches the backoff, so that the fronts' probes of one member don't
+    /// coincide.
+    pub fn on_ended(
         &mut self,
-        now: f64,
+        now_ms: f64,
         request: u64,
-        end: AttemptOutcome,
+        outcome: AttemptOutcome,
         spec: &Spec,
-        spread: f64,
-    ) -> Option<bool> {
-        let failed = |wait: f64, refused| Health::Ejected { until: now + wait * spread, wait, refused };
-        match (*self, end) {
+        jitter: f64,
+    ) -> Option<Recovery> {
+        let ejected = |backoff_ms: f64, refused| Health::Ejected {
+            until_ms: now_ms + backoff_ms * jitter,
+            backoff_ms,
+            refused,
+        };
+        match (*self, outcome) {
             (Health::Healthy { .. }, AttemptOutcome::Success) => *self = Health::HEALTHY,
             (Health::Healthy { failures }, AttemptOutcome::Failure | AttemptOutcome::ConnectionRefused) => {
                 let failures = failures + 1;
-                *self = match failures >= spec.failures {
-                    true => failed(spec.first_backoff_ms, end == AttemptOutcome::ConnectionRefused),
+                *self = match failures >= spec.eject_after_failures {
+                    true => ejected(spec.first_backoff_ms, outcome == AttemptOutcome::ConnectionRefused),
                     false => Health::Healthy { failures },
                 };
             }
-            // Only the trial itself tells: what was sent before may end late, good or bad.
-            (Health::HalfOpen { out: Some(trial), wait, refused }, _) if trial == request => match end {
-                AttemptOutcome::Success => {
-                    *self = Health::HEALTHY;
-                    return Some(refused);
+            // Only the probe itself counts: what was sent before may end late, well or badly.
+            (Health::HalfOpen { probe: Some(probe), backoff_ms, refused }, _) if probe == request => {
+                match outcome {
+                    AttemptOutcome::Success => {
+                        *self = Health::HEALTHY;
+                        return Some(if refused { Recovery::JustStarted } else { Recovery::SameProcess });
+                    }
+                    AttemptOutcome::Inconclusive => {
+                        *self = Health::HalfOpen { probe: None, backoff_ms, refused };
+                    }
+                    AttemptOutcome::Failure | AttemptOutcome::ConnectionRefused => {
+                        let next = (backoff_ms * 2.0)
+                            .clamp(spec.first_backoff_ms, spec.max_backoff_ms.max(spec.first_backoff_ms));
+                        *self = ejected(next, refused || outcome == AttemptOutcome::ConnectionRefused);
+                    }
                 }
-                AttemptOutcome::Inconclusive => *self = Health::HalfOpen { out: None, wait, refused },
-                AttemptOutcome::Failure | AttemptOutcome::ConnectionRefused => {
-                    let next = (wait * 2.0)
-                        .clamp(spec.first_backoff_ms, spec.max_backoff_ms.max(spec.first_backoff_ms));
-                    *self = failed(next, refused || end == AttemptOutcome::ConnectionRefused);
-                }
-            },
+            }
             _ => {}
         }
         None
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -13,7 +13,7 @@
 //! - Each attempt of an admitted request is one [`Event::AttemptSent`] and one [`Event::AttemptEnded`]. The caller
 //!   sends only to endpoints whose last [`Endpoint::phase`] is [`Phase::Serving`], and reports each send before it
 //!   takes the next step: then limits hold exactly, and an ejected endpoint gets one half-open probe at a time.
-//! - Before a retry [`Event::RetryRequested`] asks; [`Action::Retry`] or [`Action::RetryDenied`] answers.
+//! - Before a retry [`Event::RetryRequested`] is handled; [`Action::Retry`] or [`Action::RetryDenied`] answers.
 //! - An endpoint whose administrative state is draining or stopped is never published as [`Phase::Serving`], from the
 //!   very event on that brings the state: not by recovery, not as a stand-in, not by a half-open probe.
 //! - [`Pool::wake_at`] tells when the next [`Event::Tick`] is due; one that comes early does no harm.
@@ -31,13 +31,13 @@
 //! let mut pool = Pool::new(Spec::of(&site, &site.pools[0]), 7);
 //! let mut actions = Vec::new();
 //! pool.handle(0.0, Event::Tick, &mut actions);
-//! let Action::Endpoints(machines) = &actions[0] else { panic!() };
-//! assert_eq!(machines.iter().map(|m| m.phase).collect::<Vec<_>>(), [Phase::Serving, Phase::Draining]);
+//! let Action::Endpoints(endpoints) = &actions[0] else { panic!() };
+//! assert_eq!(endpoints.iter().map(|e| e.phase).collect::<Vec<_>>(), [Phase::Serving, Phase::Draining]);
 //!
 //! actions.clear();
-//! pool.handle(1.0, Event::Arrived { request: 1, wait_until: 1000.0 }, &mut actions);
-//! pool.handle(1.0, Event::Arrived { request: 2, wait_until: 1000.0 }, &mut actions);
-//! assert_eq!(actions, [Action::Admit { request: 1 }]); // the second waits for a place
+//! pool.handle(1.0, Event::Arrived { request: 1, wait_until_ms: 1000.0 }, &mut actions);
+//! pool.handle(1.0, Event::Arrived { request: 2, wait_until_ms: 1000.0 }, &mut actions);
+//! assert_eq!(actions, [Action::Admit { request: 1 }]); // the second waits for capacity
 //! actions.clear();
 //! pool.handle(20.0, Event::Finished { request: 1 }, &mut actions);
 //! assert_eq!(actions, [Action::Admit { request: 2 }]);
@@ -54,6 +54,6 @@
 
 pub use health::AttemptOutcome;
 pub use message::{Action, Counts, Endpoint, Event, Notified, Phase, RejectReason};
-pub use pool::Pool;
+pub use pool::{Occupancy, Pool};
 pub use route::{Routed, Routes};
 pub use spec::{MemberSpec, Spec};
--- a/crates/pool/src/message.rs
+++ b/crates/pool/src/message.rs
@@ -10,7 +10,7 @@
 pub enum Phase {
     /// May be picked.
     Serving,
-    /// Takes nothing new, be it by the operators' word, by what traffic shows, or because it is at capacity.
+    /// Takes nothing new, be it by its administrative state, by what traffic shows, or because it is at capacity.
     Draining,
     /// Out of service.
     OutOfService,
@@ -49,28 +49,28 @@
     QueueTimeout,
 }
 
-/// What happens.
+/// What happens to a pool.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The pool's specification changed.
     Reconfigured(Spec),
-    /// The list of machines says so of a member; it started then (0: long ago).
+    /// The endpoint list reports a member.
     Notified {
         /// The member.
         id: Arc<str>,
         /// What the endpoint list says of it.
         state: Notified,
-        /// When it last started, in milliseconds on the caller's clock.
+        /// When it last started, in milliseconds on the caller's clock; 0: long ago.
         started_ms: f64,
     },
-    /// A request comes; it may not wait beyond that time, whatever the pool allows.
+    /// A request arrives.
     Arrived {
         /// Its number, unique among those in the pool.
         request: u64,
-        /// The latest time it may wait until, in milliseconds on the caller's clock.
-        wait_until: f64,
+        /// The latest time it may wait until, whatever the pool allows; in milliseconds on the caller's clock.
+        wait_until_ms: f64,
     },
-    /// A request is over, or its client left.
+    /// A request is over, or its client disconnected.
     Finished {
         /// Its number.
         request: u64,
@@ -100,10 +100,10 @@
     Tick,
 }
 
-/// What is to be done.
+/// What the caller is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// These members have changed for the decision module.
+    /// These endpoints have changed for the decision module.
     Endpoints(Vec<Endpoint>),
     /// The request goes to the decision module.
     Admit {
@@ -132,7 +132,7 @@
 /// What a pool has done, for the operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests let through.
+    /// Requests admitted.
     pub admitted: u64,
     /// Requests that waited first.
     pub waited: u64,
@@ -146,6 +146,6 @@
     pub retries_denied: u64,
     /// Members ejected after consecutive failures.
     pub ejections: u64,
-    /// Members that came back.
+    /// Ejected members that recovered.
     pub recoveries: u64,
 }
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -1,75 +1,87 @@
-//! Requests that wait for a place: first come, first served, each until its own time, all of them bounded.
+//! The bounded wait for capacity: requests in the order of their arrival, each with a deadline of its own.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeSet, HashMap};
 
+/// When a queued request times out; ordered by time, then by request number.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Until(f64, u64);
+struct Deadline {
+    at_ms: f64,
+    request: u64,
+}
 
-impl Eq for Until {}
-impl PartialOrd for Until {
+impl Eq for Deadline {}
+impl PartialOrd for Deadline {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Until {
+impl Ord for Deadline {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.0.total_cmp(&other.0).then(self.1.cmp(&other.1))
+        self.at_ms.total_cmp(&other.at_ms).then(self.request.cmp(&other.request))
     }
 }
 
-/// The queue. Each step costs the logarithm of its length.
+/// A queued request's keys in the two orders of the [`Queue`].
+#[derive(Clone, Copy, Debug)]
+struct Queued {
+    sequence: u64,
+    deadline_ms: f64,
+}
+
+/// First in, first out, with a deadline for each request. Each operation costs the logarithm of the length.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
-    next: u64,
-    by_turn: BTreeSet<(u64, u64)>,
-    by_time: BTreeSet<Until>,
-    held: HashMap<u64, (u64, f64)>,
+    next_sequence: u64,
+    /// (arrival sequence, request).
+    by_arrival: BTreeSet<(u64, u64)>,
+    by_deadline: BTreeSet<Deadline>,
+    queued: HashMap<u64, Queued>,
 }
 
 impl Queue {
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.queued.len()
     }
 
-    pub fn push(&mut self, request: u64, until: f64) {
-        let turn = self.next;
-        self.next += 1;
-        self.by_turn.insert((turn, request));
-        self.by_time.insert(Until(until, request));
-        self.held.insert(request, (turn, until));
+    pub fn push(&mut self, request: u64, deadline_ms: f64) {
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        self.by_arrival.insert((sequence, request));
+        self.by_deadline.insert(Deadline { at_ms: deadline_ms, request });
+        self.queued.insert(request, Queued { sequence, deadline_ms });
     }
 
     pub fn contains(&self, request: u64) -> bool {
-        self.held.contains_key(&request)
+        self.queued.contains_key(&request)
     }
 
-    /// Takes a request out; whether it waited.
+    /// Takes a request out; returns whether it was queued.
     pub fn remove(&mut self, request: u64) -> bool {
-        let Some((turn, until)) = self.held.remove(&request) else { return false };
-        self.by_turn.remove(&(turn, request));
-        self.by_time.remove(&Until(until, request));
+        let Some(Queued { sequence, deadline_ms }) = self.queued.remove(&request) else { return false };
+        self.by_arrival.remove(&(sequence, request));
+        self.by_deadline.remove(&Deadline { at_ms: deadline_ms, request });
         true
     }
 
-    /// The one that came first.
+    /// Takes out the request that arrived first.
     pub fn pop(&mut self) -> Option<u64> {
-        let (_, request) = *self.by_turn.first()?;
+        let (_, request) = *self.by_arrival.first()?;
         self.remove(request);
         Some(request)
     }
 
-    /// One whose time is over.
-    pub fn expired(&mut self, now: f64) -> Option<u64> {
-        let Until(until, request) = *self.by_time.first()?;
-        (now >= until).then(|| {
+    /// Takes out one request whose deadline has passed at `now_ms`.
+    pub fn pop_expired(&mut self, now_ms: f64) -> Option<u64> {
+        let Deadline { at_ms, request } = *self.by_deadline.first()?;
+        (now_ms >= at_ms).then(|| {
             self.remove(request);
             request
         })
     }
 
-    /// When the next one's time is over.
-    pub fn due(&self) -> Option<f64> {
-        self.by_time.first().map(|u| u.0)
+    /// The earliest deadline, in milliseconds.
+    pub fn next_deadline_ms(&self) -> Option<f64> {
+        self.by_deadline.first().map(|d| d.at_ms)
     }
 }
--- a/crates/pool/src/select/tests.rs
+++ b/crates/pool/src/select/tests.rs
@@ -2,19 +2,18 @@
 
 use super::*;
 
-/// `a0` is ready in tier 0; `S` spare, `H` standby, `D` draining, `X` stopped; `!` failed, `?` due for a trial;
-/// `@g` a group, `>n` a stand-in by its place.
-fn chosen(words: &str) -> String {
-    let words: Vec<&str> = words.split(' ').collect();
+/// The selection among members written one a token: `a0` is ready in tier 0; `S` spare, `H` standby, `D` draining,
+/// `X` stopped; `!` ejected, `?` due for a probe; `@g` a group, `>n` a stand-in by its index.
+fn selected(tokens: &str) -> String {
     let id = |n: usize| -> Arc<str> { format!("m{n}").into() };
-    let mut parts = Vec::new();
-    let mut shown = Vec::new();
-    for (n, w) in words.iter().enumerate() {
-        let tier = w.chars().find(char::is_ascii_digit).and_then(|c| c.to_digit(10)).unwrap_or(0);
-        parts.push(MemberSpec {
+    let mut members = Vec::new();
+    let mut status = Vec::new();
+    for (n, token) in tokens.split(' ').enumerate() {
+        let tier = token.chars().find(char::is_ascii_digit).and_then(|c| c.to_digit(10)).unwrap_or(0);
+        members.push(MemberSpec {
             id: id(n),
             weight: 1.0,
-            state: match w.chars().next() {
+            state: match token.chars().next() {
                 Some('S') => State::Spare,
                 Some('H') => State::Standby,
                 Some('D') => State::Draining,
@@ -22,14 +21,14 @@
                 _ => State::Ready,
             },
             tier: tier.into(),
-            group: w.split_once('@').map(|g| g.1[..1].into()),
-            instead: w.split_once('>').and_then(|g| g.1[..1].parse().ok()).map(id),
+            group: token.split_once('@').map(|g| g.1[..1].into()),
+            instead: token.split_once('>').and_then(|g| g.1[..1].parse().ok()).map(id),
             in_flight: None,
         });
-        let (up, trial) = (!w.contains(['!', '?']), w.contains('?'));
-        shown.push(MemberStatus { listed: true, up, trial });
+        let (healthy, probe_due) = (!token.contains(['!', '?']), token.contains('?'));
+        status.push(MemberStatus { listed: true, healthy, probe_due });
     }
-    select_endpoints(&parts, &shown).into_iter().map(|c| if c { '1' } else { '0' }).collect()
+    select_endpoints(&members, &status).into_iter().map(|s| if s { '1' } else { '0' }).collect()
 }
 
 #[test]
@@ -50,17 +49,17 @@
         // Groups stand in for each other across tiers.
         ("a0@x! a1@y a1@x", "001"),
         ("a0@z! a1@y a1@x", "011"),
-        // Stand-ins, also from other tiers, also for a member taken out by hand; never one that drains itself.
+        // Stand-ins, also from other tiers, also for a manually excluded member; never one that is draining itself.
         ("a0>2! a0 H1", "011"),
         ("a0>2 a0 H1", "110"),
         ("D0>2 a0 H1", "011"),
         ("a0>2! a0 D1", "010"),
-        // Trials join; a failed tier is not taken back before its trial succeeds.
+        // Probes join; a failed tier does not serve again before its probe succeeds.
         ("a0? a1", "11"),
         ("a0? a0 a1?", "110"),
         ("D0? X0? a0", "001"),
         ("a0!", "0"),
     ] {
-        assert_eq!(chosen(members), expected, "{members}");
+        assert_eq!(selected(members), expected, "{members}");
     }
 }
--- a/crates/pool/src/spec.rs
+++ b/crates/pool/src/spec.rs
@@ -29,21 +29,21 @@
     /// Its name.
     pub name: String,
     /// Its members, in their order; each id once.
-    pub parts: Vec<MemberSpec>,
+    pub members: Vec<MemberSpec>,
     /// Its in-flight request limit; a connection limit counts too.
     pub in_flight: Option<u64>,
-    /// How long a request may wait in the queue for capacity, in milliseconds.
-    pub wait_ms: f64,
-    /// How many requests may wait in the queue.
-    pub waiting: usize,
-    /// Attempts at a request, the first included.
-    pub attempts: u64,
+    /// How long a request may wait in the queue for capacity, in milliseconds (KDL key `wait-ms`).
+    pub max_queue_wait_ms: f64,
+    /// How many requests may wait in the queue (KDL key `waiting`).
+    pub max_queued: usize,
+    /// The most attempts at a request, the first included (KDL key `attempts`).
+    pub max_attempts: u64,
     /// Retries that each arriving request adds to the pool's retry budget.
     pub retry_budget: f64,
     /// The most retries that the budget can save up.
     pub retry_burst: f64,
-    /// Consecutive failures after which a member is ejected (at least 1).
-    pub failures: u64,
+    /// Consecutive failures after which a member is ejected, at least 1 (KDL key `failures`).
+    pub eject_after_failures: u64,
     /// The backoff from ejection to the first half-open probe, in milliseconds (KDL key `first-ms`).
     pub first_backoff_ms: f64,
     /// The longest backoff before a half-open probe, in milliseconds (KDL key `most-ms`).
@@ -67,7 +67,7 @@
             .iter()
             .map(|p| Spec {
                 name: p.name.clone(),
-                parts: p
+                members: p
                     .members
                     .iter()
                     .filter_map(|u| {
@@ -85,12 +85,12 @@
                     .collect(),
                 // A connection carries one request at least.
                 in_flight: [p.limits.in_flight, p.limits.connections].into_iter().flatten().min(),
-                wait_ms: p.limits.wait_ms.unwrap_or(0) as f64,
-                waiting: p.limits.waiting.unwrap_or(0) as usize,
-                attempts: p.retry.attempts.unwrap_or(1),
+                max_queue_wait_ms: p.limits.wait_ms.unwrap_or(0) as f64,
+                max_queued: p.limits.waiting.unwrap_or(0) as usize,
+                max_attempts: p.retry.attempts.unwrap_or(1),
                 retry_budget: p.retry.budget.unwrap_or(0.0),
                 retry_burst: p.retry.burst.unwrap_or(0) as f64,
-                failures: p.recovery.failures.unwrap_or(1).max(1),
+                eject_after_failures: p.recovery.failures.unwrap_or(1).max(1),
                 first_backoff_ms: p.recovery.first_ms.unwrap_or(0) as f64,
                 max_backoff_ms: p.recovery.most_ms.unwrap_or(0) as f64,
             })
--- a/crates/pool/tests/routes.rs
+++ b/crates/pool/tests/routes.rs
@@ -19,19 +19,19 @@
     let p = rule.pattern.as_str();
     match rule.matching {
         Some(Match::Exact) => path == p,
-        Some(Match::Wildcard) => wild(p, path),
+        Some(Match::Wildcard) => wildcard_matches(p, path),
         _ => path == p || path.starts_with(&format!("{}/", p.trim_end_matches('/'))),
     }
 }
 
-fn wild(p: &str, t: &str) -> bool {
+fn wildcard_matches(p: &str, t: &str) -> bool {
     let Some(c) = p.chars().next() else { return t.is_empty() };
-    let rest = &p[c.len_utf8()..];
+    let tail_pattern = &p[c.len_utf8()..];
     let tails = || t.char_indices().map(|(i, _)| &t[i..]).chain([""]);
     match (c, t.chars().next()) {
-        ('*', _) => tails().any(|tail| wild(rest, tail)),
+        ('*', _) => tails().any(|tail| wildcard_matches(tail_pattern, tail)),
         (_, None) => false,
-        (c, Some(d)) => (c == '?' || c == d) && wild(rest, &t[d.len_utf8()..]),
+        (c, Some(d)) => (c == '?' || c == d) && wildcard_matches(tail_pattern, &t[d.len_utf8()..]),
     }
 }
 
@@ -40,8 +40,8 @@
 }
 
 /// The definition: of the rules that match, the first or the longest with the exact one before a wildcard; unless
-/// a rule keeps everything back, or what goes to that pool.
-fn defined(set: &RouteSet, path: &str) -> Routed {
+/// a rule excludes everything, or what goes to that pool.
+fn routed_by_definition(set: &RouteSet, path: &str) -> Routed {
     let mut found: Vec<&Route> = set.rules.iter().filter(|r| matches(r, path)).collect();
     let without: Vec<usize> = found
         .iter()
@@ -88,7 +88,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(2000) })]
 
     #[test]
-    fn routes_are_as_defined(
+    fn routes_follow_their_definition(
         rules in proptest::collection::vec(rule(), 0..8),
         longest in any::<bool>(),
         parts in proptest::collection::vec(prop_oneof![Just("a"), Just("b"), Just("ab"), Just("c")], 0..4),
@@ -98,25 +98,25 @@
         let set = RouteSet { hosts: Vec::new(), order, inherit: None, rules };
         let path = format!("/{}{}", parts.join("/"), if end && !parts.is_empty() { "/" } else { "" });
         let routes = Routes::of(&site(vec![set.clone()]));
-        prop_assert_eq!(routes.route("any", &path), defined(&set, &path), "{}", path);
+        prop_assert_eq!(routes.route("any", &path), routed_by_definition(&set, &path), "{}", path);
     }
 }
 
-fn read(text: &str) -> Routes {
+fn routes_of(text: &str) -> Routes {
     let pools = "pool \"p0\"\npool \"p1\"\npool \"p2\"\n";
     Routes::of(&Site::parse("site.kdl", &format!("{pools}{text}")).expect("a site").site)
 }
 
 #[test]
-fn the_same_rules_differ_by_their_order() {
+fn the_same_rules_route_differently_in_first_and_longest_order() {
     let rules = r#"
         route "/docs" pool="p0"
         route "/docs/old" pool="p1"
         route "/docs/old/x" match="exact" pool="p2"
         route "/docs/img/*" match="wildcard" pool="p0" exclude=#true
     }"#;
-    let first = read(&format!("routes order=\"first\" {{ {rules}"));
-    let longest = read(&format!("routes order=\"longest\" {{ {rules}"));
+    let first = routes_of(&format!("routes order=\"first\" {{ {rules}"));
+    let longest = routes_of(&format!("routes order=\"longest\" {{ {rules}"));
     for (path, by_first, by_longest) in [
         ("/docs", Routed::Pool(0), Routed::Pool(0)),
         ("/docsx", Routed::Unrouted, Routed::Unrouted),
@@ -133,8 +133,8 @@
 }
 
 #[test]
-fn hosts_have_their_own_rules() {
-    let r = read(
+fn hosts_and_wildcard_hosts_have_rule_sets_of_their_own() {
+    let r = routes_of(
         r#"
         routes { route "/" pool="p0"; route "/open" pool="p0"; }
         routes inherit=#true { host "a.example" "*.b.example"; route "/x" pool="p1"; }
@@ -156,10 +156,10 @@
     }
 }
 
-/// Guards against patterns whose stars would be tried in every way.
+/// Guards against patterns whose stars would be tried in every combination.
 #[test]
-fn many_stars_cost_little() {
+fn a_pattern_of_many_stars_costs_little() {
     let text = format!("routes {{ route \"/{}b\" match=\"wildcard\" pool=\"p0\"; }}", "a*".repeat(40));
-    let r = read(&text);
+    let r = routes_of(&text);
     assert_eq!(r.route("", &format!("/{}", "a".repeat(5000))), Routed::Unrouted);
 }
