--- a/crates/front/src/clients/forward.rs
+++ b/crates/front/src/clients/forward.rs
@@ -1,12 +1,12 @@
 //! A request's life: picked, tried as often as the module says, answered.
 
 use crate::call::Ask;
-use crate::guard::SendGuard;
+use crate::connection_pool::Reply;
+use crate::dispatch_queue::{Caller, DispatchQueue};
 use crate::invariants::Invariant;
-use crate::lanes::{Caller, Lane};
+use crate::pending_attempt::AttemptTimes;
 use crate::reason_counts::Kind;
-use crate::sending::Times;
-use crate::upstream::Reply;
+use crate::send_guard::SendGuard;
 use crate::Shared;
 use fernslip::facade::{Decision, Ended};
 use fernslip::{Effect, Ending, Request};
@@ -48,22 +48,22 @@
 /// Sees a request through to its final answer, or to the moment in which its caller leaves.
 pub fn serve(
     front: &Shared,
-    lane: &Arc<Lane>,
+    queue: &Arc<DispatchQueue>,
     request: Request,
     ask: &Arc<Ask>,
     caller: &Arc<Caller>,
 ) -> Answer {
-    let Shared { clock, upstream, lanes, .. } = front;
-    let dispatcher = &lane.dispatcher;
-    let turned_away = Answer::Refused(lanes.pause_ms());
+    let Shared { clock, upstream, queues, .. } = front;
+    let dispatcher = &queue.dispatcher;
+    let turned_away = Answer::Refused(queues.retry_after_ms());
     let client_until = Instant::now() + Duration::from_secs_f64(request.budget_ms / 1000.0);
-    let Some(_id) = lanes.take(request.id) else { return turned_away };
+    let Some(_id) = queues.reserve(request.id) else { return turned_away };
     // Waiting takes a part of the client's patience only: what is let in late must still be served in time.
-    let Some(place) = lane.enter(clock, clock.now() + request.budget_ms * WAIT_PART, caller) else {
+    let Some(permit) = queue.acquire(clock, clock.now() + request.budget_ms * WAIT_PART, caller) else {
         return turned_away;
     };
     // Nothing yields from here to `pick`: who leaves later is known to the module.
-    if caller.has_left() {
+    if caller.is_disconnected() {
         return Answer::None;
     }
     let effect = dispatcher.host().effect(request.class);
@@ -75,7 +75,7 @@
     loop {
         match decision {
             Decision::Try(a) => {
-                if a.number > 0 && !place.again() {
+                if a.number > 0 && !permit.try_retry() {
                     // The pool's own limit: the module is told that this attempt is not made.
                     dispatcher.stop(clock.now(), &a);
                     return match may_have_run && effect != Effect::Idempotent {
@@ -93,17 +93,17 @@
                     dispatcher.stop(clock.now(), &a);
                     return Answer::Failed;
                 }
-                place.sent(&a);
+                permit.attempt_sent(&a);
                 let sent = Instant::now();
-                let deadline = place.deadline(&a, sent, sent + clock.until(a.until_ms));
+                let deadline = permit.deadline(&a, sent, sent + clock.until(a.until_ms));
                 let begin_by = a.begin_by_ms.is_finite().then(|| sent + clock.until(a.begin_by_ms));
-                let times = Times { deadline, begin_by };
-                let guard = Arc::new(SendGuard::new(lane, caller, ask, &a, times, client_until));
-                let end = upstream.run(&a, &ask.trace, ask.known.clone(), times, guard.clone());
+                let times = AttemptTimes { deadline, begin_by };
+                let guard = Arc::new(SendGuard::new(queue, caller, ask, &a, times, client_until));
+                let end = upstream.execute(&a, &ask.trace, ask.known.clone(), times, guard.clone());
                 if let Some(begun) = end.begun {
                     guard.verify(&front.invariants, clock, begun, front.drain_grace_ms);
                 }
-                place.ended(&a, end.ending);
+                permit.attempt_ended(&a, end.ending);
                 may_have_run |= !end.ending.never_ran();
                 last = Some(end.ending);
                 if end.whole {
--- a/crates/front/src/clients/server.rs
+++ b/crates/front/src/clients/server.rs
@@ -3,10 +3,10 @@
 use crate::budget::Budget;
 use crate::buffer::Buffer;
 use crate::call;
+use crate::dispatch_queue::{Caller, DispatchQueue};
 use crate::failure::Failure;
 use crate::forward::{self, Answer};
 use crate::invariants::Invariant;
-use crate::lanes::{Caller, Lane};
 use crate::link::Stream;
 use crate::link::{lock, Link};
 use crate::listen::{Listener, Origin};
@@ -51,7 +51,7 @@
 /// A call that is open.
 struct Call {
     id: RequestId,
-    lane: Arc<Lane>,
+    queue: Arc<DispatchQueue>,
     /// Told when its client does not wait any more.
     caller: Arc<Caller>,
 }
@@ -239,7 +239,7 @@
             }
         };
         let class = Some(request.class);
-        let Some(lane) = front.lanes.route(&ask.class, &ask.item).cloned() else {
+        let Some(queue) = front.queues.route(&ask.class, &ask.item).cloned() else {
             front.metrics.count(class, Outcome::Errored);
             self.send(rpc::error(number, "Fault", &[("route", "none")]));
             return Ok(());
@@ -268,12 +268,12 @@
             {
                 drop(open);
                 front.metrics.count(class, Outcome::Deferred);
-                let pause = (front.lanes.pause_ms() as u64).to_string();
+                let pause = (front.queues.retry_after_ms() as u64).to_string();
                 self.send(rpc::error(number, "Shed", &[("pause", &pause)]));
                 return Ok(());
             }
             bodies.fetch_add(bytes, Ordering::Relaxed);
-            open.calls.insert(number, Call { id: request.id, lane: lane.clone(), caller: caller.clone() });
+            open.calls.insert(number, Call { id: request.id, queue: queue.clone(), caller: caller.clone() });
             open.idle_since = None;
             open.taken += 1;
         }
@@ -282,7 +282,7 @@
         spawn(move || {
             // A defect costs its own request alone: it is answered, and what it took is given back.
             let served =
-                catch_unwind(AssertUnwindSafe(|| forward::serve(&front, &lane, request, &ask, &caller)));
+                catch_unwind(AssertUnwindSafe(|| forward::serve(&front, &queue, request, &ask, &caller)));
             let answer = served.unwrap_or(Answer::Failed);
             front.server.bodies.fetch_sub(bytes, Ordering::Relaxed);
             client.answer(&front, number, &caller, class, answer);
@@ -422,9 +422,9 @@
 impl Call {
     /// Its client does not wait any more: nothing is begun for it from now on, wherever it waits.
     fn gone(self, front: &Shared) {
-        self.caller.leave();
-        self.lane.dispatcher.gone(front.clock.now(), self.id);
-        front.upstream.take_back(self.id);
+        self.caller.disconnect();
+        self.queue.dispatcher.gone(front.clock.now(), self.id);
+        front.upstream.withdraw(self.id);
     }
 }
 
--- a/crates/front/src/control/admin.rs
+++ b/crates/front/src/control/admin.rs
@@ -184,19 +184,19 @@
 
 /// Executes a command; returns the answer's lines.
 pub fn answer(front: &Shared, call: AdminCommand) -> String {
-    let lanes = front.lanes.all();
+    let queues = front.queues.all();
     match call {
         AdminCommand::Ready if front.is_well() => "200 ready\n".into(),
         AdminCommand::Ready => "400 not ready\n".into(),
         AdminCommand::Telemetry => {
-            let (listed, avoided) = lanes.first().map_or((0, 0), |l| l.dispatcher.listed());
+            let (listed, avoided) = queues.first().map_or((0, 0), |l| l.dispatcher.listed());
             let view = front.fleet.as_ref().map_or(String::new(), |f| f.lines());
             let figures = front.metrics.lines(listed, avoided);
             let (violations, reasons) = (front.invariants.lines(), front.reason_counts.lines());
             let given_up = given_up(front);
             format!("200 telemetry\n{figures}{violations}{reasons}{given_up}{view}EOF\n")
         }
-        AdminCommand::Exclude(id) | AdminCommand::Include(id) if lanes.is_empty() => {
+        AdminCommand::Exclude(id) | AdminCommand::Include(id) if queues.is_empty() => {
             format!("400 unknown {id}\n")
         }
         AdminCommand::Exclude(id) => set_manual_exclusion(front, &id, true),
@@ -217,20 +217,20 @@
 /// Requests given up, by reason: one line each, `relay.given_up.REASON=COUNT`.
 fn given_up(front: &Shared) -> String {
     let mut all: BTreeMap<&'static str, u64> = BTreeMap::new();
-    for (reason, n) in front.lanes.all().iter().flat_map(|l| l.dispatcher.given_up()) {
+    for (reason, n) in front.queues.all().iter().flat_map(|l| l.dispatcher.given_up()) {
         *all.entry(reason).or_default() += n;
     }
     all.iter().map(|(reason, n)| format!("relay.given_up.{}={n}\n", figure(reason))).collect()
 }
 
-/// Manually excludes a cache node (`exclude`), or ends its exclusion, in every lane. The new set is stored before it is
+/// Manually excludes a cache node (`exclude`), or ends its exclusion, in every queue. The new set is stored before it is
 /// applied, so that a process that replaces this one has it; where it can't be stored nothing changes and the answer is
 /// `400`.
 fn set_manual_exclusion(front: &Shared, id: &str, out: bool) -> String {
-    let (lanes, cache) = (front.lanes.all(), CacheId::from(id));
+    let (queues, cache) = (front.queues.all(), CacheId::from(id));
     let _one_at_a_time = front.excluded.change();
     let mut set = manually_excluded(front);
-    let listed = lanes.iter().any(|l| l.dispatcher.is_listed(&cache));
+    let listed = queues.iter().any(|l| l.dispatcher.is_listed(&cache));
     if !listed && (out || !set.contains(&cache)) {
         return format!("400 unknown {id}\n");
     }
@@ -250,16 +250,16 @@
     format!("200 {what} {id}\n")
 }
 
-/// The cache nodes manually excluded in any lane.
+/// The cache nodes manually excluded in any queue.
 fn manually_excluded(front: &Shared) -> BTreeSet<CacheId> {
-    front.lanes.all().iter().flat_map(|l| l.dispatcher.excluded()).collect()
+    front.queues.all().iter().flat_map(|l| l.dispatcher.excluded()).collect()
 }
 
-/// Makes `set` the manually excluded cache nodes of every lane.
+/// Makes `set` the manually excluded cache nodes of every queue.
 fn apply_manual_exclusions(front: &Shared, set: &BTreeSet<CacheId>) {
-    for lane in front.lanes.all() {
+    for queue in front.queues.all() {
         let now = front.clock.now();
-        let dispatcher = &lane.dispatcher;
+        let dispatcher = &queue.dispatcher;
         let before: BTreeSet<CacheId> = dispatcher.excluded().into_iter().collect();
         for cache in set.difference(&before) {
             // One that is not listed at the moment is out as soon as it is.
@@ -281,8 +281,8 @@
         Ok(ids) if ids.is_empty() => {}
         Ok(ids) => {
             tracing::info!(nodes = ids.len(), "admin: out by hand, as an earlier process left them");
-            for lane in front.lanes.all() {
-                lane.dispatcher.restore(ids.iter().cloned());
+            for queue in front.queues.all() {
+                queue.dispatcher.restore(ids.iter().cloned());
             }
         }
         Err(e) => tracing::warn!("admin: {e}; no node is out by hand"),
--- a/crates/front/src/control/discovery_watch.rs
+++ b/crates/front/src/control/discovery_watch.rs
@@ -148,12 +148,12 @@
             // Before the bus has said anything nothing bounds the date: the careful answer is now.
             let now = clock.now();
             let at = front.wall.when(unix_ms, since.unwrap_or(now));
-            for lane in front.lanes.all() {
-                lane.dispatcher.purged(now, object, group, now - at);
+            for queue in front.queues.all() {
+                queue.dispatcher.purged(now, object, group, now - at);
             }
         }
         // The site document has the members.
-        Event::List { .. } if front.lanes.from_file() => {}
+        Event::List { .. } if front.queues.members_from_file() => {}
         Event::List { full, servers } => {
             let mut entries = Vec::new();
             if let Some(talk) = &front.talk {
@@ -161,24 +161,24 @@
                 let news = servers
                     .iter()
                     .map(|(e, _)| (e.cache.clone(), Some(e.born_ms).filter(|_| e.phase != Phase::Out)));
-                talk.news(front.lanes.all(), full, news.collect());
+                talk.news(front.queues.all(), full, news.collect());
             }
             for (mut e, addr) in servers {
                 e.born_ms = front.bus.starts.learn(&front.wall, &e.cache, e.born_ms, since);
                 match (e.phase, addr) {
-                    (Phase::Out, _) => front.upstream.drop_node(&e.cache),
-                    (_, Some(addr)) => front.upstream.know(e.cache.clone(), addr, e.born_ms),
+                    (Phase::Out, _) => front.upstream.remove_node(&e.cache),
+                    (_, Some(addr)) => front.upstream.add_node(e.cache.clone(), addr, e.born_ms),
                     (_, None) => tracing::warn!("bus: {} has no address", e.cache.0),
                 }
                 entries.push(e);
             }
             if full {
                 let ids: Vec<CacheId> = entries.iter().map(|e| e.cache.clone()).collect();
-                front.upstream.keep_only(&ids);
+                front.upstream.retain_nodes(&ids);
             }
-            front.lanes.list(clock, full, entries);
-            let lanes = front.lanes.all();
-            front.bus.starts.bound(|id| lanes.iter().any(|l| l.dispatcher.is_listed(id)));
+            front.queues.apply_endpoint_list(clock, full, entries);
+            let queues = front.queues.all();
+            front.bus.starts.bound(|id| queues.iter().any(|l| l.dispatcher.is_listed(id)));
             if full {
                 front.listed.store(true, std::sync::atomic::Ordering::Release);
             }
--- a/crates/front/src/control/gossip.rs
+++ b/crates/front/src/control/gossip.rs
@@ -2,7 +2,7 @@
 //! for operators.
 
 use crate::clock::Clock;
-use crate::lanes::Lane;
+use crate::dispatch_queue::DispatchQueue;
 use crate::link::lock;
 use crate::view::Fleet;
 use fernslip::{CacheId, Sign};
@@ -117,7 +117,7 @@
 }
 
 impl Talk {
-    /// Takes its address; `evidence` is what the module's lanes fill.
+    /// Takes its address; `evidence` is what the module's queues fill.
     ///
     /// # Errors
     /// The address can't be had.
@@ -135,7 +135,7 @@
         lock(&self.gossip).config().addr
     }
 
-    fn feed(&self, lanes: &[Arc<Lane>], event: Event) {
+    fn feed(&self, queues: &[Arc<DispatchQueue>], event: Event) {
         let mut actions = Vec::new();
         lock(&self.gossip).handle(now(&self.clock), event, &mut actions);
         for a in actions {
@@ -146,8 +146,8 @@
                     let id = lock(&self.boxes).by_key.get(&of).cloned();
                     if let Some(id) = id {
                         tracing::debug!(node = %id.0, amount, "hearsay");
-                        for lane in lanes {
-                            lane.dispatcher.hearsay(self.clock.now(), id.clone(), amount);
+                        for queue in queues {
+                            queue.dispatcher.hearsay(self.clock.now(), id.clone(), amount);
                         }
                     }
                 }
@@ -165,7 +165,7 @@
 
     /// News of machines: each with its start (Unix milliseconds; 0: long ago), or `None` if it has gone; `full`: all
     /// others have gone too.
-    pub fn news(&self, lanes: &[Arc<Lane>], full: bool, news: Vec<(CacheId, Option<f64>)>) {
+    pub fn news(&self, queues: &[Arc<DispatchQueue>], full: bool, news: Vec<(CacheId, Option<f64>)>) {
         let (list, before) = {
             let mut boxes = lock(&self.boxes);
             let before = boxes.by_key.clone();
@@ -190,7 +190,7 @@
         if list == before {
             return;
         }
-        self.feed(lanes, Event::Boxes(list.keys().copied().collect()));
+        self.feed(queues, Event::Boxes(list.keys().copied().collect()));
         lock(&self.boxes).by_key = list;
     }
 
@@ -201,16 +201,16 @@
     }
 
     /// This front is leaving.
-    pub fn leave(&self, lanes: &[Arc<Lane>]) {
-        self.feed(lanes, Event::Leave);
+    pub fn leave(&self, queues: &[Arc<DispatchQueue>]) {
+        self.feed(queues, Event::Leave);
     }
 
     /// Takes datagrams in, for good.
-    pub fn listen(&self, lanes: &[Arc<Lane>]) {
+    pub fn listen(&self, queues: &[Arc<DispatchQueue>]) {
         let mut data = [0; MOST_BYTES + 1];
         loop {
             match self.socket.recv_from(&mut data) {
-                Ok((n, from)) => self.feed(lanes, Event::Datagram { from, bytes: data[..n].to_vec() }),
+                Ok((n, from)) => self.feed(queues, Event::Datagram { from, bytes: data[..n].to_vec() }),
                 // An error of one datagram, such as a port that nobody has: the next may be fine.
                 Err(_) => crate::sleep::sleep(AFTER_ERROR),
             }
@@ -223,14 +223,14 @@
     }
 
     /// Tells what answers show, and lets time pass, for good; its peers are those of `fleet`, where that is given.
-    pub fn run(&self, lanes: &[Arc<Lane>], fleet: Option<&Fleet>) {
+    pub fn run(&self, queues: &[Arc<DispatchQueue>], fleet: Option<&Fleet>) {
         let mut held = None;
         loop {
             if let Some(fleet) = fleet {
                 let digest = Some(fleet.digest());
                 if held != digest {
                     held = digest;
-                    self.feed(lanes, Event::Peers(fleet.gossips()));
+                    self.feed(queues, Event::Peers(fleet.gossips()));
                 }
             }
             let told = std::mem::take(&mut *lock(&self.evidence.0));
@@ -243,12 +243,12 @@
                     Sign::Well => Kind::Well,
                 };
                 if let Some(of) = of {
-                    self.feed(lanes, Event::Evidence { of, kind, strength, count: 1 });
+                    self.feed(queues, Event::Evidence { of, kind, strength, count: 1 });
                 }
             }
             let due = lock(&self.gossip).wake_at();
             if due <= self.clock.now() {
-                self.feed(lanes, Event::Tick);
+                self.feed(queues, Event::Tick);
             }
             crate::sleep::sleep(LOOK);
         }
--- a/crates/front/src/control/peers.rs
+++ b/crates/front/src/control/peers.rs
@@ -74,8 +74,8 @@
             };
             let sender = self.each.iter().position(|p| *p == from);
             if let Some(slot) = sender.filter(|_| n <= MOST_BYTES) {
-                for lane in front.lanes.all() {
-                    lane.dispatcher.heard(front.clock.now(), slot as u32, data[..n].to_vec());
+                for queue in front.queues.all() {
+                    queue.dispatcher.heard(front.clock.now(), slot as u32, data[..n].to_vec());
                 }
             } else {
                 self.foreign.fetch_add(1, Ordering::Relaxed);
--- a/crates/front/src/control/plan.rs
+++ b/crates/front/src/control/plan.rs
@@ -3,7 +3,7 @@
 
 use crate::budget::Budget;
 use crate::config::Config;
-use crate::upstream::Timing;
+use crate::connection_pool::Timeouts;
 use fernslip::json::Names;
 use fernslip::{Class, DedupScope, Effect, Neighbours, NoteLevel, Settings};
 use fernslip_pool::{Routes, Spec};
@@ -32,7 +32,7 @@
     /// Its share where no pool says otherwise.
     pub weight: f64,
     /// Its own time-outs.
-    pub timing: Timing,
+    pub timeouts: Timeouts,
     /// What the operators want of it.
     pub state: State,
     /// A parent or the origin: every pool fills from it.
@@ -131,7 +131,7 @@
                 link: m.link_kb_per_s.unwrap_or(fernslip_site::defaults::MEMBER_KB_PER_S)
                     / settings.stream_kb_per_s,
                 weight: m.weight.unwrap_or(1.0),
-                timing: Timing { connect: ms(m.limits.connect_ms), idle: ms(m.limits.idle_ms) },
+                timeouts: Timeouts { connect: ms(m.limits.connect_ms), idle: ms(m.limits.idle_ms) },
                 state: m.state,
                 is_source: m.kind.is_some_and(|k| k != Kind::Cache),
             };
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -4,7 +4,6 @@
 //! [`start`] takes a [`Start`], a configuration and perhaps a site document, and serves until the process is told to
 //! end.
 
-pub mod boxes;
 pub mod buffer;
 pub mod clients;
 pub mod clock;
@@ -17,18 +16,21 @@
 pub mod shutdown;
 pub mod sleep;
 mod spawn;
+pub mod upstream;
 pub mod wall_clock;
 
-pub use boxes::{guard, lanes, resp, sending, upstream};
 pub use clients::{budget, call, forward, listen, metrics, msgpack_rpc, server};
 pub use control::{
     admin, config, discovery_watch, gossip, keyfile, manual_exclusion, peers, plan, reload, snapshot, view,
     watch_history,
 };
+pub use upstream::{connection_pool, dispatch_queue, pending_attempt, resp, send_guard};
 
 use clock::Clock;
 use config::{Config, ConfigError};
+use connection_pool::{BlockerWaiter, ConnectionLimits, ConnectionPool};
 use discovery_watch::DiscoveryWatch;
+use dispatch_queue::{DispatchQueues, NodeRegistry};
 use failure::{patiently, Failure};
 use fernslip::facade::{Host, Waiter};
 use fernslip::json::Names;
@@ -38,7 +40,6 @@
 use fernslip_view::Stand;
 use gossip::Talk;
 use invariants::{Invariant, Invariants, Startup};
-use lanes::{Lanes, Machines};
 use may::sync::Blocker;
 use peers::Peers;
 use plan::Plan;
@@ -51,7 +52,6 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use upstream::{Limits, Upstream, Wait};
 use view::Fleet;
 use wall_clock::WallClock;
 
@@ -131,9 +131,9 @@
 
 /// The facade's way out to the sockets.
 pub struct Ways {
-    upstream: Arc<Upstream>,
+    upstream: Arc<ConnectionPool>,
     peers: Option<Arc<Peers>>,
-    machines: Arc<Machines>,
+    registry: Arc<NodeRegistry>,
     effects: Arc<[Effect]>,
     evidence: gossip::Evidence,
     sources: [Option<usize>; 2],
@@ -142,7 +142,7 @@
 impl Ways {
     /// A pool's machine as the module's list has it.
     fn entry(&self, m: &Endpoint, mean: f64) -> Entry {
-        self.machines.entry(m, mean)
+        self.registry.entry(m, mean)
     }
 
     /// Whether machines of that kind are parents or the origin.
@@ -158,7 +158,7 @@
 
 impl Host for Ways {
     fn waiter(&self) -> Arc<dyn Waiter> {
-        Arc::new(Wait(Blocker::current()))
+        Arc::new(BlockerWaiter(Blocker::current()))
     }
 
     fn cancel(&self, id: RequestId, attempt: u32) {
@@ -178,11 +178,11 @@
     }
 
     fn draining(&self, caches: &[CacheId]) {
-        self.upstream.drain(caches);
+        self.upstream.drain_nodes(caches);
     }
 
     fn purged(&self, requests: &[RequestId]) {
-        requests.iter().for_each(|id| self.upstream.take_back(*id));
+        requests.iter().for_each(|id| self.upstream.withdraw(*id));
     }
 
     fn evidence(&self, cache: &CacheId, sign: Sign, strength: f64) {
@@ -203,9 +203,9 @@
     /// Names in the settings.
     pub names: Names,
     /// The pools, each before its decisions.
-    pub lanes: Lanes,
+    pub queues: DispatchQueues,
     /// The machines behind.
-    pub upstream: Arc<Upstream>,
+    pub upstream: Arc<ConnectionPool>,
     /// The clients.
     pub server: server::Server,
     /// Gossip with other fronts, where there is any.
@@ -234,14 +234,14 @@
 impl Shared {
     /// Tells the gossip which machines there are, where the document has them.
     fn tell_members(&self) {
-        if let (Some(talk), Some(members)) = (&self.talk, self.lanes.members()) {
-            talk.news(self.lanes.all(), true, members.into_iter().map(|id| (id, Some(0.0))).collect());
+        if let (Some(talk), Some(members)) = (&self.talk, self.queues.members()) {
+            talk.news(self.queues.all(), true, members.into_iter().map(|id| (id, Some(0.0))).collect());
         }
     }
 
     /// Messages of peers that were dropped: from no peer, too long, or that made no sense.
     fn strange(&self) -> u64 {
-        let odd: u64 = self.lanes.all().iter().map(|l| l.dispatcher.odd_messages()).sum();
+        let odd: u64 = self.queues.all().iter().map(|l| l.dispatcher.odd_messages()).sum();
         self.peers.as_ref().map_or(0, |p| p.foreign()) + odd
     }
 
@@ -307,14 +307,14 @@
     let reload = Reload::new(hup, config.file, site);
     let mut startup = Startup { signals_caught: true, ..Startup::default() };
     let budget = config.budget;
-    let limits = Limits {
+    let limits = ConnectionLimits {
         streams: config.streams,
         connect_timeout: config.connect_timeout,
         idle: config.idle,
         connections: budget.upstream,
     };
     let (invariants, reason_counts) = (Arc::new(Invariants::default()), Arc::new(ReasonCounts::default()));
-    let upstream = Arc::new(Upstream::new(limits, invariants.clone(), reason_counts.clone()));
+    let upstream = Arc::new(ConnectionPool::new(limits, invariants.clone(), reason_counts.clone()));
     let peers = match config.peer_listen {
         Some(at) => {
             let bound = bound(at, || Peers::bind(at, config.peers.clone(), config.peers_all))?;
@@ -324,7 +324,7 @@
     };
     let (listener, origin) = bound(config.listen, || listen::clients(config.listen))?;
     let listen = listener.local_addr().unwrap_or(config.listen);
-    let machines = Arc::new(Machines::default());
+    let registry = Arc::new(NodeRegistry::default());
     let effects: Arc<[Effect]> = config.settings.classes.iter().map(|c| c.effect).collect();
     let sources = [config.settings.parent_kind, config.settings.origin_kind];
     let evidence = gossip::Evidence::default();
@@ -369,7 +369,7 @@
     let ways = || Ways {
         upstream: upstream.clone(),
         peers: peers.clone(),
-        machines: machines.clone(),
+        registry: registry.clone(),
         effects: effects.clone(),
         evidence: evidence.clone(),
         sources,
@@ -379,13 +379,13 @@
     let classes = config.settings.classes.clone();
     let classes_named = classes.iter().map(|c| c.name.to_string()).collect();
     let longest = classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
-    let lanes = Lanes::new(&config.settings, config.seed, plan, machines.clone(), ways);
-    let lanes = lanes.map_err(StartError::Settings)?;
+    let queues = DispatchQueues::new(&config.settings, config.seed, plan, registry.clone(), ways);
+    let queues = queues.map_err(StartError::Settings)?;
     let front = Arc::new(Shared {
         clock,
         wall: WallClock::start(clock),
         names: config.names,
-        lanes,
+        queues,
         talk: talk.clone(),
         fleet: fleet.clone(),
         upstream,
@@ -402,12 +402,12 @@
     });
     admin::restore_manual_exclusions(&front);
     startup.exclusions_restored = true;
-    front.lanes.begin(&front.clock, &front.upstream);
+    front.queues.start(&front.clock, &front.upstream);
     front.tell_members();
     if talk.is_some() {
-        front.lanes.all().iter().for_each(|l| l.dispatcher.bear_witness());
+        front.queues.all().iter().for_each(|l| l.dispatcher.bear_witness());
     }
-    if front.lanes.from_file() {
+    if front.queues.members_from_file() {
         front.listed.store(true, Ordering::Release);
     }
     let mut history = watch_history::History::new(config.offset);
@@ -422,10 +422,10 @@
     }
     if let Some(talk) = talk {
         let (t, f) = (talk.clone(), front.clone());
-        spawn(move || t.listen(f.lanes.all()));
+        spawn(move || t.listen(f.queues.all()));
         let f = front.clone();
         let from_view = gossip.as_ref().is_some_and(|g| g.from_view);
-        spawn(move || talk.run(f.lanes.all(), f.fleet.as_deref().filter(|_| from_view)));
+        spawn(move || talk.run(f.queues.all(), f.fleet.as_deref().filter(|_| from_view)));
     }
     if let Some(fleet) = fleet {
         let run = std::thread::Builder::new().name("view".into()).spawn(move || fleet.run());
@@ -458,7 +458,7 @@
     spawn(move || f.server.run(&f, listener, origin));
     let f = front.clone();
     spawn(move || loop {
-        let next = f.lanes.all().iter().filter_map(|l| l.tick(&f.clock)).reduce(f64::min);
+        let next = f.queues.all().iter().filter_map(|l| l.tick(&f.clock)).reduce(f64::min);
         // The decisions and what they want of the host stand behind locks.
         let wait = next.map_or(TICK, |at| f.clock.until(at).clamp(Duration::from_millis(1), TICK));
         sleep::sleep_beside_the_worker(wait);
@@ -483,7 +483,7 @@
         fleet.configured(v.config.configuration);
     }
     if let Some(plan) = new.plan {
-        match front.lanes.take_up(&front.clock, &front.upstream, plan) {
+        match front.queues.apply_plan(&front.clock, &front.upstream, plan) {
             Ok(told) => {
                 front.tell_members();
                 tracing::info!("reload: site: {told}");
@@ -535,7 +535,7 @@
             front.leaving.store(true, Ordering::Release);
             tracing::info!("leaving: SIGTERM");
             if let Some(talk) = &front.talk {
-                talk.leave(front.lanes.all());
+                talk.leave(front.queues.all());
             }
             if let Some(fleet) = &front.fleet {
                 fleet.stands(Stand::Emptying);
@@ -560,12 +560,13 @@
                 fleet.leave();
             }
             let held = front.server.held();
-            let open: usize = front.lanes.all().iter().map(|l| l.dispatcher.open() + l.waiting()).sum();
-            let settled = held == server::Held::default() && open == 0 && front.upstream.held().0 == 0;
+            let open: usize = front.queues.all().iter().map(|l| l.dispatcher.open() + l.waiting()).sum();
+            let settled =
+                held == server::Held::default() && open == 0 && front.upstream.attempts_in_flight() == 0;
             front.invariants.check(Invariant::EndSettled, settled, || {
-                format!("{held:?} attempts={} open={open}", front.upstream.held().0)
+                format!("{held:?} attempts={} open={open}", front.upstream.attempts_in_flight())
             });
-            tracing::info!(?held, attempts = front.upstream.held().0, open, "left");
+            tracing::info!(?held, attempts = front.upstream.attempts_in_flight(), open, "left");
             return;
         }
     }
@@ -580,7 +581,7 @@
         sleep::sleep(SWEEP_AT_END);
         front.server.sweep(front, true);
         // What is called off still ends by itself, as a rule within the same moment.
-        if Instant::now() >= by || front.server.is_empty() && front.upstream.held().0 == 0 {
+        if Instant::now() >= by || front.server.is_empty() && front.upstream.attempts_in_flight() == 0 {
             return;
         }
     }
--- a/crates/front/src/boxes/upstream.rs
+++ b/crates/front/src/upstream/connection_pool.rs
@@ -4,9 +4,9 @@
 use crate::invariants::{Invariant, Invariants};
 use crate::link::{lock, Departure, Gate, Link};
 use crate::log::Reason;
+use crate::pending_attempt::{AttemptTimes, Denied, PendingAttempt};
 use crate::reason_counts::{Kind, ReasonCounts};
 use crate::resp;
-use crate::sending::{Denied, Sending, Times};
 use crate::sleep;
 use crate::spawn::spawn;
 use fernslip::facade::{Attempt, Waiter};
@@ -48,7 +48,7 @@
 
 /// What the deployment allows.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct ConnectionLimits {
     /// Requests open on one connection.
     pub streams: usize,
     /// A connection that is not up by then was refused.
@@ -121,9 +121,9 @@
 }
 
 /// Waits of this front: of a coroutine, or of a plain thread.
-pub struct Wait(pub Arc<Blocker>);
+pub struct BlockerWaiter(pub Arc<Blocker>);
 
-impl Waiter for Wait {
+impl Waiter for BlockerWaiter {
     fn wait(&self) {
         let _ = self.0.park(None);
     }
@@ -146,7 +146,7 @@
     /// It is not to begin any more; what has begun goes on.
     withdrawn: AtomicBool,
     /// Whoever decided on it, asked before its first byte.
-    sending: Arc<dyn Sending>,
+    sending: Arc<dyn PendingAttempt>,
     /// How far it went.
     progress: Mutex<Progress>,
 }
@@ -188,7 +188,7 @@
 }
 
 impl Slot {
-    fn new(a: &Attempt, known: Option<String>, sending: Arc<dyn Sending>) -> Slot {
+    fn new(a: &Attempt, known: Option<String>, sending: Arc<dyn PendingAttempt>) -> Slot {
         Slot {
             blocker: Blocker::current(),
             end: Mutex::new(None),
@@ -373,12 +373,12 @@
     addr: SocketAddr,
     born_ms: f64,
     conns: Vec<Arc<Conn>>,
-    timing: Timing,
+    timing: Timeouts,
 }
 
 /// A machine's own time-outs; `None`: those of the deployment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Timing {
+pub struct Timeouts {
     /// A connection that is not up by then was refused.
     pub connect: Option<Duration>,
     /// An idle connection is closed before this.
@@ -435,8 +435,8 @@
 }
 
 /// All connections to the machines behind.
-pub struct Upstream {
-    limits: Limits,
+pub struct ConnectionPool {
+    limits: ConnectionLimits,
     nodes: Mutex<HashMap<CacheId, Node>>,
     leaving: Mutex<Vec<Arc<Conn>>>,
     /// By the request: it has one attempt out at a time.
@@ -446,10 +446,14 @@
     reason_counts: Arc<ReasonCounts>,
 }
 
-impl Upstream {
+impl ConnectionPool {
     /// No machine is known yet; what must hold is counted there.
-    pub fn new(limits: Limits, invariants: Arc<Invariants>, reason_counts: Arc<ReasonCounts>) -> Upstream {
-        Upstream {
+    pub fn new(
+        limits: ConnectionLimits,
+        invariants: Arc<Invariants>,
+        reason_counts: Arc<ReasonCounts>,
+    ) -> ConnectionPool {
+        ConnectionPool {
             limits,
             nodes: Mutex::default(),
             leaving: Mutex::default(),
@@ -461,35 +465,35 @@
     }
 
     /// A machine is at that address. A new address or start is a new process: the old connections are not used again.
-    pub fn know(&self, id: CacheId, addr: SocketAddr, born_ms: f64) {
+    pub fn add_node(&self, id: CacheId, addr: SocketAddr, born_ms: f64) {
         let old = {
             let mut nodes = lock(&self.nodes);
             match nodes.get(&id) {
                 Some(n) if n.addr == addr && n.born_ms == born_ms => None,
-                _ => nodes.insert(id, Node { addr, born_ms, conns: Vec::new(), timing: Timing::default() }),
+                _ => nodes.insert(id, Node { addr, born_ms, conns: Vec::new(), timing: Timeouts::default() }),
             }
         };
         self.retire(old);
     }
 
     /// A machine's own time-outs, from its next connection on. One that is not known has none.
-    pub fn time(&self, id: &CacheId, timing: Timing) {
+    pub fn set_timeouts(&self, id: &CacheId, timing: Timeouts) {
         if let Some(node) = lock(&self.nodes).get_mut(id) {
             node.timing = timing;
         }
     }
 
     /// A machine has gone; its address may belong to another from now on.
-    pub fn drop_node(&self, id: &CacheId) {
+    pub fn remove_node(&self, id: &CacheId) {
         let old = lock(&self.nodes).remove(id);
-        self.drain(std::slice::from_ref(id));
+        self.drain_nodes(std::slice::from_ref(id));
         self.retire(old);
     }
 
     /// Drops all machines but these.
-    pub fn keep_only(&self, ids: &[CacheId]) {
+    pub fn retain_nodes(&self, ids: &[CacheId]) {
         let gone: Vec<CacheId> = lock(&self.nodes).keys().filter(|k| !ids.contains(k)).cloned().collect();
-        gone.iter().for_each(|id| self.drop_node(id));
+        gone.iter().for_each(|id| self.remove_node(id));
     }
 
     fn retire(&self, node: Option<Node>) {
@@ -503,7 +507,7 @@
 
     /// Those machines drain: what is to go there, or to be filled from there, and was not begun, is taken back. Guards
     /// the grace for draining nodes, which counts to a send's first byte, against connections that come up late.
-    pub fn drain(&self, ids: &[CacheId]) {
+    pub fn drain_nodes(&self, ids: &[CacheId]) {
         for slot in lock(&self.attempts).values() {
             if ids.iter().any(|id| *id == slot.cache || Some(id) == slot.source.as_ref()) {
                 slot.withdraw();
@@ -513,26 +517,26 @@
 
     /// An attempt of that request is taken back if it was not begun: nobody waits for it any more, or it was decided on
     /// before a purge of what it asks for. One that was begun is the module's to call off.
-    pub fn take_back(&self, id: RequestId) {
+    pub fn withdraw(&self, id: RequestId) {
         if let Some(slot) = lock(&self.attempts).get(&id) {
             slot.withdraw();
         }
     }
 
-    /// Attempts that are open, and connections.
-    pub fn held(&self) -> (usize, usize) {
-        (lock(&self.attempts).len(), self.connections.load(Ordering::Relaxed))
+    /// Attempts in flight.
+    pub fn attempts_in_flight(&self) -> usize {
+        lock(&self.attempts).len()
     }
 
     /// Makes an attempt and waits for its end, within `times`; `trace` names its request at the node, `known` the client's
     /// own copy. An attempt that still waits, and may not begin any more when it could, is not made.
-    pub fn run(
+    pub fn execute(
         &self,
         a: &Attempt,
         trace: &str,
         known: Option<String>,
-        times: Times,
-        sending: Arc<dyn Sending>,
+        times: AttemptTimes,
+        sending: Arc<dyn PendingAttempt>,
     ) -> End {
         let slot = Arc::new(Slot::new(a, known, sending));
         let other = lock(&self.attempts).insert(a.id, slot.clone());
@@ -545,7 +549,7 @@
         End { begun: progress.begun, whole: progress.whole, ..end }
     }
 
-    fn wait(&self, a: &Attempt, slot: &Arc<Slot>, trace: &str, times: Times) -> End {
+    fn wait(&self, a: &Attempt, slot: &Arc<Slot>, trace: &str, times: AttemptTimes) -> End {
         let mut times = times;
         let now = Instant::now();
         if let Err(why) = slot.sending.check(now) {
@@ -686,5 +690,4 @@
 }
 
 #[cfg(test)]
-#[path = "upstream/tests.rs"]
 mod tests;
--- a/crates/front/src/boxes/upstream/tests.rs
+++ b/crates/front/src/upstream/connection_pool/tests.rs
@@ -3,7 +3,7 @@
 /// An attempt that may always begin.
 struct Always;
 
-impl Sending for Always {
+impl PendingAttempt for Always {
     fn check(&self, _: Instant) -> Result<(), Denied> {
         Ok(())
     }
@@ -84,15 +84,15 @@
 /// Guards all that would share a connection that has stopped: it cost up to 32 attempts their whole time.
 #[test]
 fn what_is_asked_is_spread_and_kept_off_quiet_connections() {
-    let limits = Limits {
+    let limits = ConnectionLimits {
         streams: 32,
         connect_timeout: Duration::from_millis(400),
         idle: Duration::from_secs(9),
         connections: 16, // half of them for machines to come
     };
-    let upstream = Arc::new(Upstream::new(limits, Arc::default(), Arc::default()));
+    let upstream = Arc::new(ConnectionPool::new(limits, Arc::default(), Arc::default()));
     let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    upstream.know("s-1".into(), silent.local_addr().expect("bound"), 0.0);
+    upstream.add_node("s-1".into(), silent.local_addr().expect("bound"), 0.0);
     let done = may::go!(move || {
         let slot = Arc::new(Slot::new(&attempt(0), None, Arc::new(Always)));
         let took: Vec<_> = (0..24)
@@ -130,24 +130,24 @@
 
 #[test]
 fn a_wait_shorter_than_a_millisecond_ends() {
-    let limits = Limits {
+    let limits = ConnectionLimits {
         streams: 1,
         connect_timeout: Duration::from_millis(400),
         idle: Duration::from_secs(9),
         connections: 4,
     };
-    let upstream = Arc::new(Upstream::new(limits, Arc::default(), Arc::default()));
+    let upstream = Arc::new(ConnectionPool::new(limits, Arc::default(), Arc::default()));
     // A machine that takes connections and says nothing.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    upstream.know("s-1".into(), silent.local_addr().expect("bound"), 0.0);
+    upstream.add_node("s-1".into(), silent.local_addr().expect("bound"), 0.0);
     let ends: Vec<_> = (0..20u64)
         .map(|i| {
             let upstream = upstream.clone();
             may::go!(move || {
                 let a = attempt(i);
                 let deadline = Instant::now() + Duration::from_micros(30_000 + 137 * i);
-                let times = Times { deadline, begin_by: None };
-                upstream.run(&a, &format!("{i:016x}"), None, times, Arc::new(Always)).ending
+                let times = AttemptTimes { deadline, begin_by: None };
+                upstream.execute(&a, &format!("{i:016x}"), None, times, Arc::new(Always)).ending
             })
         })
         .collect();
@@ -161,23 +161,23 @@
 /// can be there. One in some 1,300 retries at the same node came before it: two attempts were out at once.
 #[test]
 fn who_gives_up_goes_on_when_the_word_can_be_there() {
-    let limits = Limits {
+    let limits = ConnectionLimits {
         streams: 32,
         connect_timeout: Duration::from_millis(400),
         idle: Duration::from_secs(9),
         connections: 4,
     };
-    let upstream = Arc::new(Upstream::new(limits, Arc::default(), Arc::default()));
+    let upstream = Arc::new(ConnectionPool::new(limits, Arc::default(), Arc::default()));
     let node = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    upstream.know("s-1".into(), node.local_addr().expect("bound"), 0.0);
+    upstream.add_node("s-1".into(), node.local_addr().expect("bound"), 0.0);
     let mut a = attempt(1);
     a.called_off = Arc::default();
     let (called_off, by) = (a.called_off.clone(), upstream.clone());
     let gave_up = Arc::new(Mutex::new(None));
     let at = gave_up.clone();
     let ended = may::go!(move || {
-        let times = Times { deadline: Instant::now() + Duration::from_secs(30), begin_by: None };
-        let end = by.run(&a, &format!("{:016x}", 1), None, times, Arc::new(Always));
+        let times = AttemptTimes { deadline: Instant::now() + Duration::from_secs(30), begin_by: None };
+        let end = by.execute(&a, &format!("{:016x}", 1), None, times, Arc::new(Always));
         let waited = lock(&at).map(|t: Instant| t.elapsed());
         (end.ending, waited)
     });
@@ -190,23 +190,23 @@
     let (ending, waited) = ended.join().expect("no panic");
     assert_eq!(ending, Ending::Recalled);
     assert!(waited.is_some_and(|t| t >= WORD[0]), "{waited:?}");
-    assert_eq!(upstream.held().0, 0);
+    assert_eq!(upstream.attempts_in_flight(), 0);
 }
 
 /// All connections that the front may have are made, to other nodes, and rest: one of them makes room. Such a want of the
 /// front's own was reported as the node's answer that it is full, and the node was ejected for it.
 #[test]
 fn an_idle_connection_makes_room_for_another_node() {
-    let limits = Limits {
+    let limits = ConnectionLimits {
         streams: 1,
         connect_timeout: Duration::from_millis(400),
         idle: Duration::from_secs(9),
         connections: 2,
     };
-    let upstream = Arc::new(Upstream::new(limits, Arc::default(), Arc::default()));
+    let upstream = Arc::new(ConnectionPool::new(limits, Arc::default(), Arc::default()));
     let nodes = ["n-1", "n-2", "n-3"].map(|id| {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        upstream.know(id.into(), listener.local_addr().expect("bound"), 0.0);
+        upstream.add_node(id.into(), listener.local_addr().expect("bound"), 0.0);
         listener
     });
     let done = may::go!(move || {
--- a/crates/front/src/boxes/lanes.rs
+++ b/crates/front/src/upstream/dispatch_queue.rs
@@ -1,11 +1,11 @@
-//! A lane for each pool: the pool before the decision module, the module, and the one list that passes between them.
-//! A front without a site document has a single lane without a pool.
+//! A queue for each pool: the pool before the decision module, the module, and the one list that passes between them.
+//! A front without a site document has a single queue without a pool.
 
 use crate::clock::Clock;
+use crate::connection_pool::ConnectionPool;
 use crate::link::lock;
 use crate::plan::{Answers, Known, Plan};
 use crate::sleep;
-use crate::upstream::Upstream;
 use crate::Ways;
 use arc_swap::ArcSwap;
 use fernslip::facade::{Attempt, Dispatcher};
@@ -27,70 +27,70 @@
 /// Whoever asked for something, and whether they still wait for it.
 #[derive(Default)]
 pub struct Caller {
-    left: AtomicBool,
+    disconnected: AtomicBool,
     /// When that was noticed.
-    left_at: Mutex<Option<Instant>>,
+    disconnected_at: Mutex<Option<Instant>>,
     /// Where the request waits for a place in its pool.
     waits: Mutex<Option<Arc<Blocker>>>,
 }
 
 impl Caller {
     /// They do not wait any more; a wait for a place ends at once.
-    pub fn leave(&self) {
-        lock(&self.left_at).get_or_insert_with(Instant::now);
-        self.left.store(true, Ordering::Release);
+    pub fn disconnect(&self) {
+        lock(&self.disconnected_at).get_or_insert_with(Instant::now);
+        self.disconnected.store(true, Ordering::Release);
         if let Some(blocker) = lock(&self.waits).take() {
             blocker.unpark();
         }
     }
 
     /// Whether they have left.
-    pub fn has_left(&self) -> bool {
-        self.left.load(Ordering::Acquire)
+    pub fn is_disconnected(&self) -> bool {
+        self.disconnected.load(Ordering::Acquire)
     }
 
     /// When it was noticed that they have left; `None`: they have not.
-    pub fn left_at(&self) -> Option<Instant> {
-        *lock(&self.left_at)
+    pub fn disconnected_at(&self) -> Option<Instant> {
+        *lock(&self.disconnected_at)
     }
 }
 
 /// Where a request waits for a place.
-struct Seat {
+struct QueuedRequest {
     blocker: Arc<Blocker>,
     admitted: Mutex<Option<bool>>,
 }
 
 /// A pool and what the module was told of it.
-struct Held {
+struct PoolState {
     pool: Pool,
     /// What was handed out last, by id.
-    machines: BTreeMap<Arc<str>, Endpoint>,
+    endpoints: BTreeMap<Arc<str>, Endpoint>,
     /// The mean of the pool's weights: weights are relative, the module's are links.
     mean: f64,
-    seats: HashMap<u64, Arc<Seat>>,
+    seats: HashMap<u64, Arc<QueuedRequest>>,
 }
 
 /// One pool's way through the front.
-pub struct Lane {
+pub struct DispatchQueue {
     /// The pool's name; empty: there are no pools.
     pub name: String,
     /// The decisions.
     pub dispatcher: Dispatcher<Ways>,
-    held: Option<Mutex<Held>>,
+    held: Option<Mutex<PoolState>>,
     answers: ArcSwap<Answers>,
 }
 
 /// A request's place in a pool; it ends with this.
-pub struct Place {
-    lane: Arc<Lane>,
+pub struct Permit {
+    queue: Arc<DispatchQueue>,
     number: u64,
     clock: Clock,
 }
 
-impl Drop for Place {
+impl Drop for Permit {
     fn drop(&mut self) {
-        self.lane.feed(&self.clock, Event::Finished { request: self.number });
+        self.queue.feed(&self.clock, Event::Finished { request: self.number });
     }
 }
 
@@ -105,33 +105,33 @@
     }
 }
 
-impl Place {
+impl Permit {
     /// An attempt goes out.
-    pub fn sent(&self, attempt: &Attempt) {
+    pub fn attempt_sent(&self, attempt: &Attempt) {
         let id = attempt.cache.0.clone();
-        self.lane.feed(&self.clock, Event::AttemptSent { request: self.number, id });
+        self.queue.feed(&self.clock, Event::AttemptSent { request: self.number, id });
     }
 
     /// It ended.
-    pub fn ended(&self, attempt: &Attempt, ending: Ending) {
+    pub fn attempt_ended(&self, attempt: &Attempt, ending: Ending) {
         let id = attempt.cache.0.clone();
-        self.lane.feed(&self.clock, Event::AttemptEnded { request: self.number, id, outcome: end(ending) });
+        self.queue.feed(&self.clock, Event::AttemptEnded { request: self.number, id, outcome: end(ending) });
     }
 
     /// When an attempt that begins now ends at the latest, by the pool's and the member's own limits.
     pub fn deadline(&self, attempt: &Attempt, now: Instant, by: Instant) -> Instant {
-        let most = self.lane.answers.load().most_ms(&attempt.cache.0);
+        let most = self.queue.answers.load().most_ms(&attempt.cache.0);
         most.map_or(by, |ms| by.min(now + Duration::from_millis(ms)))
     }
 
     /// Whether a further attempt may be made; if so, it is counted.
-    pub fn again(&self) -> bool {
-        let left = self.lane.feed(&self.clock, Event::RetryRequested { request: self.number });
-        self.lane.held.is_none() || left.iter().any(|a| matches!(a, Action::Retry { .. }))
+    pub fn try_retry(&self) -> bool {
+        let left = self.queue.feed(&self.clock, Event::RetryRequested { request: self.number });
+        self.queue.held.is_none() || left.iter().any(|a| matches!(a, Action::Retry { .. }))
     }
 }
 
-impl Lane {
+impl DispatchQueue {
     /// Whether a pool stands before the decisions.
     pub fn has_pool(&self) -> bool {
         self.held.is_some()
@@ -140,7 +140,7 @@
     /// Feeds the pool and carries out what it says; what is the caller's to see comes back.
     fn feed(&self, clock: &Clock, event: Event) -> Vec<Action> {
         let Some(held) = &self.held else { return Vec::new() };
-        // Held until the module has the list, so that two changes reach it in their order; nothing here yields.
+        // PoolState until the module has the list, so that two changes reach it in their order; nothing here yields.
         let mut held = lock(held);
         let held = &mut *held;
         let mut actions = Vec::new();
@@ -162,13 +162,13 @@
         actions
     }
 
-    fn hand_out(&self, clock: &Clock, held: &mut Held, changed: &[Endpoint]) {
+    fn hand_out(&self, clock: &Clock, held: &mut PoolState, changed: &[Endpoint]) {
         let entries = changed.iter().map(|m| self.dispatcher.host().entry(m, held.mean)).collect();
         self.dispatcher.list(clock.now(), ListKind::Delta, entries);
         for m in changed {
-            held.machines.insert(m.id.clone(), m.clone());
+            held.endpoints.insert(m.id.clone(), m.clone());
         }
-        held.machines.retain(|_, m| m.phase != Phase::OutOfService);
+        held.endpoints.retain(|_, m| m.phase != Phase::OutOfService);
     }
 
     /// Takes a new description up.
@@ -185,24 +185,29 @@
         if again {
             // All shares are others now, also those of members that did not change.
             let mut held = lock(held);
-            let all: Vec<Endpoint> = held.machines.values().cloned().collect();
+            let all: Vec<Endpoint> = held.endpoints.values().cloned().collect();
             self.hand_out(clock, &mut held, &all);
         }
     }
 
     /// Takes a place in the pool, waiting for one if the pool lets it wait; `None`: it is turned away, or its caller left.
-    pub fn enter(self: &Arc<Lane>, clock: &Clock, wait_until: f64, caller: &Caller) -> Option<Place> {
+    pub fn acquire(
+        self: &Arc<DispatchQueue>,
+        clock: &Clock,
+        wait_until: f64,
+        caller: &Caller,
+    ) -> Option<Permit> {
         static NUMBERS: AtomicU64 = AtomicU64::new(0);
         let number = NUMBERS.fetch_add(1, Ordering::Relaxed);
-        let place = Place { lane: self.clone(), number, clock: *clock };
+        let place = Permit { queue: self.clone(), number, clock: *clock };
         let Some(held) = &self.held else { return Some(place) };
-        let seat = Arc::new(Seat { blocker: Blocker::current(), admitted: Mutex::default() });
+        let seat = Arc::new(QueuedRequest { blocker: Blocker::current(), admitted: Mutex::default() });
         lock(held).seats.insert(number, seat.clone());
         *lock(&caller.waits) = Some(seat.blocker.clone());
         self.feed(clock, Event::Arrived { request: number, wait_until_ms: wait_until });
         loop {
             // Its place in the queue is free with that: others would wait behind a request that nobody wants.
-            if caller.has_left() {
+            if caller.is_disconnected() {
                 lock(held).seats.remove(&number);
                 return None;
             }
@@ -239,20 +244,20 @@
 
 /// What is known of the machines that pools name, beside what pools know.
 #[derive(Default)]
-pub struct Machines {
+pub struct NodeRegistry {
     /// By id.
-    all: Mutex<HashMap<Arc<str>, Facts>>,
+    all: Mutex<HashMap<Arc<str>, NodeAttributes>>,
 }
 
 #[derive(Clone)]
-struct Facts {
+struct NodeAttributes {
     zone: Option<usize>,
     kind: Option<usize>,
     cell: i64,
     link: f64,
 }
 
-impl Machines {
+impl NodeRegistry {
     /// A pool's machine as the module's list has it; `mean` is that of the pool's weights.
     pub fn entry(&self, m: &Endpoint, mean: f64) -> Entry {
         let all = lock(&self.all);
@@ -273,17 +278,17 @@
     }
 }
 
-/// All lanes of a front.
-pub struct Lanes {
-    lanes: Vec<Arc<Lane>>,
-    /// Routes, and the lane of each of their pools.
+/// All queues of a front.
+pub struct DispatchQueues {
+    queues: Vec<Arc<DispatchQueue>>,
+    /// Routes, and the queue of each of their pools.
     table: ArcSwap<(Routes, Vec<usize>)>,
-    machines: Arc<Machines>,
+    registry: Arc<NodeRegistry>,
     /// The document's members, where they are served from.
     file: Option<Mutex<BTreeMap<Arc<str>, Known>>>,
     /// What the bus has listed, for pools.
     listed: Mutex<HashMap<CacheId, Entry>>,
-    /// Requests open in any lane: an id may be open once.
+    /// Requests open in any queue: an id may be open once.
     ids: Mutex<HashSet<RequestId>>,
     open: AtomicUsize,
     most_open: usize,
@@ -292,7 +297,7 @@
 }
 
 /// A request's id, which no other has as long as this lives.
-pub struct Id<'l>(&'l Lanes, RequestId);
+pub struct Id<'l>(&'l DispatchQueues, RequestId);
 
 impl Drop for Id<'_> {
     fn drop(&mut self) {
@@ -301,29 +306,29 @@
     }
 }
 
-/// Settings of one lane of several: what a machine can take is shared among all that send to it, so each lane counts
+/// Settings of one queue of several: what a machine can take is shared among all that send to it, so each queue counts
 /// as a front of its own.
-fn settings(base: &Settings, lanes: usize, lane: usize, shared: u32) -> Settings {
+fn settings(base: &Settings, queues: usize, queue: usize, shared: u32) -> Settings {
     let mut s = base.clone();
-    if lanes > 1 {
-        s.routers *= lanes as u32;
-        s.slot = s.slot * lanes as u32 + lane as u32;
+    if queues > 1 {
+        s.routers *= queues as u32;
+        s.slot = s.slot * queues as u32 + queue as u32;
         s.zone_routers.iter_mut().for_each(|n| *n *= shared);
-        // Peers of one front's lanes can't be told apart by their address.
+        // Peers of one front's queues can't be told apart by their address.
         s.peers = false;
     }
     s
 }
 
-impl Lanes {
-    /// The lanes of a plan, or the one of a front without; `ways` makes a way out for each.
+impl DispatchQueues {
+    /// The queues of a plan, or the one of a front without; `ways` makes a way out for each.
     pub fn new(
         base: &Settings,
         seed: u64,
         plan: Option<Plan>,
-        machines: Arc<Machines>,
+        registry: Arc<NodeRegistry>,
         ways: impl Fn() -> Ways,
-    ) -> Result<Lanes, SettingsError> {
+    ) -> Result<DispatchQueues, SettingsError> {
         let none = Plan {
             from_file: false,
             members: BTreeMap::new(),
@@ -334,7 +339,7 @@
         };
         let Plan { from_file, members, pools, answers, routes, shared } = plan.unwrap_or(none);
         let n = pools.len();
-        let mut lanes = Vec::new();
+        let mut queues = Vec::new();
         for (i, (spec, answers)) in pools.into_iter().zip(answers).enumerate() {
             let dispatcher = Dispatcher::new(settings(base, n, i, shared), seed ^ i as u64, ways())?;
             let name = spec.name.clone();
@@ -343,19 +348,19 @@
                 true => Pool::new(spec, seed),
                 false => Pool::awaiting_endpoint_list(spec, seed),
             };
-            let held = Held { pool, machines: BTreeMap::new(), mean, seats: HashMap::new() };
+            let held = PoolState { pool, endpoints: BTreeMap::new(), mean, seats: HashMap::new() };
             let (held, answers) = (Some(Mutex::new(held)), ArcSwap::from_pointee(answers));
-            lanes.push(Arc::new(Lane { name, dispatcher, held, answers }));
+            queues.push(Arc::new(DispatchQueue { name, dispatcher, held, answers }));
         }
-        if lanes.is_empty() {
+        if queues.is_empty() {
             let dispatcher = Dispatcher::new(base.clone(), seed, ways())?;
             let answers = ArcSwap::default();
-            lanes.push(Arc::new(Lane { name: String::new(), dispatcher, held: None, answers }));
+            queues.push(Arc::new(DispatchQueue { name: String::new(), dispatcher, held: None, answers }));
         }
-        Ok(Lanes {
+        Ok(DispatchQueues {
             table: ArcSwap::from_pointee((routes, (0..n).collect())),
-            lanes,
-            machines,
+            queues,
+            registry,
             file: from_file.then(|| Mutex::new(members)),
             listed: Mutex::default(),
             ids: Mutex::default(),
@@ -366,9 +371,9 @@
         })
     }
 
-    /// Every lane.
-    pub fn all(&self) -> &[Arc<Lane>] {
-        &self.lanes
+    /// Every queue.
+    pub fn all(&self) -> &[Arc<DispatchQueue>] {
+        &self.queues
     }
 
     /// The document's members, where they are served from.
@@ -377,32 +382,32 @@
     }
 
     /// Whether the members are the document's.
-    pub fn from_file(&self) -> bool {
+    pub fn members_from_file(&self) -> bool {
         self.file.is_some()
     }
 
     /// When a request that was turned away may come back.
-    pub fn pause_ms(&self) -> f64 {
+    pub fn retry_after_ms(&self) -> f64 {
         PAUSE_MS.min(self.longest_pause)
     }
 
-    /// The lane of a request of that class for that object; `None`: no route leads anywhere. A request of this
+    /// The queue of a request of that class for that object; `None`: no route leads anywhere. A request of this
     /// protocol has no host and no path: its path is `/CLASS/OBJECT`.
-    pub fn route(&self, class: &str, object: &str) -> Option<&Arc<Lane>> {
+    pub fn route(&self, class: &str, object: &str) -> Option<&Arc<DispatchQueue>> {
         let table = self.table.load();
         let (routes, pools) = &**table;
         if routes.is_empty() {
-            return self.lanes.first();
+            return self.queues.first();
         }
         match routes.route("", &format!("/{class}/{object}")) {
-            Routed::Pool(n) => pools.get(n).and_then(|lane| self.lanes.get(*lane)),
+            Routed::Pool(n) => pools.get(n).and_then(|queue| self.queues.get(*queue)),
             Routed::Excluded | Routed::Unrouted => None,
         }
     }
 
-    /// Takes an id; `None`: it is open already, or too many are. One lane's module sees to both by itself.
-    pub fn take(&self, id: RequestId) -> Option<Id<'_>> {
-        let fresh = self.lanes.len() == 1 || lock(&self.ids).insert(id);
+    /// Takes an id; `None`: it is open already, or too many are. One queue's module sees to both by itself.
+    pub fn reserve(&self, id: RequestId) -> Option<Id<'_>> {
+        let fresh = self.queues.len() == 1 || lock(&self.ids).insert(id);
         let open = self.open.fetch_add(1, Ordering::Relaxed);
         let taken = Id(self, id);
         if !fresh {
@@ -411,45 +416,45 @@
             std::mem::forget(taken);
             return None;
         }
-        (self.lanes.len() == 1 || open < self.most_open).then_some(taken)
+        (self.queues.len() == 1 || open < self.most_open).then_some(taken)
     }
 
-    /// Begins to serve from the document's members: each lane's first list is a whole one.
-    pub fn begin(&self, clock: &Clock, upstream: &Upstream) {
+    /// Begins to serve from the document's members: each queue's first list is a whole one.
+    pub fn start(&self, clock: &Clock, upstream: &ConnectionPool) {
         let Some(file) = &self.file else {
-            for lane in self.lanes.iter().filter(|l| l.held.is_some()) {
-                lane.dispatcher.list(clock.now(), ListKind::Full, Vec::new());
+            for queue in self.queues.iter().filter(|l| l.held.is_some()) {
+                queue.dispatcher.list(clock.now(), ListKind::Full, Vec::new());
             }
             return;
         };
         let members = lock(file).clone();
         self.learn(&members);
         for (id, k) in &members {
-            upstream.know(CacheId(id.clone()), k.addr, 0.0);
-            upstream.time(&CacheId(id.clone()), k.timing);
+            upstream.add_node(CacheId(id.clone()), k.addr, 0.0);
+            upstream.set_timeouts(&CacheId(id.clone()), k.timeouts);
         }
         let sources: Vec<Entry> =
             members.iter().filter(|(_, k)| k.is_source).map(|(id, k)| source(id, k, 0.0)).collect();
-        for lane in &self.lanes {
-            lane.dispatcher.list(clock.now(), ListKind::Full, sources.clone());
-            lane.feed(clock, Event::Tick);
+        for queue in &self.queues {
+            queue.dispatcher.list(clock.now(), ListKind::Full, sources.clone());
+            queue.feed(clock, Event::Tick);
         }
     }
 
     fn learn(&self, members: &BTreeMap<Arc<str>, Known>) {
-        let facts = |k: &Known| Facts { zone: k.zone, kind: k.kind, cell: 0, link: k.link };
-        *lock(&self.machines.all) = members.iter().map(|(id, k)| (id.clone(), facts(k))).collect();
+        let facts = |k: &Known| NodeAttributes { zone: k.zone, kind: k.kind, cell: 0, link: k.link };
+        *lock(&self.registry.all) = members.iter().map(|(id, k)| (id.clone(), facts(k))).collect();
     }
 
-    /// News of the bus. Pools are told of their members and have the last word; sources go to every lane.
-    pub fn list(&self, clock: &Clock, full: bool, entries: Vec<Entry>) {
-        if self.from_file() {
+    /// News of the bus. Pools are told of their members and have the last word; sources go to every queue.
+    pub fn apply_endpoint_list(&self, clock: &Clock, full: bool, entries: Vec<Entry>) {
+        if self.members_from_file() {
             return;
         }
         let kind = if full { ListKind::Full } else { ListKind::Delta };
-        if let [lane] = &self.lanes[..] {
-            if lane.held.is_none() {
-                return lane.dispatcher.list(clock.now(), kind, entries);
+        if let [queue] = &self.queues[..] {
+            if queue.held.is_none() {
+                return queue.dispatcher.list(clock.now(), kind, entries);
             }
         }
         let mut news = entries;
@@ -461,29 +466,29 @@
                 let gone: Vec<Entry> = gone.map(|e| Entry { phase: fernslip::Phase::Out, ..e }).collect();
                 news.extend(gone);
             }
-            let mut all = lock(&self.machines.all);
+            let mut all = lock(&self.registry.all);
             for e in &news {
                 if e.phase == fernslip::Phase::Out {
                     listed.remove(&e.cache);
                 } else {
                     listed.insert(e.cache.clone(), e.clone());
                 }
-                let facts = Facts { zone: e.zone, kind: e.kind, cell: e.cell, link: e.weight };
+                let facts = NodeAttributes { zone: e.zone, kind: e.kind, cell: e.cell, link: e.weight };
                 all.insert(e.cache.0.clone(), facts);
             }
         }
         self.pass_on(clock, &news);
-        // What has gone from the list is forgotten here too, once the lanes know.
+        // What has gone from the list is forgotten here too, once the queues know.
         let listed = lock(&self.listed);
-        lock(&self.machines.all).retain(|id, _| listed.contains_key(&CacheId(id.clone())));
+        lock(&self.registry.all).retain(|id, _| listed.contains_key(&CacheId(id.clone())));
     }
 
     fn pass_on(&self, clock: &Clock, news: &[Entry]) {
-        for lane in &self.lanes {
-            let host = lane.dispatcher.host();
+        for queue in &self.queues {
+            let host = queue.dispatcher.host();
             let sources = news.iter().filter(|e| host.is_source(e.kind)).cloned().collect::<Vec<_>>();
             if !sources.is_empty() {
-                lane.dispatcher.list(clock.now(), ListKind::Delta, sources);
+                queue.dispatcher.list(clock.now(), ListKind::Delta, sources);
             }
             for e in news.iter().filter(|e| !host.is_source(e.kind)) {
                 let told = match e.phase {
@@ -491,7 +496,7 @@
                     fernslip::Phase::Draining => Notified::Draining,
                     fernslip::Phase::Out => Notified::Removed,
                 };
-                lane.feed(
+                queue.feed(
                     clock,
                     Event::Notified { id: e.cache.0.clone(), state: told, started_ms: e.born_ms },
                 );
@@ -500,13 +505,13 @@
     }
 
     /// Takes a changed document up by its difference; what has changed, or why it can't be taken up.
-    pub fn take_up(&self, clock: &Clock, upstream: &Upstream, plan: Plan) -> Result<String, String> {
-        if plan.from_file != self.from_file() {
+    pub fn apply_plan(&self, clock: &Clock, upstream: &ConnectionPool, plan: Plan) -> Result<String, String> {
+        if plan.from_file != self.members_from_file() {
             return Err("where the members come from takes a restart".into());
         }
-        let lane = |name: &str| self.lanes.iter().position(|l| l.name == name);
-        let places: Option<Vec<usize>> = plan.pools.iter().map(|p| lane(&p.name)).collect();
-        let Some(places) = places.filter(|p| p.len() == self.lanes.len()) else {
+        let queue = |name: &str| self.queues.iter().position(|l| l.name == name);
+        let places: Option<Vec<usize>> = plan.pools.iter().map(|p| queue(&p.name)).collect();
+        let Some(places) = places.filter(|p| p.len() == self.queues.len()) else {
             return Err("pools that come or go take a restart".into());
         };
         if plan.shared > self.shared {
@@ -517,14 +522,14 @@
             told = self.members_change(clock, upstream, &mut lock(file), &plan.members);
         }
         for ((spec, answers), place) in plan.pools.into_iter().zip(plan.answers).zip(&places) {
-            self.lanes[*place].answers.store(Arc::new(answers));
-            self.lanes[*place].describe(clock, spec);
+            self.queues[*place].answers.store(Arc::new(answers));
+            self.queues[*place].describe(clock, spec);
         }
         if let Some(file) = &self.file {
             // Only now is nothing sent there any more.
             let mut held = lock(file);
             for id in held.keys().filter(|id| !plan.members.contains_key(*id)) {
-                upstream.drop_node(&CacheId(id.clone()));
+                upstream.remove_node(&CacheId(id.clone()));
             }
             *held = plan.members;
             self.learn(&held);
@@ -540,7 +545,7 @@
     fn members_change(
         &self,
         clock: &Clock,
-        upstream: &Upstream,
+        upstream: &ConnectionPool,
         old: &mut BTreeMap<Arc<str>, Known>,
         new: &BTreeMap<Arc<str>, Known>,
     ) -> String {
@@ -563,15 +568,15 @@
             let back = before.is_some_and(|b| b.state == State::Stopped);
             let fresh = before.is_none() || elsewhere || back;
             if before.is_none() || elsewhere {
-                upstream.know(cache.clone(), k.addr, now);
+                upstream.add_node(cache.clone(), k.addr, now);
             }
-            upstream.time(&cache, k.timing);
+            upstream.set_timeouts(&cache, k.timeouts);
             if k.is_source {
                 // One that comes, or comes back, may have just started.
                 sources.push(source(id, k, if fresh { now } else { 0.0 }));
             } else if elsewhere {
-                for lane in &self.lanes {
-                    lane.feed(
+                for queue in &self.queues {
+                    queue.feed(
                         clock,
                         Event::Notified { id: id.clone(), state: Notified::Up, started_ms: now },
                     );
@@ -587,8 +592,8 @@
             }
         }
         if !sources.is_empty() {
-            for lane in &self.lanes {
-                lane.dispatcher.list(now, ListKind::Delta, sources.clone());
+            for queue in &self.queues {
+                queue.dispatcher.list(now, ListKind::Delta, sources.clone());
             }
         }
         format!("members added={added} gone={lost} moved={moved} changed={changed}")
@@ -613,5 +618,4 @@
 }
 
 #[cfg(test)]
-#[path = "lanes/tests.rs"]
 mod tests;
--- a/crates/front/src/boxes/lanes/tests.rs
+++ b/crates/front/src/upstream/dispatch_queue/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::upstream::Limits;
+use crate::connection_pool::ConnectionLimits;
 use fernslip::{Action, Event, ObjectId, Phase, Request, Router};
 
 fn base() -> (Settings, fernslip::json::Names) {
@@ -13,16 +13,16 @@
     Entry { cache: name.into(), weight, zone, kind, cell, born_ms, phase }
 }
 
-/// Guards a cold parent against the lanes of one front: each has a module of its own, which knows of no other.
+/// Guards a cold parent against the queues of one front: each has a module of its own, which knows of no other.
 #[test]
 fn lanes_that_share_a_cold_parent_keep_to_its_budget_together() {
     let (base, _) = base();
     let base = Settings { routers: 2, ..base };
-    let (lanes, born) = (4, 50_000.0);
+    let (queues, born) = (4, 50_000.0);
     let mut all = Vec::new();
     for front in 0..2 {
-        for lane in 0..lanes {
-            let set = settings(&Settings { slot: front, ..base.clone() }, lanes, lane, lanes as u32);
+        for queue in 0..queues {
+            let set = settings(&Settings { slot: front, ..base.clone() }, queues, queue, queues as u32);
             let mut r = Router::new(set, 1 + u64::from(front)).expect("sound");
             let entries = vec![
                 entry("cache-1", base.zone, Some(0), 0.0),
@@ -48,7 +48,7 @@
             group: 0,
         };
         let mut out = Vec::new();
-        let r = &mut all[n as usize % (2 * lanes)];
+        let r = &mut all[n as usize % (2 * queues)];
         r.handle(now, Event::Request(ask), &mut out);
         for a in out {
             if let Action::Get { id, cache, source, .. } = a {
@@ -81,37 +81,37 @@
     }
 }
 
-/// Two lanes of a front with those settings, by one module: only what the lanes share matters.
-fn lanes(set: &Settings) -> Lanes {
-    let limits = Limits {
+/// Two queues of a front with those settings, by one module: only what the queues share matters.
+fn queues(set: &Settings) -> DispatchQueues {
+    let limits = ConnectionLimits {
         streams: 32,
         connect_timeout: Duration::from_millis(400),
         idle: Duration::from_secs(9),
         connections: 4,
     };
-    let machines = Arc::new(Machines::default());
+    let registry = Arc::new(NodeRegistry::default());
     let ways = || Ways {
-        upstream: Arc::new(Upstream::new(limits, Arc::default(), Arc::default())),
+        upstream: Arc::new(ConnectionPool::new(limits, Arc::default(), Arc::default())),
         peers: None,
-        machines: machines.clone(),
+        registry: registry.clone(),
         effects: Arc::from([]),
         evidence: Default::default(),
         sources: [None, None],
     };
-    let mut lanes = Lanes::new(set, 1, None, machines.clone(), ways).expect("sound");
-    lanes.lanes.push(lanes.lanes[0].clone());
-    lanes
+    let mut queues = DispatchQueues::new(set, 1, None, registry.clone(), ways).expect("sound");
+    queues.queues.push(queues.queues[0].clone());
+    queues
 }
 
-/// Guards the front's memory: each lane's module counts its own requests only.
+/// Guards the front's memory: each queue's module counts its own requests only.
 #[test]
 fn open_requests_are_capped_over_all_lanes() {
-    let lanes = lanes(&Settings { max_open: 3, ..base().0 });
-    let held: Vec<_> = (0..3).map(|n| lanes.take(RequestId(n)).expect("room")).collect();
-    assert!(lanes.take(RequestId(9)).is_none(), "a fourth");
-    assert!(lanes.take(RequestId(1)).is_none(), "an id that is open");
+    let queues = queues(&Settings { max_open: 3, ..base().0 });
+    let held: Vec<_> = (0..3).map(|n| queues.reserve(RequestId(n)).expect("room")).collect();
+    assert!(queues.reserve(RequestId(9)).is_none(), "a fourth");
+    assert!(queues.reserve(RequestId(1)).is_none(), "an id that is open");
     drop(held);
-    let again: Vec<_> = (0..3).map(|n| lanes.take(RequestId(n))).collect();
+    let again: Vec<_> = (0..3).map(|n| queues.reserve(RequestId(n))).collect();
     assert!(again.iter().all(Option::is_some), "places come back");
 }
 
@@ -119,12 +119,13 @@
 #[test]
 fn lanes_of_other_settings_share_nothing() {
     let (first, _) = base();
-    let (a, b) = (lanes(&first), lanes(&Settings { max_open: 1, max_retry_after_ms: 70.0, ..first.clone() }));
-    assert_eq!((a.pause_ms(), b.pause_ms()), (400.0, 70.0));
-    let held = b.take(RequestId(1)).expect("room for one");
-    assert!(b.take(RequestId(2)).is_none(), "no more");
-    let others: Vec<_> = (1..9).map(|n| a.take(RequestId(n))).collect();
+    let (a, b) =
+        (queues(&first), queues(&Settings { max_open: 1, max_retry_after_ms: 70.0, ..first.clone() }));
+    assert_eq!((a.retry_after_ms(), b.retry_after_ms()), (400.0, 70.0));
+    let held = b.reserve(RequestId(1)).expect("room for one");
+    assert!(b.reserve(RequestId(2)).is_none(), "no more");
+    let others: Vec<_> = (1..9).map(|n| a.reserve(RequestId(n))).collect();
     assert!(others.iter().all(Option::is_some), "the same ids, and as many as its own settings allow");
     drop(held);
-    assert!(b.take(RequestId(2)).is_some());
+    assert!(b.reserve(RequestId(2)).is_some());
 }
--- a/crates/front/src/boxes/sending.rs
+++ b/crates/front/src/upstream/pending_attempt.rs
@@ -5,7 +5,7 @@
 
 /// When an attempt ends and, where that matters, has begun.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct AttemptTimes {
     /// It ends by then.
     pub deadline: Instant,
     /// Its first byte is written by then, or it is taken back; `None`: whenever its connection is up.
@@ -16,9 +16,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
     /// The module called it off.
-    CalledOff,
+    Cancelled,
     /// Its client has disconnected or cancelled.
-    ClientLeft,
+    ClientDisconnected,
     /// Its node or its source drains, or what it asks for was purged, since it was decided on.
     Outdated,
     /// It had to begin by a time that is over.
@@ -29,8 +29,8 @@
     /// Its name in figures.
     pub fn name(self) -> &'static str {
         match self {
-            Denied::CalledOff => "called_off",
-            Denied::ClientLeft => "client_left",
+            Denied::Cancelled => "called_off",
+            Denied::ClientDisconnected => "client_left",
             Denied::Outdated => "outdated",
             Denied::TooLate => "too_late",
         }
@@ -39,15 +39,15 @@
     /// What is reported of the attempt: nothing of it ran.
     pub fn ending(self) -> Ending {
         match self {
-            Denied::CalledOff => Ending::Recalled,
-            Denied::ClientLeft => Ending::Superseded,
+            Denied::Cancelled => Ending::Recalled,
+            Denied::ClientDisconnected => Ending::Superseded,
             Denied::Outdated | Denied::TooLate => Ending::Retracted,
         }
     }
 }
 
 /// An attempt that has been decided on and has not begun.
-pub trait Sending: Send + Sync {
+pub trait PendingAttempt: Send + Sync {
     /// Whether it may begin at that moment.
     ///
     /// # Errors
--- a/crates/front/src/boxes/guard.rs
+++ b/crates/front/src/upstream/send_guard.rs
@@ -3,10 +3,10 @@
 
 use crate::call::Ask;
 use crate::clock::Clock;
+use crate::dispatch_queue::{Caller, DispatchQueue};
 use crate::invariants::{Invariant, Invariants, LIMIT_SLACK_MS, SEND_AFTER_LEAVING_MS};
-use crate::lanes::{Caller, Lane};
+use crate::pending_attempt::{AttemptTimes, Denied, PendingAttempt};
 use crate::resp;
-use crate::sending::{Denied, Sending, Times};
 use fernslip::facade::Attempt;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -14,13 +14,13 @@
 
 /// An attempt that has been decided on, and all that can still forbid it.
 pub struct SendGuard {
-    lane: Arc<Lane>,
+    queue: Arc<DispatchQueue>,
     caller: Arc<Caller>,
     ask: Arc<Ask>,
     /// The attempt.
     pub attempt: Attempt,
     /// Its times.
-    pub times: Times,
+    pub times: AttemptTimes,
     /// The client waits until then.
     client_until: Instant,
 }
@@ -28,15 +28,15 @@
 impl SendGuard {
     /// For an attempt of that caller's request.
     pub fn new(
-        lane: &Arc<Lane>,
+        queue: &Arc<DispatchQueue>,
         caller: &Arc<Caller>,
         ask: &Arc<Ask>,
         attempt: &Attempt,
-        times: Times,
+        times: AttemptTimes,
         client_until: Instant,
     ) -> SendGuard {
         SendGuard {
-            lane: lane.clone(),
+            queue: queue.clone(),
             caller: caller.clone(),
             ask: ask.clone(),
             attempt: attempt.clone(),
@@ -51,7 +51,7 @@
         let id =
             || format!("trace={} n={} node={}", self.ask.trace, self.attempt.number, self.attempt.cache.0);
         let since = |at: Instant| begun.saturating_duration_since(at).as_secs_f64() * 1000.0;
-        let left = self.caller.left_at().map_or(0.0, since);
+        let left = self.caller.disconnected_at().map_or(0.0, since);
         invariants.check(Invariant::SendForWaitingClient, left <= SEND_AFTER_LEAVING_MS, || {
             format!("{} begun {left:.0} ms after its client left", id())
         });
@@ -59,11 +59,11 @@
         invariants.check(Invariant::SendWithinClientTime, over <= LIMIT_SLACK_MS, || {
             format!("{} begun {over:.0} ms after its client's time", id())
         });
-        if self.lane.has_pool() {
+        if self.queue.has_pool() {
             return;
         }
         let nodes = [Some(&self.attempt.cache), self.attempt.source.as_ref()];
-        let out = nodes.into_iter().flatten().filter_map(|n| self.lane.dispatcher.out_of_service_since(n));
+        let out = nodes.into_iter().flatten().filter_map(|n| self.queue.dispatcher.out_of_service_since(n));
         let late = out.map(|since| clock.at(begun) - since).fold(0.0, f64::max);
         invariants.check(Invariant::SendToServingNode, late <= grace_ms, || {
             format!("{} begun {late:.0} ms after a drain", id())
@@ -71,20 +71,20 @@
     }
 }
 
-impl Sending for SendGuard {
+impl PendingAttempt for SendGuard {
     fn check(&self, now: Instant) -> Result<(), Denied> {
         if self.attempt.called_off.load(Ordering::Acquire) {
-            return Err(Denied::CalledOff);
+            return Err(Denied::Cancelled);
         }
-        if self.caller.has_left() {
-            return Err(Denied::ClientLeft);
+        if self.caller.is_disconnected() {
+            return Err(Denied::ClientDisconnected);
         }
         if self.times.begin_by.is_some_and(|by| now >= by) || now >= self.times.deadline {
             return Err(Denied::TooLate);
         }
-        let dispatcher = &self.lane.dispatcher;
+        let dispatcher = &self.queue.dispatcher;
         // A pool takes a member out of service for its own limits too, and the attempt that reaches them still goes there.
-        let served = self.lane.has_pool() || dispatcher.is_served(&self.attempt);
+        let served = self.queue.has_pool() || dispatcher.is_served(&self.attempt);
         match served && dispatcher.is_wanted(&self.attempt) {
             true => Ok(()),
             false => Err(Denied::Outdated),
