--- a/crates/front/src/control/admin.rs
+++ b/crates/front/src/control/admin.rs
@@ -15,10 +15,15 @@
 //! sends too long a line is answered `400` at once. Manual exclusions are [stored](crate::manual_exclusion) so that a
 //! process that replaces this one starts with them.
 
-use crate::reason_counts::figure;
+mod answer;
+mod command;
+mod exclusions;
+
+pub use answer::answer;
+pub use command::{parse, AdminCommand};
+pub use exclusions::{follow as follow_manual_exclusions, restore as restore_manual_exclusions};
+
 use crate::Shared;
-use fernslip::CacheId;
-use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -31,85 +36,42 @@
 pub const MAX_LINE_BYTES: usize = 512;
 /// Time a caller has to send its whole command line before the connection is closed.
 pub const LINE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Interval between two checks of the manual exclusion file for changes made by another process of this front; a
-/// command takes effect at both within 1 s.
-const FOLLOW_INTERVAL: Duration = Duration::from_millis(100);
 /// Time a caller has to close after its answer: closing while unread bytes remain would reset the connection and lose
 /// the answer.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 /// Write timeout for an answer to a caller that does not read.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// A parsed admin command.
-#[derive(Debug, PartialEq, Eq)]
-pub enum AdminCommand {
-    /// `readyz`: whether the process is serving.
-    Ready,
-    /// `telemetry`: the metrics.
-    Telemetry,
-    /// `exclude ID`: manually exclude a cache node.
-    Exclude(String),
-    /// `include ID`: end the manual exclusion of a cache node.
-    Include(String),
-    /// `evacuate`: start draining the front.
-    Evacuate,
-    /// `activate`: end the drain.
-    Activate,
-}
-
-/// Parses one command line.
-///
-/// # Errors
-/// The reason the line is no command; it is sent to the caller after `400 `.
-pub fn parse(line: &str) -> Result<AdminCommand, &'static str> {
-    let mut words = line.split_ascii_whitespace();
-    let call = match (words.next(), words.next()) {
-        (Some("readyz"), None) => AdminCommand::Ready,
-        (Some("telemetry"), None) => AdminCommand::Telemetry,
-        (Some("evacuate"), None) => AdminCommand::Evacuate,
-        (Some("activate"), None) => AdminCommand::Activate,
-        (Some("exclude"), Some(id)) => AdminCommand::Exclude(id.into()),
-        (Some("include"), Some(id)) => AdminCommand::Include(id.into()),
-        (Some("exclude" | "include"), None) => return Err("an id is wanted"),
-        (None, _) => return Err("empty line"),
-        _ => return Err("unknown call"),
-    };
-    match words.next() {
-        Some(_) => Err("too many words"),
-        None => Ok(call),
-    }
-}
-
 /// Binds the admin interface at `at` and serves it on a thread of its own until the process ends; returns the bound
-/// address. Connections beyond `most` at once are closed at once, so that idle callers can't take all threads and file
+/// address. Connections beyond `max_connections` at a time are closed at once, so that idle callers can't take all threads and file
 /// descriptors.
 ///
 /// # Errors
 /// The address can't be bound.
-pub fn open(front: Arc<Shared>, at: SocketAddr, most: usize) -> io::Result<SocketAddr> {
+pub fn open(front: Arc<Shared>, at: SocketAddr, max_connections: usize) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(at)?;
     let bound = listener.local_addr()?;
-    let callers = Arc::new(AtomicUsize::new(0));
+    let connections = Arc::new(AtomicUsize::new(0));
     std::thread::Builder::new().name("ops".into()).spawn(move || {
-        for caller in listener.incoming() {
-            let Ok(caller) = caller else {
-                // Out of descriptors, or a caller that left at once: the next may be fine.
+        for connection in listener.incoming() {
+            let Ok(stream) = connection else {
+                // Out of descriptors, or a caller that disconnected at once: the next may be fine.
                 std::thread::sleep(Duration::from_millis(5));
                 continue;
             };
-            if callers.fetch_add(1, Ordering::AcqRel) >= most {
-                callers.fetch_sub(1, Ordering::AcqRel);
+            if connections.fetch_add(1, Ordering::AcqRel) >= max_connections {
+                connections.fetch_sub(1, Ordering::AcqRel);
                 tracing::info!(kind = %"ops", reason = %"too_many", "end");
                 continue;
             }
-            let (front, mine) = (front.clone(), callers.clone());
-            let served = std::thread::Builder::new().name("ops-call".into()).spawn(move || {
-                let why = serve(&front, caller);
-                mine.fetch_sub(1, Ordering::AcqRel);
-                tracing::info!(kind = %"ops", reason = %why, "end");
+            let (front, served_connections) = (front.clone(), connections.clone());
+            let spawned = std::thread::Builder::new().name("ops-call".into()).spawn(move || {
+                let reason = serve(&front, stream);
+                served_connections.fetch_sub(1, Ordering::AcqRel);
+                tracing::info!(kind = %"ops", reason = %reason, "end");
             });
-            if served.is_err() {
-                callers.fetch_sub(1, Ordering::AcqRel);
+            if spawned.is_err() {
+                connections.fetch_sub(1, Ordering::AcqRel);
             }
         }
     })?;
@@ -119,19 +81,19 @@
 /// Reads one command line within [`LINE_TIMEOUT`].
 ///
 /// # Errors
-/// The log reason why no line came: `stalled`, `peer_closed`, `reset`, `malformed` or `too_long`.
-fn read_line(caller: &mut TcpStream) -> Result<String, &'static str> {
-    let until = Instant::now() + LINE_TIMEOUT;
+/// The log reason why there is no line: `stalled`, `peer_closed`, `reset`, `malformed` or `too_long`.
+fn read_line(stream: &mut TcpStream) -> Result<String, &'static str> {
+    let deadline = Instant::now() + LINE_TIMEOUT;
     let mut line = Vec::with_capacity(64);
-    let mut byte = [0; MAX_LINE_BYTES];
+    let mut received = [0; MAX_LINE_BYTES];
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() || caller.set_read_timeout(Some(left)).is_err() {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() || stream.set_read_timeout(Some(remaining)).is_err() {
             return Err("stalled");
         }
-        match caller.read(&mut byte) {
+        match stream.read(&mut received) {
             Ok(0) => return Err("peer_closed"),
-            Ok(n) => line.extend_from_slice(&byte[..n]),
+            Ok(n) => line.extend_from_slice(&received[..n]),
             Err(e) if e.kind() == ErrorKind::Interrupted => continue,
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
                 return Err("stalled")
@@ -148,33 +110,35 @@
     }
 }
 
-fn serve(front: &Shared, mut caller: TcpStream) -> &'static str {
-    let _ = caller.set_write_timeout(Some(WRITE_TIMEOUT));
-    let answer = match read_line(&mut caller) {
+/// Serves one connection: reads its command, answers it, and waits for the caller to close. Returns the log reason of the
+/// connection's end.
+fn serve(front: &Shared, mut stream: TcpStream) -> &'static str {
+    let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
+    let answer = match read_line(&mut stream) {
         Ok(line) => match parse(line.trim_end_matches('\r')) {
-            Ok(call) => answer(front, call),
-            Err(why) => format!("400 {why}\n"),
+            Ok(command) => answer(front, command),
+            Err(reason) => format!("400 {reason}\n"),
         },
-        Err(why @ ("too_long" | "malformed")) => format!("400 {}\n", why.replace('_', " ")),
-        Err(why) => return why,
+        Err(reason @ ("too_long" | "malformed")) => format!("400 {}\n", reason.replace('_', " ")),
+        Err(reason) => return reason,
     };
-    if caller.write_all(answer.as_bytes()).is_err() {
+    if stream.write_all(answer.as_bytes()).is_err() {
         return "slow_reader";
     }
-    read_until_closed(&mut caller);
+    read_until_closed(&mut stream);
     "answered"
 }
 
 /// Shuts down the write half and discards input until the caller closes or [`CLOSE_TIMEOUT`] passes.
-fn read_until_closed(caller: &mut TcpStream) {
-    let (until, mut dropped) = (Instant::now() + CLOSE_TIMEOUT, [0; MAX_LINE_BYTES]);
-    let _ = caller.shutdown(Shutdown::Write);
+fn read_until_closed(stream: &mut TcpStream) {
+    let (deadline, mut discarded) = (Instant::now() + CLOSE_TIMEOUT, [0; MAX_LINE_BYTES]);
+    let _ = stream.shutdown(Shutdown::Write);
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() || caller.set_read_timeout(Some(left)).is_err() {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() || stream.set_read_timeout(Some(remaining)).is_err() {
             return;
         }
-        match caller.read(&mut dropped) {
+        match stream.read(&mut discarded) {
             Ok(1..) => {}
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Ok(0) | Err(_) => return,
@@ -182,140 +146,5 @@
     }
 }
 
-/// Executes a command; returns the answer's lines.
-pub fn answer(front: &Shared, call: AdminCommand) -> String {
-    let queues = front.queues.all();
-    match call {
-        AdminCommand::Ready if front.is_well() => "200 ready\n".into(),
-        AdminCommand::Ready => "400 not ready\n".into(),
-        AdminCommand::Telemetry => {
-            let (listed, avoided) = queues.first().map_or((0, 0), |l| l.dispatcher.listed());
-            let view = front.fleet.as_ref().map_or(String::new(), |f| f.lines());
-            let figures = front.metrics.lines(listed, avoided);
-            let (violations, reasons) = (front.invariants.lines(), front.reason_counts.lines());
-            let given_up = given_up(front);
-            format!("200 telemetry\n{figures}{violations}{reasons}{given_up}{view}EOF\n")
-        }
-        AdminCommand::Exclude(id) | AdminCommand::Include(id) if queues.is_empty() => {
-            format!("400 unknown {id}\n")
-        }
-        AdminCommand::Exclude(id) => set_manual_exclusion(front, &id, true),
-        AdminCommand::Include(id) => set_manual_exclusion(front, &id, false),
-        AdminCommand::Evacuate => {
-            front.server.evacuate(true);
-            tracing::info!("admin: evacuating");
-            "200 evacuating\n".into()
-        }
-        AdminCommand::Activate => {
-            front.server.evacuate(false);
-            tracing::info!("admin: active");
-            "200 active\n".into()
-        }
-    }
-}
-
-/// Requests given up, by reason: one line each, `relay.given_up.REASON=COUNT`.
-fn given_up(front: &Shared) -> String {
-    let mut all: BTreeMap<&'static str, u64> = BTreeMap::new();
-    for (reason, n) in front.queues.all().iter().flat_map(|l| l.dispatcher.given_up()) {
-        *all.entry(reason).or_default() += n;
-    }
-    all.iter().map(|(reason, n)| format!("relay.given_up.{}={n}\n", figure(reason))).collect()
-}
-
-/// Manually excludes a cache node (`exclude`), or ends its exclusion, in every queue. The new set is stored before it is
-/// applied, so that a process that replaces this one has it; where it can't be stored nothing changes and the answer is
-/// `400`.
-fn set_manual_exclusion(front: &Shared, id: &str, out: bool) -> String {
-    let (queues, cache) = (front.queues.all(), CacheId::from(id));
-    let _one_at_a_time = front.excluded.change();
-    let mut set = manually_excluded(front);
-    let listed = queues.iter().any(|l| l.dispatcher.is_listed(&cache));
-    if !listed && (out || !set.contains(&cache)) {
-        return format!("400 unknown {id}\n");
-    }
-    if out {
-        set.insert(cache);
-    } else {
-        set.remove(&cache);
-    }
-    let ids: Vec<CacheId> = set.iter().cloned().collect();
-    if let Err(e) = front.excluded.save(&ids) {
-        tracing::warn!(node = %id, "admin: {}: {e}; nothing is changed", front.excluded);
-        return format!("400 {id} can't be kept: {e}\n");
-    }
-    apply_manual_exclusions(front, &set);
-    let what = if out { "excluded" } else { "included" };
-    tracing::info!(node = %id, "admin: {what}");
-    format!("200 {what} {id}\n")
-}
-
-/// The cache nodes manually excluded in any queue.
-fn manually_excluded(front: &Shared) -> BTreeSet<CacheId> {
-    front.queues.all().iter().flat_map(|l| l.dispatcher.excluded()).collect()
-}
-
-/// Makes `set` the manually excluded cache nodes of every queue.
-fn apply_manual_exclusions(front: &Shared, set: &BTreeSet<CacheId>) {
-    for queue in front.queues.all() {
-        let now = front.clock.now();
-        let dispatcher = &queue.dispatcher;
-        let before: BTreeSet<CacheId> = dispatcher.excluded().into_iter().collect();
-        for cache in set.difference(&before) {
-            // One that is not listed at the moment is out as soon as it is.
-            if !dispatcher.exclude(now, cache) {
-                dispatcher.restore([cache.clone()]);
-            }
-        }
-        for cache in before.difference(set) {
-            dispatcher.include(now, cache);
-        }
-    }
-}
-
-/// Applies the manual exclusions stored by an earlier process; a file that can't be used is logged with its path and
-/// left as it is.
-pub fn restore_manual_exclusions(front: &Shared) {
-    front.excluded.tidy();
-    match front.excluded.load_at_start() {
-        Ok(ids) if ids.is_empty() => {}
-        Ok(ids) => {
-            tracing::info!(nodes = ids.len(), "admin: out by hand, as an earlier process left them");
-            for queue in front.queues.all() {
-                queue.dispatcher.restore(ids.iter().cloned());
-            }
-        }
-        Err(e) => tracing::warn!("admin: {e}; no node is out by hand"),
-    }
-}
-
-/// Follows, on a thread of its own, the changes another process of this front makes to the manual exclusions while one
-/// replaces the other, so that a command at either takes effect at both.
-///
-/// # Errors
-/// The thread can't be spawned.
-pub fn follow_manual_exclusions(front: Arc<Shared>) -> io::Result<()> {
-    let follower = std::thread::Builder::new().name("excluded".into());
-    follower.spawn(move || loop {
-        std::thread::sleep(FOLLOW_INTERVAL);
-        if !front.excluded.changed() {
-            continue;
-        }
-        let _one_at_a_time = front.excluded.change();
-        match front.excluded.load() {
-            Ok(ids) => {
-                tracing::info!(
-                    nodes = ids.len(),
-                    "admin: out by hand, as another process of this front has them"
-                );
-                apply_manual_exclusions(&front, &ids.into_iter().collect());
-            }
-            Err(e) => tracing::warn!("admin: {e}; the nodes out by hand stay as they are"),
-        }
-    })?;
-    Ok(())
-}
-
 #[cfg(test)]
-#[path = "admin/tests.rs"]
 mod tests;
--- a/crates/front/src/control/admin/tests.rs
+++ b/crates/front/src/control/admin/tests.rs
@@ -1,7 +1,9 @@
+//! Unit tests of the admin interface.
+
 use super::*;
 
 #[test]
-fn admin_commands_are_parsed_word_by_word() {
+fn a_command_line_is_parsed_by_tokens_or_rejected_with_the_reason() {
     assert_eq!(parse("readyz"), Ok(AdminCommand::Ready));
     assert_eq!(parse("exclude s-1 "), Ok(AdminCommand::Exclude("s-1".into())));
     assert_eq!(parse("include s-1"), Ok(AdminCommand::Include("s-1".into())));
--- a/crates/front/src/control/manual_exclusion.rs
+++ b/crates/front/src/control/manual_exclusion.rs
@@ -1,16 +1,16 @@
-//! The nodes out by hand, in a file under `$TMPDIR` for a process that replaces this one.
+//! The manual exclusions of cache nodes, stored in a file under `$TMPDIR` for a process that replaces this one.
 //!
-//! Fronts of several customers may run on one machine under the same names and share that folder, so a file belongs to a
+//! Fronts of several customers may run on one host under the same names and share that folder, so a file belongs to a
 //! deployment: its name ends with a digest of the front's name and address and of the zones, kinds and classes of its
-//! settings. A front whose settings name others starts with no node out.
+//! settings. A front whose settings name others starts with no exclusion.
 //!
-//! A file is whole and durable before a call is answered: written beside, synced, renamed, and the folder synced. Two processes
-//! of one front may run side by side while one replaces the other; each looks for what the other has changed
-//! ([`ManualExclusions::changed`]).
+//! A file is complete and durable before a command is answered: written beside, synced, renamed, and the folder synced.
+//! Two processes of one front may run side by side while one replaces the other; each checks for changes that the other
+//! has made ([`ManualExclusions::changed`]).
 //!
-//! The earlier version kept one file a front's name. It is still read where this front has no file of its own, and still
-//! written, so that either version may replace the other; what this version writes there has the deployment in a line
-//! of its own, which the earlier one takes for a node that nobody has.
+//! The earlier version had one file for each front name. It is still read where this front has no file of its own, and
+//! still written, so that either version may replace the other; what this version writes there has the deployment in a
+//! line of its own, which the earlier one takes for the id of a node that does not exist.
 
 use crate::failure::patiently;
 use crate::link::lock;
@@ -25,197 +25,191 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
-/// The first line of each such file; other files are not ours.
+/// First line of each such file; any other file is foreign.
 const HEADER: &str = "fernslip excluded 1";
-/// Begins the line that names the deployment, in the file that all of the front's name share.
-const DEPLOYMENT: &str = "#deployment:";
+/// Prefix of the line that names the deployment, in the file shared by all fronts of one name.
+const DEPLOYMENT_PREFIX: &str = "#deployment:";
 
-/// What can't be read at the start is tried again for so long: the process is to be ready within 6 s.
-const UNREADABLE: Duration = Duration::from_secs(2);
-/// What can't be written is tried again for so long: its caller waits 1 s for the answer.
-const UNWRITABLE: Duration = Duration::from_millis(500);
+/// How long an unreadable file is retried at start: the process is to be ready within 6 s.
+const READ_RETRY_TIME: Duration = Duration::from_secs(2);
+/// How long a failed write is retried: the caller of the command waits 1 s for the answer.
+const WRITE_RETRY_TIME: Duration = Duration::from_millis(500);
 
-/// Where a front keeps them.
+/// The files that hold a front's manual exclusions.
 #[derive(Debug)]
 pub struct ManualExclusions {
     folder: PathBuf,
-    own: PathBuf,
-    shared: PathBuf,
+    /// The file of this front in this deployment.
+    own_file: PathBuf,
+    /// The file of the earlier version, shared by all fronts of this name.
+    shared_file: PathBuf,
+    /// Digest of the deployment, in hexadecimal.
     deployment: String,
-    /// Held while a call changes the set and its file: the file of a later call is not overwritten by an earlier one's.
-    changing: Mutex<()>,
-    /// The file as this process last read or wrote it.
-    known: Mutex<Option<Version>>,
+    /// Locked while a command changes the set and its file, so that an earlier command does not overwrite a later one's.
+    change_lock: Mutex<()>,
+    /// The version of `own_file` that this process last read or wrote.
+    known_version: Mutex<Option<FileVersion>>,
 }
 
-/// Which version of a file it is: another one has another number of its own or another time.
+/// Identifies a version of a file: a replaced one has another inode or modification time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Version {
+struct FileVersion {
     inode: u64,
     modified: (i64, i64),
 }
 
-impl Version {
-    fn of(path: &Path) -> Option<Version> {
+impl FileVersion {
+    fn of(path: &Path) -> Option<FileVersion> {
         let data = std::fs::metadata(path).ok()?;
-        Some(Version { inode: data.ino(), modified: (data.mtime(), data.mtime_nsec()) })
+        Some(FileVersion { inode: data.ino(), modified: (data.mtime(), data.mtime_nsec()) })
     }
 }
 
-/// What was not written to its end by a process that was killed is removed once it is so old.
-const ABANDONED: Duration = Duration::from_secs(10);
+/// Age from which a partly written file is taken for one of a process that was killed, and removed.
+const ABANDONED_AGE: Duration = Duration::from_secs(10);
 
 /// Why a file is not used.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum FileError {
-    /// It can't be read.
+    /// The file can't be read.
+    #[error("{path}: {1}", path = .0.display())]
     Read(PathBuf, io::Error),
-    /// Its line is not what such a file holds.
+    /// The line of that number, counted from 1, is not one of such a file, and why.
+    #[error("{path}: line {1}: {2}", path = .0.display())]
     Line(PathBuf, usize, &'static str),
 }
 
-impl std::fmt::Display for FileError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            FileError::Read(path, e) => write!(f, "{}: {e}", path.display()),
-            FileError::Line(path, n, why) => write!(f, "{}: line {n}: {why}", path.display()),
-        }
-    }
-}
-
-impl std::error::Error for FileError {}
-
 impl std::fmt::Display for ManualExclusions {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}", self.own.display())
+        write!(f, "{}", self.own_file.display())
     }
 }
 
 impl ManualExclusions {
-    /// In that folder, for the front of that name and address in the deployment of those names.
+    /// The files in `folder` for the front of that name and listen address, in the deployment with these names.
     pub fn of(folder: &Path, name: &str, listen: SocketAddr, names: &Names) -> ManualExclusions {
         let Names { zones, kinds, classes, .. } = names;
         let deployment =
             format!("{:016x}", Id::of(&format!("{:?}", (name, listen, zones, kinds, classes))).0);
-        let safe: String =
+        let file_name: String =
             name.chars().map(|c| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' }).collect();
         ManualExclusions {
             folder: folder.into(),
-            own: folder.join(format!("fernslip-{safe}-{deployment}.excluded")),
-            shared: folder.join(format!("fernslip-{safe}.excluded")),
+            own_file: folder.join(format!("fernslip-{file_name}-{deployment}.excluded")),
+            shared_file: folder.join(format!("fernslip-{file_name}.excluded")),
             deployment,
-            changing: Mutex::default(),
-            known: Mutex::default(),
+            change_lock: Mutex::default(),
+            known_version: Mutex::default(),
         }
     }
 
-    /// Held by whoever changes the set, from its reading to its file.
+    /// The lock for changing the set, from reading it to storing it.
     pub fn change(&self) -> MutexGuard<'_, ()> {
-        lock(&self.changing)
+        lock(&self.change_lock)
     }
 
     /// Whether another process has written the file since this one last read or wrote it.
     pub fn changed(&self) -> bool {
-        let there = Version::of(&self.own);
-        there.is_some() && there != *lock(&self.known)
+        let current = FileVersion::of(&self.own_file);
+        current.is_some() && current != *lock(&self.known_version)
     }
 
-    /// Removes what earlier processes of this front left half written.
-    pub fn tidy(&self) {
-        let stems = [&self.own, &self.shared].map(|p| p.file_stem().map(|s| s.to_os_string()));
+    /// Removes files that earlier processes of this front left partly written.
+    pub fn remove_abandoned(&self) {
+        let stems = [&self.own_file, &self.shared_file].map(|p| p.file_stem().map(|s| s.to_os_string()));
         for entry in std::fs::read_dir(&self.folder).into_iter().flatten().flatten() {
             let path = entry.path();
-            let part = path.extension().is_some_and(|e| e.to_string_lossy().starts_with("part"));
-            let ours = path.file_stem().is_some_and(|s| stems.iter().flatten().any(|own| own == s));
+            let is_partial = path.extension().is_some_and(|e| e.to_string_lossy().starts_with("part"));
+            let is_ours = path.file_stem().is_some_and(|s| stems.iter().flatten().any(|stem| stem == s));
             let modified = entry.metadata().and_then(|d| d.modified());
             // The wall clock may have been stepped: what seems to come from the future is old too.
-            let old = modified.is_ok_and(|at| at.elapsed().map_or(true, |age| age > ABANDONED));
-            if part && ours && old {
+            let is_old = modified.is_ok_and(|at| at.elapsed().map_or(true, |age| age > ABANDONED_AGE));
+            if is_partial && is_ours && is_old {
                 let _ = std::fs::remove_file(path);
             }
         }
     }
 
-    /// Those that an earlier process of this front left, or the one beside it; none where there is no file of this
-    /// deployment.
+    /// Loads the exclusions that an earlier process of this front stored, or the one beside it; none where this
+    /// deployment has no file.
     ///
     /// # Errors
-    /// A file that can't be read or is not ours, with its place.
+    /// A file that can't be read or is foreign, with its line.
     pub fn load(&self) -> Result<Vec<CacheId>, FileError> {
-        let version = Version::of(&self.own);
-        let ids = match read(&self.own)? {
+        let version = FileVersion::of(&self.own_file);
+        let ids = match read(&self.own_file)? {
             Some(ids) => ids,
             None => self.shared_ids()?,
         };
-        *lock(&self.known) = version;
+        *lock(&self.known_version) = version;
         Ok(ids.iter().map(|id| CacheId::from(id.as_str())).collect())
     }
 
-    /// The same for a process that starts: what can't be read for a moment is read again, and the file that all of the
-    /// front's name share stands in for one that stays unreadable.
+    /// [`ManualExclusions::load`] for a process that starts: a failed read is retried, and the file shared by all fronts of
+    /// this name stands in for one that stays unreadable.
     ///
     /// # Errors
     /// Neither can be read.
     pub fn load_at_start(&self) -> Result<Vec<CacheId>, FileError> {
         let unreadable = |e: &FileError| matches!(e, FileError::Read(..));
-        let first = patiently(UNREADABLE, unreadable, |_| self.load());
-        first.or_else(|why| {
-            tracing::warn!("admin: {why}; the copy beside it is used");
+        let loaded = patiently(READ_RETRY_TIME, unreadable, |_| self.load());
+        loaded.or_else(|error| {
+            tracing::warn!("admin: {error}; the copy beside it is used");
             let ids = self.shared_ids()?;
             match ids.is_empty() {
-                true => Err(why),
+                true => Err(error),
                 false => Ok(ids.iter().map(|id| CacheId::from(id.as_str())).collect()),
             }
         })
     }
 
-    /// What the file of the front's name has for this deployment.
+    /// The ids in the shared file, where it is this deployment's.
     fn shared_ids(&self) -> Result<Vec<String>, FileError> {
-        let mut ids = read(&self.shared)?.unwrap_or_default();
-        match ids.first().and_then(|id| id.strip_prefix(DEPLOYMENT)) {
-            Some(whose) if whose != self.deployment => return Ok(Vec::new()),
+        let mut ids = read(&self.shared_file)?.unwrap_or_default();
+        match ids.first().and_then(|id| id.strip_prefix(DEPLOYMENT_PREFIX)) {
+            Some(deployment) if deployment != self.deployment => return Ok(Vec::new()),
             Some(_) => drop(ids.remove(0)),
             None => {}
         }
         Ok(ids)
     }
 
-    /// Keeps the set, whole or not at all; a disk that fails for a moment is tried again.
+    /// Stores the set, completely or not at all; a failed write is retried for a while.
     ///
     /// # Errors
-    /// As the file system.
+    /// The last error of the file system.
     pub fn save(&self, ids: &[CacheId]) -> io::Result<()> {
-        patiently(UNWRITABLE, |_| true, |_| self.save_once(ids))
+        patiently(WRITE_RETRY_TIME, |_| true, |_| self.save_once(ids))
     }
 
     fn save_once(&self, ids: &[CacheId]) -> io::Result<()> {
         let lines: String = ids.iter().flat_map(|id| [&*id.0, "\n"]).collect();
-        write(&self.shared, &format!("{HEADER}\n{DEPLOYMENT}{}\n{lines}", self.deployment))?;
-        // The last, as it is the one that is read.
-        write(&self.own, &format!("{HEADER}\n{lines}"))?;
-        *lock(&self.known) = Version::of(&self.own);
+        write(&self.shared_file, &format!("{HEADER}\n{DEPLOYMENT_PREFIX}{}\n{lines}", self.deployment))?;
+        // Last, as it is the one that is read.
+        write(&self.own_file, &format!("{HEADER}\n{lines}"))?;
+        *lock(&self.known_version) = FileVersion::of(&self.own_file);
         std::fs::File::open(&self.folder)?.sync_all()
     }
 }
 
-/// The lines after the header; `None`: there is no such file.
+/// Reads the ids of a file, its lines after the header; `None`: there is no such file.
 fn read(path: &Path) -> Result<Option<Vec<String>>, FileError> {
     let text = match std::fs::read_to_string(path) {
         Ok(t) => t,
         Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
         Err(e) => return Err(FileError::Read(path.into(), e)),
     };
-    let wrong = |line, why| Err(FileError::Line(path.into(), line, why));
+    let invalid = |line, reason| Err(FileError::Line(path.into(), line, reason));
     let mut lines = text.lines();
     if lines.next() != Some(HEADER) {
-        return wrong(1, "not a file of nodes out by hand");
+        return invalid(1, "not a file of nodes out by hand");
     }
     let mut ids = Vec::new();
     for (n, line) in lines.enumerate() {
         match line {
-            "" => return wrong(n + 2, "empty line"),
+            "" => return invalid(n + 2, "empty line"),
             id if id.split_ascii_whitespace().count() != 1 || id.trim() != id => {
-                return wrong(n + 2, "not one id")
+                return invalid(n + 2, "not one id")
             }
             id => ids.push(id.to_string()),
         }
@@ -223,23 +217,22 @@
     Ok(Some(ids))
 }
 
-/// Writes to a file beside it, then renames that over it, so that a cut leaves the old file or the new one.
+/// Writes a file beside `path` and renames it over `path`, so that a loss of power leaves the old file or the new one.
 fn write(path: &Path, text: &str) -> io::Result<()> {
-    // A name of its own for each: two processes of one front may write at once.
-    static WRITTEN: AtomicU64 = AtomicU64::new(0);
-    let number = WRITTEN.fetch_add(1, Ordering::Relaxed);
-    let part = path.with_extension(format!("part{}-{number}", std::process::id()));
-    let written = std::fs::File::create(&part).and_then(|mut file| {
+    // Two processes of one front may write at once: each write has a file name of its own.
+    static WRITES: AtomicU64 = AtomicU64::new(0);
+    let number = WRITES.fetch_add(1, Ordering::Relaxed);
+    let partial = path.with_extension(format!("part{}-{number}", std::process::id()));
+    let written = std::fs::File::create(&partial).and_then(|mut file| {
         file.write_all(text.as_bytes())?;
         file.sync_all()?;
-        std::fs::rename(&part, path)
+        std::fs::rename(&partial, path)
     });
     if written.is_err() {
-        let _ = std::fs::remove_file(&part);
+        let _ = std::fs::remove_file(&partial);
     }
     written
 }
 
 #[cfg(test)]
-#[path = "manual_exclusion/tests.rs"]
 mod tests;
--- a/crates/front/src/control/manual_exclusion/tests.rs
+++ b/crates/front/src/control/manual_exclusion/tests.rs
@@ -1,3 +1,5 @@
+//! Unit tests of the stored manual exclusions.
+
 use super::*;
 
 struct Folder(PathBuf);
@@ -32,7 +34,7 @@
 }
 
 #[test]
-fn the_kept_set_comes_back_and_a_foreign_file_is_refused_with_its_line() {
+fn a_stored_set_is_loaded_and_a_foreign_file_is_rejected_with_its_line() {
     let folder = Folder::new("back");
     let front = folder.front("docs", 4100);
     assert!(front.load().expect("no file is no set").is_empty());
@@ -45,14 +47,14 @@
         (format!("{HEADER}\na\n\n"), 3),
         (format!("{HEADER}\na b\n"), 2),
     ] {
-        std::fs::write(&front.own, text).expect("written");
+        std::fs::write(&front.own_file, text).expect("written");
         assert!(matches!(front.load(), Err(FileError::Line(_, n, _)) if n == line), "line {line}");
     }
 }
 
 /// One customer's front took over the nodes that another's of the same name had out by hand, on the same machine.
 #[test]
-fn fronts_of_two_deployments_share_no_node_out_by_hand() {
+fn fronts_of_two_deployments_share_no_manual_exclusion() {
     let folder = Folder::new("two");
     let (ours, theirs, beside) =
         (folder.front("docs", 4100), folder.front("pages", 4100), folder.front("docs", 4200));
@@ -66,19 +68,19 @@
 
 /// A process of either version may replace one of the other, and keeps to what was out.
 #[test]
-fn the_earlier_versions_file_is_read_and_written() {
+fn the_file_of_the_earlier_version_is_read_and_written() {
     let folder = Folder::new("earlier");
     let front = folder.front("docs", 4100);
-    std::fs::write(&front.shared, format!("{HEADER}\na\n")).expect("written");
+    std::fs::write(&front.shared_file, format!("{HEADER}\na\n")).expect("written");
     assert_eq!(front.load().expect("read"), ids(&["a"]));
     front.save(&ids(&["a", "b"])).expect("written");
     // The earlier version read each line after the header as an id.
-    let text = std::fs::read_to_string(&front.shared).expect("written");
+    let text = std::fs::read_to_string(&front.shared_file).expect("written");
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!((lines[0], &lines[2..]), (HEADER, &["a", "b"][..]));
-    assert!(lines[1].starts_with(DEPLOYMENT) && !lines[1].contains(' '));
+    assert!(lines[1].starts_with(DEPLOYMENT_PREFIX) && !lines[1].contains(' '));
     // Its own file gone, the shared one is still this deployment's, and not another's.
-    std::fs::remove_file(&front.own).expect("written");
+    std::fs::remove_file(&front.own_file).expect("written");
     assert_eq!(front.load().expect("read"), ids(&["a", "b"]));
     assert!(folder.front("pages", 4100).load().expect("read").is_empty());
 }
--- a/crates/front/src/control/peers.rs
+++ b/crates/front/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Short messages between the fronts of a tier, as datagrams.
+//! Datagrams between the fronts of a tier: short messages of the dispatchers to their peers.
 
 use crate::Shared;
 use may::io::{CoIo, WaitIo};
@@ -9,28 +9,39 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// No message is longer.
-const MOST_BYTES: usize = 256;
-const AFTER_ERROR: Duration = Duration::from_millis(5);
+/// Longest datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 256;
+/// Pause after a receive error.
+const ERROR_PAUSE: Duration = Duration::from_millis(5);
 
-/// This front's end of it.
+/// This front's socket to its peers.
 pub struct Peers {
     socket: CoIo<UdpSocket>,
-    all: Option<SocketAddr>,
-    each: Vec<SocketAddr>,
+    /// Reaches all peers at once.
+    broadcast_addr: Option<SocketAddr>,
+    /// The peers by slot.
+    addrs: Vec<SocketAddr>,
+    /// Datagrams dropped: not from a peer, or too long.
     foreign: AtomicU64,
 }
 
 impl Peers {
-    /// Takes the address where messages come in. It is shared with a process that replaces this one while both
+    /// Binds the listen address for peers' datagrams. It is shared with a process that replaces this one while both
     /// run (`SO_REUSEPORT`): the kernel gives each peer's datagrams to one of them, and all to the one that stays.
-    pub fn bind(at: SocketAddr, each: Vec<SocketAddr>, all: Option<SocketAddr>) -> std::io::Result<Peers> {
+    ///
+    /// # Errors
+    /// The address can't be bound.
+    pub fn bind(
+        at: SocketAddr,
+        addrs: Vec<SocketAddr>,
+        broadcast_addr: Option<SocketAddr>,
+    ) -> std::io::Result<Peers> {
         let socket = Socket::new(Domain::for_address(at), Type::DGRAM, Some(Protocol::UDP))?;
         socket.set_reuse_address(true)?;
         socket.set_reuse_port(true)?;
         socket.bind(&at.into())?;
         let socket = CoIo::new(UdpSocket::from(socket)).map_err(std::io::Error::from)?;
-        Ok(Peers { socket, all, each, foreign: AtomicU64::new(0) })
+        Ok(Peers { socket, broadcast_addr, addrs, foreign: AtomicU64::new(0) })
     }
 
     /// The next datagram, waiting in the coroutine for one.
@@ -47,33 +58,33 @@
     }
 
     fn send(&self, to: Option<&SocketAddr>, data: &[u8]) {
-        // Straight to the socket, which never blocks: a datagram that finds no room is lost, as any may be.
-        if let Some(to) = to.filter(|_| data.len() <= MOST_BYTES) {
+        // Straight to the socket, which never blocks: a datagram for which the kernel has no buffer is lost, as any may be.
+        if let Some(to) = to.filter(|_| data.len() <= MAX_DATAGRAM_BYTES) {
             let _ = self.socket.inner().send_to(data, to);
         }
     }
 
-    /// To one of them.
-    pub fn tell(&self, to: u32, data: &[u8]) {
-        self.send(self.each.get(to as usize), data);
+    /// Sends a message to the peer in slot `to`; it may be lost.
+    pub fn send_to(&self, to: u32, data: &[u8]) {
+        self.send(self.addrs.get(to as usize), data);
     }
 
-    /// To all of them.
-    pub fn tell_all(&self, data: &[u8]) {
-        self.send(self.all.as_ref(), data);
+    /// Sends a message to all peers; it may be lost.
+    pub fn broadcast(&self, data: &[u8]) {
+        self.send(self.broadcast_addr.as_ref(), data);
     }
 
-    /// Hands on what comes, for good. What no peer sent is passed over.
+    /// Passes received messages to the dispatchers for the life of the process; counts and drops what no peer sent.
     pub fn run(&self, front: &Arc<Shared>) {
-        let mut data = [0; MOST_BYTES + 1];
+        let mut data = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let Ok((n, from)) = self.receive(&mut data) else {
                 // An error of one datagram, such as a port that nobody has: the next may be fine.
-                crate::sleep::sleep(AFTER_ERROR);
+                crate::sleep::sleep(ERROR_PAUSE);
                 continue;
             };
-            let sender = self.each.iter().position(|p| *p == from);
-            if let Some(slot) = sender.filter(|_| n <= MOST_BYTES) {
+            let sender = self.addrs.iter().position(|p| *p == from);
+            if let Some(slot) = sender.filter(|_| n <= MAX_DATAGRAM_BYTES) {
                 for queue in front.queues.all() {
                     queue.dispatcher.heard(front.clock.now(), slot as u32, data[..n].to_vec());
                 }
@@ -83,7 +94,7 @@
         }
     }
 
-    /// How many datagrams came from no peer's address or were too long; they were dropped.
+    /// Number of datagrams dropped since the start: from no peer's address, or too long.
     pub fn foreign(&self) -> u64 {
         self.foreign.load(Ordering::Relaxed)
     }
--- a/crates/front/src/control/reload.rs
+++ b/crates/front/src/control/reload.rs
@@ -1,5 +1,5 @@
-//! SIGHUP: the configuration file is read again while the front runs; and SIGTERM beside it, so that both are caught before
-//! anything else is done.
+//! The front's signals, caught before anything else is done: SIGTERM, and SIGHUP, which reloads the configuration while
+//! the front runs.
 
 use crate::config::ConfigError;
 use crate::failure::patiently;
@@ -11,21 +11,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-type Read = Result<Box<Start>, ConfigError>;
+/// What a reload read.
+type Loaded = Result<Box<Start>, ConfigError>;
 
-/// A file that can't be read may be there in a moment: it is being replaced, or the machine wants for descriptors.
-const UNREADABLE: Duration = Duration::from_secs(5);
+/// How long an unreadable file is retried: it may be being replaced, or the host may be out of descriptors.
+const READ_RETRY_TIME: Duration = Duration::from_secs(5);
 
-/// The signals that a front lives by, caught from now on: the default of either would end the process.
+/// The signals that control a front, as flags; the default action of either would end the process.
 pub struct Signals {
-    /// SIGTERM came.
+    /// Set by SIGTERM.
     pub term: Arc<AtomicBool>,
-    /// SIGHUP came.
+    /// Set by SIGHUP.
     pub hup: Arc<AtomicBool>,
 }
 
 impl Signals {
-    /// Catches them; to be called before anything is read, so that none is lost.
+    /// Installs the handlers; to be called before anything is read, so that no signal is lost.
     ///
     /// # Errors
     /// As `sigaction(2)`.
@@ -37,63 +38,63 @@
     }
 }
 
-/// Reads the files of a front that starts, again for a while where they are there and can't be read.
+/// Reads the files of a front that starts, retrying for a while where they exist and can't be read.
 ///
 /// # Errors
 /// As [`Start::read`].
 pub fn read(config: Option<PathBuf>, site: Option<PathBuf>) -> Result<Start, ConfigError> {
     let unreadable = |e: &ConfigError| matches!(e, ConfigError::Read(e) if e.kind() != ErrorKind::NotFound);
-    patiently(UNREADABLE, unreadable, |_| Start::read(config.clone(), site.clone()))
+    patiently(READ_RETRY_TIME, unreadable, |_| Start::read(config.clone(), site.clone()))
 }
 
-/// The same for a front that runs: a file that is missing is being replaced.
-fn read_again(config: Option<PathBuf>, site: Option<PathBuf>) -> Read {
+/// The same for a running front, for which a missing file is one that is being replaced.
+fn read_again(config: Option<PathBuf>, site: Option<PathBuf>) -> Loaded {
     let unreadable = |e: &ConfigError| matches!(e, ConfigError::Read(_));
-    patiently(UNREADABLE, unreadable, |_| Start::read(config.clone(), site.clone())).map(Box::new)
+    patiently(READ_RETRY_TIME, unreadable, |_| Start::read(config.clone(), site.clone())).map(Box::new)
 }
 
-/// Reads the files again when SIGHUP comes, on a thread of its own: the worker must not wait for a disk.
+/// Reloads the files on request, on a thread of its own: the worker must not wait for a disk.
 pub struct Reload {
-    asked: Arc<AtomicBool>,
+    requested: Arc<AtomicBool>,
     config: Option<PathBuf>,
     site: Option<PathBuf>,
-    reading: Option<Receiver<Read>>,
+    loading: Option<Receiver<Loaded>>,
 }
 
 impl Reload {
-    /// Reads these files whenever `asked` is set.
-    pub fn new(asked: Arc<AtomicBool>, config: Option<PathBuf>, site: Option<PathBuf>) -> Reload {
-        Reload { asked, config, site, reading: None }
+    /// Reloads these files whenever `requested` is set.
+    pub fn new(requested: Arc<AtomicBool>, config: Option<PathBuf>, site: Option<PathBuf>) -> Reload {
+        Reload { requested, config, site, loading: None }
     }
 
-    /// Now and then: the configuration that was asked for, once it is read.
-    pub fn poll(&mut self) -> Option<Read> {
-        if let Some(reading) = &self.reading {
-            let read = match reading.try_recv() {
-                Ok(read) => Some(read),
+    /// The configuration that was requested, once it is read; called periodically.
+    pub fn poll(&mut self) -> Option<Loaded> {
+        if let Some(loading) = &self.loading {
+            let loaded = match loading.try_recv() {
+                Ok(loaded) => Some(loaded),
                 Err(TryRecvError::Empty) => return None,
-                // The reader ended without a word: what was asked is asked again.
+                // The reader ended without a result: the request is renewed.
                 Err(TryRecvError::Disconnected) => {
                     tracing::error!("reload: the reader of the configuration failed; it is read again");
-                    self.asked.store(true, Ordering::Release);
+                    self.requested.store(true, Ordering::Release);
                     None
                 }
             };
-            self.reading = None;
-            return read;
+            self.loading = None;
+            return loaded;
         }
-        if !self.asked.swap(false, Ordering::AcqRel) {
+        if !self.requested.swap(false, Ordering::AcqRel) {
             return None;
         }
         let (config, site) = (self.config.clone(), self.site.clone());
-        let (to, reading) = channel();
+        let (sender, receiver) = channel();
         let reader = std::thread::Builder::new().name("reload".into());
-        match reader.spawn(move || to.send(read_again(config, site))) {
-            Ok(_) => self.reading = Some(reading),
-            // No thread for the moment: the next look tries again.
+        match reader.spawn(move || sender.send(read_again(config, site))) {
+            Ok(_) => self.loading = Some(receiver),
+            // No thread for the moment: the next poll tries again.
             Err(e) => {
                 tracing::warn!("reload: {e}");
-                self.asked.store(true, Ordering::Release);
+                self.requested.store(true, Ordering::Release);
             }
         }
         None
--- a/crates/front/src/control/watch_history.rs
+++ b/crates/front/src/control/watch_history.rs
@@ -1,145 +1,191 @@
-//! What a front has of the event bus's numbered events, and what it makes of each line: lines in, events out. No sockets.
+//! The history of the discovery watch: which of its numbered events this front has, and what each line of the event bus
+//! adds. Lines in, events out; no sockets.
 //!
-//! Events come in order. One that is known already is passed over, and a gap ends the connection, so that all that is
-//! missing is asked for again. A bus whose last number is lower than what this front has begun its numbers anew, or
-//! lost some: it is asked for everything, and what it tells up to its last number counts as one whole list. A machine
-//! that drained by what was known stays draining in that list, as long as it has not started since: its event may be
-//! among those that were lost.
+//! Events come in order. A known one is skipped, and a gap ends the connection, so that everything missing is requested
+//! again. A bus whose last offset is lower than this front's has restarted its numbering or lost events: it is asked to
+//! replay everything, and what it replays up to its last offset counts as one complete endpoint list. A node that was
+//! known to be draining stays draining in that list unless it has started since: its event may be among those lost.
 
-use crate::discovery_watch::{event, Event};
+use super::watch_event::{self, ListedNode, WatchEvent};
 use crate::log::Reason;
 use fernslip::json::{JsonError, Names};
 use fernslip::{CacheId, Entry, Phase};
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap};
-use std::net::SocketAddr;
 
-/// A line of the bus, read.
+/// Consecutive last offsets below this front's that show a renumbered bus: a single one may have been read just before
+/// an event that was written first.
+const LOW_OFFSETS_OF_RENUMBERING: u32 = 2;
+
+/// What a line of the event bus amounts to.
 #[derive(Debug)]
 pub enum Line {
-    /// It tells nothing new.
-    Nothing,
-    /// Event of that number; what follows from it.
-    Event(u64, Event),
-    /// Event of that number can't be read. It counts as had: else it would come for ever.
-    Unread(u64, JsonError),
+    /// It adds nothing.
+    NothingNew,
+    /// The event of that offset, and what to apply for it.
+    Event(u64, WatchEvent),
+    /// The event of that offset can't be parsed. It counts as received: else it would be requested for ever.
+    Unreadable(u64, JsonError),
+}
+
+/// How far a replay of everything has come, which a renumbered bus was asked for.
+#[derive(Debug, Default)]
+enum Replay {
+    /// No replay is under way.
+    #[default]
+    None,
+    /// Nothing of the replay is a complete endpoint list yet.
+    AwaitingList,
+    /// The nodes of the complete list with the updates replayed after it.
+    Collecting(BTreeMap<CacheId, ListedNode>),
 }
 
-type Server = (Entry, Option<SocketAddr>);
+/// A gap in the offsets: the last event received, and the offset that followed it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Gap {
+    after: u64,
+    before: u64,
+}
 
-/// The events so far.
+/// The events received so far.
 pub struct History {
     offset: u64,
-    /// Machines that drain or are gone, and when they had started, in the bus's own time.
-    drained: HashMap<CacheId, f64>,
-    /// The bus tells everything anew: the machines so far, if a whole list was among it.
-    anew: Option<Option<BTreeMap<CacheId, Server>>>,
-    /// Last numbers in a row that were too low.
-    low: u32,
-    /// The last event that was had, and the one that came next though others lie between.
-    gap: Option<(u64, u64)>,
+    /// Nodes that drain or have departed, with their reported start in Unix milliseconds.
+    draining: HashMap<CacheId, f64>,
+    replay: Replay,
+    /// Consecutive last offsets that were too low.
+    low_offsets: u32,
+    /// The gap that the bus was last asked to fill.
+    requested_gap: Option<Gap>,
 }
 
-/// So many last numbers in a row that are too low show a bus that has begun anew: one alone may have been read just before
-/// an event that was written first.
-const LOW: u32 = 2;
-
 impl History {
-    /// All up to event number `offset` is had.
+    /// A history in which all events up to `offset` are received.
     pub fn new(offset: u64) -> History {
-        History { offset, drained: HashMap::new(), anew: None, low: 0, gap: None }
+        History {
+            offset,
+            draining: HashMap::new(),
+            replay: Replay::None,
+            low_offsets: 0,
+            requested_gap: None,
+        }
     }
 
-    /// Number of the last event that is had: what comes after it is to be asked for.
+    /// Offset of the last event received: what follows it is to be requested.
     pub fn offset(&self) -> u64 {
         self.offset
     }
 
-    /// Takes in the events that a front is told of at its start.
-    pub fn learn(&mut self, e: &Event) {
-        let Event::List { full, servers } = e else { return };
+    /// Notes the draining nodes of an event, such as one known at start.
+    pub fn observe(&mut self, event: &WatchEvent) {
+        let WatchEvent::EndpointList { full, nodes } = event else { return };
         if *full {
-            self.drained.clear();
+            self.draining.clear();
         }
-        for (e, _) in servers {
-            match e.phase {
-                Phase::In => drop(self.drained.remove(&e.cache)),
-                _ => drop(self.drained.insert(e.cache.clone(), e.born_ms)),
+        for ListedNode { entry, .. } in nodes {
+            match entry.phase {
+                Phase::In => drop(self.draining.remove(&entry.cache)),
+                _ => drop(self.draining.insert(entry.cache.clone(), entry.born_ms)),
             }
         }
     }
 
-    /// Takes one line, without its end.
+    /// Takes one line of the bus, without its line end.
     ///
     /// # Errors
-    /// Why the connection is of no further use: events are missing, the numbers begin anew, or it is no line of a bus.
-    pub fn line(&mut self, text: &[u8], names: &Names) -> Result<Line, Reason> {
-        if text.iter().all(u8::is_ascii_whitespace) {
-            return Ok(Line::Nothing);
+    /// Why the connection is of no further use: events are missing, the numbering restarts, or it is no line of a bus.
+    pub fn receive(&mut self, line: &[u8], names: &Names) -> Result<Line, Reason> {
+        if line.iter().all(u8::is_ascii_whitespace) {
+            return Ok(Line::NothingNew);
         }
-        let v: Value = serde_json::from_slice(text).map_err(|_| Reason::Malformed)?;
-        if let Some(last) = v.as_u64() {
-            return self.last(last);
+        let value: Value = serde_json::from_slice(line).map_err(|_| Reason::Malformed)?;
+        if let Some(last) = value.as_u64() {
+            return self.receive_last_offset(last);
         }
-        let number = v["offset"].as_u64().ok_or(Reason::Malformed)?;
-        if number <= self.offset {
-            return Ok(Line::Nothing);
+        let offset = value["offset"].as_u64().ok_or(Reason::Malformed)?;
+        if offset <= self.offset {
+            return Ok(Line::NothingNew);
         }
-        let read = event(&v, names);
-        // A whole list stands for all before it. Anything else behind a gap is asked for once more, with what is missing; a
-        // bus that tells it again without is taken at its word, or it would be asked for ever.
-        let whole = matches!(read, Ok(Event::List { full: true, .. }));
-        let gap = (self.offset, number);
-        if number > self.offset + 1 && !whole && self.gap.replace(gap) != Some(gap) {
+        let parsed = watch_event::parse(&value, names);
+        self.advance(offset, &parsed)?;
+        let event = match parsed {
+            Ok(event) => event,
+            Err(e) => return Ok(Line::Unreadable(offset, e)),
+        };
+        let Some(event) = self.collect_replayed(event) else { return Ok(Line::NothingNew) };
+        self.observe(&event);
+        Ok(Line::Event(offset, event))
+    }
+
+    /// Moves on to the event of `offset`.
+    ///
+    /// A complete list replaces all before it. Anything else behind a gap is requested once more together with what is
+    /// missing; a bus that then repeats it without the missing events is believed, or it would be asked for ever.
+    ///
+    /// # Errors
+    /// [`Reason::Gap`]: the missing events are to be requested first.
+    fn advance(&mut self, offset: u64, parsed: &Result<WatchEvent, JsonError>) -> Result<(), Reason> {
+        let is_complete = matches!(parsed, Ok(WatchEvent::EndpointList { full: true, .. }));
+        let gap = Gap { after: self.offset, before: offset };
+        if offset > self.offset + 1 && !is_complete && self.requested_gap.replace(gap) != Some(gap) {
             return Err(Reason::Gap);
         }
-        (self.offset, self.low, self.gap) = (number, 0, None);
-        let read = match read {
-            Ok(e) => e,
-            Err(e) => return Ok(Line::Unread(number, e)),
-        };
-        let event = match (&mut self.anew, read) {
-            (Some(all), Event::List { full, servers }) => {
+        (self.offset, self.low_offsets, self.requested_gap) = (offset, 0, None);
+        Ok(())
+    }
+
+    /// Collects an endpoint-list event of a replay; gives back any other event.
+    fn collect_replayed(&mut self, event: WatchEvent) -> Option<WatchEvent> {
+        match (&mut self.replay, event) {
+            (Replay::None, event) => Some(event),
+            (replay, WatchEvent::EndpointList { full, nodes }) => {
                 if full {
-                    *all = Some(BTreeMap::new());
+                    *replay = Replay::Collecting(BTreeMap::new());
                 }
-                if let Some(all) = all {
-                    all.extend(servers.into_iter().map(|s| (s.0.cache.clone(), s)));
+                if let Replay::Collecting(collected) = replay {
+                    collected.extend(nodes.into_iter().map(|n| (n.entry.cache.clone(), n)));
                 }
-                return Ok(Line::Nothing);
+                None
             }
-            (_, event) => event,
-        };
-        self.learn(&event);
-        Ok(Line::Event(number, event))
+            (_, event) => Some(event),
+        }
     }
 
-    /// The bus's last number.
-    fn last(&mut self, last: u64) -> Result<Line, Reason> {
+    /// Takes the bus's last offset, which it sends each second.
+    fn receive_last_offset(&mut self, last: u64) -> Result<Line, Reason> {
         if last > self.offset {
             return Err(Reason::Gap);
         }
-        self.low = if last < self.offset { self.low + 1 } else { 0 };
-        if self.low >= LOW {
-            (self.offset, self.low, self.anew) = (0, 0, Some(None));
+        self.low_offsets = if last < self.offset { self.low_offsets + 1 } else { 0 };
+        if self.low_offsets >= LOW_OFFSETS_OF_RENUMBERING {
+            (self.offset, self.low_offsets, self.replay) = (0, 0, Replay::AwaitingList);
             return Err(Reason::Renumbered);
         }
         if last < self.offset {
-            return Ok(Line::Nothing);
+            return Ok(Line::NothingNew);
         }
-        // All that was told anew is there.
-        let Some(Some(all)) = self.anew.take() else { return Ok(Line::Nothing) };
-        let stays = |e: &Entry| self.drained.get(&e.cache).is_some_and(|born| *born >= e.born_ms);
-        let servers = all.into_values().filter(|(e, _)| e.phase != Phase::Out).map(|(e, addr)| {
-            let phase = if e.phase == Phase::In && stays(&e) { Phase::Draining } else { e.phase };
-            (Entry { phase, ..e }, addr)
-        });
-        let event = Event::List { full: true, servers: servers.collect() };
-        self.learn(&event);
+        // A replay, if one was under way, is complete.
+        let Replay::Collecting(collected) = std::mem::take(&mut self.replay) else {
+            return Ok(Line::NothingNew);
+        };
+        let event = self.list_of_replay(collected);
+        self.observe(&event);
         Ok(Line::Event(self.offset, event))
     }
+
+    /// The complete endpoint list that a replay amounts to; nodes known to be draining stay so unless they have restarted.
+    fn list_of_replay(&self, collected: BTreeMap<CacheId, ListedNode>) -> WatchEvent {
+        let still_drains =
+            |e: &Entry| self.draining.get(&e.cache).is_some_and(|started| *started >= e.born_ms);
+        let present = collected.into_values().filter(|n| n.entry.phase != Phase::Out);
+        let nodes = present.map(|ListedNode { entry, addr }| {
+            let drains = entry.phase == Phase::In && still_drains(&entry);
+            let phase = if drains { Phase::Draining } else { entry.phase };
+            ListedNode { entry: Entry { phase, ..entry }, addr }
+        });
+        WatchEvent::EndpointList { full: true, nodes: nodes.collect() }
+    }
 }
 
 #[cfg(test)]
-#[path = "watch_history/tests.rs"]
 mod tests;
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -167,13 +167,13 @@
 
     fn tell(&self, to: u32, data: &[u8]) {
         if let Some(p) = &self.peers {
-            p.tell(to, data);
+            p.send_to(to, data);
         }
     }
 
     fn tell_all(&self, data: &[u8]) {
         if let Some(p) = &self.peers {
-            p.tell_all(data);
+            p.broadcast(data);
         }
     }
 
@@ -412,9 +412,9 @@
     }
     let mut history = watch_history::History::new(config.offset);
     for v in &config.batch {
-        match discovery_watch::event(v, &front.names) {
+        match control::watch_event::parse(v, &front.names) {
             Ok(e) => {
-                history.learn(&e);
+                history.observe(&e);
                 discovery_watch::apply(&front, e, None);
             }
             Err(e) => tracing::warn!("known: {e}"),
@@ -473,7 +473,7 @@
 fn take_up(front: &Shared, new: Start) {
     if let Some(bus) = new.config.bus {
         tracing::info!("reload: bus={bus}; what else is new in the configuration takes a restart");
-        front.bus.move_to(bus);
+        front.bus.set_address(bus);
     }
     if let (Some(talk), Some(g)) = (&front.talk, new.gossip) {
         talk.rekey(g.keys);
