--- a/crates/front/src/clients/forward.rs
+++ b/crates/front/src/clients/forward.rs
@@ -7,7 +7,7 @@
 use crate::pending_attempt::AttemptTimes;
 use crate::reason_counts::Kind;
 use crate::send_guard::SendGuard;
-use crate::Shared;
+use crate::shared::Shared;
 use fernslip::facade::{Decision, Ended};
 use fernslip::{Effect, Ending, Request};
 use std::sync::Arc;
--- a/crates/front/src/clients/server.rs
+++ b/crates/front/src/clients/server.rs
@@ -14,8 +14,8 @@
 use crate::metrics::Outcome;
 use crate::msgpack_rpc::{self as rpc, Fields, Message};
 use crate::reason_counts::Kind;
+use crate::shared::Shared;
 use crate::spawn::spawn;
-use crate::Shared;
 use fernslip::{Class, Request, RequestId};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -228,7 +228,7 @@
         body: Vec<u8>,
     ) -> Result<(), Reason> {
         if method == "isWell" {
-            self.send(rpc::well(number, front.is_well()));
+            self.send(rpc::well(number, front.is_ready()));
             return Ok(());
         }
         let (request, ask) = match call::read(&front.server.classes, &method, fields, body) {
--- a/crates/front/src/control/admin.rs
+++ b/crates/front/src/control/admin.rs
@@ -23,7 +23,7 @@
 pub use command::{parse, AdminCommand};
 pub use exclusions::{follow as follow_manual_exclusions, restore as restore_manual_exclusions};
 
-use crate::Shared;
+use crate::shared::Shared;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/front/src/control/admin/answer.rs
+++ b/crates/front/src/control/admin/answer.rs
@@ -3,13 +3,13 @@
 use super::command::AdminCommand;
 use super::exclusions::{self, Membership};
 use crate::reason_counts::figure;
-use crate::Shared;
+use crate::shared::Shared;
 use std::collections::BTreeMap;
 
 /// Executes a command; returns the lines of its answer.
 pub fn answer(front: &Shared, command: AdminCommand) -> String {
     match command {
-        AdminCommand::Ready if front.is_well() => "200 ready\n".into(),
+        AdminCommand::Ready if front.is_ready() => "200 ready\n".into(),
         AdminCommand::Ready => "400 not ready\n".into(),
         AdminCommand::Telemetry => telemetry(front),
         AdminCommand::Exclude(id) | AdminCommand::Include(id) if front.queues.all().is_empty() => {
--- a/crates/front/src/control/admin/exclusions.rs
+++ b/crates/front/src/control/admin/exclusions.rs
@@ -1,7 +1,7 @@
 //! Manual exclusions of cache nodes: changing them by command, restoring them at start, and following the changes that
 //! another process of this front makes.
 
-use crate::Shared;
+use crate::shared::Shared;
 use fernslip::CacheId;
 use std::collections::BTreeSet;
 use std::io;
@@ -26,7 +26,7 @@
 /// `400`.
 pub fn set(front: &Shared, id: &str, membership: Membership) -> String {
     let (queues, cache) = (front.queues.all(), CacheId::from(id));
-    let _one_at_a_time = front.excluded.change();
+    let _one_at_a_time = front.manual_exclusions.change();
     let mut excluded = currently_excluded(front);
     let is_listed = queues.iter().any(|queue| queue.dispatcher.is_listed(&cache));
     if !is_listed && (membership == Membership::Excluded || !excluded.contains(&cache)) {
@@ -37,8 +37,8 @@
         Membership::Included => excluded.remove(&cache),
     };
     let ids: Vec<CacheId> = excluded.iter().cloned().collect();
-    if let Err(e) = front.excluded.save(&ids) {
-        tracing::warn!(node = %id, "admin: {}: {e}; nothing is changed", front.excluded);
+    if let Err(e) = front.manual_exclusions.save(&ids) {
+        tracing::warn!(node = %id, "admin: {}: {e}; nothing is changed", front.manual_exclusions);
         return format!("400 {id} can't be kept: {e}\n");
     }
     apply(front, &excluded);
@@ -76,8 +76,8 @@
 /// Applies the manual exclusions stored by an earlier process; a file that can't be used is logged with its path and
 /// left as it is.
 pub fn restore(front: &Shared) {
-    front.excluded.remove_abandoned();
-    match front.excluded.load_at_start() {
+    front.manual_exclusions.remove_abandoned();
+    match front.manual_exclusions.load_at_start() {
         Ok(ids) if ids.is_empty() => {}
         Ok(ids) => {
             tracing::info!(nodes = ids.len(), "admin: out by hand, as an earlier process left them");
@@ -98,11 +98,11 @@
     let follower = std::thread::Builder::new().name("excluded".into());
     follower.spawn(move || loop {
         std::thread::sleep(FOLLOW_INTERVAL);
-        if !front.excluded.changed() {
+        if !front.manual_exclusions.changed() {
             continue;
         }
-        let _one_at_a_time = front.excluded.change();
-        match front.excluded.load() {
+        let _one_at_a_time = front.manual_exclusions.change();
+        match front.manual_exclusions.load() {
             Ok(ids) => {
                 tracing::info!(
                     nodes = ids.len(),
--- a/crates/front/src/control/discovery_watch.rs
+++ b/crates/front/src/control/discovery_watch.rs
@@ -8,8 +8,8 @@
 use crate::link::{lock, Link};
 use crate::log::Reason;
 use crate::reason_counts::Kind;
+use crate::shared::Shared;
 use crate::watch_history::{History, Line};
-use crate::Shared;
 use fernslip::{CacheId, ObjectId, Phase};
 use may::net::TcpStream;
 use rand::{Rng, SeedableRng};
@@ -53,14 +53,14 @@
 fn apply_purge(front: &Shared, object: Option<ObjectId>, group: u64, unix_ms: f64, since: Option<f64>) {
     let now = front.clock.now();
     // Before the first line nothing bounds the date: the conservative answer is now.
-    let at = front.wall.when(unix_ms, since.unwrap_or(now));
+    let at = front.wall_clock.when(unix_ms, since.unwrap_or(now));
     for queue in front.queues.all() {
         queue.dispatcher.purged(now, object, group, now - at);
     }
 }
 
 fn apply_endpoint_list(front: &Shared, full: bool, nodes: Vec<ListedNode>, since: Option<f64>) {
-    if let Some(gossip) = &front.talk {
+    if let Some(gossip) = &front.gossip {
         // Starts in Unix time: all fronts must name a node by the same start.
         let starts = nodes.iter().map(|ListedNode { entry, .. }| {
             (entry.cache.clone(), Some(entry.born_ms).filter(|_| entry.phase != Phase::Out))
@@ -69,7 +69,7 @@
     }
     let mut entries = Vec::new();
     for ListedNode { mut entry, addr } in nodes {
-        entry.born_ms = front.bus.starts.module_time(&front.wall, &entry.cache, entry.born_ms, since);
+        entry.born_ms = front.bus.starts.module_time(&front.wall_clock, &entry.cache, entry.born_ms, since);
         match (entry.phase, addr) {
             (Phase::Out, _) => front.upstream.remove_node(&entry.cache),
             (_, Some(addr)) => front.upstream.add_node(entry.cache.clone(), addr, entry.born_ms),
@@ -85,7 +85,7 @@
     let queues = front.queues.all();
     front.bus.starts.limit(|id| queues.iter().any(|queue| queue.dispatcher.is_listed(id)));
     if full {
-        front.listed.store(true, Ordering::Release);
+        front.endpoints_listed.store(true, Ordering::Release);
     }
 }
 
--- a/crates/front/src/control/peers.rs
+++ b/crates/front/src/control/peers.rs
@@ -1,6 +1,6 @@
 //! Datagrams between the fronts of a tier: short messages of the dispatchers to their peers.
 
-use crate::Shared;
+use crate::shared::Shared;
 use may::io::{CoIo, WaitIo};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io::ErrorKind;
--- a/crates/front/src/control/reload.rs
+++ b/crates/front/src/control/reload.rs
@@ -3,7 +3,7 @@
 
 use crate::config::ConfigError;
 use crate::failure::patiently;
-use crate::Start;
+use crate::loaded_config::LoadedConfig;
 use std::io::ErrorKind;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// What a reload read.
-type Loaded = Result<Box<Start>, ConfigError>;
+type Loaded = Result<Box<LoadedConfig>, ConfigError>;
 
 /// How long an unreadable file is retried: it may be being replaced, or the host may be out of descriptors.
 const READ_RETRY_TIME: Duration = Duration::from_secs(5);
@@ -41,16 +41,16 @@
 /// Reads the files of a front that starts, retrying for a while where they exist and can't be read.
 ///
 /// # Errors
-/// As [`Start::read`].
-pub fn read(config: Option<PathBuf>, site: Option<PathBuf>) -> Result<Start, ConfigError> {
+/// As [`LoadedConfig::read`].
+pub fn read(config: Option<PathBuf>, site: Option<PathBuf>) -> Result<LoadedConfig, ConfigError> {
     let unreadable = |e: &ConfigError| matches!(e, ConfigError::Read(e) if e.kind() != ErrorKind::NotFound);
-    patiently(READ_RETRY_TIME, unreadable, |_| Start::read(config.clone(), site.clone()))
+    patiently(READ_RETRY_TIME, unreadable, |_| LoadedConfig::read(config.clone(), site.clone()))
 }
 
 /// The same for a running front, for which a missing file is one that is being replaced.
 fn read_again(config: Option<PathBuf>, site: Option<PathBuf>) -> Loaded {
     let unreadable = |e: &ConfigError| matches!(e, ConfigError::Read(_));
-    patiently(READ_RETRY_TIME, unreadable, |_| Start::read(config.clone(), site.clone())).map(Box::new)
+    patiently(READ_RETRY_TIME, unreadable, |_| LoadedConfig::read(config.clone(), site.clone())).map(Box::new)
 }
 
 /// Reloads the files on request, on a thread of its own: the worker must not wait for a disk.
--- /dev/null
+++ b/crates/front/src/reconfigure.rs
@@ -0,0 +1,28 @@
+//! Applying a reloaded configuration to a running front, as far as one can without a restart.
+
+use crate::loaded_config::LoadedConfig;
+use crate::shared::Shared;
+
+/// Applies what a running front can take over: the bus's address, keys, and the plan of the site document.
+pub(crate) fn apply(front: &Shared, new: LoadedConfig) {
+    if let Some(bus) = new.config.bus {
+        tracing::info!("reload: bus={bus}; what else is new in the configuration takes a restart");
+        front.bus.set_address(bus);
+    }
+    if let (Some(gossip), Some(plan)) = (&front.gossip, new.gossip) {
+        gossip.rekey(plan.keys);
+    }
+    if let (Some(fleet), Some(plan)) = (&front.fleet, new.view) {
+        fleet.rekey(plan.keys);
+        fleet.configured(plan.config.configuration);
+    }
+    if let Some(plan) = new.plan {
+        match front.queues.apply_plan(&front.clock, &front.upstream, plan) {
+            Ok(changes) => {
+                front.announce_members();
+                tracing::info!("reload: site: {changes}");
+            }
+            Err(why) => tracing::warn!("reload: the old site stays: {why}"),
+        }
+    }
+}
--- /dev/null
+++ b/crates/front/src/startup.rs
@@ -0,0 +1,348 @@
+//! Starting a front, in phases: sockets, gossip and view, shared state, known endpoints, background work, serving.
+//!
+//! Their order is part of the contract: every address is bound before anything is restored, manual exclusions are back
+//! before any endpoint is listed, and a front accepts clients last.
+
+use crate::clock::Clock;
+use crate::config::Config;
+use crate::connection_pool::{ConnectionLimits, ConnectionPool};
+use crate::control::watch_event;
+use crate::discovery_watch::{self, DiscoveryWatch};
+use crate::dispatch_host::DispatchHost;
+use crate::dispatch_queue::{DispatchQueues, NodeRegistry};
+use crate::failure::{patiently, Failure};
+use crate::gossip::{Evidence, Talk};
+use crate::invariants::{Invariants, Startup};
+use crate::listen::{Listener, Origin};
+use crate::loaded_config::LoadedConfig;
+use crate::main_loop::MainLoop;
+use crate::manual_exclusion::ManualExclusions;
+use crate::metrics::Metrics;
+use crate::peers::Peers;
+use crate::plan::Plan;
+use crate::reason_counts::ReasonCounts;
+use crate::reload::{Reload, Signals};
+use crate::server::Server;
+use crate::shared::Shared;
+use crate::shutdown::ShutdownPlan;
+use crate::snapshot::{RestoredState, Snapshot};
+use crate::spawn::{spawn, spawn_deep};
+use crate::start_error::StartError;
+use crate::view::Fleet;
+use crate::wall_clock::WallClock;
+use crate::watch_history::History;
+use crate::{admin, gossip, listen, sleep, view};
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+/// One core: one worker.
+const WORKERS: usize = 1;
+/// Size of a coroutine's stack in words; only what is touched costs memory.
+const STACK_WORDS: usize = 0x4000;
+/// The decision crate's timers are run this often at least.
+const TICK: Duration = Duration::from_millis(5);
+/// An address that can't be bound is retried for so long: a process that is ready within 6 s may replace another.
+const BIND_WITHIN: Duration = Duration::from_secs(2);
+
+/// Starts a front and serves until SIGTERM, and then until all that came is answered.
+///
+/// # Errors
+/// An address, a thread or the settings can't be had, or the main loop panicked.
+pub fn start(loaded: LoadedConfig, signals: Signals) -> Result<(), StartError> {
+    let LoadedConfig { mut config, plan, gossip, view, site } = loaded;
+    may::config().set_workers(WORKERS).set_stack_size(STACK_WORDS);
+    let clock = Clock::start();
+    let reload = Reload::new(signals.hup, config.file.take(), site);
+    let mut checks = Startup { signals_caught: true, ..Startup::default() };
+    let core = Core::new(&config, clock);
+    let Sockets { peers, clients, origin } = Sockets::open(&config)?;
+    let listen = clients.local_addr().unwrap_or(config.listen);
+    let gossip_from_view = gossip.as_ref().is_some_and(|g| g.from_view);
+    let gossip = gossip.map(|g| open_gossip(&g, &config, &core)).transpose()?;
+    let fleet = view.map(|v| open_view(&v, &config, &core.clock, gossip.as_deref())).transpose()?;
+    let serving = ServingConfig::take(&mut config, gossip_from_view);
+    let front = assemble(config, plan, core, Services { peers, gossip, fleet })?;
+    admin::restore_manual_exclusions(&front);
+    checks.exclusions_restored = true;
+    let history = load_known_endpoints(&front, &serving);
+    spawn_services(&front, &serving, history)?;
+    if origin == Origin::Passed {
+        tracing::info!("the clients' socket is the one handed over in {}", listen::PASSED);
+        admin::follow_manual_exclusions(front.clone()).map_err(StartError::Thread)?;
+    }
+    open_admin(&front, &serving)?;
+    checks.may_serve(&front.invariants);
+    tracing::info!("front {} listens on {listen}", serving.name);
+    let acceptor = clients.waker();
+    spawn_serving(&front, clients, origin);
+    let plan = ShutdownPlan::of(serving.longest_deadline_ms, origin);
+    let main_loop = MainLoop::new(front, signals.term, reload, plan, acceptor);
+    let running = may::go!(move || main_loop.run());
+    running.join().map_err(|_| StartError::Panic)
+}
+
+/// What every later phase builds on; made without any system call that may fail.
+struct Core {
+    clock: Clock,
+    invariants: Arc<Invariants>,
+    reason_counts: Arc<ReasonCounts>,
+    upstream: Arc<ConnectionPool>,
+    /// Signs of faults on their way from the decisions to the gossip.
+    evidence: Evidence,
+}
+
+impl Core {
+    fn new(config: &Config, clock: Clock) -> Core {
+        let limits = ConnectionLimits {
+            streams: config.streams,
+            connect_timeout: config.connect_timeout,
+            idle: config.idle,
+            connections: config.budget.upstream,
+        };
+        let (invariants, reason_counts) =
+            (Arc::new(Invariants::default()), Arc::new(ReasonCounts::default()));
+        let upstream = Arc::new(ConnectionPool::new(limits, invariants.clone(), reason_counts.clone()));
+        Core { clock, invariants, reason_counts, upstream, evidence: Evidence::default() }
+    }
+}
+
+/// The sockets of the configuration.
+struct Sockets {
+    peers: Option<Arc<Peers>>,
+    clients: Listener,
+    /// Where the clients' socket came from.
+    origin: Origin,
+}
+
+impl Sockets {
+    fn open(config: &Config) -> Result<Sockets, StartError> {
+        let peers = match config.peer_listen {
+            Some(at) => {
+                let peers = bind(at, || Peers::bind(at, config.peers.clone(), config.peers_all))?;
+                Some(Arc::new(peers))
+            }
+            None => None,
+        };
+        let (clients, origin) = bind(config.listen, || listen::clients(config.listen))?;
+        Ok(Sockets { peers, clients, origin })
+    }
+}
+
+/// Binds an address, and retries for a while where this machine lacks a resource, or an earlier process still has it.
+fn bind<T>(at: SocketAddr, bind: impl Fn() -> std::io::Result<T>) -> Result<T, StartError> {
+    let retry = |e: &std::io::Error| Failure::of(e) != Failure::Remote;
+    patiently(BIND_WITHIN, retry, |_| bind()).map_err(|e| StartError::Bind(at, e))
+}
+
+fn open_gossip(plan: &gossip::Plan, config: &Config, core: &Core) -> Result<Arc<Talk>, StartError> {
+    let at = plan.config.addr;
+    let gossip = Talk::bind(plan, &core.clock, config.seed, core.evidence.clone());
+    let gossip = Arc::new(gossip.map_err(|e| StartError::Bind(at, e))?);
+    if let Some(path) = &plan.control {
+        gossip.answer_at(path).map_err(|e| StartError::Control(path.clone(), e))?;
+    }
+    tracing::info!("gossip at {}", gossip.addr());
+    Ok(gossip)
+}
+
+/// Opens the membership view of the fleet, with what its durable store remembers if it has one, and starts the store's
+/// thread.
+fn open_view(
+    plan: &view::Plan,
+    config: &Config,
+    clock: &Clock,
+    gossip: Option<&Talk>,
+) -> Result<Arc<Fleet>, StartError> {
+    let opened = plan.store.as_deref().and_then(|file| Snapshot::open_soon(file, random_store_id()));
+    // Another number for each process: births and orders must differ where all else is the same.
+    let seed = config.seed ^ unix_nanos() ^ u64::from(std::process::id()).rotate_left(32);
+    let gossip_addr = gossip.map(|g| g.told_addr());
+    let (snapshot, restored) =
+        opened.map_or((None, RestoredState::default()), |(snapshot, restored)| (Some(snapshot), restored));
+    let fleet = Fleet::bind(plan, clock, seed, gossip_addr, restored.peers);
+    let fleet = Arc::new(fleet.map_err(|e| StartError::Bind(plan.listen, e))?);
+    if let Some(snapshot) = snapshot {
+        let fleet = fleet.clone();
+        spawn_thread("store", move || snapshot.run(fleet))?;
+    }
+    if let Some(path) = &plan.control {
+        fleet.answer_at(path).map_err(|e| StartError::Control(path.clone(), e))?;
+    }
+    tracing::info!("view at {}", fleet.addr());
+    Ok(fleet)
+}
+
+/// An id for a store that is empty: another each time.
+fn random_store_id() -> u64 {
+    let seed = unix_nanos() ^ u64::from(std::process::id()).rotate_left(40);
+    rand::Rng::random(&mut <rand_chacha::ChaCha8Rng as rand::SeedableRng>::seed_from_u64(seed))
+}
+
+fn unix_nanos() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64
+}
+
+fn spawn_thread(name: &str, run: impl FnOnce() + Send + 'static) -> Result<(), StartError> {
+    let thread = std::thread::Builder::new().name(name.into()).spawn(run);
+    thread.map(drop).map_err(StartError::Thread)
+}
+
+/// What the phases after [`assemble`] need of the configuration.
+struct ServingConfig {
+    /// The front's name.
+    name: String,
+    /// The last event known.
+    offset: u64,
+    /// The events up to it.
+    known_events: Vec<serde_json::Value>,
+    has_bus: bool,
+    /// The admin interface, where `$RELAY_OPS` names no other.
+    admin: Option<SocketAddr>,
+    /// Callers of the admin interface at once.
+    admin_callers: usize,
+    /// The gossip takes its members from the fleet's view.
+    gossip_from_view: bool,
+    /// The longest deadline of any class, in milliseconds.
+    longest_deadline_ms: f64,
+}
+
+impl ServingConfig {
+    fn take(config: &mut Config, gossip_from_view: bool) -> ServingConfig {
+        ServingConfig {
+            name: config.name.clone(),
+            offset: config.offset,
+            known_events: std::mem::take(&mut config.batch),
+            has_bus: config.bus.is_some(),
+            admin: config.ops,
+            admin_callers: config.budget.callers,
+            gossip_from_view,
+            longest_deadline_ms: config.settings.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max),
+        }
+    }
+}
+
+/// What a front talks to other fronts with, as far as it is configured.
+struct Services {
+    peers: Option<Arc<Peers>>,
+    gossip: Option<Arc<Talk>>,
+    fleet: Option<Arc<Fleet>>,
+}
+
+/// Puts the shared state together.
+fn assemble(
+    config: Config,
+    plan: Option<Plan>,
+    core: Core,
+    services: Services,
+) -> Result<Arc<Shared>, StartError> {
+    let Core { clock, invariants, reason_counts, upstream, evidence } = core;
+    let Services { peers, gossip, fleet } = services;
+    let registry = Arc::new(NodeRegistry::default());
+    let effects: Arc<[_]> = config.settings.classes.iter().map(|c| c.effect).collect();
+    let host = || DispatchHost {
+        upstream: upstream.clone(),
+        peers: peers.clone(),
+        registry: registry.clone(),
+        effects: effects.clone(),
+        evidence: evidence.clone(),
+        sources: [config.settings.parent_kind, config.settings.origin_kind],
+    };
+    let folder = std::env::temp_dir();
+    let manual_exclusions = ManualExclusions::of(&folder, &config.name, config.listen, &config.names);
+    let classes = config.settings.classes.clone();
+    let class_names = classes.iter().map(|c| c.name.to_string()).collect();
+    let queues = DispatchQueues::new(&config.settings, config.seed, plan, registry.clone(), host);
+    let queues = queues.map_err(StartError::Settings)?;
+    Ok(Arc::new(Shared {
+        clock,
+        wall_clock: WallClock::start(clock),
+        names: config.names,
+        queues,
+        gossip,
+        fleet,
+        upstream,
+        server: Server::new(config.budget, classes),
+        peers,
+        bus: DiscoveryWatch::new(config.bus, config.seed),
+        endpoints_listed: AtomicBool::new(false),
+        shutting_down: AtomicBool::new(false),
+        metrics: Metrics::new(class_names),
+        reason_counts,
+        invariants,
+        drain_grace_ms: config.settings.drain_grace_ms,
+        manual_exclusions,
+    }))
+}
+
+/// Makes the endpoints known that the site document and the configuration list; the history of the bus's events up to
+/// the last one that the configuration has.
+fn load_known_endpoints(front: &Shared, serving: &ServingConfig) -> History {
+    front.queues.start(&front.clock, &front.upstream);
+    front.announce_members();
+    if front.gossip.is_some() {
+        front.queues.all().iter().for_each(|q| q.dispatcher.bear_witness());
+    }
+    if front.queues.members_from_file() {
+        front.endpoints_listed.store(true, Ordering::Release);
+    }
+    let mut history = History::new(serving.offset);
+    for event in &serving.known_events {
+        match watch_event::parse(event, &front.names) {
+            Ok(event) => {
+                history.observe(&event);
+                discovery_watch::apply(front, event, None);
+            }
+            Err(e) => tracing::warn!("known: {e}"),
+        }
+    }
+    history
+}
+
+/// Starts the coroutines and threads that talk to other fronts and to the bus.
+fn spawn_services(front: &Arc<Shared>, serving: &ServingConfig, history: History) -> Result<(), StartError> {
+    if let Some(gossip) = front.gossip.clone() {
+        let (listening, f) = (gossip.clone(), front.clone());
+        spawn(move || listening.listen(f.queues.all()));
+        let (f, from_view) = (front.clone(), serving.gossip_from_view);
+        spawn(move || gossip.run(f.queues.all(), f.fleet.as_deref().filter(|_| from_view)));
+    }
+    if let Some(fleet) = front.fleet.clone() {
+        spawn_thread("view", move || fleet.run())?;
+    }
+    if serving.has_bus {
+        let f = front.clone();
+        spawn_deep(move || f.bus.run(&f, history));
+    }
+    if let Some(peers) = front.peers.clone() {
+        let f = front.clone();
+        spawn(move || peers.run(&f));
+    }
+    Ok(())
+}
+
+fn open_admin(front: &Arc<Shared>, serving: &ServingConfig) -> Result<(), StartError> {
+    let address = match std::env::var(admin::ADDRESS_VARIABLE) {
+        Ok(v) if !v.trim().is_empty() => Some(v.trim().parse().map_err(|_| StartError::AdminAddress(v))?),
+        _ => serving.admin,
+    };
+    if let Some(at) = address {
+        let bound = bind(at, || admin::open(front.clone(), at, serving.admin_callers))?;
+        tracing::info!("operators' door at {bound}");
+    }
+    Ok(())
+}
+
+/// Starts the coroutines that accept clients and run the decision crate's timers.
+fn spawn_serving(front: &Arc<Shared>, clients: Listener, origin: Origin) {
+    let f = front.clone();
+    spawn(move || f.server.run(&f, clients, origin));
+    let f = front.clone();
+    spawn(move || loop {
+        let next = f.queues.all().iter().filter_map(|q| q.tick(&f.clock)).reduce(f64::min);
+        // The decisions and what they want of the host stand behind locks.
+        let wait = next.map_or(TICK, |at| f.clock.until(at).clamp(Duration::from_millis(1), TICK));
+        sleep::sleep_beside_the_worker(wait);
+    });
+}
--- a/crates/front/src/upstream/dispatch_queue.rs
+++ b/crates/front/src/upstream/dispatch_queue.rs
@@ -3,10 +3,10 @@
 
 use crate::clock::Clock;
 use crate::connection_pool::ConnectionPool;
+use crate::dispatch_host::DispatchHost;
 use crate::link::lock;
 use crate::plan::{Answers, Known, Plan};
 use crate::sleep;
-use crate::Ways;
 use arc_swap::ArcSwap;
 use fernslip::facade::{Attempt, Dispatcher};
 use fernslip::{CacheId, Ending, Entry, ListKind, RequestId, Settings, SettingsError};
@@ -76,7 +76,7 @@
     /// The pool's name; empty: there are no pools.
     pub name: String,
     /// The decisions.
-    pub dispatcher: Dispatcher<Ways>,
+    pub dispatcher: Dispatcher<DispatchHost>,
     held: Option<Mutex<PoolState>>,
     answers: ArcSwap<Answers>,
 }
@@ -327,7 +327,7 @@
         seed: u64,
         plan: Option<Plan>,
         registry: Arc<NodeRegistry>,
-        ways: impl Fn() -> Ways,
+        ways: impl Fn() -> DispatchHost,
     ) -> Result<DispatchQueues, SettingsError> {
         let none = Plan {
             from_file: false,
--- a/crates/front/src/upstream/dispatch_queue/tests.rs
+++ b/crates/front/src/upstream/dispatch_queue/tests.rs
@@ -90,7 +90,7 @@
         connections: 4,
     };
     let registry = Arc::new(NodeRegistry::default());
-    let ways = || Ways {
+    let ways = || DispatchHost {
         upstream: Arc::new(ConnectionPool::new(limits, Arc::default(), Arc::default())),
         peers: None,
         registry: registry.clone(),
