--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -16,7 +16,7 @@
 use fernslip_front::log::{install, Format};
 use fernslip_front::reload::{self, Signals};
 use fernslip_import::{Disk, Imported, Options, Verdict};
-use fernslip_site::{Read, Site};
+use fernslip_site::{ParsedSite, Site};
 use std::io::{self, Read as _};
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
@@ -139,7 +139,7 @@
 }
 
 /// Reads and parses one site document; the error names the file.
-fn read(file: &Path) -> Result<Read, String> {
+fn read(file: &Path) -> Result<ParsedSite, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
     Site::parse(&name, &text).map_err(|e| e.to_string())
@@ -161,7 +161,7 @@
 }
 
 /// Prints the warnings and the summary of a document that parsed.
-fn report_checked(file: &Path, read: &Read) {
+fn report_checked(file: &Path, read: &ParsedSite) {
     let name = file.display();
     for warning in &read.warnings {
         eprintln!("{name}:{}:{}: warning: {warning}", warning.line, warning.column);
@@ -171,8 +171,8 @@
     let rules: usize = site.routes.iter().map(|route| route.rules.len()).sum();
     let (members, pools) = (site.members.len(), site.pools.len());
     println!("{name}: fine: {members} members, {pools} pools, {rules} routes");
-    for member in site.members.iter().filter(|m| m.protocol.is_some_and(|p| !p.is_spoken())) {
-        let protocol = member.protocol.map_or("", fernslip_site::Word::word);
+    for member in site.members.iter().filter(|m| m.protocol.is_some_and(|p| !p.is_supported())) {
+        let protocol = member.protocol.map_or("", fernslip_site::Keyword::keyword);
         eprintln!("{name}: note: `{}` speaks {protocol}, which `run` can't serve from yet", member.id);
     }
 }
--- a/crates/front/src/control/plan.rs
+++ b/crates/front/src/control/plan.rs
@@ -98,7 +98,7 @@
         let mut members = BTreeMap::new();
         for m in site.members.iter().filter(|_| from_file) {
             let id = &m.id;
-            if let Some(p) = m.protocol.filter(|p| !p.is_spoken()) {
+            if let Some(p) = m.protocol.filter(|p| !p.is_supported()) {
                 let spoken = Protocol::Resp;
                 wrong
                     .push(format!("member \"{id}\" speaks {p}: this front speaks {spoken} with its members"));
@@ -269,11 +269,11 @@
 fn class_of(c: &fernslip_site::Class) -> Class {
     Class {
         name: c.name.clone(),
-        aim_ms: c.aim_ms as f64,
-        aim_stretch: c.aim_stretch.unwrap_or(0.0),
+        aim_ms: c.latency_objective_ms as f64,
+        aim_stretch: c.objective_stretch.unwrap_or(0.0),
         deadline_ms: c.deadline_ms as f64,
-        worth: c.worth.unwrap_or(1.0),
-        late_worth: c.late_worth.unwrap_or(0.0),
+        worth: c.priority_weight.unwrap_or(1.0),
+        late_worth: c.late_weight.unwrap_or(0.0),
         effect: match c.effect {
             Some(fernslip_site::Effect::AtMostOnce) => Effect::AtMostOnce,
             Some(fernslip_site::Effect::Deduplicated) => Effect::Deduplicated,
--- a/crates/import/src/modjk.rs
+++ b/crates/import/src/modjk.rs
@@ -526,7 +526,7 @@
                 (a, b) => a.or(b),
             }
         };
-        least(&mut pool.recovery.first_ms, w.value("recover_time").and_then(|v| time_ms(v, 1000)));
+        least(&mut pool.recovery.first_backoff_ms, w.value("recover_time").and_then(|v| time_ms(v, 1000)));
         least(&mut pool.retry.attempts, integer("retries").filter(|n| (1..=1000).contains(n)));
         least(&mut pool.recovery.failures, integer("max_reply_timeouts").filter(|n| (1..=1000).contains(n)));
         least(&mut pool.limits.wait_ms, w.value("connection_acquire_timeout").and_then(|v| time_ms(v, 1)));
@@ -549,7 +549,12 @@
         }
         let whose = if balancer { "" } else { "the least of the pool's members'; " };
         for (name, what, held, why) in [
-            ("recover_time", "recovery first-ms", pool.recovery.first_ms, "it grows with each failed trial"),
+            (
+                "recover_time",
+                "recovery first-ms",
+                pool.recovery.first_backoff_ms,
+                "it grows with each failed trial",
+            ),
             ("retries", "retry attempts", pool.retry.attempts, "at any members, not at the same one"),
             (
                 "max_reply_timeouts",
--- a/crates/import/src/pools.rs
+++ b/crates/import/src/pools.rs
@@ -289,7 +289,7 @@
     let waits: Vec<(u64, Item)> = parts.iter().filter_map(|p| p.acquire).collect();
     let retries: Vec<(u64, Item)> = parts.iter().filter_map(|p| p.retry).collect();
     pool.limits.wait_ms = waits.iter().map(|w| w.0).min();
-    pool.recovery.first_ms = retries.iter().map(|r| r.0).min();
+    pool.recovery.first_backoff_ms = retries.iter().map(|r| r.0).min();
     for (_, item) in waits {
         ledger.near(item, format!("{to} limits wait-ms"), reason(false, "acquire"));
     }
--- a/crates/pool/src/route.rs
+++ b/crates/pool/src/route.rs
@@ -1,6 +1,6 @@
 //! From a host and a path to a pool.
 
-use fernslip_site::{Match, Order, Route, RouteSet, Site, Target, MOST_REGEX_BYTES};
+use fernslip_site::{Match, Order, Route, RouteSet, Site, Target, MAX_REGEX_BYTES};
 use regex::{Regex, RegexBuilder};
 use std::collections::HashMap;
 
@@ -163,7 +163,7 @@
             }
             Match::Regex => {
                 // A checked site has none that does not compile; one that does not matches nothing.
-                let regex = RegexBuilder::new(&rule.pattern).size_limit(MOST_REGEX_BYTES).build();
+                let regex = RegexBuilder::new(&rule.pattern).size_limit(MAX_REGEX_BYTES).build();
                 self.scanned.extend(regex.ok().map(|r| (Pattern::Regex(r), ranked)));
             }
         }
--- a/crates/pool/src/spec.rs
+++ b/crates/pool/src/spec.rs
@@ -91,8 +91,8 @@
                 retry_budget: p.retry.budget.unwrap_or(0.0),
                 retry_burst: p.retry.burst.unwrap_or(0) as f64,
                 eject_after_failures: p.recovery.failures.unwrap_or(1).max(1),
-                first_backoff_ms: p.recovery.first_ms.unwrap_or(0) as f64,
-                max_backoff_ms: p.recovery.most_ms.unwrap_or(0) as f64,
+                first_backoff_ms: p.recovery.first_backoff_ms.unwrap_or(0) as f64,
+                max_backoff_ms: p.recovery.max_backoff_ms.unwrap_or(0) as f64,
             })
             .collect()
     }
--- a/crates/site/src/error.rs
+++ b/crates/site/src/error.rs
@@ -1,56 +1,43 @@
 //! What is wrong with a document, and where.
 
-use miette::{Diagnostic, LabeledSpan, NamedSource, Severity, SourceCode, SourceSpan};
-use std::fmt;
-
-/// One thing that is wrong, or worth a second look.
-#[derive(Clone, Debug, PartialEq, Eq)]
+use miette::{Diagnostic, NamedSource, SourceSpan};
+
+/// One mistake, or one warning.
+///
+/// Its message names the value as it is written; the place is given as line and column for people and as a byte span for
+/// tools.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Diagnostic)]
+#[error("{message}")]
+#[diagnostic(severity(Error))]
 pub struct Problem {
     /// The line, from 1.
     pub line: usize,
     /// The column, in characters from 1.
     pub column: usize,
     /// Where in the text, in bytes.
+    #[label]
     pub span: SourceSpan,
     /// What is wrong.
     pub message: String,
-    /// What may mend it.
+    /// How it can probably be corrected.
+    #[help]
     pub hint: Option<String>,
 }
 
-impl fmt::Display for Problem {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.message)
-    }
-}
-
-impl std::error::Error for Problem {}
-
-impl Diagnostic for Problem {
-    fn severity(&self) -> Option<Severity> {
-        Some(Severity::Error)
-    }
-
-    fn help<'a>(&'a self) -> Option<Box<dyn fmt::Display + 'a>> {
-        self.hint.as_ref().map(|h| Box::new(h) as Box<dyn fmt::Display>)
-    }
-
-    fn labels(&self) -> Option<Box<dyn Iterator<Item = LabeledSpan> + '_>> {
-        Some(Box::new(std::iter::once(LabeledSpan::new_with_span(None, self.span))))
-    }
-}
-
 /// Every mistake of a document, in the order of their places.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error, Diagnostic)]
+#[error("{}", listed(.source_code.name(), .problems))]
 pub struct SiteError {
-    source: NamedSource<String>,
+    #[source_code]
+    source_code: NamedSource<String>,
+    #[related]
     problems: Vec<Problem>,
 }
 
 impl SiteError {
     pub(crate) fn new(file: &str, text: &str, mut problems: Vec<Problem>) -> SiteError {
         problems.sort_by_key(|p| p.span.offset());
-        SiteError { source: NamedSource::new(file, text.to_string()), problems }
+        SiteError { source_code: NamedSource::new(file, text.to_string()), problems }
     }
 
     /// The mistakes.
@@ -59,52 +46,11 @@
     }
 }
 
-/// One line a mistake, `FILE:LINE:COLUMN: what`, and its hint below it.
-impl fmt::Display for SiteError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (i, p) in self.problems.iter().enumerate() {
-            let end = if i == 0 { "" } else { "\n" };
-            write!(f, "{end}{}:{}:{}: {}", self.source.name(), p.line, p.column, p.message)?;
-            if let Some(hint) = &p.hint {
-                write!(f, "\n  hint: {hint}")?;
-            }
-        }
-        Ok(())
-    }
-}
-
-impl std::error::Error for SiteError {}
-
-impl Diagnostic for SiteError {
-    fn source_code(&self) -> Option<&dyn SourceCode> {
-        Some(&self.source)
-    }
-
-    fn related<'a>(&'a self) -> Option<Box<dyn Iterator<Item = &'a dyn Diagnostic> + 'a>> {
-        Some(Box::new(self.problems.iter().map(|p| p as &dyn Diagnostic)))
-    }
-}
-
-/// Lines and columns of byte offsets.
-pub(crate) struct Lines<'a> {
-    text: &'a str,
-    starts: Vec<usize>,
-}
-
-impl<'a> Lines<'a> {
-    pub fn new(text: &'a str) -> Lines<'a> {
-        let after = text.bytes().enumerate().filter(|(_, b)| *b == b'\n').map(|(i, _)| i + 1);
-        Lines { text, starts: std::iter::once(0).chain(after).collect() }
-    }
-
-    /// Line and column, from 1, of a byte offset; one that is past the end or inside a character is moved back.
-    pub fn place(&self, offset: usize) -> (usize, usize) {
-        let mut at = offset.min(self.text.len());
-        while !self.text.is_char_boundary(at) {
-            at -= 1;
-        }
-        let line = self.starts.partition_point(|s| *s <= at);
-        let start = self.starts[line - 1];
-        (line, self.text[start..at].chars().count() + 1)
-    }
+/// One line a mistake, `FILE:LINE:COLUMN: message`, and its hint below it.
+fn listed(file: &str, problems: &[Problem]) -> String {
+    let line = |p: &Problem| {
+        let hint = p.hint.as_ref().map(|hint| format!("\n  hint: {hint}")).unwrap_or_default();
+        format!("{file}:{}:{}: {}{hint}", p.line, p.column, p.message)
+    };
+    problems.iter().map(line).collect::<Vec<_>>().join("\n")
 }
--- a/crates/site/src/fields.rs
+++ b/crates/site/src/fields.rs
@@ -1,51 +1,17 @@
-//! A node's arguments and properties, each read once and checked; what nobody asked for is a mistake.
+//! A node's arguments and properties, each read once and checked; what was not requested is a mistake.
 
-use crate::error::{Lines, Problem};
-use crate::model::Word;
+use crate::model::Keyword;
+use crate::problems::{suggestion, Problems};
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
 use miette::SourceSpan;
 use std::ops::RangeInclusive;
 
-/// Collects what is wrong.
-pub(crate) struct Problems<'a> {
-    lines: Lines<'a>,
-    pub errors: Vec<Problem>,
-    pub warnings: Vec<Problem>,
-}
-
-impl<'a> Problems<'a> {
-    pub fn new(text: &'a str) -> Problems<'a> {
-        Problems { lines: Lines::new(text), errors: Vec::new(), warnings: Vec::new() }
-    }
-
-    fn problem(&self, span: SourceSpan, message: String, hint: Option<String>) -> Problem {
-        let (line, column) = self.lines.place(span.offset());
-        Problem { line, column, span, message, hint }
-    }
-
-    pub fn error(&mut self, span: SourceSpan, message: impl Into<String>, hint: Option<String>) {
-        let p = self.problem(span, message.into(), hint);
-        self.errors.push(p);
-    }
-
-    pub fn warn(&mut self, span: SourceSpan, message: impl Into<String>, hint: Option<String>) {
-        let p = self.problem(span, message.into(), hint);
-        self.warnings.push(p);
-    }
-}
-
-/// A hint towards the word that was probably meant.
-pub(crate) fn meant<'w>(word: &str, known: impl IntoIterator<Item = &'w str>) -> Option<String> {
-    let near = known.into_iter().map(|k| (strsim::jaro_winkler(word, k), k)).filter(|(s, _)| *s > 0.8);
-    near.max_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, k)| format!("did you mean `{k}`?"))
-}
-
-/// The span of a node's name: a node's own span holds its children too, which is no place to point at.
+/// The span of a node's name: a node's own span holds its children too, which is too much to point at.
 pub(crate) fn name_span(node: &KdlNode) -> SourceSpan {
     node.name().span()
 }
 
-fn described(v: &KdlValue) -> &'static str {
+fn type_name(v: &KdlValue) -> &'static str {
     match v {
         KdlValue::String(_) => "a text",
         KdlValue::Integer(_) | KdlValue::Float(_) => "a number",
@@ -59,14 +25,14 @@
     node: &'n KdlNode,
     args: Vec<&'n KdlEntry>,
     next_arg: usize,
-    asked: Vec<&'static str>,
+    requested: Vec<&'static str>,
     pub problems: &'p mut Problems<'a>,
 }
 
 impl<'n, 'p, 'a> Fields<'n, 'p, 'a> {
     pub fn new(node: &'n KdlNode, problems: &'p mut Problems<'a>) -> Self {
         let args = node.entries().iter().filter(|e| e.name().is_none()).collect();
-        Fields { node, args, next_arg: 0, asked: Vec::new(), problems }
+        Fields { node, args, next_arg: 0, requested: Vec::new(), problems }
     }
 
     pub fn span(&self) -> SourceSpan {
@@ -78,7 +44,7 @@
     }
 
     fn entry(&mut self, name: &'static str) -> Option<&'n KdlEntry> {
-        self.asked.push(name);
+        self.requested.push(name);
         let mut found = self.node.entries().iter().filter(|e| e.name().is_some_and(|n| n.value() == name));
         let first = found.next()?;
         if let Some(again) = found.next() {
@@ -88,8 +54,8 @@
         Some(first)
     }
 
-    fn wanted(&mut self, e: &KdlEntry, name: &str, what: &str) {
-        let got = described(e.value());
+    fn wrong_type(&mut self, e: &KdlEntry, name: &str, what: &str) {
+        let got = type_name(e.value());
         self.problems.error(e.span(), format!("`{name}` must be {what}, not {got}"), None);
     }
 
@@ -108,7 +74,7 @@
         match e.value() {
             KdlValue::String(s) => Some((s, e.span())),
             _ => {
-                self.wanted(e, what, "a text");
+                self.wrong_type(e, what, "a text");
                 None
             }
         }
@@ -123,22 +89,25 @@
         all
     }
 
+    /// A property with a text.
     pub fn text(&mut self, name: &'static str) -> Option<(&'n str, SourceSpan)> {
         let e = self.entry(name)?;
         match e.value() {
             KdlValue::String(s) => Some((s, e.span())),
             _ => {
-                self.wanted(e, name, "a text");
+                self.wrong_type(e, name, "a text");
                 None
             }
         }
     }
 
+    /// A property with a text, copied.
     pub fn owned(&mut self, name: &'static str) -> Option<String> {
         self.text(name).map(|t| t.0.to_string())
     }
 
-    pub fn needed<T>(&mut self, name: &'static str, value: Option<T>) -> Option<T> {
+    /// Reports a property that must be there and is not; one of a wrong value is reported already.
+    pub fn required<T>(&mut self, name: &'static str, value: Option<T>) -> Option<T> {
         if value.is_none() && self.node.entry(name).is_none() {
             let (span, label) = (self.span(), self.label());
             self.problems.error(span, format!("`{label}` needs `{name}`"), None);
@@ -146,67 +115,71 @@
         value
     }
 
+    /// A property that is `#true` or `#false`.
     pub fn flag(&mut self, name: &'static str) -> Option<bool> {
         let e = self.entry(name)?;
         match e.value() {
             KdlValue::Bool(b) => Some(*b),
             _ => {
-                self.wanted(e, name, "#true or #false");
+                self.wrong_type(e, name, "#true or #false");
                 None
             }
         }
     }
 
-    pub fn whole(&mut self, name: &'static str, range: RangeInclusive<u64>) -> Option<u64> {
+    /// A property with a whole number of that range.
+    pub fn integer(&mut self, name: &'static str, range: RangeInclusive<u64>) -> Option<u64> {
         let e = self.entry(name)?;
         match e.value() {
             KdlValue::Integer(i) => match u64::try_from(*i).ok().filter(|n| range.contains(n)) {
                 Some(n) => Some(n),
                 None => {
-                    let (least, most) = range.into_inner();
+                    let (min, max) = range.into_inner();
                     self.problems.error(
                         e.span(),
-                        format!("`{name}` must be from {least} to {most}, not {i}"),
+                        format!("`{name}` must be from {min} to {max}, not {i}"),
                         None,
                     );
                     None
                 }
             },
             _ => {
-                self.wanted(e, name, "a whole number");
+                self.wrong_type(e, name, "a whole number");
                 None
             }
         }
     }
 
-    /// A time in milliseconds, a day at most: more is a mistaken unit.
+    /// A time in milliseconds, at most a day: a longer one is a mistaken unit.
     pub fn ms(&mut self, name: &'static str) -> Option<u64> {
-        self.whole(name, 0..=86_400_000)
+        self.integer(name, 0..=86_400_000)
     }
 
-    pub fn number(&mut self, name: &'static str, least: f64, most: f64) -> Option<f64> {
+    /// A property with a number from `min` to `max`.
+    pub fn number(&mut self, name: &'static str, min: f64, max: f64) -> Option<f64> {
         let e = self.entry(name)?;
         let v = match e.value() {
             KdlValue::Integer(i) => *i as f64,
             KdlValue::Float(f) => *f,
             _ => {
-                self.wanted(e, name, "a number");
+                self.wrong_type(e, name, "a number");
                 return None;
             }
         };
-        if v >= least && v <= most {
+        if v >= min && v <= max {
             return Some(v);
         }
-        self.problems.error(e.span(), format!("`{name}` must be from {least} to {most}, not {v}"), None);
+        self.problems.error(e.span(), format!("`{name}` must be from {min} to {max}, not {v}"), None);
         None
     }
 
-    pub fn word<W: Word>(&mut self, name: &'static str) -> Option<W> {
+    /// A property with one of the keywords of a set.
+    pub fn keyword<K: Keyword>(&mut self, name: &'static str) -> Option<K> {
         let (text, span) = self.text(name)?;
-        let found = W::of(text);
+        let found = K::from_keyword(text);
         if found.is_none() {
-            let all: Vec<&str> = W::WORDS.iter().map(|w| w.0).collect();
-            let hint = meant(text, all.iter().copied()).unwrap_or(format!("one of: {}", all.join(", ")));
+            let all: Vec<&str> = K::KEYWORDS.iter().map(|(keyword, _)| *keyword).collect();
+            let hint = suggestion(text, all.iter().copied()).unwrap_or(format!("one of: {}", all.join(", ")));
             self.problems.error(span, format!("`{name}` can't be `{text}`"), Some(hint));
         }
         found
@@ -216,10 +189,10 @@
     pub fn children(&mut self, names: &[&'static str]) -> Vec<&'n KdlNode> {
         let label = self.label();
         let Some(doc) = self.node.children() else { return Vec::new() };
-        known(doc, label, names, self.problems)
+        known_nodes(doc, label, names, self.problems)
     }
 
-    /// What was not asked for is a mistake.
+    /// Ends the reading: what was not requested is a mistake.
     pub fn done(self) {
         let label = self.label();
         for e in &self.args[self.next_arg.min(self.args.len())..] {
@@ -227,9 +200,9 @@
         }
         for e in self.node.entries() {
             let Some(name) = e.name() else { continue };
-            if !self.asked.contains(&name.value()) {
-                let hint = meant(name.value(), self.asked.iter().copied())
-                    .unwrap_or(format!("it has: {}", self.asked.join(", ")));
+            if !self.requested.contains(&name.value()) {
+                let hint = suggestion(name.value(), self.requested.iter().copied())
+                    .unwrap_or(format!("it has: {}", self.requested.join(", ")));
                 let message = format!("`{label}` has no `{}`", name.value());
                 self.problems.error(e.span(), message, Some(hint));
             }
@@ -238,7 +211,7 @@
 }
 
 /// The nodes of a document that have one of these names; the others are mistakes.
-pub(crate) fn known<'n>(
+pub(crate) fn known_nodes<'n>(
     doc: &'n KdlDocument,
     inside: &str,
     names: &[&'static str],
@@ -251,7 +224,8 @@
             found.push(node);
             continue;
         }
-        let hint = meant(name, names.iter().copied()).unwrap_or(format!("known here: {}", names.join(", ")));
+        let hint =
+            suggestion(name, names.iter().copied()).unwrap_or(format!("known here: {}", names.join(", ")));
         problems.error(name_span(node), format!("{inside} has no `{name}`"), Some(hint));
     }
     found
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -1,11 +1,15 @@
-//! The site document: what operators write about their zones, classes, machines, pools and routes, in KDL 2.
+//! The site document: what operators write about their zones, classes, members, pools and routes, in
+//! [KDL 2](https://kdl.dev/spec/).
 //!
 //! [`Site::parse`] reads a document and finds every mistake in it in one go, each with file, line, column and a hint;
 //! [`Site::to_kdl`] prints a model so that reading it again gives the same value. There is no I/O in here: a text
 //! comes in, a value or a [`SiteError`] goes out.
 //!
-//! What a document leaves out stays out in the model (`None`), so that printing adds nothing of its own;
-//! [`Site::effective`] fills the defaults in.
+//! What a document leaves out is `None` in the model, so that printing adds nothing of its own; [`Site::effective`]
+//! fills the defaults in.
+//!
+//! A text passes through these modules in turn: `parse` (limits, KDL), `read` (nodes to the model, with `fields` for one
+//! node), `check` (what only the complete document shows); `print` goes the other way.
 //!
 //! ```
 //! use fernslip_site::{Site, State};
@@ -22,16 +26,16 @@
 //!     route "/statement-docs" pool="docs"
 //! }
 //! "#;
-//! let read = Site::parse("site.kdl", text)?;
-//! assert_eq!(read.site.members[1].state, State::Draining);
-//! assert_eq!(Site::parse("again", &read.site.to_kdl())?.site, read.site);
+//! let parsed = Site::parse("site.kdl", text)?;
+//! assert_eq!(parsed.site.members[1].state, State::Draining);
+//! assert_eq!(Site::parse("again", &parsed.site.to_kdl())?.site, parsed.site);
 //!
-//! // Mistakes are told all at once, with their places.
+//! // Mistakes are reported all at once, with their places.
 //! let wrong = Site::parse("site.kdl", "member \"a\" adress=\"127.0.0.1:1\"\npool \"p\" { use \"x\"; }\n");
-//! let told = wrong.unwrap_err().to_string();
-//! assert!(told.contains("site.kdl:1:12: `member` has no `adress`"), "{told}");
-//! assert!(told.contains("did you mean `address`?"), "{told}");
-//! assert!(told.contains("site.kdl:2:16: no member is called `x`"), "{told}");
+//! let message = wrong.unwrap_err().to_string();
+//! assert!(message.contains("site.kdl:1:12: `member` has no `adress`"), "{message}");
+//! assert!(message.contains("did you mean `address`?"), "{message}");
+//! assert!(message.contains("site.kdl:2:16: no member is called `x`"), "{message}");
 //! # Ok::<(), fernslip_site::SiteError>(())
 //! ```
 
@@ -39,21 +43,13 @@
 mod error;
 mod fields;
 mod model;
+mod parse;
 mod print;
+mod problems;
 mod read;
+mod spans;
 
-pub use check::{host_port, MOST_REGEX_BYTES};
+pub use check::{host_port, MAX_REGEX_BYTES};
 pub use error::{Problem, SiteError};
 pub use model::*;
-
-/// A document that can be used, and what in it is worth a second look.
-#[derive(Clone, Debug)]
-pub struct Read {
-    /// The model.
-    pub site: Site,
-    /// What is allowed and probably not meant, in the order of the file.
-    pub warnings: Vec<Problem>,
-}
-
-/// Documents longer than this, in bytes, are refused: 50,000 members take a tenth of it.
-pub const MOST_BYTES: usize = 64 << 20;
+pub use parse::{ParsedSite, MAX_DOCUMENT_BYTES};
--- /dev/null
+++ b/crates/site/src/problems.rs
@@ -0,0 +1,71 @@
+//! Collecting mistakes and warnings while a document is read and checked.
+
+use crate::error::Problem;
+use miette::SourceSpan;
+
+/// Every mistake and warning found so far.
+pub(crate) struct Problems<'a> {
+    lines: LineIndex<'a>,
+    pub errors: Vec<Problem>,
+    pub warnings: Vec<Problem>,
+}
+
+impl<'a> Problems<'a> {
+    pub fn new(text: &'a str) -> Problems<'a> {
+        Problems { lines: LineIndex::new(text), errors: Vec::new(), warnings: Vec::new() }
+    }
+
+    pub fn error(&mut self, span: SourceSpan, message: impl Into<String>, hint: Option<String>) {
+        let problem = self.problem(span, message.into(), hint);
+        self.errors.push(problem);
+    }
+
+    pub fn warn(&mut self, span: SourceSpan, message: impl Into<String>, hint: Option<String>) {
+        let problem = self.problem(span, message.into(), hint);
+        self.warnings.push(problem);
+    }
+
+    fn problem(&self, span: SourceSpan, message: String, hint: Option<String>) -> Problem {
+        let LineColumn { line, column } = self.lines.locate(span.offset());
+        Problem { line, column, span, message, hint }
+    }
+}
+
+/// A hint towards the known name that is the most similar to `name`, if any is similar enough.
+pub(crate) fn suggestion<'k>(name: &str, known: impl IntoIterator<Item = &'k str>) -> Option<String> {
+    let similar = known
+        .into_iter()
+        .map(|k| (strsim::jaro_winkler(name, k), k))
+        .filter(|(similarity, _)| *similarity > 0.8);
+    similar.max_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, k)| format!("did you mean `{k}`?"))
+}
+
+/// A line, from 1, and a column in characters, from 1.
+struct LineColumn {
+    line: usize,
+    column: usize,
+}
+
+/// The byte offsets at which lines begin.
+struct LineIndex<'a> {
+    text: &'a str,
+    starts: Vec<usize>,
+}
+
+impl<'a> LineIndex<'a> {
+    fn new(text: &'a str) -> LineIndex<'a> {
+        let after = text.bytes().enumerate().filter(|(_, b)| *b == b'\n').map(|(i, _)| i + 1);
+        LineIndex { text, starts: std::iter::once(0).chain(after).collect() }
+    }
+
+    /// The line and column of a byte offset; one past the end or inside a character is moved back to a boundary.
+    fn locate(&self, offset: usize) -> LineColumn {
+        let mut offset = offset.min(self.text.len());
+        while !self.text.is_char_boundary(offset) {
+            offset -= 1;
+        }
+        let line = self.starts.partition_point(|start| *start <= offset);
+        let start = self.starts[line - 1];
+        LineColumn { line, column: self.text[start..offset].chars().count() + 1 }
+    }
+}
--- a/crates/site/tests/mistakes.rs
+++ b/crates/site/tests/mistakes.rs
@@ -1,9 +1,9 @@
-//! Documents with mistakes: all of them are told, each where it stands.
+//! Documents with mistakes: all of them are reported, each at its position.
 
 use fernslip_site::Site;
 
 #[test]
-fn every_mistake_is_told_in_its_place() {
+fn every_mistake_is_reported_at_its_position() {
     let text = r#"site "x" members-from="disk"
 site "again"
 zon "edge"
@@ -34,16 +34,16 @@
 }
 
 #[test]
-fn what_is_no_kdl_is_told_in_its_place() {
-    let mut told = String::new();
+fn invalid_kdl_is_reported_at_its_position() {
+    let mut reported = String::new();
     for text in ["member \"a", "pool \"p\" {\n    use \"a\"\n", "a }\n", "member a=#maybe\nmember b=1x\n"] {
-        told += &format!("{}\n", Site::parse("site.kdl", text).unwrap_err());
+        reported += &format!("{}\n", Site::parse("site.kdl", text).unwrap_err());
     }
-    insta::assert_snapshot!(told);
+    insta::assert_snapshot!(reported);
 }
 
 #[test]
-fn what_is_probably_not_meant_is_a_warning() {
+fn probably_unintended_settings_are_warnings() {
     let text = r#"
 member "a" address="h:1" state="draining"
 pool "gone" { use "a"; limits wait-ms=5; }
@@ -55,14 +55,14 @@
     route "/doc" pool="empty"
 }
 "#;
-    let read = Site::parse("site.kdl", text).expect("allowed");
-    let told: Vec<_> = read.warnings.iter().map(|w| format!("{}:{} {w}", w.line, w.column)).collect();
-    insta::assert_snapshot!(told.join("\n"));
+    let parsed = Site::parse("site.kdl", text).expect("allowed");
+    let reported: Vec<_> = parsed.warnings.iter().map(|w| format!("{}:{} {w}", w.line, w.column)).collect();
+    insta::assert_snapshot!(reported.join("\n"));
 }
 
 /// Guards the stack: a parser that goes down a level for each brace ended the process.
 #[test]
-fn what_nests_without_end_is_refused() {
+fn endlessly_nested_text_is_rejected() {
     for open in ["a {", "/* ", "(", "a \"x\" { /*"] {
         let e = Site::parse("x", &open.repeat(100_000)).unwrap_err();
         assert!(e.to_string().contains("nested deeper"), "{open}");
--- a/crates/site/tests/properties.rs
+++ b/crates/site/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Any model that a document can give is printed and read again as it was; any text is read or refused, and never
+//! Any model that a document can give is printed and read again as it was; any text is parsed or rejected, and never
 //! more than that.
 
 use fernslip_site::*;
@@ -8,8 +8,8 @@
     proptest::option::of(s)
 }
 
-fn one_of<W: Word + std::fmt::Debug>() -> impl Strategy<Value = W> {
-    (0..W::WORDS.len()).prop_map(|i| W::WORDS[i].1)
+fn one_of<K: Keyword + std::fmt::Debug>() -> impl Strategy<Value = K> {
+    (0..K::KEYWORDS.len()).prop_map(|i| K::KEYWORDS[i].1)
 }
 
 fn number() -> impl Strategy<Value = f64> {
@@ -66,14 +66,15 @@
         )
     });
     let limits = (some(1u64..1 << 24), some(1u64..1 << 24), some(ms()), some(0u64..1 << 20), some(ms()));
-    let rest = (some(1u64..=1000), some(0.0..10.0f64), some(0u64..100_000), some(1u64..1000), some(ms()));
+    let retry_and_recovery =
+        (some(1u64..=1000), some(0.0..10.0f64), some(0u64..100_000), some(1u64..1000), some(ms()));
     let codes = proptest::collection::vec(100u16..600, 0..4);
-    (uses.collect::<Vec<_>>(), limits, rest, codes).prop_map(|(members, l, r, fail_on)| Pool {
+    (uses.collect::<Vec<_>>(), limits, retry_and_recovery, codes).prop_map(|(members, l, r, fail_on)| Pool {
         name: "p".into(),
         members,
         limits: PoolLimits { in_flight: l.0, connections: l.1, wait_ms: l.2, waiting: l.3, answer_ms: l.4 },
         retry: Retry { attempts: r.0, budget: r.1, burst: r.2 },
-        recovery: Recovery { failures: r.3, first_ms: r.4, most_ms: None, fail_on },
+        recovery: Recovery { failures: r.3, first_backoff_ms: r.4, max_backoff_ms: None, fail_on },
     })
 }
 
@@ -108,11 +109,11 @@
                 zones: vec![Zone { name: "z".into(), link_in_kb_per_s: link, fronts: Some(2) }],
                 classes: vec![Class {
                     name: "c".into(),
-                    aim_ms: 5,
-                    aim_stretch: link,
+                    latency_objective_ms: 5,
+                    objective_stretch: link,
                     deadline_ms: 9,
-                    worth: None,
-                    late_worth: None,
+                    priority_weight: None,
+                    late_weight: None,
                     effect: Some(Effect::AtMostOnce),
                     write: Some(true),
                     fresh_ms: None,
@@ -153,11 +154,11 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(64) })]
 
     #[test]
-    fn printing_and_reading_gives_the_same(mut site in site()) {
-        if let Some(c) = site.classes[0].aim_stretch.as_mut() { *c = c.min(1000.0); }
+    fn a_printed_site_parses_to_the_same_site(mut site in site()) {
+        if let Some(c) = site.classes[0].objective_stretch.as_mut() { *c = c.min(1000.0); }
         let text = site.to_kdl();
-        let read = Site::parse("site.kdl", &text).map_err(|e| TestCaseError::fail(format!("{e}\n{text}")))?;
-        prop_assert_eq!(&read.site, &site, "{}", text);
+        let parsed = Site::parse("site.kdl", &text).map_err(|e| TestCaseError::fail(format!("{e}\n{text}")))?;
+        prop_assert_eq!(&parsed.site, &site, "{}", text);
         let effective = site.effective();
         let again = Site::parse("e", &effective.to_kdl()).map_err(|e| TestCaseError::fail(e.to_string()))?;
         prop_assert_eq!(&again.site, &effective, "what is shown can be read");
@@ -165,18 +166,18 @@
     }
 
     #[test]
-    fn any_text_is_read_or_refused(text in "\\PC{0,200}") {
+    fn any_text_is_parsed_or_rejected(text in "\\PC{0,200}") {
         let _ = Site::parse("x", &text);
     }
 
     /// Closer to a document than arbitrary text: pieces of one in any order.
     #[test]
-    fn any_pieces_are_read_or_refused(pieces in proptest::collection::vec(prop_oneof![
+    fn any_sequence_of_tokens_is_parsed_or_rejected(tokens in proptest::collection::vec(prop_oneof![
         Just("member"), Just("pool"), Just("use"), Just("routes"), Just("{"), Just("}"), Just("\n"), Just(";"),
         Just("\"a\""), Just("address="), Just("\"a:1\""), Just("weight="), Just("-1"), Just("1e400"), Just("#inf"),
         Just("/*"), Just("*/"), Just("/-"), Just("("), Just("#\""), Just("\\"), Just("é"), Just("=")], 0..40)) {
-        if let Err(e) = Site::parse("x", &pieces.join(" ")) {
-            prop_assert!(!e.problems().is_empty(), "an error tells what is wrong");
+        if let Err(e) = Site::parse("x", &tokens.join(" ")) {
+            prop_assert!(!e.problems().is_empty(), "an error says what is wrong");
             prop_assert!(e.problems().iter().all(|p| p.line > 0 && p.column > 0));
         }
     }
