--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -73,7 +73,7 @@
                 let rows = rosters.get(&v["buffer"].as_u64().unwrap_or(0)).unwrap_or(&Value::Null);
                 match wire::event(cmd, &v, rows, names) {
                     Ok(event) => {
-                        let empty = matches!(&event, Event::Fleet { kind, entries }
+                        let empty = matches!(&event, Event::Endpoints { kind, entries }
                             if *kind != ListKind::Failed && entries.is_empty());
                         if empty {
                             eprintln!("line {at}: an empty list");
--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -2,7 +2,7 @@
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
-use fernslip::json::{hex, num, opt, text, unknown, Got, JsonError, Names, HOLDS};
+use fernslip::json::{hex, num, opt, text, unknown, Got, JsonError, Names, IN_FLIGHT_NAMES};
 use fernslip::*;
 use serde_json::{json, Value};
 
@@ -20,10 +20,10 @@
         "completed" => Ending::Completed,
         "errored" => Ending::Errored,
         "saturated" => Ending::Saturated,
-        "overdue" => Ending::Overdue,
-        "refused_conn" => Ending::RefusedConn,
-        "severed" => Ending::Severed,
-        "recalled" => Ending::Recalled,
+        "overdue" => Ending::TimedOut,
+        "refused_conn" => Ending::ConnectionRefused,
+        "severed" => Ending::ConnectionLost,
+        "recalled" => Ending::Cancelled,
         "superseded" => Ending::Superseded,
         "lookup_miss" => Ending::LookupMiss,
         other => return Err(unknown("ending", other)),
@@ -66,7 +66,7 @@
                 other => return Err(unknown("mode", other)),
             };
             let entries = if kind == ListKind::Failed { Vec::new() } else { entries(rows, names)? };
-            Event::Fleet { kind, entries }
+            Event::Endpoints { kind, entries }
         }
         "JOB_IN" => {
             let lane = text(v, "lane")?;
@@ -90,16 +90,16 @@
             over: v["over"].as_bool().unwrap_or(false),
             detail: opt(v, "detail")? as u8,
             fill_wait_ms: opt(v, "fill_wait_ms")?,
-            holds: names
+            reported_in_flight: names
                 .reports
                 .iter()
-                .position(|n| HOLDS.contains(&n.as_str()))
+                .position(|n| IN_FLIGHT_NAMES.contains(&n.as_str()))
                 .and_then(|i| v["stats"].get(i)?.as_f64()),
         }),
-        "WITHDRAWN" => Event::Withdrawn { id: id()? },
+        "WITHDRAWN" => Event::Cancelled { id: id()? },
         "WAKEUP" => Event::Timer { token: v["handle"].as_u64().unwrap_or(0) },
-        "CHECK_RESULT" => Event::Probed { cache: cache(v, "cache")?, ending: ending(v)? },
-        "MEMO" => Event::Peer {
+        "CHECK_RESULT" => Event::HealthChecked { cache: cache(v, "cache")?, ending: ending(v)? },
+        "MEMO" => Event::PeerMessage {
             from: num(v, "who")? as u32,
             data: STANDARD
                 .decode(text(v, "raw")?)
@@ -120,7 +120,7 @@
 pub fn action(i: i64, a: Action) -> Value {
     let hex = |id: RequestId| format!("{:016x}", id.0);
     match a {
-        Action::Get { id, cache, source, until_ms, rank, age_ms, join, renew, .. } => json!({
+        Action::Forward { id, cache, source, until_ms, rank, age_ms, join, renew, .. } => json!({
             "cmd": "READ_THROUGH", "i": i, "call": hex(id), "cache": &*cache.0, "fill_from": &*source.0,
             "until_ms": until_ms, "rank": rank, "age_span_ms": age_ms,
             "mode": u8::from(join) | u8::from(renew) << 3,
@@ -128,17 +128,17 @@
         Action::Cancel { id, attempt } => {
             json!({"cmd": "RETRACT", "i": i, "call": hex(id), "try": attempt})
         }
-        Action::Refuse { id, retry_after_ms } => {
+        Action::Reject { id, retry_after_ms } => {
             json!({"cmd": "SAY_NO", "i": i, "call": hex(id), "pause_ms": retry_after_ms})
         }
         Action::Fail { id } => json!({"cmd": "FINISH_ERROR", "i": i, "call": hex(id)}),
         Action::Timer { delay_ms, token } => {
             json!({"cmd": "TIMER", "i": i, "from_now_ms": delay_ms, "handle": token})
         }
-        Action::Tell { to, data } => {
+        Action::SendToPeer { to, data } => {
             json!({"cmd": "TELL", "i": i, "whom": to, "raw": STANDARD.encode(data)})
         }
-        Action::TellAll { data } => {
+        Action::SendToAllPeers { data } => {
             json!({"cmd": "TELL", "i": i, "whom": "all", "raw": STANDARD.encode(data)})
         }
         Action::Subscribe => json!({"cmd": "STREAM_CHANGES", "i": i, "enable": true}),
--- a/crates/fernslip/benches/allocs.rs
+++ b/crates/fernslip/benches/allocs.rs
@@ -11,7 +11,7 @@
 
 fn rig(caches: usize) -> Rig {
     let mut rig = Rig::with(settings());
-    rig.list(wide_fleet(caches, 0, 0.0));
+    rig.update_endpoints(wide_fleet(caches, 0, 0.0));
     rig
 }
 
--- a/crates/fernslip/benches/decide.rs
+++ b/crates/fernslip/benches/decide.rs
@@ -16,9 +16,9 @@
 /// Caches of the location, and two parents and an origin at the hub.
 fn rig(caches: usize, open_most: u32) -> Rig {
     let mut s = settings();
-    s.max_open = open_most;
+    s.max_in_flight = open_most;
     let mut rig = Rig::with(s);
-    rig.list(wide_fleet(caches, 0, 0.0));
+    rig.update_endpoints(wide_fleet(caches, 0, 0.0));
     rig
 }
 
@@ -26,7 +26,7 @@
 fn cold_rig(caches: usize) -> Rig {
     let mut rig = Rig::with(settings());
     let born = rig.now - 1000.0;
-    rig.list(wide_fleet(caches, caches.div_ceil(10), born));
+    rig.update_endpoints(wide_fleet(caches, caches.div_ceil(10), born));
     rig
 }
 
--- a/crates/fernslip/src/api.rs
+++ b/crates/fernslip/src/api.rs
@@ -51,15 +51,15 @@
     /// Its name; for the caller only.
     pub name: String,
     /// Answers within this time earn the full worth.
-    pub aim_ms: f64,
+    pub objective_ms: f64,
     /// The aim grows by this multiple of the request's own sending time.
-    pub aim_stretch: f64,
+    pub objective_stretch: f64,
     /// How long a client waits at most, over all its tries.
     pub deadline_ms: f64,
     /// Worth of a request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// What may be repeated.
     pub effect: Effect,
     /// Group that drops repeats, for [`Effect::Deduplicated`].
@@ -132,7 +132,7 @@
     /// Attempts allowed for a request.
     pub max_attempts: u32,
     /// Requests held at the same time.
-    pub max_open: u32,
+    pub max_in_flight: u32,
     /// Two attempts at once are allowed.
     pub parallel: bool,
     /// Attempts may be cancelled.
@@ -142,25 +142,25 @@
     /// Longest retry-after hint that clients honour; 0: none do.
     pub max_retry_after_ms: f64,
     /// Lists must be asked for.
-    pub ask_for_lists: bool,
+    pub lists_on_request: bool,
     /// Least interval between two batches of events.
     pub tick_ms: f64,
     /// Grace for sends to a draining cache.
     pub drain_grace_ms: f64,
     /// Least share of its capacity with which a cache starts.
-    pub cold_from: f64,
+    pub slow_start_from: f64,
     /// A cache is warm after this time.
-    pub cold_ms: f64,
+    pub slow_start_ms: f64,
     /// Multiple of its present capacity that a cold cache stands.
-    pub cold_multiple: f64,
+    pub slow_start_multiple: f64,
     /// For how long it stands it, a cache and a parent alike.
-    pub cold_window_ms: f64,
-    /// As `cold_from`, for a parent.
-    pub parent_cold_from: f64,
-    /// As `cold_ms`, for a parent.
-    pub parent_cold_ms: f64,
-    /// As `cold_multiple`, for a parent.
-    pub parent_cold_multiple: f64,
+    pub slow_start_window_ms: f64,
+    /// As `slow_start_from`, for a parent.
+    pub parent_slow_start_from: f64,
+    /// As `slow_start_ms`, for a parent.
+    pub parent_slow_start_ms: f64,
+    /// As `slow_start_multiple`, for a parent.
+    pub parent_slow_start_multiple: f64,
     /// Grace for copies from before a purge.
     pub purge_slack_ms: f64,
     /// After this long no older copy is left anywhere.
@@ -264,13 +264,13 @@
             ("max_retry_after_ms", self.max_retry_after_ms),
             ("tick_ms", self.tick_ms),
             ("drain_grace_ms", self.drain_grace_ms),
-            ("cold_from", self.cold_from),
-            ("cold_ms", self.cold_ms),
-            ("cold_multiple", self.cold_multiple),
-            ("cold_window_ms", self.cold_window_ms),
-            ("parent_cold_from", self.parent_cold_from),
-            ("parent_cold_ms", self.parent_cold_ms),
-            ("parent_cold_multiple", self.parent_cold_multiple),
+            ("cold_from", self.slow_start_from),
+            ("cold_ms", self.slow_start_ms),
+            ("cold_multiple", self.slow_start_multiple),
+            ("cold_window_ms", self.slow_start_window_ms),
+            ("parent_cold_from", self.parent_slow_start_from),
+            ("parent_cold_ms", self.parent_slow_start_ms),
+            ("parent_cold_multiple", self.parent_slow_start_multiple),
             ("purge_slack_ms", self.purge_slack_ms),
             ("purge_done_ms", self.purge_done_ms),
         ] {
@@ -299,10 +299,10 @@
             return rejected(&name("deadline_ms"), "must be above 0");
         }
         for (field, value) in [
-            ("aim_ms", self.aim_ms),
-            ("aim_stretch", self.aim_stretch),
-            ("worth", self.worth),
-            ("late_worth", self.late_worth),
+            ("aim_ms", self.objective_ms),
+            ("aim_stretch", self.objective_stretch),
+            ("worth", self.priority_weight),
+            ("late_worth", self.late_weight),
             ("repeat_window_ms", self.repeat_window_ms),
             ("fresh_ms", self.fresh_ms),
             ("grace_ms", self.grace_ms),
@@ -358,7 +358,7 @@
 }
 
 /// How an attempt ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
     /// Served.
     Completed,
@@ -367,13 +367,13 @@
     /// Turned away unseen, or its source refused or was not reached.
     Saturated,
     /// No answer in time; it may have run.
-    Overdue,
+    TimedOut,
     /// No connection; it never ran.
-    RefusedConn,
+    ConnectionRefused,
     /// The connection broke; it may have run.
-    Severed,
+    ConnectionLost,
     /// Called off; it may have run.
-    Recalled,
+    Cancelled,
     /// The machine says that the request is over: its client has left, its time has expired, or it had all its attempts.
     /// It never ran, and no further attempt will.
     Superseded,
@@ -385,9 +385,26 @@
 }
 
 impl Ending {
+    /// The name in log lines, which is stable: it is the one that operators' searches and alerts know.
+    fn log_name(self) -> &'static str {
+        match self {
+            Ending::Completed => "Completed",
+            Ending::Errored => "Errored",
+            Ending::Saturated => "Saturated",
+            Ending::TimedOut => "Overdue",
+            Ending::ConnectionRefused => "RefusedConn",
+            Ending::ConnectionLost => "Severed",
+            Ending::Cancelled => "Recalled",
+            Ending::Superseded => "Superseded",
+            Ending::Retracted => "Retracted",
+            Ending::LookupMiss => "LookupMiss",
+        }
+    }
+
     /// Whether it proves that the request never ran.
     pub fn never_ran(self) -> bool {
-        self.never_sent() || matches!(self, Ending::Saturated | Ending::RefusedConn | Ending::LookupMiss)
+        self.never_sent()
+            || matches!(self, Ending::Saturated | Ending::ConnectionRefused | Ending::LookupMiss)
     }
 
     /// Whether no machine has had anything to do with it, nor is one to blame.
@@ -396,6 +413,13 @@
     }
 }
 
+impl fmt::Debug for Ending {
+    /// Log lines print an ending in this form, so it gives [`Ending::log_name`].
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.log_name())
+    }
+}
+
 /// A client's request.
 #[derive(Clone, Debug)]
 pub struct Request {
@@ -435,14 +459,14 @@
     /// Time to the source's first byte or failure, where told.
     pub fill_wait_ms: f64,
     /// Requests of all routers that the cache holds, as its answer reports; late and not exact.
-    pub holds: Option<f64>,
+    pub reported_in_flight: Option<f64>,
 }
 
 /// What a router tells the module.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News of the caches.
-    Fleet {
+    Endpoints {
         /// What the entries are.
         kind: ListKind,
         /// The entries.
@@ -460,7 +484,7 @@
     /// An attempt ended.
     Outcome(Outcome),
     /// The client left, or the answer is too late: nothing is owed.
-    Withdrawn {
+    Cancelled {
         /// The request.
         id: RequestId,
     },
@@ -470,21 +494,21 @@
         token: u64,
     },
     /// A probe ended; the module sends none and ignores it.
-    Probed {
+    HealthChecked {
         /// The cache.
         cache: CacheId,
         /// How it ended.
         ending: Ending,
     },
     /// A message of another router.
-    Peer {
+    PeerMessage {
         /// Number of the sender.
         from: u32,
         /// The bytes.
         data: Vec<u8>,
     },
     /// What other routers' words on a machine amount to now.
-    Hearsay {
+    PeerSuspicion {
         /// The machine.
         cache: CacheId,
         /// From -1 (well) to 1 (failing); 0: nothing is said.
@@ -518,7 +542,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Make an attempt, filling a miss from `source`.
-    Get {
+    Forward {
         /// The request.
         id: RequestId,
         /// Where it goes.
@@ -547,7 +571,7 @@
         attempt: u32,
     },
     /// Final answer: refused; trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// When to come back; 0: no advice.
@@ -566,14 +590,14 @@
         token: u64,
     },
     /// Send at most 256 bytes to one router.
-    Tell {
+    SendToPeer {
         /// Its number.
         to: u32,
         /// The bytes.
         data: Vec<u8>,
     },
     /// Send at most 256 bytes to every other router.
-    TellAll {
+    SendToAllPeers {
         /// The bytes.
         data: Vec<u8>,
     },
@@ -581,7 +605,7 @@
     Subscribe,
     /// A line for the operators.
     Log(String),
-    /// What this router's own answers show, for the others; only after [`crate::Router::bear_witness`].
+    /// What this router's own answers show, for the others; only after [`crate::Router::enable_evidence`].
     Evidence {
         /// Of which machine.
         cache: CacheId,
--- a/crates/fernslip/src/facade.rs
+++ b/crates/fernslip/src/facade.rs
@@ -19,8 +19,8 @@
 //!         Arc::new(Alone)
 //!     }
 //!     fn cancel(&self, _: RequestId, _: u32) {}
-//!     fn tell(&self, _: u32, _: &[u8]) {}
-//!     fn tell_all(&self, _: &[u8]) {}
+//!     fn send_to_peer(&self, _: u32, _: &[u8]) {}
+//!     fn send_to_all_peers(&self, _: &[u8]) {}
 //!     fn log(&self, _: &str) {}
 //! }
 //!
@@ -37,7 +37,7 @@
 //!     phase: Phase::In,
 //! };
 //! let entries = vec![entry("cache-1", "edge-1", "standard"), entry("origin-1", "north", "origin")];
-//! dispatcher.list(0.0, ListKind::Full, entries);
+//! dispatcher.update_endpoints(0.0, ListKind::Full, entries);
 //!
 //! let request = Request {
 //!     id: RequestId(1),
@@ -50,15 +50,15 @@
 //! };
 //! let mut now = 5.0;
 //! let mut decision = dispatcher.pick(now, request);
-//! while let Decision::Try(a) = decision {
+//! while let Decision::Forward(a) = decision {
 //!     // Here a front asks `a.cache`, to fill a miss from `a.source`, until `a.until_ms` at the longest.
 //!     now += 20.0;
 //!     let (id, attempt, cache) = (a.id, a.number, a.cache);
 //!     let ending = Ending::Completed;
-//!     let ended = Ended { id, attempt, cache, ending, elapsed_ms: 20.0, detail: 2, fill_wait_ms: 0.0, holds: None };
+//!     let ended = AttemptResult { id, attempt, cache, ending, elapsed_ms: 20.0, detail: 2, fill_wait_ms: 0.0, reported_in_flight: None };
 //!     decision = dispatcher.report(now, ended);
 //! }
-//! assert!(matches!(decision, Decision::Over)); // served: nothing more is owed
+//! assert!(matches!(decision, Decision::Finished)); // served: nothing more is owed
 //! dispatcher.tick(now);
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
@@ -75,12 +75,12 @@
 pub trait Host: Send + Sync {
     /// A place to wait in, for the caller of `pick` or `report` whose request is held.
     fn waiter(&self) -> Arc<dyn Waiter>;
-    /// Calls an attempt off; its end is still to be reported. [`Attempt::called_off`] is set already.
+    /// Calls an attempt off; its end is still to be reported. [`Attempt::cancelled`] is set already.
     fn cancel(&self, id: RequestId, attempt: u32);
     /// Sends a message to one peer; it may be lost.
-    fn tell(&self, to: u32, data: &[u8]);
+    fn send_to_peer(&self, to: u32, data: &[u8]);
     /// Sends a message to all peers; it may be lost.
-    fn tell_all(&self, data: &[u8]);
+    fn send_to_all_peers(&self, data: &[u8]);
     /// A line for the operators.
     fn log(&self, line: &str);
     /// These caches drain or are gone from now on: an attempt to one of them, or filled from one, that has not begun is
@@ -91,7 +91,7 @@
     /// [`Ending::Retracted`], and decided on anew. It names the oldest copy that will do as that was before the purge, and
     /// the rule on purges, too, counts to the first byte.
     fn purged(&self, _requests: &[RequestId]) {}
-    /// What this front's own answers show of a machine, for other fronts; after [`Dispatcher::bear_witness`].
+    /// What this front's own answers show of a machine, for other fronts; after [`Dispatcher::enable_evidence`].
     fn evidence(&self, _cache: &CacheId, _sign: Sign, _strength: f64) {}
 }
 
@@ -128,28 +128,28 @@
     /// Renew an ageing copy behind the answer.
     pub renew: bool,
     /// Set once the attempt was called off, be it before the front has begun with it.
-    pub called_off: Arc<AtomicBool>,
+    pub cancelled: Arc<AtomicBool>,
 }
 
 /// What to do with a request now.
 #[derive(Clone, Debug)]
 pub enum Decision {
     /// Make this attempt and report its end.
-    Try(Attempt),
+    Forward(Attempt),
     /// Final answer: refused; trying again is harmless.
-    Refuse {
+    Reject {
         /// When the client may come back; 0: no advice.
         retry_after_ms: f64,
     },
     /// Final answer: failed; promises nothing.
     Fail,
     /// Nothing is owed any more: it was served, or the client left.
-    Over,
+    Finished,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     /// The request.
     pub id: RequestId,
     /// Number of the attempt.
@@ -165,7 +165,7 @@
     /// Time to the source's first byte or failure, where told.
     pub fill_wait_ms: f64,
     /// Requests of all fronts that the cache holds, where its answer reports them.
-    pub holds: Option<f64>,
+    pub reported_in_flight: Option<f64>,
 }
 
 struct Open {
@@ -177,7 +177,7 @@
     outdated: bool,
     decided: Option<Decision>,
     waiter: Option<Arc<dyn Waiter>>,
-    called_off: Option<Arc<AtomicBool>>,
+    cancelled: Option<Arc<AtomicBool>>,
 }
 
 impl Open {
@@ -191,7 +191,7 @@
             outdated: false,
             decided: None,
             waiter: None,
-            called_off: None,
+            cancelled: None,
         }
     }
 }
@@ -225,8 +225,8 @@
 enum Effect {
     Wake(Arc<dyn Waiter>),
     Cancel(RequestId, u32),
-    Tell(u32, Vec<u8>),
-    TellAll(Vec<u8>),
+    SendToPeer(u32, Vec<u8>),
+    SendToAllPeers(Vec<u8>),
     Log(String),
     Evidence(CacheId, Sign, f64),
 }
@@ -262,7 +262,7 @@
             // An id that is open already names another request: this one can't be told from it. Guards against
             // a client that reuses ids; without it the first would lose its answer.
             if inner.open.contains_key(&id) {
-                return Decision::Refuse { retry_after_ms: 0.0 };
+                return Decision::Reject { retry_after_ms: 0.0 };
             }
             inner.open.insert(id, Open::new(&request));
             inner.handle(now_ms, Event::Request(request))
@@ -272,25 +272,43 @@
     }
 
     /// Tells how an attempt ended and what to do with its request now; waits where the module holds it.
-    pub fn report(&self, now_ms: f64, ended: Ended) -> Decision {
-        let Ended { id, attempt, cache, ending, elapsed_ms, detail, fill_wait_ms, holds } = ended;
+    pub fn report(&self, now_ms: f64, ended: AttemptResult) -> Decision {
+        let AttemptResult {
+            id,
+            attempt,
+            cache,
+            ending,
+            elapsed_ms,
+            detail,
+            fill_wait_ms,
+            reported_in_flight,
+        } = ended;
         let effects = {
             let mut inner = self.lock();
-            let Some(open) = inner.open.get_mut(&id) else { return Decision::Over };
+            let Some(open) = inner.open.get_mut(&id) else { return Decision::Finished };
             open.over |= ending == Ending::Completed;
-            open.called_off = None;
+            open.cancelled = None;
             let over = open.over;
-            let outcome =
-                Outcome { id, attempt, cache, ending, elapsed_ms, over, detail, fill_wait_ms, holds };
+            let outcome = Outcome {
+                id,
+                attempt,
+                cache,
+                ending,
+                elapsed_ms,
+                over,
+                detail,
+                fill_wait_ms,
+                reported_in_flight,
+            };
             inner.handle(now_ms, Event::Outcome(outcome))
         };
         self.carry_out(effects);
         self.decided(id)
     }
 
-    /// An attempt that [`Decision::Try`] asked for is not made, and no other is wanted: the front itself ends its
+    /// An attempt that [`Decision::Forward`] asked for is not made, and no other is wanted: the front itself ends its
     /// request, for a limit of its own. Nothing is owed for it here any more.
-    pub fn stop(&self, now_ms: f64, attempt: &Attempt) {
+    pub fn abandon(&self, now_ms: f64, attempt: &Attempt) {
         let Attempt { id, number, cache, .. } = attempt;
         let effects = {
             let mut inner = self.lock();
@@ -306,7 +324,7 @@
                 over: true,
                 detail: 0,
                 fill_wait_ms: 0.0,
-                holds: None,
+                reported_in_flight: None,
             };
             inner.handle(now_ms, Event::Outcome(outcome))
         };
@@ -314,14 +332,14 @@
     }
 
     /// The client of a request left: nothing is owed for it.
-    pub fn gone(&self, now_ms: f64, id: RequestId) {
+    pub fn client_disconnected(&self, now_ms: f64, id: RequestId) {
         let (waiter, effects) = {
             let mut inner = self.lock();
             let Some(open) = inner.open.get_mut(&id).filter(|open| !open.over) else { return };
             open.over = true;
-            open.decided = Some(Decision::Over);
+            open.decided = Some(Decision::Finished);
             let waiter = open.waiter.take();
-            (waiter, inner.handle(now_ms, Event::Withdrawn { id }))
+            (waiter, inner.handle(now_ms, Event::Cancelled { id }))
         };
         self.carry_out(effects);
         if let Some(w) = waiter {
@@ -339,7 +357,7 @@
 
     /// Whether an attempt's cache and its source are in service; to be asked as [`Dispatcher::is_wanted`], for the sake of
     /// [`Host::draining`].
-    pub fn is_served(&self, attempt: &Attempt) -> bool {
+    pub fn is_in_service(&self, attempt: &Attempt) -> bool {
         let inner = self.lock();
         let serves = |cache: &CacheId| inner.hand.serves(cache);
         serves(&attempt.cache) && attempt.source.as_ref().is_none_or(serves)
@@ -367,13 +385,13 @@
     }
 
     /// News of the caches. Those out by hand are draining in it.
-    pub fn list(&self, now_ms: f64, kind: ListKind, mut entries: Vec<Entry>) {
+    pub fn update_endpoints(&self, now_ms: f64, kind: ListKind, mut entries: Vec<Entry>) {
         let (draining, effects) = {
             let mut inner = self.lock();
             inner.hand.rewrite(now_ms, kind, &mut entries);
             let drain = |e: &&Entry| e.phase != Phase::In;
             let draining: Vec<CacheId> = entries.iter().filter(drain).map(|e| e.cache.clone()).collect();
-            (draining, inner.handle(now_ms, Event::Fleet { kind, entries }))
+            (draining, inner.handle(now_ms, Event::Endpoints { kind, entries }))
         };
         self.carry_out(effects);
         if !draining.is_empty() {
@@ -387,7 +405,7 @@
         let effects = {
             let mut inner = self.lock();
             let Some(entry) = inner.hand.exclude(now_ms, cache) else { return false };
-            inner.handle(now_ms, Event::Fleet { kind: ListKind::Delta, entries: vec![entry] })
+            inner.handle(now_ms, Event::Endpoints { kind: ListKind::Delta, entries: vec![entry] })
         };
         self.carry_out(effects);
         self.host.draining(std::slice::from_ref(cache));
@@ -403,7 +421,7 @@
                 None => return false,
                 Some(None) => Vec::new(),
                 Some(Some(entry)) => {
-                    inner.handle(now_ms, Event::Fleet { kind: ListKind::Delta, entries: vec![entry] })
+                    inner.handle(now_ms, Event::Endpoints { kind: ListKind::Delta, entries: vec![entry] })
                 }
             }
         };
@@ -452,23 +470,23 @@
     }
 
     /// What other fronts' words on a machine amount to, from -1 (well) to 1 (failing).
-    pub fn hearsay(&self, now_ms: f64, cache: CacheId, amount: f64) {
-        self.feed(now_ms, Event::Hearsay { cache, amount });
+    pub fn peer_suspicion(&self, now_ms: f64, cache: CacheId, amount: f64) {
+        self.feed(now_ms, Event::PeerSuspicion { cache, amount });
     }
 
     /// From now on the host is told what answers show of machines.
-    pub fn bear_witness(&self) {
-        self.lock().router.bear_witness();
+    pub fn enable_evidence(&self) {
+        self.lock().router.enable_evidence();
     }
 
     /// A message of a peer.
-    pub fn heard(&self, now_ms: f64, from: u32, data: Vec<u8>) {
-        self.feed(now_ms, Event::Peer { from, data });
+    pub fn peer_message(&self, now_ms: f64, from: u32, data: Vec<u8>) {
+        self.feed(now_ms, Event::PeerMessage { from, data });
     }
 
     /// How many messages of peers made no sense or came from no router of the tier; they changed nothing.
-    pub fn odd_messages(&self) -> u64 {
-        self.lock().router.odd_messages()
+    pub fn malformed_messages(&self) -> u64 {
+        self.lock().router.malformed_messages()
     }
 
     /// What was given up since the start, by cause.
@@ -477,7 +495,7 @@
     }
 
     /// How many requests are open.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.lock().open.len()
     }
 
@@ -492,8 +510,8 @@
             match e {
                 Effect::Wake(w) => w.wake(),
                 Effect::Cancel(id, attempt) => self.host.cancel(id, attempt),
-                Effect::Tell(to, data) => self.host.tell(to, &data),
-                Effect::TellAll(data) => self.host.tell_all(&data),
+                Effect::SendToPeer(to, data) => self.host.send_to_peer(to, &data),
+                Effect::SendToAllPeers(data) => self.host.send_to_all_peers(&data),
                 Effect::Log(line) => self.host.log(&line),
                 Effect::Evidence(cache, sign, strength) => self.host.evidence(&cache, sign, strength),
             }
@@ -505,10 +523,10 @@
         loop {
             let waiter = {
                 let mut inner = self.lock();
-                let Some(open) = inner.open.get_mut(&id) else { return Decision::Over };
-                let done = if open.over { Some(Decision::Over) } else { open.decided.take() };
+                let Some(open) = inner.open.get_mut(&id) else { return Decision::Finished };
+                let done = if open.over { Some(Decision::Finished) } else { open.decided.take() };
                 if let Some(d) = done {
-                    if !matches!(d, Decision::Try(_)) {
+                    if !matches!(d, Decision::Forward(_)) {
                         inner.open.remove(&id);
                     }
                     return d;
@@ -541,13 +559,13 @@
 
     fn carry_out(&mut self, now_ms: f64, action: Action, effects: &mut Vec<Effect>) {
         match action {
-            Action::Get { id, cache, source, until_ms, begin_by_ms, rank, age_ms, join, renew } => {
+            Action::Forward { id, cache, source, until_ms, begin_by_ms, rank, age_ms, join, renew } => {
                 let Some(open) = self.open.get_mut(&id) else { return };
                 let number = open.sent;
                 open.sent += 1;
                 open.outdated = false;
-                let called_off = Arc::new(AtomicBool::new(false));
-                open.called_off = Some(called_off.clone());
+                let cancelled = Arc::new(AtomicBool::new(false));
+                open.cancelled = Some(cancelled.clone());
                 let source = Some(source).filter(|s| *s != cache);
                 let attempt = Attempt {
                     id,
@@ -560,24 +578,24 @@
                     age_ms,
                     join,
                     renew,
-                    called_off,
+                    cancelled,
                 };
-                self.decide(id, Decision::Try(attempt), effects);
+                self.decide(id, Decision::Forward(attempt), effects);
             }
-            Action::Refuse { id, retry_after_ms } => {
-                self.decide(id, Decision::Refuse { retry_after_ms }, effects)
+            Action::Reject { id, retry_after_ms } => {
+                self.decide(id, Decision::Reject { retry_after_ms }, effects)
             }
             Action::Fail { id } => self.decide(id, Decision::Fail, effects),
             Action::Cancel { id, attempt } => {
                 let flag = self.open.get(&id).filter(|o| o.sent == attempt + 1);
-                if let Some(flag) = flag.and_then(|o| o.called_off.as_ref()) {
+                if let Some(flag) = flag.and_then(|o| o.cancelled.as_ref()) {
                     flag.store(true, Ordering::Release);
                     effects.push(Effect::Cancel(id, attempt));
                 }
             }
             Action::Timer { delay_ms, token } => self.timers.push(Reverse(Due(now_ms + delay_ms, token))),
-            Action::Tell { to, data } => effects.push(Effect::Tell(to, data)),
-            Action::TellAll { data } => effects.push(Effect::TellAll(data)),
+            Action::SendToPeer { to, data } => effects.push(Effect::SendToPeer(to, data)),
+            Action::SendToAllPeers { data } => effects.push(Effect::SendToAllPeers(data)),
             Action::Log(line) => effects.push(Effect::Log(line)),
             Action::Evidence { cache, sign, strength } => {
                 effects.push(Effect::Evidence(cache, sign, strength))
--- a/crates/fernslip/src/in_flight.rs
+++ b/crates/fernslip/src/in_flight.rs
@@ -55,9 +55,9 @@
 
 impl Crowd {
     /// Takes a report in at the time `now`.
-    pub fn told(&mut self, now: f64, holds: f64) {
-        if holds.is_finite() && holds >= 0.0 {
-            self.report = Some((holds, now, self.own.now));
+    pub fn told(&mut self, now: f64, reported_in_flight: f64) {
+        if reported_in_flight.is_finite() && reported_in_flight >= 0.0 {
+            self.report = Some((reported_in_flight, now, self.own.now));
         }
     }
 
@@ -77,8 +77,8 @@
     /// late, counts for what is the others', and the more the more of them there are.
     pub fn of_all(&self, now: f64, routers: f64) -> f64 {
         let guess = (routers - 1.0) * self.own.mean(now);
-        let Some((holds, at, own)) = self.report else { return self.own.now + guess };
-        let told = (holds - own).max(0.0);
+        let Some((reported_in_flight, at, own)) = self.report else { return self.own.now + guess };
+        let told = (reported_in_flight - own).max(0.0);
         let counts = (-(now - at) / REPORT_MS).exp2() * (1.0 - 1.0 / routers.max(1.0));
         self.own.now + guess + (told - guess) * counts
     }
--- a/crates/fernslip/src/json.rs
+++ b/crates/fernslip/src/json.rs
@@ -57,7 +57,7 @@
 }
 
 /// The requests that a machine holds, as reports name them: in the settings, and on a front's sockets.
-pub const HOLDS: [&str; 2] = ["rif", "inflight"];
+pub const IN_FLIGHT_NAMES: [&str; 2] = ["rif", "inflight"];
 
 /// A value read, or why not.
 pub type Got<T> = Result<T, JsonError>;
@@ -110,11 +110,11 @@
     for (i, c) in list(info, "classes")?.iter().enumerate() {
         classes.push(Class {
             name: text(c, "name")?.to_string(),
-            aim_ms: num(c, "objective_ms")?,
-            aim_stretch: opt(c, "aim_stretch")?,
+            objective_ms: num(c, "objective_ms")?,
+            objective_stretch: opt(c, "aim_stretch")?,
             deadline_ms: num(c, "deadline_ms")?,
-            worth: num(c, "importance")?,
-            late_worth: opt(c, "late_worth")?,
+            priority_weight: num(c, "importance")?,
+            late_weight: opt(c, "late_worth")?,
             effect: match text(c, "semantics")? {
                 "idempotent" => Effect::Idempotent,
                 "deduplicated" => Effect::Deduplicated,
@@ -159,22 +159,22 @@
         },
         stream_kb_per_s: num(fam, "stream_kb_per_s")?,
         max_attempts: num(per, "max_attempts")? as u32,
-        max_open: num(per, "max_open")? as u32,
+        max_in_flight: num(per, "max_open")? as u32,
         parallel: flag(per, "parallel_tries"),
         cancel: flag(per, "cancelling"),
         peers: flag(per, "peers"),
         // Also where the platform says that its clients pay no heed: who is refused is told when to come back.
         max_retry_after_ms: opt(per, "max_retry_after_ms")?,
-        ask_for_lists: info["discovery"].as_str() == Some("on_request"),
+        lists_on_request: info["discovery"].as_str() == Some("on_request"),
         tick_ms: opt(info, "tick_ms")?,
         drain_grace_ms: num(rules, "drain_grace_ms")?,
-        cold_from: num(rules, "start_capacity")?,
-        cold_ms: num(rules, "warm_up_ms")?,
-        cold_multiple: num(rules, "tip_multiple")?,
-        cold_window_ms: num(rules, "overload_for_ms")?,
-        parent_cold_from: opt(fam, "parent_starts_at")?,
-        parent_cold_ms: opt(fam, "upper_cold_ms")?,
-        parent_cold_multiple: opt(fam, "parent_breaks_at")?,
+        slow_start_from: num(rules, "start_capacity")?,
+        slow_start_ms: num(rules, "warm_up_ms")?,
+        slow_start_multiple: num(rules, "tip_multiple")?,
+        slow_start_window_ms: num(rules, "overload_for_ms")?,
+        parent_slow_start_from: opt(fam, "parent_starts_at")?,
+        parent_slow_start_ms: opt(fam, "upper_cold_ms")?,
+        parent_slow_start_multiple: opt(fam, "parent_breaks_at")?,
         purge_slack_ms: opt(fam, "purge_slack_ms")?,
         purge_done_ms: opt(fam, "purge_done_ms")?,
         zones: zones.clone(),
--- a/crates/fernslip/src/lib.rs
+++ b/crates/fernslip/src/lib.rs
@@ -9,13 +9,13 @@
 //! - Time never runs back; a clock that does is taken to stand still.
 //! - The first event is a complete list ([`ListKind::Cached`] or [`ListKind::Full`]); each later event comes in the
 //!   order in which the router saw it. A request that comes while no cache is known is refused.
-//! - An action takes effect at the time of its event. Each [`Action::Get`] is answered by exactly one
+//! - An action takes effect at the time of its event. Each [`Action::Forward`] is answered by exactly one
 //!   [`Event::Outcome`] that carries the number of the attempt, counted from 0 in each request. The router enforces
-//!   `until_ms` and reports [`Ending::Overdue`].
+//!   `until_ms` and reports [`Ending::TimedOut`].
 //! - The first [`Ending::Completed`] reaches the client by itself. Otherwise the module ends each request by one
-//!   [`Action::Refuse`] or [`Action::Fail`], unless [`Event::Withdrawn`] or an outcome with `over` came first; it
+//!   [`Action::Reject`] or [`Action::Fail`], unless [`Event::Cancelled`] or an outcome with `over` came first; it
 //!   sends nothing more for it then, though it may still cancel an attempt.
-//! - Each [`Action::Timer`] comes back as one [`Event::Timer`]. [`Action::Tell`] and [`Action::TellAll`] may be lost.
+//! - Each [`Action::Timer`] comes back as one [`Event::Timer`]. [`Action::SendToPeer`] and [`Action::SendToAllPeers`] may be lost.
 //! - Never returned: an attempt at a cache of another location, at one that drains or is gone, or, where
 //!   [`Settings::parallel`] is false, a second attempt while one is out.
 //!
@@ -36,11 +36,11 @@
 //!     routers: 1,
 //!     classes: vec![Class {
 //!         name: "file".into(),
-//!         aim_ms: 400.0,
-//!         aim_stretch: 2.0,
+//!         objective_ms: 400.0,
+//!         objective_stretch: 2.0,
 //!         deadline_ms: 5000.0,
-//!         worth: 1.0,
-//!         late_worth: 0.1,
+//!         priority_weight: 1.0,
+//!         late_weight: 0.1,
 //!         effect: Effect::Idempotent,
 //!         scope: DedupScope::All,
 //!         repeat_window_ms: 0.0,
@@ -54,21 +54,21 @@
 //!     notes: NoteLevel::All,
 //!     stream_kb_per_s: 4000.0,
 //!     max_attempts: 4,
-//!     max_open: 1000,
+//!     max_in_flight: 1000,
 //!     parallel: false,
 //!     cancel: true,
 //!     peers: false,
 //!     max_retry_after_ms: 1000.0,
-//!     ask_for_lists: false,
+//!     lists_on_request: false,
 //!     tick_ms: 1.0,
 //!     drain_grace_ms: 1000.0,
-//!     cold_from: 0.2,
-//!     cold_ms: 15_000.0,
-//!     cold_multiple: 4.0,
-//!     cold_window_ms: 1000.0,
-//!     parent_cold_from: 0.1,
-//!     parent_cold_ms: 20_000.0,
-//!     parent_cold_multiple: 2.0,
+//!     slow_start_from: 0.2,
+//!     slow_start_ms: 15_000.0,
+//!     slow_start_multiple: 4.0,
+//!     slow_start_window_ms: 1000.0,
+//!     parent_slow_start_from: 0.1,
+//!     parent_slow_start_ms: 20_000.0,
+//!     parent_slow_start_multiple: 2.0,
 //!     purge_slack_ms: 300.0,
 //!     purge_done_ms: 6000.0,
 //! };
@@ -84,7 +84,7 @@
 //!     phase: Phase::In,
 //! };
 //! let entries = vec![entry("10.0.0.1:80", 1, 0), entry("10.0.1.1:80", 0, 1), entry("10.0.1.2:80", 0, 2)];
-//! router.handle(0.0, Event::Fleet { kind: ListKind::Full, entries }, &mut actions);
+//! router.handle(0.0, Event::Endpoints { kind: ListKind::Full, entries }, &mut actions);
 //! let ask = Request {
 //!     id: RequestId(1),
 //!     object: ObjectId(7),
@@ -96,7 +96,7 @@
 //! };
 //! router.handle(5.0, Event::Request(ask), &mut actions);
 //! match &actions[0] {
-//!     Action::Get { cache, source, .. } => {
+//!     Action::Forward { cache, source, .. } => {
 //!         assert_eq!(&*cache.0, "10.0.0.1:80"); // home: the only cache of the location
 //!         assert_eq!(&*source.0, "10.0.1.1:80"); // nothing is shown to hold the object: its first parent
 //!     }
--- a/crates/fernslip/src/policy.rs
+++ b/crates/fernslip/src/policy.rs
@@ -162,15 +162,15 @@
         self.mates.event(self.now);
         self.age(actions);
         match event {
-            Event::Fleet { kind, entries } => self.fleet(kind, entries, actions),
+            Event::Endpoints { kind, entries } => self.fleet(kind, entries, actions),
             Event::Request(ask) => self.request(ask, actions),
             Event::Outcome(o) => self.outcome(o, actions),
-            Event::Withdrawn { id } => self.withdrawn(id, actions),
+            Event::Cancelled { id } => self.withdrawn(id, actions),
             Event::Purged { object, group, age_ms } => self.purged(object, group, age_ms),
-            Event::Peer { from, data } => self.heard(from, &data, actions),
-            Event::Hearsay { cache, amount } => self.hearsay(&cache, amount),
+            Event::PeerMessage { from, data } => self.heard(from, &data, actions),
+            Event::PeerSuspicion { cache, amount } => self.hearsay(&cache, amount),
             Event::Timer { .. } => self.watch(actions),
-            Event::Opened { .. } | Event::Probed { .. } => {}
+            Event::Opened { .. } | Event::HealthChecked { .. } => {}
         }
     }
 
@@ -185,7 +185,7 @@
         // Greets all when it starts, and once a generation while a router of the location was not heard of:
         // finds strangers, restarts and late joiners. Where one is gone for good it costs a few bytes.
         if self.set.peers && !self.mates.are_all(self.set.near_routers()) {
-            out.push(Action::TellAll { data: message::greeting(self.set.zone as u8, true) });
+            out.push(Action::SendToAllPeers { data: message::greeting(self.set.zone as u8, true) });
         }
         self.caches.values_mut().for_each(|c| c.filter.age());
         self.wanted.age();
@@ -195,12 +195,12 @@
     }
 
     /// From now on tells what its answers show of machines, for other routers.
-    pub fn bear_witness(&mut self) {
+    pub fn enable_evidence(&mut self) {
         self.witness = true;
     }
 
     /// How many messages made no sense or came from no router of the tier.
-    pub fn odd_messages(&self) -> u64 {
+    pub fn malformed_messages(&self) -> u64 {
         self.odd
     }
 
--- a/crates/fernslip/src/policy/admission.rs
+++ b/crates/fernslip/src/policy/admission.rs
@@ -26,7 +26,7 @@
             Role::Parent => (slot, self.set.routers.max(1)),
             _ => (self.mates.place(slot, near), near),
         };
-        let (window, age) = (self.set.cold_window_ms, self.now - c.born);
+        let (window, age) = (self.set.slow_start_window_ms, self.now - c.born);
         let spent = c.spent(self.now, window);
         let part = warming.rate * warming.warmth(age) * window / f64::from(routers);
         // What a router saw it send lately it can send now, and may be asked for within the same multiple.
--- a/crates/fernslip/src/policy/health.rs
+++ b/crates/fernslip/src/policy/health.rs
@@ -48,23 +48,23 @@
                 }
             }
             // Called off in silence: one that answers now and then is not well again with one answer.
-            Ending::Recalled if a.called_off => self.verdict(cache, SILENCE_BLAME, out),
-            Ending::Superseded | Ending::Retracted | Ending::Recalled => {}
+            Ending::Cancelled if a.called_off => self.verdict(cache, SILENCE_BLAME, out),
+            Ending::Superseded | Ending::Retracted | Ending::Cancelled => {}
             _ => {
                 // A time-out counts only against a machine that has answered nothing since: a slow one is
                 // crowded, and ejecting it would crowd the rest and move its homes.
                 let quiet = |i: &CacheId| self.caches.get(i).is_some_and(|c| c.heard < sent);
-                let late = o.ending == Ending::Overdue;
+                let late = o.ending == Ending::TimedOut;
                 let told = self.set.notes == NoteLevel::All && o.detail != 0;
                 let (c, s) = match (o.ending, o.detail) {
                     (Ending::Saturated, 0) if o.elapsed_ms < UNSEEN_MS => (1.0, 0.0),
                     (_, 8..=10) | (Ending::Saturated, 0) => (0.0, 0.0),
-                    _ if late && o.elapsed_ms <= req.aim_ms => (0.0, 0.0),
+                    _ if late && o.elapsed_ms <= req.objective_ms => (0.0, 0.0),
                     _ if late && !quiet(cache) && (shown || crawls || !quiet(source)) => (0.0, 0.0),
                     _ if late && !quiet(cache) => (0.0, 1.0),
                     (_, 6 | 7) => (0.0, 1.0),
-                    (Ending::RefusedConn, _) => (1.5, 0.0),
-                    (Ending::Severed, _) => (1.0, 0.0),
+                    (Ending::ConnectionRefused, _) => (1.5, 0.0),
+                    (Ending::ConnectionLost, _) => (1.0, 0.0),
                     _ if source == cache || shown || self.set.notes == NoteLevel::All => (1.0, 0.0),
                     _ => {
                         // Not told: blame goes by who has been failing with others.
@@ -85,7 +85,7 @@
                     req.failed.insert(source.clone());
                 }
                 // After a break the same cache is tried once more: if its process died, that is refused.
-                if c > 0.0 && c >= s && (o.ending != Ending::Severed || req.attempts.len() > 1) {
+                if c > 0.0 && c >= s && (o.ending != Ending::ConnectionLost || req.attempts.len() > 1) {
                     req.failed.insert(cache.clone());
                 }
             }
@@ -153,7 +153,7 @@
         for (&id, req) in self.reqs.iter_mut().filter(|(_, r)| !r.done) {
             for a in req.attempts.iter_mut().filter(|a| a.open && a.way == Way::Fill) {
                 let took = self.now - a.sent;
-                if took > req.aim_ms && !std::mem::replace(&mut a.late, true) {
+                if took > req.objective_ms && !std::mem::replace(&mut a.late, true) {
                     late.push((a.cache.clone(), a.source.clone(), took / (req.work_ms + PACE_BASE_MS)));
                 }
             }
--- a/crates/fernslip/src/policy/nodes.rs
+++ b/crates/fernslip/src/policy/nodes.rs
@@ -10,7 +10,7 @@
 
 impl Router {
     pub(super) fn fleet(&mut self, kind: ListKind, entries: Vec<Entry>, out: &mut Vec<Action>) {
-        if kind == ListKind::Failed || (kind == ListKind::Cached && self.set.ask_for_lists) {
+        if kind == ListKind::Failed || (kind == ListKind::Cached && self.set.lists_on_request) {
             out.push(Action::Subscribe);
         }
         if kind == ListKind::Failed {
--- a/crates/fernslip/src/policy/peers.rs
+++ b/crates/fernslip/src/policy/peers.rs
@@ -13,7 +13,7 @@
         for c in self.caches.values_mut() {
             let changes = std::mem::take(&mut c.changes);
             for data in message::changes(self.set.zone as u8, c.tag, &changes, MESSAGE_BYTES) {
-                out.extend(self.mates.all().map(|to| Action::Tell { to, data: data.clone() }));
+                out.extend(self.mates.all().map(|to| Action::SendToPeer { to, data: data.clone() }));
             }
         }
     }
@@ -47,18 +47,18 @@
     /// each would fill without a limit, and send to what the others know to be slow or failing.
     pub(super) fn welcome(&self, to: u32, out: &mut Vec<Action>) {
         let (zone, known_ms) = (self.set.zone as u8, self.mates.known_ms(self.now));
-        out.push(Action::Tell { to, data: message::greeting(zone, false) });
+        out.push(Action::SendToPeer { to, data: message::greeting(zone, false) });
         if known_ms < WELCOME_FROM_MS {
             return;
         }
         let up = self.caches.values().filter(|c| c.phase == Phase::In);
         let w = Welcome::of(up.clone(), self.now, known_ms, self.fills.limit);
-        out.push(Action::Tell { to, data: w.encode(zone, MESSAGE_BYTES) });
+        out.push(Action::SendToPeer { to, data: w.encode(zone, MESSAGE_BYTES) });
         // The keys that caches are known to hold: one of its mates tells them, the next by number.
         if self.mates.comes_after(self.set.slot, to) {
             for c in up.filter(|c| c.role == Role::Edge) {
                 let keys = message::changes(zone, c.tag, &c.filter.shown(), MESSAGE_BYTES);
-                out.extend(keys.into_iter().take(WELCOME_PIECES).map(|data| Action::Tell { to, data }));
+                out.extend(keys.into_iter().take(WELCOME_PIECES).map(|data| Action::SendToPeer { to, data }));
             }
         }
     }
--- a/crates/fernslip/src/policy/placement.rs
+++ b/crates/fernslip/src/policy/placement.rs
@@ -31,7 +31,7 @@
         // large first. Guards against hot objects, bursts, lost caches. Harm: second copies; a late answer's
         // worth. Nothing is faster than its sending time: what cannot end while the client waits only fills
         // the links.
-        let aim = req.aim_ms.min(left);
+        let aim = req.objective_ms.min(left);
         let alone = |c: &Cache| if self.quickness(c) < 1.0 { c.pace_at(self.now) } else { 1.0 };
         let load = |c: &Cache| if c.link.width.full { self.load(c) * LATE_MARGIN } else { 0.0 };
         let in_time = |c: &Cache| req.work_ms * load(c).max(alone(c)) <= aim;
--- a/crates/fernslip/src/policy/request.rs
+++ b/crates/fernslip/src/policy/request.rs
@@ -13,27 +13,27 @@
 impl Router {
     pub(super) fn request(&mut self, ask: Request, out: &mut Vec<Action>) {
         let Some(class) = self.set.classes.get(ask.class) else {
-            return out.push(Action::Refuse { id: ask.id, retry_after_ms: 0.0 });
+            return out.push(Action::Reject { id: ask.id, retry_after_ms: 0.0 });
         };
-        if self.reqs.len() >= self.set.max_open as usize || self.reqs.contains_key(&ask.id) {
-            return out.push(Action::Refuse { id: ask.id, retry_after_ms: RETRY_AFTER_MS });
+        if self.reqs.len() >= self.set.max_in_flight as usize || self.reqs.contains_key(&ask.id) {
+            return out.push(Action::Reject { id: ask.id, retry_after_ms: RETRY_AFTER_MS });
         }
         let key = hash(&[ask.object.0, u64::from(ask.part)]);
         let mean = &mut self.mean_ms[ask.class];
         let work_ms = match ask.size_kb > 0.0 && ask.size_kb.is_finite() {
             true => ask.size_kb / self.set.stream_kb_per_s * 1000.0,
             false if *mean > 0.0 => *mean,
-            false => class.aim_ms * UNTOLD,
+            false => class.objective_ms * UNTOLD,
         };
         // A client's own figure, however large, moves the sums by what fits into the time it may wait.
         *mean += (work_ms.min(class.deadline_ms) - *mean) * if *mean == 0.0 { 1.0 } else { MEAN_STEP };
         let budget = if ask.budget_ms.is_finite() { ask.budget_ms.max(0.0) } else { class.deadline_ms };
         let deadline = self.now + budget;
-        let aim_ms = (class.aim_ms + class.aim_stretch * work_ms).min(class.deadline_ms);
+        let objective_ms = (class.objective_ms + class.objective_stretch * work_ms).min(class.deadline_ms);
         let id = ask.id;
         let saved = (RETRIES_SAVED / f64::from(self.set.near_routers())).max(1.0);
         self.retries = (self.retries + RETRIES_PER_REQUEST).min(saved);
-        let req = Req::new(ask, key, deadline, work_ms, aim_ms);
+        let req = Req::new(ask, key, deadline, work_ms, objective_ms);
         self.dispatch(req, out);
         if let Some(r) = self.reqs.get(&id).filter(|r| !self.set.classes[r.ask.class].write) {
             self.wanted.bump(r.key);
@@ -58,10 +58,10 @@
         let left = self.left(&req);
         let may_retry = req.attempts.len() + 1 < self.set.max_attempts as usize;
         // A fill runs on while the client waits: one that is dropped keeps nothing and is asked for again.
-        let short = (req.aim_ms * AIMS).min(left * PART_OF_LEFT).max(LEAST_TRY_MS);
+        let short = (req.objective_ms * AIMS).min(left * PART_OF_LEFT).max(LEAST_TRY_MS);
         let time = if may_retry && matches!(way, Way::Hit | Way::Look) { short } else { left };
         let rank = self.rank(&req);
-        out.push(Action::Get {
+        out.push(Action::Forward {
             id: req.ask.id,
             cache: cache.clone(),
             source: source.clone(),
@@ -74,7 +74,7 @@
         });
         let (now, cost, quiet) = (self.now, self.mean_ms[req.ask.class], SILENT_MS + 2.0 * req.work_ms);
         for id in [&cache, &source] {
-            let window = self.set.cold_window_ms;
+            let window = self.set.slow_start_window_ms;
             let Some(c) = self.caches.get_mut(id) else { continue };
             c.sends(now, cost, window);
             if c.ejected || c.silent(now) {
@@ -121,7 +121,7 @@
             Effect::AtMostOnce => !ran,
         };
         out.push(match refuse {
-            true => Action::Refuse { id: req.ask.id, retry_after_ms },
+            true => Action::Reject { id: req.ask.id, retry_after_ms },
             false => Action::Fail { id: req.ask.id },
         });
         self.finish(req);
@@ -153,7 +153,7 @@
         a.ending = Some(o.ending);
         let (cache, source, way) = (a.cache.clone(), a.source.clone(), a.way);
         let (seen, late) = (a.seen, a.late);
-        let in_time = o.elapsed_ms <= req.aim_ms;
+        let in_time = o.elapsed_ms <= req.objective_ms;
         let (now, routers) = (self.now, f64::from(self.set.near_routers()));
         // A fill through a cache that crawls or is itself crowded tells nothing of its source or the links.
         let crawls = self.caches.get(&cache).is_some_and(|c| self.is_slow(c));
@@ -162,7 +162,7 @@
         self.testify(&cache, Sign::Crawling, if crawls { SILENCE_SURE } else { 0.0 }, out);
         let slow = crawls || busy || self.caches.get(&source).is_some_and(|c| self.is_slow(c));
         // Out of time before it was wanted, its client had no patience: that tells nothing of anybody.
-        let overdue = o.ending == Ending::Overdue && !in_time;
+        let overdue = o.ending == Ending::TimedOut && !in_time;
         let hit = o.ending == Ending::Completed
             && (o.detail == 1 || o.detail == 0 && matches!(way, Way::Hit | Way::Look));
         if hit || way == Way::Fill && (o.ending == Ending::Completed || overdue) {
@@ -194,10 +194,10 @@
             self.step(&source, -1.0);
         }
         let silent = o.ending.never_sent()
-            || matches!(o.ending, Ending::Overdue | Ending::Recalled | Ending::RefusedConn);
+            || matches!(o.ending, Ending::TimedOut | Ending::Cancelled | Ending::ConnectionRefused);
         if let Some(c) = self.caches.get_mut(&cache) {
-            if let Some(holds) = o.holds {
-                c.open.told(now, holds);
+            if let Some(reported_in_flight) = o.reported_in_flight {
+                c.open.told(now, reported_in_flight);
             }
             if !silent {
                 c.quiet_by = None;
--- a/crates/fernslip/src/policy/sources.rs
+++ b/crates/fernslip/src/policy/sources.rs
@@ -19,6 +19,6 @@
     /// Whether a fill from a source would come later than wanted, as its others did.
     pub(super) fn is_late(&self, c: &Cache, req: &Req) -> bool {
         let pace = if c.role == Role::Origin { c.pace_at(self.now) } else { c.pace_of_quick(self.now) };
-        (req.work_ms + PACE_BASE_MS) * pace > req.aim_ms
+        (req.work_ms + PACE_BASE_MS) * pace > req.objective_ms
     }
 }
--- a/crates/fernslip/src/slow_start.rs
+++ b/crates/fernslip/src/slow_start.rs
@@ -8,9 +8,9 @@
     /// How a parent, or another machine, warms up: its share at the start, the time in milliseconds, the multiple.
     pub(crate) fn cold(&self, parent: bool) -> [f64; 3] {
         if parent {
-            [self.parent_cold_from, self.parent_cold_ms, self.parent_cold_multiple]
+            [self.parent_slow_start_from, self.parent_slow_start_ms, self.parent_slow_start_multiple]
         } else {
-            [self.cold_from, self.cold_ms, self.cold_multiple]
+            [self.slow_start_from, self.slow_start_ms, self.slow_start_multiple]
         }
     }
 }
--- a/crates/fernslip/src/state.rs
+++ b/crates/fernslip/src/state.rs
@@ -72,7 +72,7 @@
     pub key: Hashes,
     pub deadline: f64,
     pub work_ms: f64,
-    pub aim_ms: f64,
+    pub objective_ms: f64,
     pub attempts: Vec<Attempt>,
     /// Targets and sources that failed this request.
     pub failed: BTreeSet<CacheId>,
@@ -164,9 +164,9 @@
 }
 
 impl Req {
-    pub fn new(ask: Request, key: Hashes, deadline: f64, work_ms: f64, aim_ms: f64) -> Req {
+    pub fn new(ask: Request, key: Hashes, deadline: f64, work_ms: f64, objective_ms: f64) -> Req {
         let (attempts, failed) = (Vec::new(), BTreeSet::new());
-        Req { ask, key, deadline, work_ms, aim_ms, attempts, failed, done: false }
+        Req { ask, key, deadline, work_ms, objective_ms, attempts, failed, done: false }
     }
 
     pub fn is_open(&self) -> bool {
--- a/crates/fernslip/tests/apart.rs
+++ b/crates/fernslip/tests/apart.rs
@@ -7,9 +7,9 @@
 fn other() -> Settings {
     let classes = ["order", "preview"].map(|name| Class {
         name: name.into(),
-        aim_ms: 90.0,
+        objective_ms: 90.0,
         deadline_ms: 400.0,
-        worth: 8.0,
+        priority_weight: 8.0,
         effect: Effect::AtMostOnce,
         write: name == "order",
         fresh_ms: if name == "order" { 0.0 } else { 500.0 },
@@ -19,12 +19,12 @@
         classes: classes.to_vec(),
         stream_kb_per_s: 9_000.0,
         max_attempts: 2,
-        max_open: 3,
+        max_in_flight: 3,
         max_retry_after_ms: 70.0,
         cancel: false,
         joins: false,
         neighbours: Neighbours::None,
-        cold_multiple: 3.0,
+        slow_start_multiple: 3.0,
         drain_grace_ms: 250.0,
         ..settings()
     }
@@ -42,7 +42,7 @@
     fn new(settings: Settings, class: usize) -> Stream {
         let mut router = Router::new(settings, 5).expect("sound");
         let mut out = Vec::new();
-        router.handle(1_000.0, Event::Fleet { kind: ListKind::Full, entries: fleet() }, &mut out);
+        router.handle(1_000.0, Event::Endpoints { kind: ListKind::Full, entries: fleet() }, &mut out);
         Stream { router, step: 0, class, done: vec![format!("{out:?}")] }
     }
 
@@ -56,7 +56,7 @@
         self.router.handle(now, Event::Request(ask), &mut out);
         let sent: Vec<CacheId> = out
             .iter()
-            .filter_map(|a| if let Action::Get { cache, .. } = a { Some(cache.clone()) } else { None })
+            .filter_map(|a| if let Action::Forward { cache, .. } = a { Some(cache.clone()) } else { None })
             .collect();
         for cache in sent {
             let ending = if n % 5 == 0 { Ending::Saturated } else { Ending::Completed };
@@ -70,12 +70,12 @@
                 over,
                 detail: 2,
                 fill_wait_ms: 0.0,
-                holds: None,
+                reported_in_flight: None,
             };
             self.router.handle(now + 3.0, Event::Outcome(o), &mut out);
         }
         if n % 9 == 0 {
-            self.router.handle(now + 4.0, Event::Withdrawn { id }, &mut out);
+            self.router.handle(now + 4.0, Event::Cancelled { id }, &mut out);
             self.router.handle(
                 now + 4.0,
                 Event::Purged { object: Some(object), group: 1, age_ms: 10.0 },
--- a/crates/fernslip/tests/cold.rs
+++ b/crates/fernslip/tests/cold.rs
@@ -55,13 +55,13 @@
         routers: zones as u32 * per_zone,
         classes: vec![class(), class()],
         notes: NoteLevel::Hit,
-        cold_from: 0.23,
-        cold_ms: COLD_MS,
-        cold_multiple: 2.0,
-        cold_window_ms: WINDOW_MS,
-        parent_cold_from: 0.065,
-        parent_cold_ms: COLD_MS,
-        parent_cold_multiple: 2.0,
+        slow_start_from: 0.23,
+        slow_start_ms: COLD_MS,
+        slow_start_multiple: 2.0,
+        slow_start_window_ms: WINDOW_MS,
+        parent_slow_start_from: 0.065,
+        parent_slow_start_ms: COLD_MS,
+        parent_slow_start_multiple: 2.0,
         ..settings()
     }
 }
@@ -117,11 +117,11 @@
             sends: Default::default(),
         };
         for r in 0..n {
-            w.due(START, r, Event::Fleet { kind: ListKind::Full, entries: list(zones, told, false) });
+            w.due(START, r, Event::Endpoints { kind: ListKind::Full, entries: list(zones, told, false) });
             w.ask(START + 1.0, r);
             // Told of the starts within a second, or born with them on the list.
             let when = BORN + w.rng.random_range(0.0..1_000.0);
-            w.due(when, r, Event::Fleet { kind: ListKind::Full, entries: list(zones, told, true) });
+            w.due(when, r, Event::Endpoints { kind: ListKind::Full, entries: list(zones, told, true) });
         }
         w
     }
@@ -155,7 +155,11 @@
                 let Some((_, r)) = restarts.pop() else { break };
                 let set = Settings { peers: !self.silent[r as usize], ..fleet(zones, per_zone, r) };
                 self.routers[r as usize] = Router::new(set, 77 + u64::from(r)).expect("sound");
-                self.handle(now, r, Event::Fleet { kind: ListKind::Full, entries: list(zones, told, true) });
+                self.handle(
+                    now,
+                    r,
+                    Event::Endpoints { kind: ListKind::Full, entries: list(zones, told, true) },
+                );
             }
             if let Some(r) = self.asks.remove(&number) {
                 let class = usize::from(self.rng.random_bool(0.5));
@@ -184,7 +188,7 @@
         self.routers[r as usize].handle(now, event, &mut actions);
         for a in actions {
             match a {
-                Action::Get { id, cache, source, .. } => {
+                Action::Forward { id, cache, source, .. } => {
                     let attempt = *self.tries.entry(id).and_modify(|n| *n += 1).or_insert(0);
                     let class = self.class_of[&id];
                     let work = SIZES_KB[class];
@@ -211,13 +215,13 @@
                         over,
                         detail,
                         fill_wait_ms: 0.0,
-                        holds: None,
+                        reported_in_flight: None,
                     };
                     self.due(now + took, r, Event::Outcome(o));
                 }
                 Action::Timer { delay_ms, token } => self.due(now + delay_ms, r, Event::Timer { token }),
-                Action::Tell { to, data } => self.post(now, r, to, data),
-                Action::TellAll { data } => {
+                Action::SendToPeer { to, data } => self.post(now, r, to, data),
+                Action::SendToAllPeers { data } => {
                     let zone = self.zone_of[r as usize];
                     // Others' greetings change nothing there: only those of the location are carried, for speed.
                     let is_mate = |t: &u32| *t != r && self.zone_of[*t as usize] == zone;
@@ -234,7 +238,7 @@
     /// One in ten is lost.
     fn post(&mut self, now: f64, from: u32, to: u32, data: Vec<u8>) {
         if !self.silent[from as usize] && !self.silent[to as usize] && self.rng.random_bool(0.9) {
-            self.due(now + 5.0, to, Event::Peer { from, data });
+            self.due(now + 5.0, to, Event::PeerMessage { from, data });
         }
     }
 
@@ -242,8 +246,8 @@
     /// all that it may be sent which was used.
     fn heaviest(&self, which: usize, set: &Settings, zones: usize) -> (f64, f64) {
         let (from, multiple, weight) = match which {
-            0 => (set.cold_from, set.cold_multiple, WEIGHT),
-            _ => (set.parent_cold_from, set.parent_cold_multiple, PARENT * zones as f64),
+            0 => (set.slow_start_from, set.slow_start_multiple, WEIGHT),
+            _ => (set.parent_slow_start_from, set.parent_slow_start_multiple, PARENT * zones as f64),
         };
         let calls = |at: f64, ms: f64| {
             let warmth = (from + (1.0 - from) * (at - BORN) / COLD_MS).min(1.0);
--- a/crates/fernslip/tests/common/mod.rs
+++ b/crates/fernslip/tests/common/mod.rs
@@ -5,11 +5,11 @@
 pub fn class() -> Class {
     Class {
         name: "chunk".into(),
-        aim_ms: 400.0,
-        aim_stretch: 2.0,
+        objective_ms: 400.0,
+        objective_stretch: 2.0,
         deadline_ms: 6000.0,
-        worth: 1.0,
-        late_worth: 0.15,
+        priority_weight: 1.0,
+        late_weight: 0.15,
         effect: Effect::Idempotent,
         scope: DedupScope::All,
         repeat_window_ms: 3000.0,
@@ -37,21 +37,21 @@
         notes: NoteLevel::All,
         stream_kb_per_s: 1000.0,
         max_attempts: 6,
-        max_open: 1000,
+        max_in_flight: 1000,
         parallel: false,
         cancel: true,
         peers: true,
         max_retry_after_ms: 1000.0,
-        ask_for_lists: false,
+        lists_on_request: false,
         tick_ms: 2.0,
         drain_grace_ms: 1000.0,
-        cold_from: 0.2,
-        cold_ms: 10_000.0,
-        cold_multiple: 4.0,
-        cold_window_ms: 1000.0,
-        parent_cold_from: 0.1,
-        parent_cold_ms: 10_000.0,
-        parent_cold_multiple: 2.0,
+        slow_start_from: 0.2,
+        slow_start_ms: 10_000.0,
+        slow_start_multiple: 4.0,
+        slow_start_window_ms: 1000.0,
+        parent_slow_start_from: 0.1,
+        parent_slow_start_ms: 10_000.0,
+        parent_slow_start_multiple: 2.0,
         purge_slack_ms: 300.0,
         purge_done_ms: 6000.0,
     }
@@ -82,7 +82,7 @@
     pub router: Router,
     pub now: f64,
     /// What answers report that the cache holds.
-    pub holds: Option<f64>,
+    pub reported_in_flight: Option<f64>,
     next: u64,
 }
 
@@ -99,7 +99,7 @@
 
 pub fn sent(actions: &[Action]) -> Option<Sent> {
     actions.iter().find_map(|a| match a {
-        Action::Get { id, cache, source, until_ms, rank, age_ms, join, .. } => Some(Sent {
+        Action::Forward { id, cache, source, until_ms, rank, age_ms, join, .. } => Some(Sent {
             id: *id,
             cache: cache.0.to_string(),
             source: source.0.to_string(),
@@ -113,7 +113,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
@@ -125,14 +125,14 @@
         Rig {
             router: Router::new(settings, 7).expect("settings are sound"),
             now: 100_000.0,
-            holds: None,
+            reported_in_flight: None,
             next: 1,
         }
     }
 
     pub fn new() -> Rig {
         let mut r = Rig::with(settings());
-        r.list(fleet());
+        r.update_endpoints(fleet());
         r
     }
 
@@ -142,12 +142,12 @@
         out
     }
 
-    pub fn list(&mut self, entries: Vec<Entry>) -> Vec<Action> {
-        self.event(Event::Fleet { kind: ListKind::Full, entries })
+    pub fn update_endpoints(&mut self, entries: Vec<Entry>) -> Vec<Action> {
+        self.event(Event::Endpoints { kind: ListKind::Full, entries })
     }
 
     pub fn delta(&mut self, e: Entry) -> Vec<Action> {
-        self.event(Event::Fleet { kind: ListKind::Delta, entries: vec![e] })
+        self.event(Event::Endpoints { kind: ListKind::Delta, entries: vec![e] })
     }
 
     pub fn ask_with(&mut self, object: u64, class: usize, size_kb: f64) -> Vec<Action> {
@@ -178,7 +178,7 @@
             over: how.0 == Ending::Completed,
             detail: how.1,
             fill_wait_ms: 0.0,
-            holds: self.holds,
+            reported_in_flight: self.reported_in_flight,
         }))
     }
 
--- a/crates/fernslip/tests/common/world.rs
+++ b/crates/fernslip/tests/common/world.rs
@@ -74,7 +74,7 @@
         let routers = d.log(1.0, 50.9) as u32;
         let (once, total) = (d.within(0.03, 0.15), widths.iter().sum::<f64>());
         let flow = d.log(500.0, 15_000.0);
-        let read = |aim_ms: f64, worth| Class { aim_ms, worth, ..class() };
+        let read = |objective_ms: f64, priority_weight| Class { objective_ms, priority_weight, ..class() };
         let mut classes = vec![read(d.within(300.0, 1_000.0), 2.0), read(d.within(200.0, 600.0), 1.0)];
         classes[0].deadline_ms = d.within(3_000.0, 8_000.0);
         classes[1].deadline_ms = d.within(1_500.0, 4_000.0);
@@ -101,10 +101,10 @@
             max_retry_after_ms: d.pick(&[0.0, 500.0, 1_000.0]),
             tick_ms: d.pick(&[0.0, 2.0]),
             drain_grace_ms: grace,
-            cold_from: d.within(0.15, 0.5),
-            cold_ms: d.within(4_000.0, 20_000.0),
-            cold_multiple: d.within(1.5, 4.0),
-            cold_window_ms: d.within(1_000.0, 3_000.0),
+            slow_start_from: d.within(0.15, 0.5),
+            slow_start_ms: d.within(4_000.0, 20_000.0),
+            slow_start_multiple: d.within(1.5, 4.0),
+            slow_start_window_ms: d.within(1_000.0, 3_000.0),
             purge_slack_ms: d.log(100.0, 2_000.0),
             ..settings()
         };
@@ -180,8 +180,8 @@
             "{:.0} ms of work, {:.2} once, aims {:.0} and {:.0} ms, graces {:.0} and {:.0} ms",
             self.work_ms,
             self.once,
-            s.classes[0].aim_ms,
-            s.classes[1].aim_ms,
+            s.classes[0].objective_ms,
+            s.classes[1].objective_ms,
             s.drain_grace_ms,
             s.purge_slack_ms
         )
@@ -296,7 +296,7 @@
             ids: 0,
         };
         for r in 0..routers {
-            w.handle(r, Event::Fleet { kind: ListKind::Full, entries: list.clone() });
+            w.handle(r, Event::Endpoints { kind: ListKind::Full, entries: list.clone() });
         }
         w
     }
@@ -326,9 +326,9 @@
             l if l == n - 1 => self.d.origin_width,
             _ => self.d.link_in,
         };
-        let age = (self.now - self.born.get(link).copied().unwrap_or(0.0)) / self.d.set.cold_ms;
+        let age = (self.now - self.born.get(link).copied().unwrap_or(0.0)) / self.d.set.slow_start_ms;
         let cold = link < caches && self.born[link] > 0.0 && age < 1.0;
-        full * if cold { self.d.set.cold_from + (1.0 - self.d.set.cold_from) * age } else { 1.0 }
+        full * if cold { self.d.set.slow_start_from + (1.0 - self.d.set.slow_start_from) * age } else { 1.0 }
     }
 
     fn handle(&mut self, r: u32, event: Event) {
@@ -336,7 +336,7 @@
         self.routers[r as usize].handle(self.now, event, &mut actions);
         for a in actions {
             match a {
-                Action::Get { id, cache, source, until_ms, rank, age_ms, join, .. } => {
+                Action::Forward { id, cache, source, until_ms, rank, age_ms, join, .. } => {
                     self.get(r, id, &cache, &source, until_ms, rank > 0, age_ms, join);
                 }
                 Action::Cancel { id, attempt } => {
@@ -344,11 +344,11 @@
                         f.called_off = true;
                     }
                 }
-                Action::Refuse { id, .. } => self.answer(id, |d| d.refused += 1),
+                Action::Reject { id, .. } => self.answer(id, |d| d.refused += 1),
                 Action::Fail { id } => self.answer(id, |d| d.failed += 1),
                 Action::Timer { delay_ms, token } => self.at(self.now + delay_ms, Due::Timer(r, token)),
-                Action::Tell { to, data } => self.post(r, to, data),
-                Action::TellAll { data } => {
+                Action::SendToPeer { to, data } => self.post(r, to, data),
+                Action::SendToAllPeers { data } => {
                     (0..self.routers.len() as u32)
                         .filter(|&to| to != r)
                         .for_each(|to| self.post(r, to, data.clone()));
@@ -454,10 +454,10 @@
             over: false,
             detail: 0,
             fill_wait_ms: 0.0,
-            holds: None,
+            reported_in_flight: None,
         };
         if self.down.contains(&c) {
-            return self.at(self.now + 1.0, Due::Outcome(to, Box::new(soon(Ending::RefusedConn))));
+            return self.at(self.now + 1.0, Due::Outcome(to, Box::new(soon(Ending::ConnectionRefused))));
         }
         if open > 20.0 + 8.0 * self.width(c) {
             return self.at(self.now + 1.0, Due::Outcome(to, Box::new(soon(Ending::Saturated))));
@@ -527,14 +527,14 @@
         while let Some(first) = self.due.first_entry().filter(|e| e.key().0 as f64 / 1000.0 <= self.now) {
             match first.remove() {
                 Due::Timer(r, token) => self.handle(r, Event::Timer { token }),
-                Due::Message { to, from, data } => self.handle(to, Event::Peer { from, data }),
+                Due::Message { to, from, data } => self.handle(to, Event::PeerMessage { from, data }),
                 Due::Outcome(r, o) => {
                     self.asked.get_mut(&o.id).expect("asked").out = false;
                     self.handle(r, Event::Outcome(*o));
                 }
                 Due::Tell(r, event) => {
                     match &*event {
-                        Event::Fleet { entries, .. } => {
+                        Event::Endpoints { entries, .. } => {
                             for e in entries {
                                 let m = self.names.iter().position(|n| *n == e.cache).expect("listed");
                                 match e.phase {
@@ -596,9 +596,9 @@
             let a = self.asked.get_mut(&f.id).expect("asked");
             a.out = false;
             let ending = match () {
-                () if f.until == f64::NEG_INFINITY => Ending::Severed,
-                () if f.called_off => Ending::Recalled,
-                () if f.left > 1e-9 => Ending::Overdue,
+                () if f.until == f64::NEG_INFINITY => Ending::ConnectionLost,
+                () if f.called_off => Ending::Cancelled,
+                () if f.left > 1e-9 => Ending::TimedOut,
                 () => Ending::Completed,
             };
             let (over, key, size, class) =
@@ -624,7 +624,7 @@
                 }
                 NoteLevel::None => 0,
             };
-            let holds =
+            let reported_in_flight =
                 self.d.reports.then(|| self.flows.iter().filter(|o| o.cache == f.cache).count() as f64);
             let outcome = Outcome {
                 id: f.id,
@@ -635,7 +635,7 @@
                 over,
                 detail: if over { detail } else { 0 },
                 fill_wait_ms: 0.0,
-                holds,
+                reported_in_flight,
             };
             self.handle(f.to, Event::Outcome(outcome));
         }
@@ -645,7 +645,7 @@
         let caches = self.d.widths.len();
         let change = |c: usize, phase, born_ms| {
             let entries = vec![Entry { phase, born_ms, weight: 1.0, ..entry(&format!("c{c}:1"), 1, 0) }];
-            Event::Fleet { kind: ListKind::Delta, entries }
+            Event::Endpoints { kind: ListKind::Delta, entries }
         };
         let at = self.now - self.start - WARM_MS;
         let when = |share: f64| at >= share * ms && at < share * ms + STEP_MS;
@@ -722,15 +722,18 @@
         let set = self.d.set.clone();
         for c in (0..self.d.widths.len()).filter(|&c| self.born[c] > 0.0) {
             let warmth = |at: f64| {
-                (set.cold_from + (1.0 - set.cold_from) * (at - self.born[c]) / set.cold_ms).min(1.0)
+                (set.slow_start_from + (1.0 - set.slow_start_from) * (at - self.born[c]) / set.slow_start_ms)
+                    .min(1.0)
             };
-            for (i, s) in self.sends[c].iter().enumerate().filter(|s| s.1 .0 < self.born[c] + set.cold_ms) {
-                let window = self.sends[c][i..].iter().take_while(|e| e.0 < s.0 + set.cold_window_ms);
+            for (i, s) in
+                self.sends[c].iter().enumerate().filter(|s| s.1 .0 < self.born[c] + set.slow_start_ms)
+            {
+                let window = self.sends[c][i..].iter().take_while(|e| e.0 < s.0 + set.slow_start_window_ms);
                 let asked: f64 = window.map(|e| e.1).sum();
-                let stands = set.cold_multiple
+                let stands = set.slow_start_multiple
                     * self.d.widths[c]
-                    * warmth(s.0 + set.cold_window_ms)
-                    * set.cold_window_ms;
+                    * warmth(s.0 + set.slow_start_window_ms)
+                    * set.slow_start_window_ms;
                 // One large request in a window is chance.
                 if asked > stands.max(4.0 * self.d.work_ms) {
                     let what = format!("{} is pushed over: {asked:.0} ms of {stands:.0}", self.names[c].0);
--- a/crates/fernslip/tests/facade.rs
+++ b/crates/fernslip/tests/facade.rs
@@ -32,11 +32,11 @@
         self.0.lock().unwrap().push(format!("cancel {} {attempt}", id.0));
     }
 
-    fn tell(&self, to: u32, data: &[u8]) {
+    fn send_to_peer(&self, to: u32, data: &[u8]) {
         self.0.lock().unwrap().push(format!("tell {to} {data:?}"));
     }
 
-    fn tell_all(&self, data: &[u8]) {
+    fn send_to_all_peers(&self, data: &[u8]) {
         self.0.lock().unwrap().push(format!("tell all {data:?}"));
     }
 
@@ -45,7 +45,7 @@
 
 fn ready() -> Dispatcher<Notes> {
     let d = Dispatcher::new(settings(), 7, Notes::default()).expect("settings are sound");
-    d.list(1000.0, ListKind::Full, fleet());
+    d.update_endpoints(1000.0, ListKind::Full, fleet());
     d
 }
 
@@ -56,14 +56,23 @@
 
 fn attempt(d: Decision) -> Attempt {
     match d {
-        Decision::Try(a) => a,
+        Decision::Forward(a) => a,
         other => panic!("{other:?}"),
     }
 }
 
-fn ended(a: &Attempt, ending: Ending) -> Ended {
+fn ended(a: &Attempt, ending: Ending) -> AttemptResult {
     let (id, attempt, cache) = (a.id, a.number, a.cache.clone());
-    Ended { id, attempt, cache, ending, elapsed_ms: 50.0, detail: 0, fill_wait_ms: 0.0, holds: None }
+    AttemptResult {
+        id,
+        attempt,
+        cache,
+        ending,
+        elapsed_ms: 50.0,
+        detail: 0,
+        fill_wait_ms: 0.0,
+        reported_in_flight: None,
+    }
 }
 
 #[test]
@@ -73,10 +82,10 @@
     assert!(first.source.is_some() && first.number == 0);
     let second = attempt(d.report(1050.0, ended(&first, Ending::Errored)));
     assert_eq!(second.number, 1);
-    assert!(matches!(d.report(1100.0, ended(&second, Ending::Completed)), Decision::Over));
-    assert_eq!(d.open(), 0, "nothing is kept of it");
+    assert!(matches!(d.report(1100.0, ended(&second, Ending::Completed)), Decision::Finished));
+    assert_eq!(d.open_requests(), 0, "nothing is kept of it");
     assert!(
-        matches!(d.report(1101.0, ended(&second, Ending::Completed)), Decision::Over),
+        matches!(d.report(1101.0, ended(&second, Ending::Completed)), Decision::Finished),
         "late and harmless"
     );
 }
@@ -86,29 +95,29 @@
     let d = ready();
     let a = attempt(d.pick(1000.0, ask(1)));
     match d.report(5999.0, ended(&a, Ending::Errored)) {
-        Decision::Refuse { retry_after_ms } => assert!(retry_after_ms > 0.0),
+        Decision::Reject { retry_after_ms } => assert!(retry_after_ms > 0.0),
         other => panic!("{other:?}"),
     }
-    assert_eq!(d.open(), 0);
+    assert_eq!(d.open_requests(), 0);
 }
 
 #[test]
 fn an_id_that_is_open_is_refused_and_the_first_keeps_its_answer() {
     let d = ready();
     let a = attempt(d.pick(1000.0, ask(1)));
-    assert!(matches!(d.pick(1001.0, ask(1)), Decision::Refuse { .. }));
-    assert!(matches!(d.report(1050.0, ended(&a, Ending::Completed)), Decision::Over));
+    assert!(matches!(d.pick(1001.0, ask(1)), Decision::Reject { .. }));
+    assert!(matches!(d.report(1050.0, ended(&a, Ending::Completed)), Decision::Finished));
 }
 
 #[test]
 fn a_client_that_left_has_its_attempt_called_off() {
     let d = ready();
     let a = attempt(d.pick(1000.0, ask(1)));
-    d.gone(1010.0, a.id);
-    assert!(a.called_off.load(Ordering::Acquire), "also where the front has not begun with it");
+    d.client_disconnected(1010.0, a.id);
+    assert!(a.cancelled.load(Ordering::Acquire), "also where the front has not begun with it");
     assert!(d.host().0.lock().unwrap().contains(&"cancel 1 0".to_string()));
-    assert!(matches!(d.report(1011.0, ended(&a, Ending::Recalled)), Decision::Over));
-    assert_eq!(d.open(), 0);
+    assert!(matches!(d.report(1011.0, ended(&a, Ending::Cancelled)), Decision::Finished));
+    assert_eq!(d.open_requests(), 0);
 }
 
 #[test]
@@ -116,11 +125,11 @@
     let d = ready();
     let a = attempt(d.pick(1000.0, ask(1)));
     let mut now = 1000.0;
-    while !a.called_off.load(Ordering::Acquire) {
+    while !a.cancelled.load(Ordering::Acquire) {
         now = d.tick(now).expect("it looks for silent machines");
         assert!(now < 5000.0, "in time for another try");
     }
-    let b = attempt(d.report(now, ended(&a, Ending::Recalled)));
+    let b = attempt(d.report(now, ended(&a, Ending::Cancelled)));
     assert_ne!(a.cache, b.cache);
 }
 
@@ -128,7 +137,7 @@
 fn peers_are_told_and_heard() {
     let d = ready();
     assert_eq!(d.host().0.lock().unwrap().len(), 0, "its location has no other router");
-    d.heard(1000.0, 1, vec![2, 1, 1]);
+    d.peer_message(1000.0, 1, vec![2, 1, 1]);
     assert_eq!(*d.host().0.lock().unwrap(), ["tell 1 [2, 1, 0]"], "a greeting that asks is answered");
 }
 
@@ -136,7 +145,7 @@
 /// purge of what it asks for, and its client's leaving. The next attempt is decided with all of it known.
 #[test]
 fn what_was_decided_on_before_the_news_may_not_begin() {
-    let begins = |d: &Dispatcher<Notes>, a: &Attempt| d.is_served(a) && d.is_wanted(a);
+    let begins = |d: &Dispatcher<Notes>, a: &Attempt| d.is_in_service(a) && d.is_wanted(a);
     let d = ready();
     let first = attempt(d.pick(1000.0, ask(1)));
     assert!(begins(&d, &first));
@@ -148,7 +157,7 @@
     assert!(begins(&d, &second), "decided on with the purge in it");
     let mut draining = fleet();
     draining.iter_mut().filter(|e| e.cache == second.cache).for_each(|e| e.phase = Phase::Draining);
-    d.list(1003.0, ListKind::Delta, draining);
+    d.update_endpoints(1003.0, ListKind::Delta, draining);
     assert!(!begins(&d, &second), "draining");
     assert_eq!(d.out_of_service_since(&second.cache), Some(1003.0));
     let third = attempt(d.report(1004.0, ended(&second, Ending::Retracted)));
@@ -156,7 +165,7 @@
     assert!(d.exclude(1005.0, &third.cache));
     assert!(!begins(&d, &third), "out by hand");
     assert!(d.include(1006.0, &third.cache) && begins(&d, &third));
-    d.gone(1007.0, RequestId(1));
+    d.client_disconnected(1007.0, RequestId(1));
     assert!(!begins(&d, &third), "its client has left");
 }
 
@@ -173,7 +182,7 @@
         drains[0].phase = Phase::Draining;
         std::thread::scope(|threads| {
             threads.spawn(|| d.include(1002.0, &node));
-            threads.spawn(|| d.list(1002.0, ListKind::Delta, drains));
+            threads.spawn(|| d.update_endpoints(1002.0, ListKind::Delta, drains));
         });
         for n in 2..6 {
             let next = attempt(d.pick(1003.0, ask(n)));
--- a/crates/fernslip/tests/failures.rs
+++ b/crates/fernslip/tests/failures.rs
@@ -13,7 +13,7 @@
         assert_eq!(slow.cache, home);
         r.now += 5.0;
         assert_eq!(r.serve(1, 1).cache, home);
-        let again = r.end(&slow, 0, Ending::Overdue, 0);
+        let again = r.end(&slow, 0, Ending::TimedOut, 0);
         if let Some(s) = sent(&again) {
             r.end(&s, 1, Ending::Completed, 1);
         }
@@ -32,7 +32,7 @@
         off = r.event(Event::Timer { token: 0 }).into_iter().find(|a| matches!(a, Action::Cancel { .. }));
     }
     assert_eq!(off, Some(Action::Cancel { id: s.id, attempt: 0 }));
-    let again = sent(&r.end(&s, 0, Ending::Recalled, 0)).unwrap();
+    let again = sent(&r.end(&s, 0, Ending::Cancelled, 0)).unwrap();
     assert_ne!(again.cache, s.cache);
     assert_ne!(sent(&r.ask(1)).unwrap().cache, s.cache, "nothing new while it is silent");
 }
@@ -55,7 +55,7 @@
     let many = waiting.len();
     r.now += 3000.0;
     for s in waiting {
-        r.end(&s, 0, Ending::Overdue, 7);
+        r.end(&s, 0, Ending::TimedOut, 7);
     }
     let next = (2000..2400).filter(|&o| sent(&r.ask(o)).is_some()).count();
     assert!(next < many, "late fills shrink the limit: {next} of {many}");
@@ -69,7 +69,7 @@
     let open: Vec<Sent> = (0..8).map(|_| sent(&r.ask(1)).unwrap()).collect();
     r.now += 5.0;
     for s in &open {
-        if let Some(again) = sent(&r.end(s, 0, Ending::Severed, 0)) {
+        if let Some(again) = sent(&r.end(s, 0, Ending::ConnectionLost, 0)) {
             assert_eq!(again.cache, home, "tried once more where it broke");
             r.end(&again, 1, Ending::Completed, 1);
         }
@@ -127,7 +127,7 @@
 fn under_overload_the_large_are_refused_first() {
     let mut r = Rig::new();
     let one = vec![entry("c1:1", 1, 0), entry("p1:1", 0, 1), entry("o1:1", 0, 2)];
-    r.list(one);
+    r.update_endpoints(one);
     r.serve(1, 1);
     // Thirty hits under way on a link for ten: three times the sending time. Aim: 400 ms and twice that time.
     let sent_all = (0..30).all(|_| sent(&r.ask_with(1, 0, 50.0)).is_some());
@@ -162,7 +162,7 @@
     let s = sent(&r.ask(1)).unwrap();
     r.now += 1200.0;
     r.event(Event::Timer { token: 0 });
-    let again = sent(&r.end(&s, 0, Ending::Recalled, 0)).unwrap();
+    let again = sent(&r.end(&s, 0, Ending::Cancelled, 0)).unwrap();
     assert_ne!(again.cache, home);
     let (mut trials, mut off) = (0, 0);
     for _ in 0..100 {
@@ -198,7 +198,7 @@
 #[test]
 fn one_open_attempt_of_one_router_among_many_is_no_crowd() {
     let mut r = Rig::with(Settings { zone_routers: vec![0, 9, 1], routers: 10, ..settings() });
-    r.list(fleet().into_iter().map(|e| Entry { weight: 2.0, ..e }).collect());
+    r.update_endpoints(fleet().into_iter().map(|e| Entry { weight: 2.0, ..e }).collect());
     let large = |r: &mut Rig| sent(&r.ask_with(1, 0, 300.0));
     let home = large(&mut r).expect("sent").cache;
     assert_eq!(large(&mut r).expect("not refused").cache, home, "nor spilled");
@@ -217,7 +217,7 @@
         let mut all: Vec<Rig> = (0..routers)
             .map(|slot| {
                 let mut r = Rig::with(Settings { slot, ..s.clone() });
-                r.list(fleet());
+                r.update_endpoints(fleet());
                 r
             })
             .collect();
@@ -299,7 +299,7 @@
     for o in 1000..1020 {
         let s = sent(&r.ask(o)).expect("fills go on: the links are not to blame");
         r.now += 20.0;
-        r.end(&s, 0, if s.cache == slow { Ending::Overdue } else { Ending::Completed }, 2);
+        r.end(&s, 0, if s.cache == slow { Ending::TimedOut } else { Ending::Completed }, 2);
     }
     r.now += 60_000.0;
     assert!((2000..2200).any(|o| sent(&r.ask(o)).is_some_and(|s| s.cache == slow)), "tried again some day");
@@ -322,7 +322,7 @@
         (2000..2400).filter(|&o| sent(&r.ask(o)).is_some()).count()
     };
     let calm = room(&[]);
-    assert!(room(&[Ending::Severed; 20]) >= calm);
+    assert!(room(&[Ending::ConnectionLost; 20]) >= calm);
     assert!(room(&[Ending::Errored; 20]) >= calm);
 }
 
@@ -336,7 +336,7 @@
             let s = sent(&r.ask(1000 + n)).expect("sent");
             r.now += 20.0;
             let lost = late > 0 && n % late == late - 1;
-            let (ending, took) = if lost { (Ending::Overdue, 1500.0) } else { (Ending::Completed, 50.0) };
+            let (ending, took) = if lost { (Ending::TimedOut, 1500.0) } else { (Ending::Completed, 50.0) };
             let again = r.end_after(&s, 0, (ending, 2), took);
             if let Some(again) = sent(&again) {
                 r.end(&again, 1, Ending::Completed, 2);
@@ -388,7 +388,7 @@
     let mut settings = settings();
     settings.notes = NoteLevel::Hit;
     let mut r = Rig::with(settings);
-    r.list(fleet());
+    r.update_endpoints(fleet());
     let mut sources = Vec::new();
     let mut next = sent(&r.ask(1));
     for n in 0.. {
@@ -405,14 +405,14 @@
 /// Seen at a larger fleet: one of many routers, with one attempt at a box, takes it for idle while the others crowd it.
 #[test]
 fn a_box_that_reports_a_crowd_is_crowded() {
-    let spread = |holds: Option<f64>| {
+    let spread = |reported_in_flight: Option<f64>| {
         let mut set = settings();
         set.routers = 20;
         set.zone_routers = vec![0, 10, 10];
         let mut r = Rig::with(set);
-        r.list(fleet());
+        r.update_endpoints(fleet());
         let home = r.serve(1, 1).cache;
-        r.holds = holds;
+        r.reported_in_flight = reported_in_flight;
         r.serve(1, 1);
         // Large, so that a crowd makes it late.
         let next = sent(&r.ask_with(1, 0, 500.0));
@@ -431,7 +431,7 @@
     let home = r.serve(1, 1).cache;
     let s = sent(&r.ask(1)).unwrap();
     assert!(r.wait_until_called_off());
-    let again = sent(&r.end(&s, 0, Ending::Recalled, 0)).unwrap();
+    let again = sent(&r.end(&s, 0, Ending::Cancelled, 0)).unwrap();
     r.now += 50.0;
     r.end(&again, 1, Ending::Completed, 1);
     // A trial, which is answered.
@@ -458,12 +458,12 @@
     let again = |routers: u32| {
         let set = Settings { routers: 2 * routers, zone_routers: vec![0, routers, routers], ..settings() };
         let mut r = Rig::with(set);
-        r.list(fleet().into_iter().map(|e| Entry { weight: 10_000.0, ..e }).collect());
+        r.update_endpoints(fleet().into_iter().map(|e| Entry { weight: 10_000.0, ..e }).collect());
         // Each of its own home or not: what counts is that all break off in one moment.
         let open: Vec<Sent> = (0..30).filter_map(|o| sent(&r.ask_with(o, 0, 1.0))).collect();
         assert!(open.len() > 20, "{}", open.len());
         r.now += 5.0;
-        open.iter().filter(|s| sent(&r.end(s, 0, Ending::Severed, 0)).is_some()).count()
+        open.iter().filter(|s| sent(&r.end(s, 0, Ending::ConnectionLost, 0)).is_some()).count()
     };
     let (alone, of_five, of_many) = (again(1), again(5), again(60));
     assert_eq!((alone, of_five, of_many), (20, 4, 1));
@@ -502,7 +502,7 @@
 fn a_late_fill_tells_before_it_ends() {
     let mut r =
         Rig::with(Settings { classes: vec![Class { deadline_ms: 60_000.0, ..class() }], ..settings() });
-    r.list(fleet().into_iter().map(|e| Entry { weight: 1.0, ..e }).collect());
+    r.update_endpoints(fleet().into_iter().map(|e| Entry { weight: 1.0, ..e }).collect());
     let mut sends = 0;
     for o in 0..600u64 {
         r.now += 5.0;
@@ -518,7 +518,7 @@
 #[test]
 fn clients_without_patience_tell_nothing_of_sources_and_links() {
     let mut r = Rig::with(settings());
-    r.list(fleet().into_iter().map(|e| Entry { weight: 1.0, ..e }).collect());
+    r.update_endpoints(fleet().into_iter().map(|e| Entry { weight: 1.0, ..e }).collect());
     let room = |r: &mut Rig, base: u64| {
         let open: Vec<Sent> = (0..30).filter_map(|o| sent(&r.ask(base + o))).collect();
         r.now += 150.0;
@@ -529,7 +529,7 @@
     for o in 0..300 {
         let s = sent(&r.ask(20_000 + o)).expect("sent");
         r.now += 40.0;
-        if let Some(again) = sent(&r.end_after(&s, 0, (Ending::Overdue, 0), 40.0)) {
+        if let Some(again) = sent(&r.end_after(&s, 0, (Ending::TimedOut, 0), 40.0)) {
             r.end_after(&again, 1, (Ending::Completed, 3), 100.0);
         }
     }
@@ -553,9 +553,9 @@
         classes: vec![Class { effect: Effect::Deduplicated, scope: DedupScope::Zone, ..class() }],
         ..settings()
     });
-    r.list(fleet());
+    r.update_endpoints(fleet());
     let s = sent(&r.ask(1)).expect("sent");
-    let again = sent(&r.end(&s, 0, Ending::Severed, 0)).expect("within its window");
+    let again = sent(&r.end(&s, 0, Ending::ConnectionLost, 0)).expect("within its window");
     let said = r.end_after(&again, 1, (Ending::Superseded, 0), 1.0);
     assert!(sent(&said).is_none() && failed(&said), "{said:?}");
 }
@@ -578,10 +578,10 @@
 fn a_repeat_names_the_end_of_its_window() {
     let keyed = Class { effect: Effect::Deduplicated, scope: DedupScope::Zone, ..class() };
     let mut r = Rig::with(Settings { classes: vec![keyed.clone()], ..settings() });
-    r.list(fleet());
+    r.update_endpoints(fleet());
     let begin_by = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
-            Action::Get { begin_by_ms, .. } => Some(*begin_by_ms),
+            Action::Forward { begin_by_ms, .. } => Some(*begin_by_ms),
             _ => None,
         })
     };
@@ -589,7 +589,7 @@
     assert_eq!(begin_by(&first), Some(f64::INFINITY));
     let (s, at) = (sent(&first).expect("sent"), r.now);
     r.now += 40.0;
-    let again = r.end(&s, 0, Ending::Severed, 0);
+    let again = r.end(&s, 0, Ending::ConnectionLost, 0);
     let by = begin_by(&again).expect("within its window");
     assert_eq!(by, at + keyed.repeat_window_ms - 4.0, "less two ticks");
     r.now = by;
--- a/crates/fernslip/tests/fleet.rs
+++ b/crates/fernslip/tests/fleet.rs
@@ -77,7 +77,7 @@
 }
 
 fn fleet_settings(zone: usize, slot: u32) -> Settings {
-    let small = Class { worth: 1.0, ..class() };
+    let small = Class { priority_weight: 1.0, ..class() };
     let mut zones = vec!["hub".to_string()];
     zones.extend((1..=ZONES).map(|z| format!("edge-{z}")));
     let mut zone_routers = vec![PER_ZONE; ZONES + 1];
@@ -91,13 +91,13 @@
         routers: ZONES as u32 * PER_ZONE,
         classes: vec![small, class()],
         notes: NoteLevel::Hit,
-        cold_from: 0.25,
-        cold_ms: 12_000.0,
-        cold_multiple: 2.0,
-        cold_window_ms: WINDOW_MS,
-        parent_cold_from: 0.1,
-        parent_cold_ms: 15_000.0,
-        parent_cold_multiple: 2.0,
+        slow_start_from: 0.25,
+        slow_start_ms: 12_000.0,
+        slow_start_multiple: 2.0,
+        slow_start_window_ms: WINDOW_MS,
+        parent_slow_start_from: 0.1,
+        parent_slow_start_ms: 15_000.0,
+        parent_slow_start_multiple: 2.0,
         ..settings()
     }
 }
@@ -131,7 +131,7 @@
         all.extend(["p1:1", "p2:1", "p3:1"].map(|p| Entry { weight: PARENT, ..entry(p, 0, 1) }));
         all.push(Entry { weight: 60.0, ..entry("o1:1", 0, 2) });
         for r in 0..n {
-            w.handle(r, Event::Fleet { kind: ListKind::Full, entries: all.clone() });
+            w.handle(r, Event::Endpoints { kind: ListKind::Full, entries: all.clone() });
             w.at(100_000.0 + f64::from(r), Due::Ask(r));
         }
         w
@@ -151,8 +151,11 @@
         }
     }
 
-    fn list(&mut self, when: f64, spread_ms: f64, entries: Vec<Entry>) {
-        self.tell_all(when, spread_ms, || Event::Fleet { kind: ListKind::Delta, entries: entries.clone() });
+    fn update_endpoints(&mut self, when: f64, spread_ms: f64, entries: Vec<Entry>) {
+        self.tell_all(when, spread_ms, || Event::Endpoints {
+            kind: ListKind::Delta,
+            entries: entries.clone(),
+        });
     }
 
     fn send(&mut self, name: &str, class: usize) {
@@ -164,7 +167,7 @@
         self.routers[r as usize].handle(self.now, event, &mut actions);
         for a in actions {
             match a {
-                Action::Get { id, cache, source, until_ms, .. } => {
+                Action::Forward { id, cache, source, until_ms, .. } => {
                     let attempt = self.tries.entry(id).or_default();
                     let (number, class) = (*attempt, self.class_of[&id]);
                     *attempt += 1;
@@ -181,7 +184,7 @@
                     let took = SIZES_KB[class] + if hit { 5.0 } else { 60.0 };
                     let late = silent || self.now + took > until_ms;
                     let when = if late { until_ms } else { self.now + took };
-                    let ending = if late { Ending::Overdue } else { Ending::Completed };
+                    let ending = if late { Ending::TimedOut } else { Ending::Completed };
                     let out = self.most_out.entry(name.clone()).or_default();
                     out.0 += 1;
                     out.1 = out.1.max(out.0);
@@ -191,18 +194,18 @@
                 }
                 Action::Cancel { id, attempt } => {
                     if let Some(o) = self.open.get_mut(&(id, attempt)) {
-                        o.ending = Ending::Recalled;
+                        o.ending = Ending::Cancelled;
                         o.detail = 0;
                         self.at(self.now, Due::End { to: r, id, attempt });
                     }
                 }
-                Action::Refuse { id, .. } | Action::Fail { id } => {
+                Action::Reject { id, .. } | Action::Fail { id } => {
                     self.refused += 1;
                     *self.answered.entry(id).or_default() += 1;
                 }
                 Action::Timer { delay_ms, token } => self.at(self.now + delay_ms, Due::Timer(r, token)),
-                Action::Tell { to, data } => self.post(r, to, data),
-                Action::TellAll { data } => {
+                Action::SendToPeer { to, data } => self.post(r, to, data),
+                Action::SendToAllPeers { data } => {
                     for to in (0..self.routers.len() as u32).filter(|to| *to != r) {
                         self.post(r, to, data.clone());
                     }
@@ -267,13 +270,13 @@
                         over,
                         detail: o.detail,
                         fill_wait_ms: 0.0,
-                        holds: None,
+                        reported_in_flight: None,
                     };
                     self.handle(to, Event::Outcome(outcome));
                 }
                 // Timers go on for good while something is open; after the last answer nobody needs them.
                 Due::Timer(r, token) => self.handle(r, Event::Timer { token }),
-                Due::Message { to, from, data } => self.handle(to, Event::Peer { from, data }),
+                Due::Message { to, from, data } => self.handle(to, Event::PeerMessage { from, data }),
                 Due::Tell(r, event) => self.handle(r, event),
                 Due::Silent(name, silent) => {
                     if silent {
@@ -291,10 +294,10 @@
     /// much of the budget of all the time that it was cold was used.
     fn cold_use(&self, name: &str, born: f64, set: &Settings, parent: bool) -> f64 {
         let (from, ms, weight) = match parent {
-            true => (set.parent_cold_from, set.parent_cold_ms, PARENT),
-            false => (set.cold_from, set.cold_ms, WEIGHT),
+            true => (set.parent_slow_start_from, set.parent_slow_start_ms, PARENT),
+            false => (set.slow_start_from, set.slow_start_ms, WEIGHT),
         };
-        let multiple = if parent { set.parent_cold_multiple } else { set.cold_multiple };
+        let multiple = if parent { set.parent_slow_start_multiple } else { set.slow_start_multiple };
         let warmth = |at: f64| (from + (1.0 - from) * (at - born) / ms).min(1.0);
         let sends: Vec<_> = self.sends[name].iter().filter(|s| s.0 >= born && s.0 < born + ms).collect();
         for (i, s) in sends.iter().enumerate() {
@@ -341,8 +344,8 @@
     let all = |phase: Phase, born_ms: f64| -> Vec<Entry> {
         (0..BOXES).map(|b| Entry { phase, born_ms, ..boxed(3, b) }).collect()
     };
-    w.list(107_000.0, 800.0, all(Phase::Out, 0.0));
-    w.list(109_000.0, 800.0, all(Phase::In, 109_000.0));
+    w.update_endpoints(107_000.0, 800.0, all(Phase::Out, 0.0));
+    w.update_endpoints(109_000.0, 800.0, all(Phase::In, 109_000.0));
     w.run(121_000.0);
     w.all_answered();
     let set = fleet_settings(3, 0);
@@ -370,8 +373,12 @@
     let mut w = World::new();
     let (old, new) = (0..3, BOXES..BOXES + 3);
     for z in 1..=ZONES {
-        w.list(105_000.0, 500.0, new.clone().map(|b| Entry { born_ms: 105_000.0, ..boxed(z, b) }).collect());
-        w.list(
+        w.update_endpoints(
+            105_000.0,
+            500.0,
+            new.clone().map(|b| Entry { born_ms: 105_000.0, ..boxed(z, b) }).collect(),
+        );
+        w.update_endpoints(
             106_000.0,
             0.0,
             old.clone().map(|b| Entry { phase: Phase::Draining, ..boxed(z, b) }).collect(),
@@ -383,7 +390,7 @@
         born_ms,
         ..entry(name, 0, 1)
     };
-    w.list(
+    w.update_endpoints(
         105_000.0,
         500.0,
         vec![parent("p4:1", Phase::In, 105_000.0), parent("p1:1", Phase::Draining, 0.0)],
@@ -413,7 +420,11 @@
 fn without_messages_cold_boxes_keep_to_their_budgets() {
     let mut w = World::talking(false);
     for z in 1..=ZONES {
-        w.list(103_000.0, 500.0, (0..3).map(|b| Entry { born_ms: 103_000.0, ..boxed(z, b) }).collect());
+        w.update_endpoints(
+            103_000.0,
+            500.0,
+            (0..3).map(|b| Entry { born_ms: 103_000.0, ..boxed(z, b) }).collect(),
+        );
     }
     w.run(112_000.0);
     w.all_answered();
@@ -433,7 +444,7 @@
 fn a_purge_of_everything_does_not_push_a_cold_parent_over() {
     let mut w = World::new();
     let cold = Entry { weight: PARENT, born_ms: 104_500.0, ..entry("p2:1", 0, 1) };
-    w.list(104_500.0, 200.0, vec![cold]);
+    w.update_endpoints(104_500.0, 200.0, vec![cold]);
     for group in 0..16 {
         w.tell_all(105_000.0, 300.0, || Event::Purged { object: None, group, age_ms: 0.0 });
     }
@@ -474,7 +485,7 @@
     let start = |slot, now| {
         let mut r = Rig::with(Settings { zone_routers: vec![0, 3, 0], routers: 3, ..set(slot) });
         r.now = now;
-        let greets = r.list(fleet());
+        let greets = r.update_endpoints(fleet());
         (r, greets)
     };
     let (mut old, mut other) = (start(0, 100_000.0).0, start(1, 100_000.0).0);
@@ -484,19 +495,19 @@
     }
     other.now = old.now;
     // Mates know each other.
-    other.event(Event::Peer { from: 0, data: vec![2, 1, 0] });
-    old.event(Event::Peer { from: 1, data: vec![2, 1, 0] });
+    other.event(Event::PeerMessage { from: 0, data: vec![2, 1, 0] });
+    old.event(Event::PeerMessage { from: 1, data: vec![2, 1, 0] });
     let (mut new, greets) = start(2, old.now + 10.0);
     let greeting = greets.iter().find_map(|a| match a {
-        Action::TellAll { data } => Some(data.clone()),
+        Action::SendToAllPeers { data } => Some(data.clone()),
         _ => None,
     });
     let mut bytes = 0;
     for (from, r) in [(0, &mut old), (1, &mut other)] {
-        for a in r.event(Event::Peer { from: 2, data: greeting.clone().expect("it greets") }) {
-            if let Action::Tell { to: 2, data } = a {
+        for a in r.event(Event::PeerMessage { from: 2, data: greeting.clone().expect("it greets") }) {
+            if let Action::SendToPeer { to: 2, data } = a {
                 bytes += data.len();
-                new.event(Event::Peer { from, data });
+                new.event(Event::PeerMessage { from, data });
             }
         }
     }
@@ -506,5 +517,5 @@
     let known = (0..60).filter(|o| is_hit(&mut new, *o)).count();
     assert!(!is_hit(&mut new, 10_000), "a key that nobody knows");
     assert!(known >= 55, "{known} of 60 keys are known");
-    assert_eq!(new.router.odd_messages(), 0);
+    assert_eq!(new.router.malformed_messages(), 0);
 }
--- a/crates/fernslip/tests/hearsay.rs
+++ b/crates/fernslip/tests/hearsay.rs
@@ -4,7 +4,7 @@
 use fernslip::*;
 
 fn hear(r: &mut Rig, cache: &str, amount: f64) -> Vec<Action> {
-    r.event(Event::Hearsay { cache: cache.into(), amount })
+    r.event(Event::PeerSuspicion { cache: cache.into(), amount })
 }
 
 /// Homes of many objects, by cache; every one is sent and served.
@@ -49,7 +49,7 @@
             continue;
         }
         failures += 1;
-        let after = r.end(&s, 0, Ending::RefusedConn, 0);
+        let after = r.end(&s, 0, Ending::ConnectionRefused, 0);
         if let Some(again) = sent(&after) {
             r.end(&again, 1, Ending::Completed, 2);
         }
@@ -78,7 +78,7 @@
         while sent(&r.ask(1)).expect("sent").cache == home {
             let s = sent(&r.ask(1)).expect("sent");
             r.now += 20.0;
-            r.end(&s, 0, Ending::RefusedConn, 0);
+            r.end(&s, 0, Ending::ConnectionRefused, 0);
             o += 1;
             assert!(o < 20);
         }
@@ -113,14 +113,14 @@
     for asked in [false, true] {
         let mut r = Rig::new();
         if asked {
-            r.router.bear_witness();
+            r.router.enable_evidence();
         }
         let home = r.serve(1, 2).cache;
         let mut told = Vec::new();
         for _ in 0..2 {
             let s = sent(&r.ask(1)).expect("sent");
             r.now += 20.0;
-            let after = r.end(&s, 0, Ending::RefusedConn, 0);
+            let after = r.end(&s, 0, Ending::ConnectionRefused, 0);
             told.extend(signs(&after));
         }
         hear(&mut r, &home, -0.8);
@@ -136,7 +136,7 @@
 #[test]
 fn silence_is_evidence() {
     let mut r = Rig::new();
-    r.router.bear_witness();
+    r.router.enable_evidence();
     sent(&r.ask(1)).expect("sent");
     let mut told = Vec::new();
     while told.is_empty() && r.now < 110_000.0 {
--- a/crates/fernslip/tests/rules.rs
+++ b/crates/fernslip/tests/rules.rs
@@ -8,10 +8,10 @@
     let mut r = Rig::new();
     let s = sent(&r.ask(1)).unwrap();
     r.now += 10.0;
-    r.event(Event::Withdrawn { id: s.id });
+    r.event(Event::Cancelled { id: s.id });
     let after = r.end(&s, 0, Ending::Errored, 0);
     assert!(
-        after.iter().all(|a| !matches!(a, Action::Get { .. })),
+        after.iter().all(|a| !matches!(a, Action::Forward { .. })),
         "nothing is sent for a withdrawn request"
     );
     assert!(!refused(&after) && !failed(&after));
@@ -43,7 +43,7 @@
         assert!(s.cache != "c1:1" && s.source != "c1:1" && s.source != "p1:1", "{s:?}");
     }
     let left: Vec<Entry> = fleet().into_iter().filter(|e| &*e.cache.0 != "c2:1").collect();
-    r.list(left);
+    r.update_endpoints(left);
     for o in 100..140 {
         assert_ne!(r.serve(o, 2).cache, "c2:1", "absent from a full list means removed");
     }
@@ -105,7 +105,7 @@
         let mut set = settings();
         set.classes = vec![Class { effect: Effect::Deduplicated, write: true, ..class() }];
         let mut r = Rig::with(set);
-        r.list(fleet());
+        r.update_endpoints(fleet());
         let s = sent(&r.ask(1)).unwrap();
         assert!(s.rank == 0 && !s.join && (s.source.starts_with('o') || s.source.starts_with('p')));
         r.now += wait;
@@ -123,7 +123,7 @@
         let mut r = Rig::with(set);
         let mut list = fleet();
         list.iter_mut().enumerate().for_each(|(n, e)| e.cell = n as i64);
-        r.list(list);
+        r.update_endpoints(list);
         let s = sent(&r.ask(1)).unwrap();
         let after = r.end(&s, 0, Ending::Errored, 0);
         match effect {
@@ -131,7 +131,10 @@
             _ => assert_eq!(sent(&after).unwrap().cache, s.cache, "each cell is a cache of its own here"),
         }
         let s = sent(&r.ask(2)).unwrap();
-        assert!(sent(&r.end(&s, 0, Ending::RefusedConn, 0)).is_some(), "it never ran: free to go elsewhere");
+        assert!(
+            sent(&r.end(&s, 0, Ending::ConnectionRefused, 0)).is_some(),
+            "it never ran: free to go elsewhere"
+        );
     }
 }
 
@@ -165,7 +168,7 @@
 fn one_parent_serves_an_object_and_the_second_only_while_it_fails() {
     let mut r = Rig::new();
     let mut other = Rig::with(Settings { zone: 2, slot: 1, ..settings() });
-    other.list(fleet());
+    other.update_endpoints(fleet());
     let mut seen = std::collections::BTreeSet::new();
     for o in 0..40 {
         let (a, b) = (r.serve(o, 2), other.serve(o, 2));
@@ -185,15 +188,17 @@
     let mut said = Vec::new();
     for a in actions {
         let (to, data) = match a {
-            Action::Tell { to, data } => (vec![to], data),
-            Action::TellAll { data } => ((0..rigs.len() as u32).filter(|&i| i != from).collect(), data),
+            Action::SendToPeer { to, data } => (vec![to], data),
+            Action::SendToAllPeers { data } => {
+                ((0..rigs.len() as u32).filter(|&i| i != from).collect(), data)
+            }
             _ => continue,
         };
         assert!(data.len() <= 256);
         for i in to {
             said.push((i, data.clone()));
             if !lost {
-                let answer = rigs[i as usize].event(Event::Peer { from, data: data.clone() });
+                let answer = rigs[i as usize].event(Event::PeerMessage { from, data: data.clone() });
                 said.extend(talk(rigs, i, answer, false));
             }
         }
@@ -209,7 +214,7 @@
 fn three_routers(lost: bool) -> Vec<Rig> {
     let mut rigs = vec![router(0, 1), router(1, 1), router(2, 2)];
     for i in 0..rigs.len() {
-        let acts = rigs[i].list(fleet());
+        let acts = rigs[i].update_endpoints(fleet());
         talk(&mut rigs, i as u32, acts, lost);
     }
     rigs
@@ -244,7 +249,7 @@
     let mut deaf = three_routers(true);
     assert_eq!(fills_from_siblings(&mut deaf[1], 1, 0..90), 0, "nor does it know without being told");
     let off = Settings { peers: false, zone_routers: vec![0, 2, 1], routers: 3, ..settings() };
-    let answer = Rig::with(off).event(Event::Peer { from: 1, data: vec![2, 1, 1] });
+    let answer = Rig::with(off).event(Event::PeerMessage { from: 1, data: vec![2, 1, 1] });
     assert!(answer.is_empty(), "no answer where messages are not allowed: {answer:?}");
 }
 
@@ -256,7 +261,7 @@
     assert!(!work(&mut rigs, 100..160).is_empty(), "it greets again after a generation");
     rigs[1] = router(1, 1);
     rigs[1].now = rigs[0].now;
-    let acts = rigs[1].list(fleet());
+    let acts = rigs[1].update_endpoints(fleet());
     let said = talk(&mut rigs, 1, acts, false);
     assert!(said.iter().any(|(to, _)| *to == 1), "its mate answers the one that restarted");
     work(&mut rigs, 200..300);
@@ -274,20 +279,20 @@
             [d.clone(), d[..d.len() / 2].to_vec(), d[..2].to_vec(), [d.as_slice(), &[255; 40]].concat()]
         {
             for from in [0, 1, 2, 9, u32::MAX] {
-                r.event(Event::Peer { from, data: data.clone() });
+                r.event(Event::PeerMessage { from, data: data.clone() });
             }
         }
     }
     for data in [vec![], vec![99; 40], vec![2], vec![2, 1], vec![2, 200, 1], vec![2; 4000]] {
-        r.event(Event::Peer { from: 0, data });
+        r.event(Event::PeerMessage { from: 0, data });
     }
-    let noise = r.event(Event::Peer { from: 9, data: vec![2, 1, 1] });
+    let noise = r.event(Event::PeerMessage { from: 9, data: vec![2, 1, 1] });
     assert!(noise.is_empty(), "a number beyond the stated ones gets no answer: {noise:?}");
-    let odd = r.router.odd_messages();
+    let odd = r.router.malformed_messages();
     assert!(odd > 6, "{odd} were counted");
-    r.event(Event::Peer { from: 0, data: vec![99; 40] });
-    r.event(Event::Peer { from: 99, data: vec![2, 1, 1] });
-    assert_eq!(r.router.odd_messages(), odd + 2);
+    r.event(Event::PeerMessage { from: 0, data: vec![99; 40] });
+    r.event(Event::PeerMessage { from: 99, data: vec![2, 1, 1] });
+    assert_eq!(r.router.malformed_messages(), odd + 2);
     for o in 0..50 {
         let s = r.serve(o, 3);
         assert!(s.cache.starts_with('c') && s.cache != s.source);
@@ -297,7 +302,7 @@
 #[test]
 fn a_failed_list_brings_nothing() {
     let mut r = Rig::new();
-    r.event(Event::Fleet { kind: ListKind::Failed, entries: vec![entry("c9:1", 1, 0)] });
+    r.event(Event::Endpoints { kind: ListKind::Failed, entries: vec![entry("c9:1", 1, 0)] });
     assert!((0..60).all(|o| r.serve(o, 2).cache != "c9:1"));
 }
 
@@ -305,13 +310,13 @@
 fn odd_input_has_a_defined_result() {
     let mut r = Rig::with(settings());
     assert!(refused(&r.ask(1)), "no list yet: refused");
-    r.list(Vec::new());
+    r.update_endpoints(Vec::new());
     assert!(refused(&r.ask(2)), "an empty list: refused");
-    r.list(vec![entry("p1:1", 0, 1), entry("o1:1", 0, 2)]);
+    r.update_endpoints(vec![entry("p1:1", 0, 1), entry("o1:1", 0, 2)]);
     assert!(refused(&r.ask(3)), "a location without caches: refused");
-    r.list(vec![entry("c1:1", 1, 0), entry("o1:1", 0, 2)]);
+    r.update_endpoints(vec![entry("c1:1", 1, 0), entry("o1:1", 0, 2)]);
     assert_eq!(r.serve(4, 3).source, "o1:1", "a site without parents: the origin");
-    r.list(vec![
+    r.update_endpoints(vec![
         Entry { weight: 0.0, ..entry("c1:1", 1, 0) },
         Entry { weight: f64::NAN, ..entry("p1:1", 0, 1) },
     ]);
@@ -321,7 +326,7 @@
     assert!(r.end(&ghost, 77, Ending::Completed, 1).is_empty(), "an unknown attempt");
     r.now = f64::NAN;
     r.event(Event::Purged { object: None, group: 0, age_ms: f64::INFINITY });
-    r.event(Event::Fleet { kind: ListKind::Failed, entries: Vec::new() });
+    r.event(Event::Endpoints { kind: ListKind::Failed, entries: Vec::new() });
 }
 
 #[test]
@@ -361,9 +366,9 @@
         let set = Settings {
             routers,
             zone_routers: vec![0, routers, 0],
-            cold_window_ms: 3000.0,
-            parent_cold_from: 0.1,
-            parent_cold_ms: 20_000.0,
+            slow_start_window_ms: 3000.0,
+            parent_slow_start_from: 0.1,
+            parent_slow_start_ms: 20_000.0,
             ..settings()
         };
         let born = 100_000.0;
@@ -371,7 +376,7 @@
             .map(|slot| {
                 let mut r = Rig::with(Settings { slot, ..set.clone() });
                 let cold = |e: Entry| if &*e.cache.0 == "p1:1" { Entry { born_ms: born, ..e } } else { e };
-                r.list(fleet().into_iter().map(cold).collect());
+                r.update_endpoints(fleet().into_iter().map(cold).collect());
                 r
             })
             .collect();
--- a/crates/fernslip/tests/streams.rs
+++ b/crates/fernslip/tests/streams.rs
@@ -63,14 +63,13 @@
         router.handle(now, e, out);
         for a in out.iter() {
             let mut line = String::new();
-            // What may begin at any time reads as it did before attempts had such a time: the recordings stay.
-            let action = format!("{a:?}").replace(", begin_by_ms: inf", "");
+            let action = recorded_form(a);
             let _ = writeln!(line, "{now:.3} {action}");
             hash.update(line.as_bytes());
         }
         count += out.len();
     };
-    feed(&mut router, now, Event::Fleet { kind: ListKind::Full, entries: all.clone() }, &mut out);
+    feed(&mut router, now, Event::Endpoints { kind: ListKind::Full, entries: all.clone() }, &mut out);
     let failing = format!("c{}:1", caches / 2);
     for step in 0..400u64 {
         now += (1 + draw.below(20)) as f64;
@@ -97,7 +96,7 @@
             let bad = matches!(kind, Kind::Failing) && *cache.0 == *failing;
             let ending = match () {
                 () if bad && draw.chance(800) => Ending::Errored,
-                () if draw.chance(30) => Ending::Overdue,
+                () if draw.chance(30) => Ending::TimedOut,
                 () if draw.chance(20) => Ending::Saturated,
                 () => Ending::Completed,
             };
@@ -110,7 +109,7 @@
                 over: ending == Ending::Completed,
                 detail: draw.below(3) as u8,
                 fill_wait_ms: 0.0,
-                holds: None,
+                reported_in_flight: None,
             };
             feed(&mut router, now, Event::Outcome(outcome), &mut out);
             take(&out, &mut gets, &mut attempts, &mut timers, now);
@@ -130,11 +129,16 @@
             Kind::Drains if draw.chance(20) => {
                 let mut e = all[draw.below(caches as u64) as usize].clone();
                 e.phase = if draw.chance(500) { Phase::Draining } else { Phase::In };
-                feed(&mut router, now, Event::Fleet { kind: ListKind::Delta, entries: vec![e] }, &mut out);
+                feed(
+                    &mut router,
+                    now,
+                    Event::Endpoints { kind: ListKind::Delta, entries: vec![e] },
+                    &mut out,
+                );
             }
             Kind::Peers if draw.chance(100) => {
                 let data = (0..draw.below(40)).map(|_| draw.next() as u8).collect();
-                feed(&mut router, now, Event::Peer { from: 1, data }, &mut out);
+                feed(&mut router, now, Event::PeerMessage { from: 1, data }, &mut out);
             }
             _ => {}
         }
@@ -143,6 +147,21 @@
     (format!("{:x}", hash.finalize()), count)
 }
 
+/// An action as the recordings spell it: they are older than some of its names, and than `begin_by_ms`.
+fn recorded_form(action: &Action) -> String {
+    // What may begin at any time reads as it did before attempts had such a time.
+    let text = format!("{action:?}").replace(", begin_by_ms: inf", "");
+    let (name, recorded_name) = match action {
+        Action::Forward { .. } => ("Forward", "Get"),
+        Action::Reject { .. } => ("Reject", "Refuse"),
+        Action::SendToPeer { .. } => ("SendToPeer", "Tell"),
+        Action::SendToAllPeers { .. } => ("SendToAllPeers", "TellAll"),
+        _ => return text,
+    };
+    let fields = text.strip_prefix(name).expect("the variant's name comes first");
+    format!("{recorded_name}{fields}")
+}
+
 /// Notes what the router asked for: attempts to answer later, and timers.
 fn take(
     out: &[Action],
@@ -153,7 +172,7 @@
 ) {
     for a in out {
         match a {
-            Action::Get { id, cache, until_ms, .. } => {
+            Action::Forward { id, cache, until_ms, .. } => {
                 let n = attempts.entry(*id).or_insert(0);
                 gets.push_back((*id, *n, cache.clone(), *until_ms));
                 *n += 1;
--- a/crates/fernslip/tests/weights.rs
+++ b/crates/fernslip/tests/weights.rs
@@ -13,7 +13,7 @@
     fn new(told: f64, real: f64) -> One {
         let mut rig = Rig::with(settings());
         let one = vec![entry("c1:1", 1, 0), entry("p1:1", 0, 1), entry("o1:1", 0, 2)];
-        rig.list(one.into_iter().map(|e| Entry { weight: told, ..e }).collect());
+        rig.update_endpoints(one.into_iter().map(|e| Entry { weight: told, ..e }).collect());
         rig.serve(1, 1);
         One { rig, real }
     }
@@ -66,7 +66,7 @@
 fn a_cold_cache_is_not_pushed_over() {
     let mut r = Rig::with(settings());
     let untold = |e: Entry| Entry { weight: 1.0, ..e };
-    r.list(fleet().into_iter().map(untold).collect());
+    r.update_endpoints(fleet().into_iter().map(untold).collect());
     for o in 0..40 {
         let open: Vec<Sent> = (0..60).filter_map(|n| sent(&r.ask(o * 100 + n))).collect();
         let at = |c: &str| open.iter().filter(|s| s.cache == c).count() as f64;
@@ -87,12 +87,12 @@
 #[test]
 fn a_router_that_knows_nothing_learns_from_cold_caches() {
     let mut set = settings();
-    (set.cold_ms, set.cold_multiple, set.cold_window_ms) = (16_000.0, 2.0, 2_000.0);
-    let (from, cold_ms, multiple, window) =
-        (set.cold_from, set.cold_ms, set.cold_multiple, set.cold_window_ms);
+    (set.slow_start_ms, set.slow_start_multiple, set.slow_start_window_ms) = (16_000.0, 2.0, 2_000.0);
+    let (from, slow_start_ms, multiple, window) =
+        (set.slow_start_from, set.slow_start_ms, set.slow_start_multiple, set.slow_start_window_ms);
     let mut r = Rig::with(set);
     let born = r.now;
-    r.list(
+    r.update_endpoints(
         fleet()
             .into_iter()
             .map(|e| Entry { weight: 1.0, born_ms: if e.kind == Some(0) { born } else { 0.0 }, ..e })
@@ -100,7 +100,7 @@
     );
     // Links of 10 transfers when warm. A request of 200 ms of sending every 20 ms: 3.3 transfers each.
     let (real, work) = (10.0, 200.0);
-    let now_carries = |at: f64| real * (from + (1.0 - from) * ((at - born) / cold_ms).min(1.0));
+    let now_carries = |at: f64| real * (from + (1.0 - from) * ((at - born) / slow_start_ms).min(1.0));
     let mut open: Vec<(f64, Sent)> = Vec::new();
     let (mut sends, mut served_late) = (Vec::<(f64, String)>::new(), 0);
     for step in 0..500 {
--- a/crates/front/src/clients/forward.rs
+++ b/crates/front/src/clients/forward.rs
@@ -8,7 +8,7 @@
 use crate::reason_counts::Kind;
 use crate::send_guard::SendGuard;
 use crate::shared::Shared;
-use fernslip::facade::{Decision, Ended};
+use fernslip::facade::{AttemptResult, Decision};
 use fernslip::{Effect, Ending, Request};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -35,10 +35,10 @@
         Ending::Completed => "completed",
         Ending::Errored => "errored",
         Ending::Saturated => "saturated",
-        Ending::Overdue => "overdue",
-        Ending::RefusedConn => "refused_conn",
-        Ending::Severed => "severed",
-        Ending::Recalled => "recalled",
+        Ending::TimedOut => "overdue",
+        Ending::ConnectionRefused => "refused_conn",
+        Ending::ConnectionLost => "severed",
+        Ending::Cancelled => "recalled",
         Ending::Superseded => "superseded",
         Ending::Retracted => "retracted",
         Ending::LookupMiss => "lookup_miss",
@@ -74,10 +74,10 @@
     let (mut reply, mut last) = (None, None);
     loop {
         match decision {
-            Decision::Try(a) => {
+            Decision::Forward(a) => {
                 if a.number > 0 && !permit.try_retry() {
                     // The pool's own limit: the module is told that this attempt is not made.
-                    dispatcher.stop(clock.now(), &a);
+                    dispatcher.abandon(clock.now(), &a);
                     return match may_have_run && effect != Effect::Idempotent {
                         true => Answer::Failed,
                         false => turned_away,
@@ -90,7 +90,7 @@
                 }
                 let seen = || format!("trace={} n={} after one that may have run", ask.trace, a.number);
                 if !front.invariants.check(Invariant::RepeatAllowed, allowed, seen) {
-                    dispatcher.stop(clock.now(), &a);
+                    dispatcher.abandon(clock.now(), &a);
                     return Answer::Failed;
                 }
                 permit.attempt_sent(&a);
@@ -119,7 +119,7 @@
                     via = %a.source.as_ref().map_or("-", |s| &s.0), ending = ?end.ending, detail = end.detail,
                     ms = elapsed_ms as u64, holds = end.holds, "attempt"
                 );
-                let ended = Ended {
+                let ended = AttemptResult {
                     id: a.id,
                     attempt: a.number,
                     cache: a.cache,
@@ -127,16 +127,16 @@
                     elapsed_ms,
                     detail: end.detail,
                     fill_wait_ms: end.fill_wait_ms,
-                    holds: end.holds,
+                    reported_in_flight: end.holds,
                 };
                 decision = dispatcher.report(clock.now(), ended);
             }
-            Decision::Refuse { retry_after_ms } => {
+            Decision::Reject { retry_after_ms } => {
                 tracing::debug!(trace = %ask.trace, class = %ask.class, size = request_kb, "refused");
                 return Answer::Refused(retry_after_ms);
             }
             Decision::Fail => return Answer::Failed,
-            Decision::Over => return reply.map_or(Answer::None, Answer::Served),
+            Decision::Finished => return reply.map_or(Answer::None, Answer::Served),
         }
     }
 }
--- a/crates/front/src/clients/server.rs
+++ b/crates/front/src/clients/server.rs
@@ -423,7 +423,7 @@
     /// Its client does not wait any more: nothing is begun for it from now on, wherever it waits.
     fn gone(self, front: &Shared) {
         self.caller.disconnect();
-        self.queue.dispatcher.gone(front.clock.now(), self.id);
+        self.queue.dispatcher.client_disconnected(front.clock.now(), self.id);
         front.upstream.withdraw(self.id);
     }
 }
--- a/crates/front/src/control/config.rs
+++ b/crates/front/src/control/config.rs
@@ -115,7 +115,7 @@
         let limits = &v["limits"];
         let budget =
             Budget::of(json::num(limits, "sockets")? as usize, json::num(limits, "memory_mb")? as usize);
-        settings.max_open = settings.max_open.min(budget.open as u32);
+        settings.max_in_flight = settings.max_in_flight.min(budget.open as u32);
         let per = &v["settings"]["permissions"];
         let optional = |key: &str| match &v[key] {
             Value::Null => Ok(None),
--- a/crates/front/src/control/gossip.rs
+++ b/crates/front/src/control/gossip.rs
@@ -147,7 +147,7 @@
                     if let Some(id) = id {
                         tracing::debug!(node = %id.0, amount, "hearsay");
                         for queue in queues {
-                            queue.dispatcher.hearsay(self.clock.now(), id.clone(), amount);
+                            queue.dispatcher.peer_suspicion(self.clock.now(), id.clone(), amount);
                         }
                     }
                 }
--- a/crates/front/src/control/peers.rs
+++ b/crates/front/src/control/peers.rs
@@ -86,7 +86,7 @@
             let sender = self.addrs.iter().position(|p| *p == from);
             if let Some(slot) = sender.filter(|_| n <= MAX_DATAGRAM_BYTES) {
                 for queue in front.queues.all() {
-                    queue.dispatcher.heard(front.clock.now(), slot as u32, data[..n].to_vec());
+                    queue.dispatcher.peer_message(front.clock.now(), slot as u32, data[..n].to_vec());
                 }
             } else {
                 self.foreign.fetch_add(1, Ordering::Relaxed);
--- a/crates/front/src/dispatch_host.rs
+++ b/crates/front/src/dispatch_host.rs
@@ -48,13 +48,13 @@
         self.upstream.cancel(id, attempt);
     }
 
-    fn tell(&self, to: u32, data: &[u8]) {
+    fn send_to_peer(&self, to: u32, data: &[u8]) {
         if let Some(p) = &self.peers {
             p.send_to(to, data);
         }
     }
 
-    fn tell_all(&self, data: &[u8]) {
+    fn send_to_all_peers(&self, data: &[u8]) {
         if let Some(p) = &self.peers {
             p.broadcast(data);
         }
--- a/crates/front/src/shared.rs
+++ b/crates/front/src/shared.rs
@@ -70,7 +70,7 @@
 
     /// Messages of peers that were dropped so far: from no peer, too long, or malformed.
     pub(crate) fn dropped_peer_messages(&self) -> u64 {
-        let odd: u64 = self.queues.all().iter().map(|q| q.dispatcher.odd_messages()).sum();
+        let odd: u64 = self.queues.all().iter().map(|q| q.dispatcher.malformed_messages()).sum();
         self.peers.as_ref().map_or(0, |p| p.foreign()) + odd
     }
 
--- a/crates/front/src/startup.rs
+++ b/crates/front/src/startup.rs
@@ -282,7 +282,7 @@
     front.queues.start(&front.clock, &front.upstream);
     front.announce_members();
     if front.gossip.is_some() {
-        front.queues.all().iter().for_each(|q| q.dispatcher.bear_witness());
+        front.queues.all().iter().for_each(|q| q.dispatcher.enable_evidence());
     }
     if front.queues.members_from_file() {
         front.endpoints_listed.store(true, Ordering::Release);
--- a/crates/front/src/upstream/connection_pool.rs
+++ b/crates/front/src/upstream/connection_pool.rs
@@ -10,7 +10,7 @@
 use crate::sleep;
 use crate::spawn::spawn;
 use fernslip::facade::{Attempt, Waiter};
-use fernslip::json::HOLDS;
+use fernslip::json::IN_FLIGHT_NAMES;
 use fernslip::{CacheId, Ending, RequestId};
 use may::net::TcpStream;
 use may::sync::Blocker;
@@ -112,7 +112,7 @@
             ending,
             detail: note.map_or(0, |n| n as u8 + 1),
             fill_wait_ms: a.field("lag").and_then(|v| v.parse().ok()).unwrap_or(0.0),
-            holds: HOLDS.iter().find_map(|name| a.report(name)),
+            holds: IN_FLIGHT_NAMES.iter().find_map(|name| a.report(name)),
             reply: (ending == Ending::Completed).then_some(Reply { current, body }),
             begun: None,
             whole: false,
@@ -282,12 +282,12 @@
     fn give_up(&self, id: RequestId, trace: &str, ending: Ending) -> bool {
         let Some(since) = lock(&self.open).slots.get(&id).map(|s| s.since) else { return false };
         if self.link.retract(id.0) {
-            self.end(id, End::without_answer(Ending::RefusedConn));
+            self.end(id, End::without_answer(Ending::ConnectionRefused));
             return false;
         }
         {
             let mut open = lock(&self.open);
-            open.doubted |= ending == Ending::Overdue && open.heard.is_none_or(|at| at < since);
+            open.doubted |= ending == Ending::TimedOut && open.heard.is_none_or(|at| at < since);
         }
         // An attempt is out until the node hears that it is given up. Where that can't be written now, ending
         // the connection says it: the next attempt must not be out beside this one.
@@ -364,7 +364,7 @@
         let slots = std::mem::take(&mut lock(&self.open).slots);
         for (id, slot) in slots {
             let never = unwritten.contains(&id.0);
-            slot.put(End::without_answer(if never { unwritten_ends } else { Ending::Severed }));
+            slot.put(End::without_answer(if never { unwritten_ends } else { Ending::ConnectionLost }));
         }
     }
 }
@@ -409,12 +409,12 @@
             let why = conn.link.run(|b| conn.answers(b), |_| false);
             (why, Ending::Retracted)
         }
-        Err(e) if e.kind() == ErrorKind::TimedOut => (Reason::ConnectTimeout, Ending::RefusedConn),
+        Err(e) if e.kind() == ErrorKind::TimedOut => (Reason::ConnectTimeout, Ending::ConnectionRefused),
         // This front's own want: nothing to hold against the node.
         Err(e) => match Failure::of(&e) {
             Failure::Descriptors => (Reason::NoDescriptor, Ending::Retracted),
             Failure::Machine | Failure::Again => (Reason::NoRoute, Ending::Retracted),
-            Failure::Remote => (Reason::Refused, Ending::RefusedConn),
+            Failure::Remote => (Reason::Refused, Ending::ConnectionRefused),
         },
     }
 }
@@ -582,10 +582,10 @@
                 conn.end(a.id, End::without_answer(Ending::Retracted));
                 continue;
             }
-            let ending = if a.called_off.load(Ordering::Acquire) {
-                Ending::Recalled
+            let ending = if a.cancelled.load(Ordering::Acquire) {
+                Ending::Cancelled
             } else if left.is_zero() {
-                Ending::Overdue
+                Ending::TimedOut
             } else {
                 let begin = times.begin_by.map_or(left, |by| by.saturating_duration_since(now));
                 sleep::park(&slot.blocker, left.min(begin));
@@ -614,7 +614,7 @@
         let mut nodes = lock(&self.nodes);
         let used = nodes.values().filter(|n| !n.conns.is_empty()).count();
         let fair = (self.limits.connections / (used + 1)).max(1);
-        let node = nodes.get_mut(&a.cache).ok_or(Ending::RefusedConn)?;
+        let node = nodes.get_mut(&a.cache).ok_or(Ending::ConnectionRefused)?;
         node.conns.retain(|c| !lock(&c.open).over);
         let now = Instant::now();
         let mut by_load: Vec<_> = node.conns.iter().map(|c| (c.load(now), c)).collect();
@@ -634,7 +634,7 @@
             // The front's own limit: nothing to hold against the node.
             return Err(Ending::Retracted);
         }
-        let Some(node) = nodes.get_mut(&a.cache) else { return Err(Ending::RefusedConn) };
+        let Some(node) = nodes.get_mut(&a.cache) else { return Err(Ending::ConnectionRefused) };
         self.connections.fetch_add(1, Ordering::Relaxed);
         let conn = Arc::new(Conn::default());
         conn.admit(a.id, slot, self.limits.streams);
@@ -670,7 +670,7 @@
             for tag in
                 now.checked_sub(self.limits.connect_timeout).map_or(vec![], |t| c.link.retract_older(t))
             {
-                c.end(RequestId(tag), End::without_answer(Ending::RefusedConn));
+                c.end(RequestId(tag), End::without_answer(Ending::ConnectionRefused));
             }
             lock(&c.open).spent.retain(|_, at| now.duration_since(*at) < LATE);
             if let Some(why) = c.useless(now, idle) {
--- a/crates/front/src/upstream/connection_pool/tests.rs
+++ b/crates/front/src/upstream/connection_pool/tests.rs
@@ -56,7 +56,7 @@
         slots.map(|(_, slot)| lock(&slot.end).take().map(|e| e.ending))
     });
     let ends = done.join().expect("no panic");
-    assert_eq!(ends, [Some(Ending::Severed), Some(Ending::Retracted)]);
+    assert_eq!(ends, [Some(Ending::ConnectionLost), Some(Ending::Retracted)]);
 }
 
 /// The node hears of a connection's end as late as of a word that gives a request up. The attempts on it ended at once, and
@@ -78,7 +78,7 @@
     });
     let (waited, ended, takes_more) = done.join().expect("no panic");
     assert!(waited >= Duration::from_millis(3), "ended after {waited:?}");
-    assert_eq!((ended, takes_more), (Some(Ending::Severed), false));
+    assert_eq!((ended, takes_more), (Some(Ending::ConnectionLost), false));
 }
 
 /// Guards all that would share a connection that has stopped: it cost up to 32 attempts their whole time.
@@ -124,7 +124,7 @@
         age_ms: 0.0,
         join: false,
         renew: false,
-        called_off: Arc::default(),
+        cancelled: Arc::default(),
     }
 }
 
@@ -153,7 +153,7 @@
         .collect();
     for e in ends {
         let end = e.join();
-        assert!(matches!(end, Ok(Ending::Overdue | Ending::Retracted | Ending::RefusedConn)));
+        assert!(matches!(end, Ok(Ending::TimedOut | Ending::Retracted | Ending::ConnectionRefused)));
     }
 }
 
@@ -171,8 +171,8 @@
     let node = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     upstream.add_node("s-1".into(), node.local_addr().expect("bound"), 0.0);
     let mut a = attempt(1);
-    a.called_off = Arc::default();
-    let (called_off, by) = (a.called_off.clone(), upstream.clone());
+    a.cancelled = Arc::default();
+    let (cancelled, by) = (a.cancelled.clone(), upstream.clone());
     let gave_up = Arc::new(Mutex::new(None));
     let at = gave_up.clone();
     let ended = may::go!(move || {
@@ -185,10 +185,10 @@
     let mut asked = [0; 16];
     std::io::Read::read_exact(&mut conn, &mut asked).expect("it asks");
     *lock(&gave_up) = Some(Instant::now());
-    called_off.store(true, Ordering::Release);
+    cancelled.store(true, Ordering::Release);
     upstream.cancel(RequestId(1), 0);
     let (ending, waited) = ended.join().expect("no panic");
-    assert_eq!(ending, Ending::Recalled);
+    assert_eq!(ending, Ending::Cancelled);
     assert!(waited.is_some_and(|t| t >= WORD[0]), "{waited:?}");
     assert_eq!(upstream.attempts_in_flight(), 0);
 }
--- a/crates/front/src/upstream/dispatch_queue.rs
+++ b/crates/front/src/upstream/dispatch_queue.rs
@@ -99,8 +99,8 @@
 fn end(ending: Ending) -> AttemptOutcome {
     match ending {
         Ending::Completed | Ending::LookupMiss => AttemptOutcome::Success,
-        Ending::RefusedConn => AttemptOutcome::ConnectionRefused,
-        Ending::Severed => AttemptOutcome::Failure,
+        Ending::ConnectionRefused => AttemptOutcome::ConnectionRefused,
+        Ending::ConnectionLost => AttemptOutcome::Failure,
         _ => AttemptOutcome::Inconclusive,
     }
 }
@@ -164,7 +164,7 @@
 
     fn hand_out(&self, clock: &Clock, held: &mut PoolState, changed: &[Endpoint]) {
         let entries = changed.iter().map(|m| self.dispatcher.host().entry(m, held.mean)).collect();
-        self.dispatcher.list(clock.now(), ListKind::Delta, entries);
+        self.dispatcher.update_endpoints(clock.now(), ListKind::Delta, entries);
         for m in changed {
             held.endpoints.insert(m.id.clone(), m.clone());
         }
@@ -365,7 +365,7 @@
             listed: Mutex::default(),
             ids: Mutex::default(),
             open: AtomicUsize::new(0),
-            most_open: base.max_open as usize,
+            most_open: base.max_in_flight as usize,
             shared,
             longest_pause: base.max_retry_after_ms,
         })
@@ -423,7 +423,7 @@
     pub fn start(&self, clock: &Clock, upstream: &ConnectionPool) {
         let Some(file) = &self.file else {
             for queue in self.queues.iter().filter(|l| l.held.is_some()) {
-                queue.dispatcher.list(clock.now(), ListKind::Full, Vec::new());
+                queue.dispatcher.update_endpoints(clock.now(), ListKind::Full, Vec::new());
             }
             return;
         };
@@ -436,7 +436,7 @@
         let sources: Vec<Entry> =
             members.iter().filter(|(_, k)| k.is_source).map(|(id, k)| source(id, k, 0.0)).collect();
         for queue in &self.queues {
-            queue.dispatcher.list(clock.now(), ListKind::Full, sources.clone());
+            queue.dispatcher.update_endpoints(clock.now(), ListKind::Full, sources.clone());
             queue.feed(clock, Event::Tick);
         }
     }
@@ -454,7 +454,7 @@
         let kind = if full { ListKind::Full } else { ListKind::Delta };
         if let [queue] = &self.queues[..] {
             if queue.held.is_none() {
-                return queue.dispatcher.list(clock.now(), kind, entries);
+                return queue.dispatcher.update_endpoints(clock.now(), kind, entries);
             }
         }
         let mut news = entries;
@@ -488,7 +488,7 @@
             let host = queue.dispatcher.host();
             let sources = news.iter().filter(|e| host.is_source(e.kind)).cloned().collect::<Vec<_>>();
             if !sources.is_empty() {
-                queue.dispatcher.list(clock.now(), ListKind::Delta, sources);
+                queue.dispatcher.update_endpoints(clock.now(), ListKind::Delta, sources);
             }
             for e in news.iter().filter(|e| !host.is_source(e.kind)) {
                 let told = match e.phase {
@@ -593,7 +593,7 @@
         }
         if !sources.is_empty() {
             for queue in &self.queues {
-                queue.dispatcher.list(now, ListKind::Delta, sources.clone());
+                queue.dispatcher.update_endpoints(now, ListKind::Delta, sources.clone());
             }
         }
         format!("members added={added} gone={lost} moved={moved} changed={changed}")
--- a/crates/front/src/upstream/dispatch_queue/tests.rs
+++ b/crates/front/src/upstream/dispatch_queue/tests.rs
@@ -29,7 +29,7 @@
                 entry("cache-2", base.zone, Some(0), 0.0),
                 entry("parent-1", 0, base.parent_kind, born),
             ];
-            r.handle(born, Event::Fleet { kind: ListKind::Full, entries }, &mut Vec::new());
+            r.handle(born, Event::Endpoints { kind: ListKind::Full, entries }, &mut Vec::new());
             all.push(r);
         }
     }
@@ -51,7 +51,7 @@
         let r = &mut all[n as usize % (2 * queues)];
         r.handle(now, Event::Request(ask), &mut out);
         for a in out {
-            if let Action::Get { id, cache, source, .. } = a {
+            if let Action::Forward { id, cache, source, .. } = a {
                 if &*source.0 == "parent-1" {
                     sends.push(now);
                 }
@@ -64,19 +64,19 @@
                     over: true,
                     detail: 2,
                     fill_wait_ms: 0.0,
-                    holds: None,
+                    reported_in_flight: None,
                 };
                 r.handle(now, Event::Outcome(outcome), &mut Vec::new());
             }
         }
     }
     assert!(sends.len() > 10, "{} sends", sends.len());
-    let window = base.cold_window_ms;
+    let window = base.slow_start_window_ms;
     for (i, from) in sends.iter().enumerate() {
         let work = 100.0 * sends[i..].iter().filter(|t| **t < from + window).count() as f64;
-        let rise = (from + window / 2.0 - born) / base.parent_cold_ms;
-        let warmth = base.parent_cold_from + (1.0 - base.parent_cold_from) * rise;
-        let budget = base.parent_cold_multiple * 20.0 * warmth * window;
+        let rise = (from + window / 2.0 - born) / base.parent_slow_start_ms;
+        let warmth = base.parent_slow_start_from + (1.0 - base.parent_slow_start_from) * rise;
+        let budget = base.parent_slow_start_multiple * 20.0 * warmth * window;
         assert!(work <= budget, "{work} ms of {budget} at {}", from - born);
     }
 }
@@ -106,7 +106,7 @@
 /// Guards the front's memory: each queue's module counts its own requests only.
 #[test]
 fn open_requests_are_capped_over_all_lanes() {
-    let queues = queues(&Settings { max_open: 3, ..base().0 });
+    let queues = queues(&Settings { max_in_flight: 3, ..base().0 });
     let held: Vec<_> = (0..3).map(|n| queues.reserve(RequestId(n)).expect("room")).collect();
     assert!(queues.reserve(RequestId(9)).is_none(), "a fourth");
     assert!(queues.reserve(RequestId(1)).is_none(), "an id that is open");
@@ -120,7 +120,7 @@
 fn lanes_of_other_settings_share_nothing() {
     let (first, _) = base();
     let (a, b) =
-        (queues(&first), queues(&Settings { max_open: 1, max_retry_after_ms: 70.0, ..first.clone() }));
+        (queues(&first), queues(&Settings { max_in_flight: 1, max_retry_after_ms: 70.0, ..first.clone() }));
     assert_eq!((a.retry_after_ms(), b.retry_after_ms()), (400.0, 70.0));
     let held = b.reserve(RequestId(1)).expect("room for one");
     assert!(b.reserve(RequestId(2)).is_none(), "no more");
--- a/crates/front/src/upstream/pending_attempt.rs
+++ b/crates/front/src/upstream/pending_attempt.rs
@@ -39,7 +39,7 @@
     /// What is reported of the attempt: nothing of it ran.
     pub fn ending(self) -> Ending {
         match self {
-            Denied::Cancelled => Ending::Recalled,
+            Denied::Cancelled => Ending::Cancelled,
             Denied::ClientDisconnected => Ending::Superseded,
             Denied::Outdated | Denied::TooLate => Ending::Retracted,
         }
--- a/crates/front/src/upstream/send_guard.rs
+++ b/crates/front/src/upstream/send_guard.rs
@@ -73,7 +73,7 @@
 
 impl PendingAttempt for SendGuard {
     fn check(&self, now: Instant) -> Result<(), Denied> {
-        if self.attempt.called_off.load(Ordering::Acquire) {
+        if self.attempt.cancelled.load(Ordering::Acquire) {
             return Err(Denied::Cancelled);
         }
         if self.caller.is_disconnected() {
@@ -84,7 +84,7 @@
         }
         let dispatcher = &self.queue.dispatcher;
         // A pool takes a member out of service for its own limits too, and the attempt that reaches them still goes there.
-        let served = self.queue.has_pool() || dispatcher.is_served(&self.attempt);
+        let served = self.queue.has_pool() || dispatcher.is_in_service(&self.attempt);
         match served && dispatcher.is_wanted(&self.attempt) {
             true => Ok(()),
             false => Err(Denied::Outdated),
--- a/crates/gossip/examples/liar.rs
+++ b/crates/gossip/examples/liar.rs
@@ -63,11 +63,11 @@
         routers: 1,
         classes: vec![Class {
             name: "docs".into(),
-            aim_ms: 600.0,
-            aim_stretch: 2.0,
+            objective_ms: 600.0,
+            objective_stretch: 2.0,
             deadline_ms: 5000.0,
-            worth: 1.0,
-            late_worth: 0.1,
+            priority_weight: 1.0,
+            late_weight: 0.1,
             effect: Effect::Idempotent,
             scope: DedupScope::All,
             repeat_window_ms: 0.0,
@@ -81,21 +81,21 @@
         notes: NoteLevel::Hit,
         stream_kb_per_s: 4000.0,
         max_attempts: 4,
-        max_open: 1000,
+        max_in_flight: 1000,
         parallel: false,
         cancel: true,
         peers: false,
         max_retry_after_ms: 500.0,
-        ask_for_lists: false,
+        lists_on_request: false,
         tick_ms: 1.0,
         drain_grace_ms: 500.0,
-        cold_from: 0.2,
-        cold_ms: 15_000.0,
-        cold_multiple: 2.0,
-        cold_window_ms: 1500.0,
-        parent_cold_from: 0.0,
-        parent_cold_ms: 0.0,
-        parent_cold_multiple: 0.0,
+        slow_start_from: 0.2,
+        slow_start_ms: 15_000.0,
+        slow_start_multiple: 2.0,
+        slow_start_window_ms: 1500.0,
+        parent_slow_start_from: 0.0,
+        parent_slow_start_ms: 0.0,
+        parent_slow_start_multiple: 0.0,
         purge_slack_ms: 1000.0,
         purge_done_ms: 6000.0,
     }
@@ -120,7 +120,7 @@
     let mut fronts: Vec<Deciding> = (0..case.fronts)
         .map(|n| {
             let mut router = Router::new(settings(), seed ^ n as u64).expect("sound settings");
-            router.bear_witness();
+            router.enable_evidence();
             let entry = |cache: String, zone, kind| Entry {
                 cache: cache.as_str().into(),
                 weight: 50.0,
@@ -132,7 +132,7 @@
             };
             let mut entries: Vec<Entry> = (0..BOXES).map(|b| entry(name(b), 1, 0)).collect();
             entries.push(entry("origin".into(), 0, 1));
-            router.handle(1.0, Event::Fleet { kind: ListKind::Full, entries }, &mut Vec::new());
+            router.handle(1.0, Event::Endpoints { kind: ListKind::Full, entries }, &mut Vec::new());
             Deciding { router, avoids: None, heard: vec![0.0; BOXES] }
         })
         .collect();
@@ -161,14 +161,14 @@
                 let (mut actions, mut attempt) = (Vec::new(), 0);
                 let now = w.now + 1.0;
                 fronts[n].router.handle(now, Event::Request(ask), &mut actions);
-                while let Some(Action::Get { id, cache, .. }) =
-                    actions.iter().find(|a| matches!(a, Action::Get { .. })).cloned()
+                while let Some(Action::Forward { id, cache, .. }) =
+                    actions.iter().find(|a| matches!(a, Action::Forward { .. })).cloned()
                 {
                     actions.clear();
                     let fails = dead && &*cache.0 == "box-0";
                     wasted += u64::from(fails && w.now < SETTLE_MS + WASTED_MS);
                     let ending = match fails {
-                        true => Ending::RefusedConn,
+                        true => Ending::ConnectionRefused,
                         false if rng.random_bool(NOISE) => Ending::Errored,
                         false => Ending::Completed,
                     };
@@ -182,7 +182,7 @@
                         over,
                         detail: if over { 2 } else { 0 },
                         fill_wait_ms: 0.0,
-                        holds: None,
+                        reported_in_flight: None,
                     };
                     attempt += 1;
                     fronts[n].router.handle(now, Event::Outcome(outcome), &mut actions);
@@ -225,7 +225,7 @@
                     out.lowered = out.lowered.max(amount);
                 }
                 let cache = CacheId::from(name(b).as_str());
-                f.router.handle(w.now + 1.0, Event::Hearsay { cache, amount }, &mut Vec::new());
+                f.router.handle(w.now + 1.0, Event::PeerSuspicion { cache, amount }, &mut Vec::new());
             }
         }
         let counted = w.now > SETTLE_MS + WASTED_MS.min(horizon);
