--- a/crates/front/src/control/mod.rs
+++ b/crates/front/src/control/mod.rs
@@ -12,6 +12,7 @@
 pub mod plan;
 pub mod reload;
 pub mod snapshot;
+pub mod standalone;
 pub mod view;
 pub mod watch_event;
 pub mod watch_history;
--- a/crates/front/src/control/plan/tests.rs
+++ b/crates/front/src/control/plan/tests.rs
@@ -1,4 +1,7 @@
+//! Unit tests of the plan of a site document.
+
 use super::*;
+use crate::control::standalone::config;
 
 fn site(text: &str) -> Site {
     Site::parse("site.kdl", text).expect("a site").site
--- /dev/null
+++ b/crates/front/src/control/standalone.rs
@@ -0,0 +1,170 @@
+//! The configuration of a front that is started with a site document alone.
+
+use crate::budget::Budget;
+use crate::config::Config;
+use fernslip::json::Names;
+use fernslip::{Class, DedupScope, Effect, Neighbours, NoteLevel, Settings};
+use fernslip_site::{defaults, Class as SiteClass, Effect as SiteEffect, Front, MembersFrom, Site, Zone};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Names of the node kinds in settings made of a site document, by index.
+const KINDS: [&str; 3] = ["cache", "parent", "origin"];
+/// The configuration of a front that has only a site document.
+///
+/// # Errors
+/// Every reason why the document does not do as a configuration.
+pub fn config(site: &Site) -> Result<Config, Vec<String>> {
+    let site = site.effective();
+    let front =
+        site.front.as_ref().ok_or(vec!["it has no `front`, and no configuration is named".to_string()])?;
+    let listen = validated_listen(&site, front)?;
+    let zones = zone_names(&site);
+    let own_zone = front.zone.as_ref().and_then(|z| zones.iter().position(|n| n == z)).unwrap_or(0);
+    let budget = Budget::of(front.sockets.unwrap_or(0) as usize, front.memory_mb.unwrap_or(0) as usize);
+    let classes: Vec<Class> = site.classes.iter().map(class_of).collect();
+    let names = Names {
+        zones: zones.clone(),
+        kinds: KINDS.map(String::from).to_vec(),
+        classes: classes.iter().map(|c| c.name.clone()).collect(),
+        reports: Vec::new(),
+    };
+    let settings = settings_of(&site, front, own_zone, zones, &budget, classes);
+    settings.check().map_err(|e| vec![e.to_string()])?;
+    Ok(Config {
+        file: None,
+        name: front.name.clone(),
+        listen,
+        seed: random_seed(),
+        budget,
+        peer_listen: None,
+        peers: Vec::new(),
+        peers_all: None,
+        bus: None,
+        known_offset: 0,
+        known_events: Vec::new(),
+        settings,
+        names,
+        streams: 32,
+        connect_timeout: Duration::from_millis(defaults::CONNECT_MS),
+        idle_timeout: Duration::from_millis(defaults::IDLE_MS),
+        admin_listen: None,
+    })
+}
+
+/// The front's listen address, once the site is one a front can serve alone.
+///
+/// # Errors
+/// Every reason why not: members from the bus, no class, or a listen value that is no IP address and port.
+fn validated_listen(site: &Site, front: &Front) -> Result<SocketAddr, Vec<String>> {
+    let mut errors = Vec::new();
+    if site.members_from != Some(MembersFrom::File) {
+        errors.push("members-from=\"bus\" needs a configuration that names the bus".to_string());
+    }
+    if site.classes.is_empty() {
+        errors.push("it has no `class`: a front serves requests of classes".to_string());
+    }
+    let listen = front.listen.parse();
+    if listen.is_err() {
+        errors.push(format!("front listen=\"{}\" is no IP address and port", front.listen));
+    }
+    let (Ok(listen), true) = (listen, errors.is_empty()) else { return Err(errors) };
+    Ok(listen)
+}
+
+/// The site's zone names; a site without zones has one, named `zone`.
+fn zone_names(site: &Site) -> Vec<String> {
+    let mut zones: Vec<String> = site.zones.iter().map(|z| z.name.clone()).collect();
+    if zones.is_empty() {
+        zones.push("zone".into());
+    }
+    zones
+}
+
+/// One value per zone of the site, or only `default` where the site has no zones.
+fn per_zone(site: &Site, value: &dyn Fn(&Zone) -> f64, default: f64) -> Vec<f64> {
+    match site.zones.is_empty() {
+        true => vec![default],
+        false => site.zones.iter().map(value).collect(),
+    }
+}
+
+/// A request class of the settings, made of a class of the site document.
+fn class_of(c: &SiteClass) -> Class {
+    Class {
+        name: c.name.clone(),
+        objective_ms: c.latency_objective_ms as f64,
+        objective_stretch: c.objective_stretch.unwrap_or(0.0),
+        deadline_ms: c.deadline_ms as f64,
+        priority_weight: c.priority_weight.unwrap_or(1.0),
+        late_weight: c.late_weight.unwrap_or(0.0),
+        effect: match c.effect {
+            Some(SiteEffect::AtMostOnce) => Effect::AtMostOnce,
+            Some(SiteEffect::Deduplicated) => Effect::Deduplicated,
+            _ => Effect::Idempotent,
+        },
+        scope: DedupScope::Cell,
+        repeat_window_ms: 0.0,
+        write: c.write.unwrap_or(false),
+        fresh_ms: c.fresh_ms.unwrap_or(0) as f64,
+        grace_ms: c.grace_ms.unwrap_or(0) as f64,
+    }
+}
+
+/// The settings of a front made of a site document; `own_zone` is the index of the front's zone in `zones`.
+fn settings_of(
+    site: &Site,
+    front: &Front,
+    own_zone: usize,
+    zones: Vec<String>,
+    budget: &Budget,
+    classes: Vec<Class>,
+) -> Settings {
+    let fronts = per_zone(site, &|z| z.fronts.unwrap_or(1) as f64, 1.0);
+    // The rules' figures are those of the first deployment; a site with other machines sets them by a configuration.
+    Settings {
+        zone: own_zone,
+        zone_routers: fronts.iter().map(|n| *n as u32).collect(),
+        link_in_kb_per_s: per_zone(site, &|z| z.link_in_kb_per_s.unwrap_or(0.0), 0.0),
+        zones,
+        kinds: KINDS.len(),
+        parent_kind: Some(1),
+        origin_kind: Some(2),
+        slot: 0,
+        routers: (fronts.iter().sum::<f64>() as u32).max(1),
+        straight: false,
+        joins: true,
+        neighbours: Neighbours::Location,
+        notes: NoteLevel::Hit,
+        stream_kb_per_s: front.stream_kb_per_s.unwrap_or(defaults::STREAM_KB_PER_S),
+        max_attempts: 6,
+        max_in_flight: budget.open as u32,
+        parallel: false,
+        cancel: true,
+        peers: false,
+        max_retry_after_ms: 500.0,
+        lists_on_request: false,
+        tick_ms: 2.0,
+        drain_grace_ms: 500.0,
+        slow_start_from: 0.23,
+        slow_start_ms: 16_000.0,
+        slow_start_multiple: 2.0,
+        slow_start_window_ms: 1500.0,
+        parent_slow_start_from: 0.065,
+        parent_slow_start_ms: 21_000.0,
+        parent_slow_start_multiple: 2.0,
+        purge_slack_ms: 1000.0,
+        purge_done_ms: 6000.0,
+        classes,
+    }
+}
+
+/// A seed from `/dev/urandom`, or 0 where it can't be read.
+fn random_seed() -> u64 {
+    let mut seed = [0; 8];
+    // Without a source of randomness every start draws alike, which harms no front by itself.
+    if let Ok(mut f) = std::fs::File::open("/dev/urandom") {
+        let _ = std::io::Read::read_exact(&mut f, &mut seed);
+    }
+    u64::from_le_bytes(seed)
+}
--- a/crates/front/src/loaded_config.rs
+++ b/crates/front/src/loaded_config.rs
@@ -31,7 +31,9 @@
         let file = config.or_else(|| std::env::var_os("RELAY_CONFIG").map(PathBuf::from));
         let config = match (&file, &document) {
             (Some(file), _) => Config::read(file)?,
-            (None, Some(document)) => plan::config(document).map_err(ConfigError::Plan)?,
+            (None, Some(document)) => {
+                crate::control::standalone::config(document).map_err(ConfigError::Plan)?
+            }
             (None, None) => return Err(ConfigError::NoFile),
         };
         let plan = match &document {
@@ -65,7 +67,7 @@
     let zone = document.front.as_ref().and_then(|f| f.zone.clone()).unwrap_or_default();
     // The documents, not what they say of this front alone: fronts of one configuration show the same.
     let config_text = file.and_then(|file| std::fs::read_to_string(file).ok());
-    let texts = format!("{:?}{:?}", config_text, Some(plan::shared(document)));
+    let texts = format!("{:?}{:?}", config_text, Some(plan::common_to_all_fronts(document)));
     let hash = fernslip_view::Id::of(&texts).0 as u32;
     view::Plan::of(&settings, &config.name, &zone, hash).map(Some).map_err(ConfigError::Plan)
 }
--- a/crates/front/src/startup.rs
+++ b/crates/front/src/startup.rs
@@ -98,7 +98,7 @@
         let limits = ConnectionLimits {
             streams: config.streams,
             connect_timeout: config.connect_timeout,
-            idle: config.idle,
+            idle: config.idle_timeout,
             connections: config.budget.upstream,
         };
         let (invariants, reason_counts) =
@@ -212,10 +212,10 @@
     fn take(config: &mut Config, gossip_from_view: bool) -> ServingConfig {
         ServingConfig {
             name: config.name.clone(),
-            offset: config.offset,
-            known_events: std::mem::take(&mut config.batch),
+            offset: config.known_offset,
+            known_events: std::mem::take(&mut config.known_events),
             has_bus: config.bus.is_some(),
-            admin: config.ops,
+            admin: config.admin_listen,
             admin_callers: config.budget.callers,
             gossip_from_view,
             longest_deadline_ms: config.settings.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max),
--- a/crates/front/src/upstream/dispatch_queue.rs
+++ b/crates/front/src/upstream/dispatch_queue.rs
@@ -5,7 +5,7 @@
 use crate::connection_pool::ConnectionPool;
 use crate::dispatch_host::DispatchHost;
 use crate::link::lock;
-use crate::plan::{Answers, Known, Plan};
+use crate::plan::{AnswerTimeouts, Plan, PlannedMember};
 use crate::sleep;
 use arc_swap::ArcSwap;
 use fernslip::facade::{Attempt, Dispatcher};
@@ -78,7 +78,7 @@
     /// The decisions.
     pub dispatcher: Dispatcher<DispatchHost>,
     held: Option<Mutex<PoolState>>,
-    answers: ArcSwap<Answers>,
+    answers: ArcSwap<AnswerTimeouts>,
 }
 
 /// A request's place in a pool; it ends with this.
@@ -120,7 +120,7 @@
 
     /// When an attempt that begins now ends at the latest, by the pool's and the member's own limits.
     pub fn deadline(&self, attempt: &Attempt, now: Instant, by: Instant) -> Instant {
-        let most = self.queue.answers.load().most_ms(&attempt.cache.0);
+        let most = self.queue.answers.load().of_member_ms(&attempt.cache.0);
         most.map_or(by, |ms| by.min(now + Duration::from_millis(ms)))
     }
 
@@ -285,7 +285,7 @@
     table: ArcSwap<(Routes, Vec<usize>)>,
     registry: Arc<NodeRegistry>,
     /// The document's members, where they are served from.
-    file: Option<Mutex<BTreeMap<Arc<str>, Known>>>,
+    file: Option<Mutex<BTreeMap<Arc<str>, PlannedMember>>>,
     /// What the bus has listed, for pools.
     listed: Mutex<HashMap<CacheId, Entry>>,
     /// Requests open in any queue: an id may be open once.
@@ -335,9 +335,10 @@
             pools: Vec::new(),
             answers: Vec::new(),
             routes: Routes::of(&fernslip_site::Site::default()),
-            shared: 1,
+            max_pools_per_cache: 1,
         };
-        let Plan { from_file, members, pools, answers, routes, shared } = plan.unwrap_or(none);
+        let Plan { from_file, members, pools, answers, routes, max_pools_per_cache: shared } =
+            plan.unwrap_or(none);
         let n = pools.len();
         let mut queues = Vec::new();
         for (i, (spec, answers)) in pools.into_iter().zip(answers).enumerate() {
@@ -441,8 +442,8 @@
         }
     }
 
-    fn learn(&self, members: &BTreeMap<Arc<str>, Known>) {
-        let facts = |k: &Known| NodeAttributes { zone: k.zone, kind: k.kind, cell: 0, link: k.link };
+    fn learn(&self, members: &BTreeMap<Arc<str>, PlannedMember>) {
+        let facts = |k: &PlannedMember| NodeAttributes { zone: k.zone, kind: k.kind, cell: 0, link: k.link };
         *lock(&self.registry.all) = members.iter().map(|(id, k)| (id.clone(), facts(k))).collect();
     }
 
@@ -514,7 +515,7 @@
         let Some(places) = places.filter(|p| p.len() == self.queues.len()) else {
             return Err("pools that come or go take a restart".into());
         };
-        if plan.shared > self.shared {
+        if plan.max_pools_per_cache > self.shared {
             return Err("a member that is in more pools than any was takes a restart".into());
         }
         let mut told = String::new();
@@ -546,8 +547,8 @@
         &self,
         clock: &Clock,
         upstream: &ConnectionPool,
-        old: &mut BTreeMap<Arc<str>, Known>,
-        new: &BTreeMap<Arc<str>, Known>,
+        old: &mut BTreeMap<Arc<str>, PlannedMember>,
+        new: &BTreeMap<Arc<str>, PlannedMember>,
     ) -> String {
         let now = clock.now();
         let (mut added, mut moved, mut changed) = (0, 0, 0);
@@ -601,7 +602,7 @@
 }
 
 /// A parent or the origin as the module's list has it.
-fn source(id: &Arc<str>, k: &Known, born_ms: f64) -> Entry {
+fn source(id: &Arc<str>, k: &PlannedMember, born_ms: f64) -> Entry {
     Entry {
         cache: CacheId(id.clone()),
         weight: k.link,
