--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! Fronts that keep a view, as processes, with faults on the links between them: the main scenarios of the rig with few
 //! fronts, and what operators are shown.
 
-use fernslip_rig::play::{play, Options, Played};
-use fernslip_rig::scenario::Scenario;
-use fernslip_rig::suite::scenario;
+use fernslip_rig::run::{run_scenario, Options, RunReport};
+use fernslip_rig::scenario::{Scenario, Step};
+use fernslip_rig::suite::bundled;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::time::{Duration, Instant};
@@ -13,11 +13,11 @@
 
 fn options(fronts: usize, seed: u64) -> Options {
     Options {
-        programs: fernslip_rig::fronts::Programs::one(PathBuf::from(env!("CARGO_BIN_EXE_fernslip"))),
+        programs: fernslip_rig::programs::Programs::one(PathBuf::from(env!("CARGO_BIN_EXE_fernslip"))),
         fronts: Some(fronts),
         seed,
         tmp: std::env::temp_dir(),
-        boxes: 4,
+        cache_nodes: 4,
         with_view: true,
     }
 }
@@ -27,22 +27,22 @@
     builder.worker_threads(2).enable_all().build().expect("a runtime")
 }
 
-fn played(scenario: &Scenario, options: &Options) -> Played {
-    runtime().block_on(play(scenario, options)).expect("addresses and processes")
+fn run(scenario: &Scenario, options: &Options) -> RunReport {
+    runtime().block_on(run_scenario(scenario, options)).expect("addresses and processes")
 }
 
 /// Nothing that must hold broke; times are for the suite to measure, not for a machine that is busy.
-fn holds(p: &Played) {
+fn holds(p: &RunReport) {
     assert_eq!(p.breaches.len(), 0, "{:#?}", p.breaches);
     assert_eq!(p.stale_members, 0);
-    assert_eq!(p.rules_broken, 0);
+    assert_eq!(p.rule_violations, 0);
 }
 
 /// The text of a scenario with more time, as it is played beside other tests.
 fn patient(text: &str) -> Scenario {
     let mut s = Scenario::parse("test.kdl", text).expect("a scenario");
     for step in &mut s.steps {
-        if let fernslip_rig::scenario::Step::Await(_, within) = step {
+        if let Step::Await { within, .. } = step {
             *within = PATIENCE;
         }
     }
@@ -55,7 +55,7 @@
         "scenario \"crash\" load=40 serves-all=#false { kill part=0.33; await \"known\" within-ms=1; \
          await \"settled\" within-ms=1; restart; await \"settled\" within-ms=1; }",
     );
-    let p = played(&s, &options(7, 1));
+    let p = run(&s, &options(7, 1));
     holds(&p);
     assert_eq!(p.awaited.len(), 3);
     assert!(p.load["served"].as_u64().is_some_and(|n| n > 0), "{}", p.load);
@@ -64,7 +64,7 @@
 #[test]
 fn newcomers_are_settled_on() {
     let s = patient("scenario \"join\" { join count=3; await \"settled\" within-ms=1; }");
-    holds(&played(&s, &options(5, 2)));
+    holds(&run(&s, &options(5, 2)));
 }
 
 #[test]
@@ -73,11 +73,11 @@
         "scenario \"halves\" load=40 { partition sides=2; await \"settled\" within-ms=1; heal; \
          await \"settled\" within-ms=1; }",
     );
-    let p = played(&s, &options(8, 3));
+    let p = run(&s, &options(8, 3));
     holds(&p);
     // Each half saw the other's end.
-    let cut = p.marks.iter().find(|m| m.what == "partition").expect("it happened").at_ms;
-    let least = p.samples.iter().filter(|s| s.at_ms > cut).map(|s| s.count).min();
+    let cut = p.events.iter().find(|m| m.name == "partition").expect("it happened").at_ms;
+    let least = p.samples.iter().filter(|s| s.at_ms > cut).map(|s| s.member_count).min();
     assert_eq!(least, Some(4), "{:?}", p.awaited);
 }
 
@@ -87,7 +87,7 @@
         "scenario \"moved\" serves-all=#false { kill count=1; restart moved=#true; await \"settled\" within-ms=1; \
          stop count=1; wait ms=4000; go-on; await \"settled\" within-ms=1; }",
     );
-    holds(&played(&s, &options(6, 4)));
+    holds(&run(&s, &options(6, 4)));
 }
 
 #[test]
@@ -95,10 +95,10 @@
     // Too short a time for a crash to be known: the checker must find that, or it would find nothing.
     let text = "scenario \"short\" serves-all=#false { kill count=2; await \"known\" within-ms=5; }";
     let s = Scenario::parse("short.kdl", text).expect("a scenario");
-    let p = played(&s, &options(5, 5));
+    let p = run(&s, &options(5, 5));
     assert_eq!(p.breaches.len(), 1);
     let b = &p.breaches[0];
-    assert!(b.what.contains("Known") && b.told.iter().any(|t| t.contains("digest")), "{b:?}");
+    assert!(b.what.contains("Known") && b.evidence.iter().any(|t| t.contains("digest")), "{b:?}");
 }
 
 fn of_folder(dir: &Path) -> Vec<u32> {
@@ -117,7 +117,7 @@
 fn a_run_that_is_broken_off_leaves_no_process_behind() {
     let dir = std::env::temp_dir().join(format!("rig-off-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
-    let s = scenario("steady").expect("it comes with the rig");
+    let s = bundled("steady").expect("it comes with the rig");
     let options = Options { tmp: dir.clone(), ..options(4, 6) };
     let rt = runtime();
     rt.block_on(async {
@@ -129,7 +129,7 @@
             }
         };
         tokio::select! {
-            _ = play(&s, &options) => panic!("it takes longer than starting its fronts"),
+            _ = run_scenario(&s, &options) => panic!("it takes longer than starting its fronts"),
             () = running => {}
         }
     });
--- a/crates/cli/tests/machine.rs
+++ b/crates/cli/tests/machine.rs
@@ -157,7 +157,7 @@
     faults.set(Fault::Connect, 1000).expect("a file");
     client.write_all(&call(1, "contribution-change", 1, 15_000, &[])).expect("the front reads");
     std::thread::sleep(Duration::from_millis(150));
-    faults.calm().expect("a file");
+    faults.clear_rates().expect("a file");
     let (trace, _) = play.asked("a");
     play.answer("a", &trace, "served - done");
     assert_eq!(said(&mut client), r#"[1,1,null,["b:done",{}]]"#);
@@ -186,7 +186,7 @@
         play.answer("a", &trace, "served tell=fill x");
         assert_eq!(said(&mut client), r#"[1,1,null,["b:x",{}]]"#, "call {n}");
     }
-    faults.calm().expect("a file");
+    faults.clear_rates().expect("a file");
     play.signal("TERM");
     let (code, lines) = play.exit();
     assert_eq!(code, Some(0), "{lines:?}");
--- /dev/null
+++ b/crates/rig/src/addresses/tests.rs
@@ -0,0 +1,25 @@
+use super::*;
+
+#[test]
+fn runs_at_the_same_time_have_addresses_of_their_own() {
+    let (a, b) =
+        (LoopbackAddresses::reserve(300).expect("free"), LoopbackAddresses::reserve(1).expect("free"));
+    let all = |addresses: &LoopbackAddresses, n| {
+        (0..n)
+            .flat_map(|i| {
+                [
+                    addresses.gossip_listen(i),
+                    addresses.gossip_advertised(i),
+                    addresses.client_listen(i),
+                    addresses.cache_node(i, 3),
+                ]
+            })
+            .collect::<Vec<_>>()
+    };
+    let (of_a, of_b) = (all(&a, 300), all(&b, 1));
+    assert!(of_b.iter().all(|x| !of_a.contains(x)));
+    let mut sorted = of_a.clone();
+    sorted.sort();
+    sorted.dedup();
+    assert_eq!(sorted.len(), of_a.len(), "no address twice");
+}
--- a/crates/rig/src/fronts.rs
+++ b/crates/rig/src/fronts.rs
@@ -1,238 +1,214 @@
-//! The fronts' processes: started with documents of their own, stopped, killed, asked and listened to.
+//! The front processes: started with site documents of their own, stopped, killed, queried, and their logs read.
 
-use crate::boxes::{Boxes, WRITES};
+use crate::addresses::LoopbackAddresses;
+use crate::cache_nodes::{CacheNodes, WRITE_CLASS};
 use crate::links::Links;
-use crate::Ground;
+use crate::programs::{Build, Programs};
+use crate::sync::lock;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::UnixStream;
-use tokio::process::{Child, Command};
+use tokio::process::{Child, ChildStderr, Command};
 use tokio::time::{timeout, Instant};
 
-/// Lines kept of each front's log.
-const MOST_LINES: usize = 400;
-/// A front that runs answers within this time, even on a busy machine.
-const ANSWER: Duration = Duration::from_secs(3);
-/// A front that is told to end has ended after this time: a second of what is still coming, and its longest request.
-const ENDS: Duration = Duration::from_secs(15);
-/// What was stopped for less may not be taken for gone.
-pub const SHORT_STOP: Duration = Duration::from_millis(1_300);
-/// Words that a front is gone may be on their way for so long after it is back.
-const ON_THE_WAY: Duration = Duration::from_secs(8);
-
-/// Whether a process runs.
+/// Lines of each front's log that are retained.
+const MAX_LOG_LINES: usize = 400;
+/// A front that runs answers a query within this time, even on a busy machine.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// A front ends within this time of SIGTERM: a second in which it still takes requests, and its longest deadline.
+const TERMINATION_TIMEOUT: Duration = Duration::from_secs(15);
+/// A front that was stopped for no longer than this must not be taken for gone.
+const MAX_TOLERATED_STOP: Duration = Duration::from_millis(1_300);
+/// A report that a front is gone may still spread for so long after the front is back.
+const GONE_REPORT_SPREAD: Duration = Duration::from_secs(8);
+
+/// The state of a front's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Runs {
-    /// It does.
-    Yes,
+pub enum ProcessState {
+    /// It runs.
+    Running,
     /// It was stopped by SIGSTOP.
     Stopped,
-    /// It was killed, or has ended.
-    No,
+    /// It was killed or has ended.
+    Ended,
 }
 
 /// One front.
 pub struct Front {
     /// Its name.
     pub name: String,
-    /// Its place among the links.
-    pub place: usize,
-    /// Which program it runs, or will run when it is started next.
-    pub runs_other: bool,
-    child: Option<Child>,
+    /// The index of its addresses and links; another one after a restart elsewhere.
+    pub endpoint: usize,
+    /// The build that it runs, or will run when it is started next.
+    pub build: Build,
     /// Whether it runs.
-    pub runs: Runs,
-    /// When it was last not in reach of anybody: dead, or stopped for long.
-    down: Option<Instant>,
-    stopped: Option<Instant>,
-    /// Whether requests that it leaves without an answer count.
-    pub counts: Arc<AtomicBool>,
-    log: Arc<Mutex<Vec<(Duration, String)>>>,
+    pub state: ProcessState,
+    /// Whether requests that it leaves without an answer count against it.
+    pub accountable: Arc<AtomicBool>,
+    child: Option<Child>,
+    /// When nobody could reach it last: it was dead, or had been stopped for long.
+    last_unreachable: Option<Instant>,
+    stopped_at: Option<Instant>,
+    log: Arc<Mutex<Vec<LogLine>>>,
 }
 
-/// What a front wrote of another.
-#[derive(Clone, Debug)]
-pub struct Gone {
-    /// Whom.
-    pub of: String,
-    /// Who wrote it.
-    pub by: String,
-    /// When.
-    pub at: Instant,
+/// A line of a front's log.
+struct LogLine {
+    /// Time since the run began.
+    at: Duration,
+    text: String,
 }
 
-/// The programs that fronts run.
+/// A front's log line that another front is gone.
 #[derive(Clone, Debug)]
-pub struct Programs {
-    /// The one that is tried.
-    pub own: PathBuf,
-    /// Another build, for some of them, and whether it knows `store` in a document.
-    pub other: Option<(PathBuf, bool)>,
-    /// Which fronts begin with the other.
-    pub mix: Mix,
-}
-
-/// Which fronts begin with the other program.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mix {
-    /// None.
-    #[default]
-    Own,
-    /// All.
-    Other,
-    /// Each second one, from the second on: the first seed runs the own.
-    Odd,
-    /// Each second one, from the first on.
-    Even,
-}
-
-impl Mix {
-    fn is_other(self, place: usize) -> bool {
-        match self {
-            Mix::Own => false,
-            Mix::Other => true,
-            Mix::Odd => place % 2 == 1,
-            Mix::Even => place % 2 == 0,
-        }
-    }
+pub struct GoneReport {
+    /// The front that is reported gone.
+    pub subject: String,
+    /// The front that logged it.
+    pub reporter: String,
+    /// When the line was read.
+    pub at: Instant,
 }
 
-impl Programs {
-    /// One program for all.
-    pub fn one(own: PathBuf) -> Programs {
-        Programs { own, other: None, mix: Mix::Own }
-    }
-
-    fn of(&self, other: bool) -> (&Path, bool) {
-        match &self.other {
-            Some((program, stores)) if other => (program, *stores),
-            _ => (&self.own, true),
-        }
-    }
+/// What a front's process has used.
+#[derive(Clone, Copy, Debug)]
+pub struct ResourceUsage {
+    /// The front's index.
+    pub front: usize,
+    /// CPU time since its start, in seconds.
+    pub cpu_seconds: f64,
+    /// Resident memory, in MB.
+    pub memory_mb: f64,
 }
 
-/// Where the fronts are and what they are started with.
+/// All fronts of a run, and what they are started with.
 pub struct Fronts {
-    /// All that were ever started; one that was restarted stays in its place here.
+    /// All that were ever started; a front that restarts stays at its index.
     pub all: Vec<Front>,
-    ground: Arc<Ground>,
+    /// The links between them.
+    pub links: Arc<Links>,
+    /// Their cache nodes.
+    pub cache_nodes: Arc<CacheNodes>,
+    addresses: Arc<LoopbackAddresses>,
     dir: PathBuf,
     programs: Programs,
-    keys: PathBuf,
-    /// Links between them.
-    pub links: Arc<Links>,
-    /// Their boxes.
-    pub boxes: Arc<Boxes>,
-    begun: Instant,
-    /// Words that a front is gone, as they were written.
-    gone: Arc<Mutex<Vec<Gone>>>,
-    /// Whether they keep a view.
-    pub with_view: bool,
-}
-
-fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
-    m.lock().unwrap_or_else(PoisonError::into_inner)
+    key_file: PathBuf,
+    started: Instant,
+    /// Reports that were not looked at yet.
+    gone_reports: Arc<Mutex<Vec<GoneReport>>>,
+    with_view: bool,
 }
 
 impl Fronts {
-    /// None yet; files go to `dir`.
+    /// No fronts yet; files go to `dir`. `with_view`: whether fronts keep a view of the fleet.
     ///
     /// # Errors
-    /// The keys can't be made.
+    /// The gossip keys can't be created.
     pub fn new(
-        ground: Arc<Ground>,
+        addresses: Arc<LoopbackAddresses>,
         dir: &Path,
         programs: Programs,
         links: Arc<Links>,
-        boxes: Arc<Boxes>,
+        cache_nodes: Arc<CacheNodes>,
         with_view: bool,
     ) -> io::Result<Fronts> {
-        let keys = dir.join("keys");
-        fernslip_front::keyfile::create(&keys).map_err(|e| io::Error::other(e.to_string()))?;
+        let key_file = dir.join("keys");
+        fernslip_front::keyfile::create(&key_file).map_err(|e| io::Error::other(e.to_string()))?;
         Ok(Fronts {
             all: Vec::new(),
-            ground,
+            links,
+            cache_nodes,
+            addresses,
             dir: dir.into(),
             programs,
-            keys,
-            links,
-            boxes,
-            begun: Instant::now(),
-            gone: Arc::default(),
+            key_file,
+            started: Instant::now(),
+            gone_reports: Arc::default(),
             with_view,
         })
     }
 
     /// Where clients reach a front.
-    pub fn clients(&self, i: usize) -> std::net::SocketAddr {
-        self.ground.clients(self.all[i].place)
+    pub fn client_address(&self, i: usize) -> std::net::SocketAddr {
+        self.addresses.client_listen(self.all[i].endpoint)
     }
 
-    /// The key file.
-    pub fn keys(&self) -> &Path {
-        &self.keys
+    /// The file with the fleet's gossip keys.
+    pub fn key_file(&self) -> &Path {
+        &self.key_file
     }
 
-    fn control(&self, place: usize) -> PathBuf {
-        self.dir.join(format!("{place}.sock"))
+    fn control_socket(&self, endpoint: usize) -> PathBuf {
+        self.dir.join(format!("{endpoint}.sock"))
     }
 
-    fn document(&self, name: &str, place: usize, stores: bool) -> String {
+    /// The site document of a front: three zones, two classes, its cache nodes and, where it keeps one, its view.
+    fn site_document(&self, name: &str, endpoint: usize, with_store: bool) -> String {
         let mut text = format!(
             "site \"rig\" members-from=\"file\"\nfront {name:?} listen=\"{}\" zone=\"z{}\"\n",
-            self.ground.clients(place),
-            place % 3
+            self.addresses.client_listen(endpoint),
+            endpoint % 3
         );
-        for z in 0..3 {
-            text += &format!("zone \"z{z}\"\n");
+        for zone in 0..3 {
+            text += &format!("zone \"z{zone}\"\n");
         }
         text += "class \"docs\" aim-ms=600 deadline-ms=5000\n";
-        text +=
-            &format!("class {WRITES:?} aim-ms=600 deadline-ms=5000 effect=\"at-most-once\" write=#true\n");
-        for b in 0..self.boxes.count {
-            let kind = if b + 1 == self.boxes.count { " kind=\"origin\"" } else { "" };
+        text += &format!(
+            "class {WRITE_CLASS:?} aim-ms=600 deadline-ms=5000 effect=\"at-most-once\" write=#true\n"
+        );
+        for node in 0..self.cache_nodes.count {
+            let kind = if node + 1 == self.cache_nodes.count { " kind=\"origin\"" } else { "" };
             text += &format!(
-                "member \"box-{b}\" address=\"{}\" zone=\"z{}\"{kind}\n",
-                self.ground.at_box(place, b),
-                b % 3
+                "member \"box-{node}\" address=\"{}\" zone=\"z{}\"{kind}\n",
+                self.addresses.cache_node(endpoint, node),
+                node % 3
             );
         }
         if self.with_view {
-            let (key, control) = (self.keys.display().to_string(), self.control(place).display().to_string());
-            let (listen, told) = (self.ground.own(place), self.ground.told(place));
-            let store = self.dir.join(format!("{name}.store")).display().to_string();
-            let store = if stores { format!(" store={store:?}") } else { String::new() };
-            text += &format!(
-                "view listen=\"{listen}\" advertise=\"{told}\" key-file={key:?} control={control:?}{store} {{\n"
-            );
-            text += &format!("    seed \"{}\" \"{}\"\n}}\n", self.ground.told(0), self.ground.told(1));
+            text += &self.view_document(name, endpoint, with_store);
         }
         text
     }
 
+    /// The `view` node of a site document.
+    fn view_document(&self, name: &str, endpoint: usize, with_store: bool) -> String {
+        let key_file = self.key_file.display().to_string();
+        let control = self.control_socket(endpoint).display().to_string();
+        let listen = self.addresses.gossip_listen(endpoint);
+        let advertised = self.addresses.gossip_advertised(endpoint);
+        let store = self.dir.join(format!("{name}.store")).display().to_string();
+        let store = if with_store { format!(" store={store:?}") } else { String::new() };
+        format!(
+            "view listen=\"{listen}\" advertise=\"{advertised}\" key-file={key_file:?} control={control:?}{store} {{\n    \
+             seed \"{}\" \"{}\"\n}}\n",
+            self.addresses.gossip_advertised(0),
+            self.addresses.gossip_advertised(1)
+        )
+    }
+
     /// Starts one more front; its index.
     ///
     /// # Errors
-    /// An address, a file or the process can't be had.
+    /// An address can't be bound, a file can't be written, or the process can't be started.
     pub async fn add(&mut self) -> io::Result<usize> {
-        let place = self.links.add().await?;
-        self.boxes.add(place).await?;
+        let endpoint = self.links.add_endpoint().await?;
+        self.cache_nodes.add_front(endpoint).await?;
         let front = Front {
-            name: format!("f{place}"),
-            place,
-            runs_other: self.programs.mix.is_other(place),
+            name: format!("f{endpoint}"),
+            endpoint,
+            build: self.programs.initial_build(endpoint),
+            state: ProcessState::Ended,
+            accountable: Arc::new(AtomicBool::new(true)),
             child: None,
-            runs: Runs::No,
-            down: None,
-            stopped: None,
-            counts: Arc::new(AtomicBool::new(true)),
+            last_unreachable: None,
+            stopped_at: None,
             log: Arc::default(),
         };
         self.all.push(front);
@@ -242,11 +218,11 @@
     }
 
     fn start(&mut self, i: usize) -> io::Result<()> {
-        let (name, place) = (self.all[i].name.clone(), self.all[i].place);
-        let file = self.dir.join(format!("{place}.kdl"));
-        let (program, stores) = self.programs.of(self.all[i].runs_other);
-        std::fs::write(&file, self.document(&name, place, stores))?;
-        let mut child = Command::new(program)
+        let (name, endpoint) = (self.all[i].name.clone(), self.all[i].endpoint);
+        let file = self.dir.join(format!("{endpoint}.kdl"));
+        let program = self.programs.program(self.all[i].build);
+        std::fs::write(&file, self.site_document(&name, endpoint, program.supports_store))?;
+        let mut child = Command::new(&program.path)
             .args(["--log-format", "json", "run", "--site"])
             .arg(&file)
             .env_remove("RELAY_CONFIG")
@@ -258,160 +234,176 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()?;
-        let (log, gone, begun) = (self.all[i].log.clone(), self.gone.clone(), self.begun);
-        if let Some(err) = child.stderr.take() {
-            let by = name.clone();
-            tokio::spawn(async move {
-                let mut lines = BufReader::new(err).lines();
-                while let Ok(Some(line)) = lines.next_line().await {
-                    if let Some(of) = found_gone(&line) {
-                        lock(&gone).push(Gone { of, by: by.clone(), at: Instant::now() });
-                    }
-                    let mut log = lock(&log);
-                    if log.len() >= MOST_LINES {
-                        log.remove(0);
-                    }
-                    log.push((begun.elapsed(), line));
-                }
-            });
+        if let Some(stderr) = child.stderr.take() {
+            self.follow_log(i, stderr);
         }
-        let f = &mut self.all[i];
-        (f.child, f.runs) = (Some(child), Runs::Yes);
-        f.counts.store(true, Ordering::Relaxed);
+        let front = &mut self.all[i];
+        (front.child, front.state) = (Some(child), ProcessState::Running);
+        front.accountable.store(true, Ordering::Relaxed);
         Ok(())
     }
 
+    /// Reads a front's log until its process ends, and collects its reports that others are gone.
+    fn follow_log(&self, i: usize, stderr: ChildStderr) {
+        let (log, reports, started) = (self.all[i].log.clone(), self.gone_reports.clone(), self.started);
+        let reporter = self.all[i].name.clone();
+        tokio::spawn(async move {
+            let mut lines = BufReader::new(stderr).lines();
+            while let Ok(Some(text)) = lines.next_line().await {
+                if let Some(subject) = gone_subject(&text) {
+                    let report = GoneReport { subject, reporter: reporter.clone(), at: Instant::now() };
+                    lock(&reports).push(report);
+                }
+                let mut log = lock(&log);
+                if log.len() >= MAX_LOG_LINES {
+                    log.remove(0);
+                }
+                log.push(LogLine { at: started.elapsed(), text });
+            }
+        });
+    }
+
     fn signal(&self, i: usize, signal: Signal) -> io::Result<()> {
         let id = self.all[i].child.as_ref().and_then(Child::id);
         let pid = id.and_then(|id| Pid::from_raw(id as i32)).ok_or(io::ErrorKind::NotFound)?;
         Ok(kill_process(pid, signal)?)
     }
 
-    /// SIGKILL, and waits for its end.
+    /// Sends SIGKILL and waits for the process to end.
     ///
     /// # Errors
-    /// It can't be sent.
+    /// The signal can't be sent.
     pub async fn kill(&mut self, i: usize) -> io::Result<()> {
-        self.all[i].counts.store(false, Ordering::Relaxed);
+        self.all[i].accountable.store(false, Ordering::Relaxed);
         if let Some(mut child) = self.all[i].child.take() {
             child.kill().await?;
         }
-        (self.all[i].runs, self.all[i].down) = (Runs::No, Some(Instant::now()));
+        (self.all[i].state, self.all[i].last_unreachable) = (ProcessState::Ended, Some(Instant::now()));
         Ok(())
     }
 
-    /// SIGTERM, and waits for its end; whether it ended by itself in time.
+    /// Sends SIGTERM and waits for the process to end; whether it ended by itself in time. One that did not is killed.
     ///
     /// # Errors
-    /// It can't be sent.
-    pub async fn term(&mut self, i: usize) -> io::Result<bool> {
+    /// The signal can't be sent.
+    pub async fn terminate(&mut self, i: usize) -> io::Result<bool> {
         self.signal(i, Signal::TERM)?;
         let Some(mut child) = self.all[i].child.take() else { return Ok(false) };
-        let ended = timeout(ENDS, child.wait()).await.is_ok();
+        let ended = timeout(TERMINATION_TIMEOUT, child.wait()).await.is_ok();
         if !ended {
             child.kill().await?;
         }
-        self.all[i].counts.store(false, Ordering::Relaxed);
-        (self.all[i].runs, self.all[i].down) = (Runs::No, Some(Instant::now()));
+        self.all[i].accountable.store(false, Ordering::Relaxed);
+        (self.all[i].state, self.all[i].last_unreachable) = (ProcessState::Ended, Some(Instant::now()));
         Ok(ended)
     }
 
-    /// SIGSTOP.
+    /// Stops a front with SIGSTOP.
     ///
     /// # Errors
-    /// It can't be sent.
+    /// The signal can't be sent.
     pub fn stop(&mut self, i: usize) -> io::Result<()> {
         self.signal(i, Signal::STOP)?;
-        self.all[i].counts.store(false, Ordering::Relaxed);
-        (self.all[i].runs, self.all[i].stopped) = (Runs::Stopped, Some(Instant::now()));
+        self.all[i].accountable.store(false, Ordering::Relaxed);
+        (self.all[i].state, self.all[i].stopped_at) = (ProcessState::Stopped, Some(Instant::now()));
         Ok(())
     }
 
-    /// SIGCONT.
+    /// Resumes a stopped front with SIGCONT.
     ///
     /// # Errors
-    /// It can't be sent.
-    pub fn go_on(&mut self, i: usize) -> io::Result<()> {
+    /// The signal can't be sent.
+    pub fn resume(&mut self, i: usize) -> io::Result<()> {
         self.signal(i, Signal::CONT)?;
-        let f = &mut self.all[i];
-        f.runs = Runs::Yes;
-        if f.stopped.take().is_some_and(|at| at.elapsed() > SHORT_STOP) {
-            f.down = Some(Instant::now());
+        let front = &mut self.all[i];
+        front.state = ProcessState::Running;
+        if front.stopped_at.take().is_some_and(|at| at.elapsed() > MAX_TOLERATED_STOP) {
+            front.last_unreachable = Some(Instant::now());
         }
-        f.counts.store(true, Ordering::Relaxed);
+        front.accountable.store(true, Ordering::Relaxed);
         Ok(())
     }
 
-    /// Starts one that does not run under its name; at another address where it is moved.
+    /// Starts a front that has ended, under its old name; at another address where `new_address` is set.
     ///
     /// # Errors
-    /// An address, a file or the process can't be had.
-    pub async fn restart(&mut self, i: usize, moved: bool) -> io::Result<()> {
-        if moved {
-            let place = self.links.add().await?;
-            self.boxes.add(place).await?;
-            self.all[i].place = place;
+    /// An address can't be bound, a file can't be written, or the process can't be started.
+    pub async fn restart(&mut self, i: usize, new_address: bool) -> io::Result<()> {
+        if new_address {
+            let endpoint = self.links.add_endpoint().await?;
+            self.cache_nodes.add_front(endpoint).await?;
+            self.all[i].endpoint = endpoint;
         }
         self.start(i)
     }
 
-    /// Indices of those that are in that state.
-    pub fn those(&self, runs: Runs) -> Vec<usize> {
-        (0..self.all.len()).filter(|i| self.all[*i].runs == runs).collect()
+    /// The indices of the fronts in that state.
+    pub fn in_state(&self, state: ProcessState) -> Vec<usize> {
+        (0..self.all.len()).filter(|i| self.all[*i].state == state).collect()
     }
 
-    /// A call to a front's local socket; `None` where it does not answer.
-    pub async fn ask(&self, i: usize, what: &str) -> Option<Value> {
-        let path = self.control(self.all[i].place);
-        let asked = async move {
-            let mut s = UnixStream::connect(&path).await.ok()?;
-            s.write_all(format!("{what}\n").as_bytes()).await.ok()?;
+    /// Sends a command to a front's control socket; `None` where it does not answer in time or not with JSON.
+    pub async fn query(&self, i: usize, command: &str) -> Option<Value> {
+        let path = self.control_socket(self.all[i].endpoint);
+        let answer = async move {
+            let mut socket = UnixStream::connect(&path).await.ok()?;
+            socket.write_all(format!("{command}\n").as_bytes()).await.ok()?;
             let mut text = String::new();
-            s.read_to_string(&mut text).await.ok()?;
+            socket.read_to_string(&mut text).await.ok()?;
             serde_json::from_str(&text).ok()
         };
-        timeout(ANSWER, asked).await.ok()?
+        timeout(ANSWER_TIMEOUT, answer).await.ok()?
     }
 
-    /// Words, written since the last call, that a front is gone which nothing kept from answering: whom, by whom.
-    /// `cut` tells whether the two were cut from each other, now or within the last seconds.
-    pub fn false_gone(&self, cut: impl Fn(usize, usize) -> bool) -> Vec<Gone> {
-        let written = std::mem::take(&mut *lock(&self.gone));
-        let is_false = |g: &Gone| {
-            let Some(of) = self.all.iter().find(|f| f.name == g.of) else { return false };
-            let Some(by) = self.all.iter().find(|f| f.name == g.by) else { return false };
-            let down = |f: &Front| f.down.is_some_and(|at| g.at.saturating_duration_since(at) < ON_THE_WAY);
-            let long = of.stopped.is_some_and(|at| g.at.saturating_duration_since(at) > SHORT_STOP);
-            of.runs != Runs::No && !long && !down(of) && !down(by) && !cut(by.place, of.place)
+    /// Takes the reports since the last call, and returns those that nothing explains: the front ran, had not been stopped
+    /// for long, and was reachable for the reporter. `is_cut(reporter, subject)` tells, for two endpoints, whether their
+    /// links were cut now or within the last seconds.
+    pub fn take_false_gone_reports(&self, is_cut: impl Fn(usize, usize) -> bool) -> Vec<GoneReport> {
+        let reports = std::mem::take(&mut *lock(&self.gone_reports));
+        let is_false = |report: &GoneReport| {
+            let Some(subject) = self.all.iter().find(|f| f.name == report.subject) else { return false };
+            let Some(reporter) = self.all.iter().find(|f| f.name == report.reporter) else { return false };
+            let was_unreachable = |front: &Front| {
+                let since = |at| report.at.saturating_duration_since(at);
+                front.last_unreachable.is_some_and(|at| since(at) < GONE_REPORT_SPREAD)
+            };
+            let stopped_long = subject
+                .stopped_at
+                .is_some_and(|at| report.at.saturating_duration_since(at) > MAX_TOLERATED_STOP);
+            subject.state != ProcessState::Ended
+                && !stopped_long
+                && !was_unreachable(subject)
+                && !was_unreachable(reporter)
+                && !is_cut(reporter.endpoint, subject.endpoint)
         };
-        written.into_iter().filter(is_false).collect()
+        reports.into_iter().filter(is_false).collect()
     }
 
-    /// The last lines of a front's log.
-    pub fn lines(&self, i: usize, most: usize) -> Vec<String> {
+    /// The last `max` lines of a front's log, each after its time in seconds since the run began.
+    pub fn last_log_lines(&self, i: usize, max: usize) -> Vec<String> {
         let log = lock(&self.all[i].log);
-        let from = log.len().saturating_sub(most);
-        log[from..].iter().map(|(at, l)| format!("{:.3} {l}", at.as_secs_f64())).collect()
+        let from = log.len().saturating_sub(max);
+        log[from..].iter().map(|line| format!("{:.3} {}", line.at.as_secs_f64(), line.text)).collect()
     }
 
-    /// CPU that each running front has used, in seconds, and its memory in MB.
-    pub fn used(&self) -> Vec<(usize, f64, f64)> {
-        let read = |i: usize| {
-            let id = self.all[i].child.as_ref()?.id()?;
+    /// CPU time and memory of every running front, as `/proc` has them.
+    pub fn resource_usage(&self) -> Vec<ResourceUsage> {
+        let read = |front: usize| {
+            let id = self.all[front].child.as_ref()?.id()?;
             let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
-            // Behind the name, which may hold anything, fields count from 3; 14 and 15 are ticks of 10 ms.
+            // The process name may hold anything, so fields are counted behind it, from 3; 14 and 15 are ticks of 10 ms.
             let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
             let ticks: f64 = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
             let statm = std::fs::read_to_string(format!("/proc/{id}/statm")).ok()?;
             let pages: f64 = statm.split_whitespace().nth(1)?.parse().ok()?;
-            Some((i, ticks / 100.0, pages * 4096.0 / 1e6))
+            Some(ResourceUsage { front, cpu_seconds: ticks / 100.0, memory_mb: pages * 4096.0 / 1e6 })
         };
-        self.those(Runs::Yes).into_iter().filter_map(read).collect()
+        self.in_state(ProcessState::Running).into_iter().filter_map(read).collect()
     }
 }
 
-/// Whom a line of a front's log tells to be gone.
-fn found_gone(line: &str) -> Option<String> {
+/// The front that a log line reports gone, if it is such a line.
+fn gone_subject(line: &str) -> Option<String> {
     if !line.contains("\"gone\"") {
         return None;
     }
@@ -420,19 +412,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn lines_that_tell_of_an_end_are_found() {
-        let line = r#"{"level":"INFO","message":"view","peer":"f3","was":"ready","is":"gone","by":"f1"}"#;
-        assert_eq!(found_gone(line).as_deref(), Some("f3"));
-        for other in [
-            line.replace("\"is\":\"gone\"", "\"is\":\"left\""),
-            line.replace("\"view\"", "\"gone\""),
-            "gone".into(),
-        ] {
-            assert_eq!(found_gone(&other), None, "{other}");
-        }
-    }
-}
+mod tests;
--- a/crates/rig/src/links.rs
+++ b/crates/rig/src/links.rs
@@ -1,200 +1,205 @@
-//! Datagrams between fronts: each ordered pair is a link, and faults stand on links.
+//! Datagrams between fronts: each ordered pair of fronts is a link, and faults are injected on links.
 
-use crate::Ground;
+use crate::addresses::LoopbackAddresses;
+use crate::sync::lock;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
-/// Datagrams kept for sending them again one day.
-const MOST_KEPT: usize = 4096;
+/// Datagrams that are recorded for replay.
+const MAX_RECORDED: usize = 4096;
+/// Once as many are recorded, one datagram in so many replaces a recorded one.
+const RECORD_EVERY: u64 = 16;
+/// A reordered datagram is delayed by up to this, in milliseconds.
+const MAX_REORDERING_MS: f64 = 250.0;
+
+/// An additional delay, in milliseconds.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Delay {
+    /// The constant part.
+    pub base_ms: f64,
+    /// The upper bound of the random part.
+    pub jitter_ms: f64,
+}
 
-/// What is wrong with the links now.
+/// The faults on all links at one moment. Fronts are named by the index of their endpoint.
 #[derive(Clone, Debug, Default)]
-pub struct Faults {
-    /// Part of all datagrams lost.
+pub struct LinkFaults {
+    /// Fraction of all datagrams that is lost.
     pub loss: f64,
-    /// Part lost of what a front sends and of what is sent to it.
-    pub loses: BTreeMap<usize, f64>,
-    /// Delay and jitter, milliseconds, of what a front sends and is sent.
-    pub delays: BTreeMap<usize, (f64, f64)>,
-    /// Part that comes twice.
-    pub doubled: f64,
-    /// Part that comes up to a quarter of a second late, behind later ones.
-    pub late: f64,
-    /// Sides of a partition.
+    /// Fraction lost of what a front sends and of what is sent to it.
+    pub loss_by_front: BTreeMap<usize, f64>,
+    /// Delay of what a front sends and of what is sent to it.
+    pub delays: BTreeMap<usize, Delay>,
+    /// Fraction that is delivered twice.
+    pub duplicated: f64,
+    /// Fraction that is delayed by a random time, and so overtaken by later datagrams.
+    pub reordered: f64,
+    /// The side of a partition that each front is on; without an entry, side 0.
     pub sides: BTreeMap<usize, usize>,
-    /// Nothing passes from the first to the second.
+    /// Links, sender first, that lose everything while the opposite direction works.
     pub one_way: BTreeSet<(usize, usize)>,
-    /// Nothing reaches these.
-    pub deaf: BTreeSet<usize>,
+    /// Fronts that no datagram reaches.
+    pub inbound_blocked: BTreeSet<usize>,
 }
 
-impl Faults {
+impl LinkFaults {
     /// The side of a partition that a front is on.
-    pub fn side(&self, i: usize) -> usize {
-        self.sides.get(&i).copied().unwrap_or(0)
+    pub fn side(&self, front: usize) -> usize {
+        self.sides.get(&front).copied().unwrap_or(0)
     }
 
-    /// Whether the links of that pair lose all.
+    /// Whether the link loses every datagram.
     pub fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.side(from) != self.side(to) || self.deaf.contains(&to) || self.one_way.contains(&(from, to))
+        self.side(from) != self.side(to)
+            || self.inbound_blocked.contains(&to)
+            || self.one_way.contains(&(from, to))
     }
 
-    /// When the copies of a datagram come, if any do.
-    fn passes(&self, from: usize, to: usize, rng: &mut ChaCha8Rng) -> Vec<Duration> {
+    /// The delay of every copy of a datagram that is delivered; none where it is lost.
+    fn deliveries(&self, from: usize, to: usize, rng: &mut ChaCha8Rng) -> Vec<Duration> {
         if self.is_cut(from, to) {
             return Vec::new();
         }
-        let each = |i| self.loses.get(&i).copied().unwrap_or(0.0);
-        if [self.loss, each(from), each(to)].iter().any(|l| *l > 0.0 && rng.random::<f64>() < *l) {
+        let loss_of = |front| self.loss_by_front.get(&front).copied().unwrap_or(0.0);
+        if [self.loss, loss_of(from), loss_of(to)].iter().any(|l| *l > 0.0 && rng.random::<f64>() < *l) {
             return Vec::new();
         }
         let mut ms = 0.0;
-        for (base, jitter) in [from, to].iter().filter_map(|i| self.delays.get(i)) {
-            ms += base + jitter * rng.random::<f64>();
+        for delay in [from, to].iter().filter_map(|front| self.delays.get(front)) {
+            ms += delay.base_ms + delay.jitter_ms * rng.random::<f64>();
         }
-        if self.late > 0.0 && rng.random::<f64>() < self.late {
-            ms += 250.0 * rng.random::<f64>();
+        if self.reordered > 0.0 && rng.random::<f64>() < self.reordered {
+            ms += MAX_REORDERING_MS * rng.random::<f64>();
         }
-        let copies = if self.doubled > 0.0 && rng.random::<f64>() < self.doubled { 2 } else { 1 };
+        let copies = if self.duplicated > 0.0 && rng.random::<f64>() < self.duplicated { 2 } else { 1 };
         vec![Duration::from_secs_f64(ms / 1000.0); copies]
     }
 }
 
-fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
-    m.lock().unwrap_or_else(PoisonError::into_inner)
+/// A datagram as it was relayed.
+#[derive(Clone, Debug)]
+pub struct Datagram {
+    /// The front that sent it.
+    pub from: usize,
+    /// The front that it was sent to.
+    pub to: usize,
+    /// Its payload.
+    pub bytes: Vec<u8>,
 }
 
-/// A datagram as it passed: from, to, bytes.
-pub type Kept = (usize, usize, Vec<u8>);
-
-/// All links between fronts.
+/// The relay between all fronts.
 pub struct Links {
-    ground: Arc<Ground>,
-    faults: Mutex<Faults>,
+    addresses: Arc<LoopbackAddresses>,
+    faults: Mutex<LinkFaults>,
     rng: Mutex<ChaCha8Rng>,
+    /// By front: the socket on its advertised address.
     sockets: Mutex<Vec<Arc<UdpSocket>>>,
-    fronts: Mutex<HashMap<SocketAddr, usize>>,
-    sent: Mutex<Vec<Arc<[AtomicU64; 2]>>>,
-    kept: Mutex<Vec<Kept>>,
-    passed: AtomicU64,
+    /// The front that sends from each address.
+    senders: Mutex<HashMap<SocketAddr, usize>>,
+    /// By front: bytes that it has sent.
+    bytes_sent: Mutex<Vec<Arc<AtomicU64>>>,
+    recorded: Mutex<Vec<Datagram>>,
+    relayed: AtomicU64,
 }
 
 impl Links {
-    /// No links yet.
-    pub fn new(ground: Arc<Ground>, seed: u64) -> Arc<Links> {
+    /// A relay without fronts; `seed` decides what is lost, delayed and duplicated.
+    pub fn new(addresses: Arc<LoopbackAddresses>, seed: u64) -> Arc<Links> {
         Arc::new(Links {
-            ground,
+            addresses,
             faults: Mutex::default(),
             rng: Mutex::new(ChaCha8Rng::seed_from_u64(seed)),
             sockets: Mutex::default(),
-            fronts: Mutex::default(),
-            sent: Mutex::default(),
-            kept: Mutex::default(),
-            passed: AtomicU64::new(0),
+            senders: Mutex::default(),
+            bytes_sent: Mutex::default(),
+            recorded: Mutex::default(),
+            relayed: AtomicU64::new(0),
         })
     }
 
-    /// One more front: takes its address that others are told. Fronts are added in order.
+    /// Adds the endpoint of one more front and relays what is sent to it; its index. Endpoints are added in order.
     ///
     /// # Errors
-    /// The address can't be had.
-    pub async fn add(self: &Arc<Links>) -> std::io::Result<usize> {
-        let i = lock(&self.sockets).len();
-        let socket = Arc::new(UdpSocket::bind(self.ground.told(i)).await?);
+    /// The advertised address can't be bound.
+    pub async fn add_endpoint(self: &Arc<Links>) -> std::io::Result<usize> {
+        let to = lock(&self.sockets).len();
+        let socket = Arc::new(UdpSocket::bind(self.addresses.gossip_advertised(to)).await?);
         lock(&self.sockets).push(socket.clone());
-        lock(&self.fronts).insert(self.ground.own(i), i);
-        lock(&self.sent).push(Arc::default());
+        lock(&self.senders).insert(self.addresses.gossip_listen(to), to);
+        lock(&self.bytes_sent).push(Arc::default());
         let links = self.clone();
         tokio::spawn(async move {
             let mut data = vec![0; 65_536];
             loop {
-                // An error is one of a datagram sent before, to a front that does not run.
-                let Ok((n, from)) = socket.recv_from(&mut data).await else { continue };
-                let Some(from) = lock(&links.fronts).get(&from).copied() else { continue };
-                links.pass(from, i, &data[..n]);
+                // An error concerns a datagram that was sent earlier, to a front that does not run.
+                let Ok((n, sender)) = socket.recv_from(&mut data).await else { continue };
+                let Some(from) = lock(&links.senders).get(&sender).copied() else { continue };
+                links.relay(from, to, &data[..n]);
             }
         });
-        Ok(i)
+        Ok(to)
     }
 
-    fn pass(self: &Arc<Links>, from: usize, to: usize, bytes: &[u8]) {
-        if let Some(sent) = lock(&self.sent).get(from) {
-            sent[0].fetch_add(1, Ordering::Relaxed);
-            sent[1].fetch_add(bytes.len() as u64, Ordering::Relaxed);
+    fn relay(self: &Arc<Links>, from: usize, to: usize, bytes: &[u8]) {
+        if let Some(sent) = lock(&self.bytes_sent).get(from) {
+            sent.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         }
-        // One in a few is kept, over the whole run.
-        let passed = self.passed.fetch_add(1, Ordering::Relaxed);
-        let mut kept = lock(&self.kept);
-        if kept.len() < MOST_KEPT {
-            kept.push((from, to, bytes.to_vec()));
-        } else if passed % 16 == 0 {
-            kept[(passed / 16) as usize % MOST_KEPT] = (from, to, bytes.to_vec());
+        // A sample over the whole run, since old datagrams are replayed later.
+        let relayed = self.relayed.fetch_add(1, Ordering::Relaxed);
+        let mut recorded = lock(&self.recorded);
+        if recorded.len() < MAX_RECORDED {
+            recorded.push(Datagram { from, to, bytes: bytes.to_vec() });
+        } else if relayed % RECORD_EVERY == 0 {
+            recorded[(relayed / RECORD_EVERY) as usize % MAX_RECORDED] =
+                Datagram { from, to, bytes: bytes.to_vec() };
         }
-        drop(kept);
-        let copies = lock(&self.faults).passes(from, to, &mut lock(&self.rng));
-        for wait in copies {
-            self.deliver(from, to, bytes.to_vec(), wait);
+        drop(recorded);
+        let deliveries = lock(&self.faults).deliveries(from, to, &mut lock(&self.rng));
+        for delay in deliveries {
+            self.deliver(from, to, bytes.to_vec(), delay);
         }
     }
 
-    /// Gives a front a datagram as if that other one had sent it, after a wait.
-    pub fn deliver(self: &Arc<Links>, from: usize, to: usize, bytes: Vec<u8>, wait: Duration) {
+    /// Delivers a datagram to front `to` after a delay, from the advertised address of front `from`.
+    pub fn deliver(self: &Arc<Links>, from: usize, to: usize, bytes: Vec<u8>, delay: Duration) {
         let Some(socket) = lock(&self.sockets).get(from).cloned() else { return };
-        let to = self.ground.own(to);
-        if wait.is_zero() {
+        let to = self.addresses.gossip_listen(to);
+        if delay.is_zero() {
             let _ = socket.try_send_to(&bytes, to);
             return;
         }
         tokio::spawn(async move {
-            tokio::time::sleep(wait).await;
+            tokio::time::sleep(delay).await;
             let _ = socket.send_to(&bytes, to).await;
         });
     }
 
-    /// What is wrong now.
-    pub fn faults(&self) -> Faults {
+    /// The faults now.
+    pub fn faults(&self) -> LinkFaults {
         lock(&self.faults).clone()
     }
 
-    /// Changes what is wrong.
-    pub fn change(&self, f: impl FnOnce(&mut Faults)) {
-        f(&mut lock(&self.faults));
+    /// Changes the faults.
+    pub fn update_faults(&self, update: impl FnOnce(&mut LinkFaults)) {
+        update(&mut lock(&self.faults));
     }
 
-    /// Datagrams and bytes that each front has sent.
-    pub fn sent(&self) -> Vec<(u64, u64)> {
-        let read = |s: &Arc<[AtomicU64; 2]>| (s[0].load(Ordering::Relaxed), s[1].load(Ordering::Relaxed));
-        lock(&self.sent).iter().map(read).collect()
+    /// Bytes that each front has sent.
+    pub fn bytes_sent(&self) -> Vec<u64> {
+        lock(&self.bytes_sent).iter().map(|bytes| bytes.load(Ordering::Relaxed)).collect()
     }
 
-    /// Some datagrams that passed.
-    pub fn kept(&self) -> Vec<Kept> {
-        lock(&self.kept).clone()
+    /// A sample of the datagrams that were relayed.
+    pub fn recorded(&self) -> Vec<Datagram> {
+        lock(&self.recorded).clone()
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn faults_stand_on_the_links_they_name() {
-        let mut rng = ChaCha8Rng::seed_from_u64(1);
-        let mut f = Faults { one_way: [(1, 2)].into(), deaf: [3].into(), ..Faults::default() };
-        let mut passes = |f: &Faults, from, to| f.passes(from, to, &mut rng).len();
-        assert_eq!([passes(&f, 1, 2), passes(&f, 2, 1), passes(&f, 0, 3), passes(&f, 3, 0)], [0, 1, 0, 1]);
-        f = Faults { sides: [(4, 1)].into(), ..Faults::default() };
-        assert_eq!([passes(&f, 4, 0), passes(&f, 0, 4), passes(&f, 0, 1)], [0, 0, 1]);
-        f = Faults { loses: [(5, 1.0)].into(), doubled: 1.0, ..Faults::default() };
-        assert_eq!([passes(&f, 5, 0), passes(&f, 0, 5), passes(&f, 0, 1)], [0, 0, 2]);
-        f = Faults { loss: 0.3, ..Faults::default() };
-        let delivered: usize = (0..10_000).map(|_| passes(&f, 0, 1)).sum();
-        assert!((6_800..7_200).contains(&delivered), "{delivered}");
-    }
-}
+mod tests;
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -1,224 +1,239 @@
-//! Clients: requests at times that don't wait for answers; an answer's time counts from when its request was due.
+//! Open-loop clients: requests are sent at times that don't depend on answers, and latency counts from when a request was
+//! due, so that a slow front is not measured as a fast one under less load.
 
-use crate::boxes::{ONCE, WRITES};
+use crate::cache_nodes::{FIRST_UNIQUE_OBJECT, WRITE_CLASS};
+use crate::client_protocol::Call;
+use crate::sync::lock;
 use hdrhistogram::Histogram;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rmpv::Value;
 use serde_json::json;
 use std::collections::HashMap;
+use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A client waits so long for its answer.
-pub const PATIENCE: Duration = Duration::from_millis(4_000);
-/// Objects that are asked for again and again.
-const OBJECTS: u64 = 500;
-/// Between two tries to reach a front that does not listen.
-const AGAIN: Duration = Duration::from_millis(100);
+/// How long a client waits for its answer.
+pub const CLIENT_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// An answer that is later than the client's timeout by this is counted as missing.
+const ANSWER_GRACE: Duration = Duration::from_millis(500);
+/// Objects that are requested again and again.
+const SHARED_OBJECTS: u64 = 500;
+/// Wait before connecting again to a front that does not listen.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
 /// How requests ended.
 #[derive(Clone, Debug)]
-pub struct Ends {
-    /// Latency of what was served, microseconds.
+pub struct RequestOutcomes {
+    /// Latency of what was served, in microseconds.
     pub latency: Histogram<u64>,
     /// Served.
     pub served: u64,
-    /// Refused or failed, with a sound answer.
+    /// Rejected or failed, with a well-formed answer.
     pub errors: u64,
-    /// Without an answer in time, from a front that was running all the while.
+    /// Without an answer in time, from a front that was running throughout.
     pub unanswered: u64,
-    /// Cut off: the front was killed or ended.
+    /// Lost with their front, which was killed, stopped or ended.
     pub lost: u64,
-    /// Answers that make no sense: of no request, or a second one.
-    pub odd: u64,
+    /// Answers that belong to no pending request.
+    pub unexpected: u64,
 }
 
-impl Default for Ends {
-    fn default() -> Ends {
-        // Bounds that are fixed and fine: from a microsecond to a minute, three digits.
+impl Default for RequestOutcomes {
+    fn default() -> RequestOutcomes {
+        // From a microsecond to a minute, three significant digits: bounds that the histogram accepts.
         let latency =
             Histogram::new_with_bounds(1, 60_000_000, 3).unwrap_or_else(|_| unreachable!("fixed bounds"));
-        Ends { latency, served: 0, errors: 0, unanswered: 0, lost: 0, odd: 0 }
+        RequestOutcomes { latency, served: 0, errors: 0, unanswered: 0, lost: 0, unexpected: 0 }
     }
 }
 
-impl Ends {
-    /// As JSON.
+impl RequestOutcomes {
+    /// As JSON; latencies in milliseconds.
     pub fn to_json(&self) -> serde_json::Value {
         let ms = |q: f64| self.latency.value_at_quantile(q) as f64 / 1000.0;
         json!({
             "served": self.served, "errors": self.errors, "unanswered": self.unanswered, "lost": self.lost,
-            "odd": self.odd, "p50_ms": ms(0.5), "p99_ms": ms(0.99), "p999_ms": ms(0.999),
+            "odd": self.unexpected, "p50_ms": ms(0.5), "p99_ms": ms(0.99), "p999_ms": ms(0.999),
         })
     }
-}
 
-/// All clients.
-pub struct Load {
-    ends: Mutex<Ends>,
-    ids: AtomicU64,
-    over: AtomicBool,
+    /// Counts requests that got no answer; `accountable`: whether their front was to answer them.
+    fn add_missing(&mut self, requests: u64, accountable: bool) {
+        match accountable {
+            true => self.unanswered += requests,
+            false => self.lost += requests,
+        }
+    }
 }
 
-fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
-    m.lock().unwrap_or_else(PoisonError::into_inner)
-}
+/// The calls of one connection that have no answer yet: when each was due, by number.
+type PendingCalls = Arc<Mutex<HashMap<u32, Instant>>>;
 
-struct Waiting {
-    due: Instant,
+/// All clients of a run.
+pub struct LoadGenerator {
+    outcomes: Mutex<RequestOutcomes>,
+    next_id: AtomicU64,
+    stopped: AtomicBool,
 }
 
-impl Load {
-    /// No clients yet.
-    pub fn new() -> Arc<Load> {
-        Arc::new(Load { ends: Mutex::default(), ids: AtomicU64::new(1), over: AtomicBool::new(false) })
+impl LoadGenerator {
+    /// A generator without clients.
+    pub fn new() -> Arc<LoadGenerator> {
+        Arc::new(LoadGenerator {
+            outcomes: Mutex::default(),
+            next_id: AtomicU64::new(1),
+            stopped: AtomicBool::new(false),
+        })
     }
 
     /// How requests ended so far.
-    pub fn ends(&self) -> Ends {
-        lock(&self.ends).clone()
+    pub fn outcomes(&self) -> RequestOutcomes {
+        lock(&self.outcomes).clone()
     }
 
-    /// No more requests.
-    pub fn end(&self) {
-        self.over.store(true, Ordering::Relaxed);
+    /// Sends no more requests.
+    pub fn stop(&self) {
+        self.stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Clients of a front: so many requests a second, until [`Load::end`]. `counts`: whether requests that the front
-    /// leaves without an answer count against it, which they don't while it is stopped.
-    pub fn add(
-        self: &Arc<Load>,
-        front: std::net::SocketAddr,
-        a_second: f64,
+    /// Sends `requests_per_second` to a front until [`LoadGenerator::stop`]. While `accountable` is false, as it is when the
+    /// front is stopped, requests that it leaves without an answer don't count against it.
+    pub fn add_client(
+        self: &Arc<LoadGenerator>,
+        front: SocketAddr,
+        requests_per_second: f64,
         seed: u64,
-        counts: Arc<AtomicBool>,
+        accountable: Arc<AtomicBool>,
     ) {
         let load = self.clone();
         tokio::spawn(async move {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
-            while !load.over.load(Ordering::Relaxed) {
+            while !load.stopped.load(Ordering::Relaxed) {
                 match TcpStream::connect(front).await {
-                    Ok(stream) => load.talk(stream, a_second, &mut rng, &counts).await,
-                    Err(_) => sleep(AGAIN).await,
+                    Ok(stream) => {
+                        load.run_connection(stream, requests_per_second, &mut rng, &accountable).await
+                    }
+                    Err(_) => sleep(RECONNECT_DELAY).await,
                 }
             }
         });
     }
 
-    async fn talk(
-        self: &Arc<Load>,
+    /// Sends requests over one connection until it breaks or the load stops.
+    async fn run_connection(
+        self: &Arc<LoadGenerator>,
         stream: TcpStream,
-        a_second: f64,
+        requests_per_second: f64,
         rng: &mut ChaCha8Rng,
-        counts: &Arc<AtomicBool>,
+        accountable: &Arc<AtomicBool>,
     ) {
         let _ = stream.set_nodelay(true);
-        let (mut read, mut write) = stream.into_split();
-        let waiting: Arc<Mutex<HashMap<u64, Waiting>>> = Arc::default();
-        let (load, theirs) = (self.clone(), waiting.clone());
-        let reader = tokio::spawn(async move {
-            let (mut held, mut more) = (Vec::new(), vec![0; 16_384]);
-            while let Ok(n @ 1..) = read.read(&mut more).await {
-                held.extend_from_slice(&more[..n]);
-                let mut rest = &held[..];
-                while let Ok(v) = rmpv::decode::read_value(&mut rest) {
-                    load.answered(&v, &theirs);
-                    let left = rest.len();
-                    held.drain(..held.len() - left);
-                    rest = &held[..];
-                }
-            }
-        });
+        let (read, mut write) = stream.into_split();
+        let pending = PendingCalls::default();
+        let reader = tokio::spawn(self.clone().read_answers(read, pending.clone()));
         let mut due = Instant::now();
         loop {
-            due += Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / a_second);
+            due += Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / requests_per_second);
             tokio::time::sleep_until(due).await;
-            if self.over.load(Ordering::Relaxed) || reader.is_finished() {
+            if self.stopped.load(Ordering::Relaxed) || reader.is_finished() {
                 break;
             }
-            let n = self.ids.fetch_add(1, Ordering::Relaxed);
-            let kind: f64 = rng.random();
-            let (class, object) = match kind {
-                k if k < 0.1 => (WRITES, ONCE + n),
-                k if k < 0.3 => ("docs", ONCE + n),
-                _ => ("docs", rng.random_range(0..OBJECTS)),
-            };
-            lock(&waiting).insert(n & 0xffff_ffff, Waiting { due });
-            if write.write_all(&call(n, class, object)).await.is_err() {
+            if self.send_request(&mut write, due, rng, &pending).await.is_err() {
                 break;
             }
-            self.give_up(&waiting, due, counts);
+            self.expire(&pending, due, accountable);
         }
-        // The last ones get their time.
-        let _ = timeout(PATIENCE, async {
-            while !lock(&waiting).is_empty() && !reader.is_finished() {
+        // The last requests get their full time for an answer.
+        let _ = timeout(CLIENT_TIMEOUT, async {
+            while !lock(&pending).is_empty() && !reader.is_finished() {
                 sleep(Duration::from_millis(10)).await;
             }
         })
         .await;
-        let broke = reader.is_finished();
+        let broken = reader.is_finished();
         reader.abort();
-        let left = lock(&waiting).len() as u64;
-        let mut ends = lock(&self.ends);
-        match broke || !counts.load(Ordering::Relaxed) {
-            true => ends.lost += left,
-            false => ends.unanswered += left,
-        }
+        let remaining = lock(&pending).len() as u64;
+        let accountable = !broken && accountable.load(Ordering::Relaxed);
+        lock(&self.outcomes).add_missing(remaining, accountable);
     }
 
-    fn give_up(&self, waiting: &Mutex<HashMap<u64, Waiting>>, now: Instant, counts: &AtomicBool) {
-        let mut all = lock(waiting);
-        let before = all.len();
-        all.retain(|_, w| now.saturating_duration_since(w.due) < PATIENCE + Duration::from_millis(500));
-        let over = (before - all.len()) as u64;
-        if over > 0 {
-            let mut ends = lock(&self.ends);
-            match counts.load(Ordering::Relaxed) {
-                true => ends.unanswered += over,
-                false => ends.lost += over,
+    /// Sends one request: a tenth are writes, two tenths reads of an object that is requested once.
+    async fn send_request(
+        &self,
+        write: &mut OwnedWriteHalf,
+        due: Instant,
+        rng: &mut ChaCha8Rng,
+        pending: &PendingCalls,
+    ) -> std::io::Result<()> {
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
+        let kind: f64 = rng.random();
+        let (class, object) = match kind {
+            k if k < 0.1 => (WRITE_CLASS, FIRST_UNIQUE_OBJECT + id),
+            k if k < 0.3 => ("docs", FIRST_UNIQUE_OBJECT + id),
+            _ => ("docs", rng.random_range(0..SHARED_OBJECTS)),
+        };
+        let number = id as u32;
+        lock(pending).insert(number, due);
+        let call = Call {
+            number,
+            class,
+            trace: id,
+            object,
+            part: 0,
+            set: 1,
+            size: 4,
+            patience_ms: CLIENT_TIMEOUT.as_millis() as u64,
+            body_len: 0,
+        };
+        write.write_all(&call.encode()).await
+    }
+
+    async fn read_answers(self: Arc<LoadGenerator>, mut read: OwnedReadHalf, pending: PendingCalls) {
+        let (mut buffer, mut chunk) = (Vec::new(), vec![0; 16_384]);
+        while let Ok(n @ 1..) = read.read(&mut chunk).await {
+            buffer.extend_from_slice(&chunk[..n]);
+            let mut used = 0;
+            loop {
+                let mut unread = &buffer[used..];
+                let Ok(answer) = rmpv::decode::read_value(&mut unread) else { break };
+                used = buffer.len() - unread.len();
+                self.record_answer(&answer, &pending);
             }
+            buffer.drain(..used);
         }
     }
 
-    fn answered(&self, v: &Value, waiting: &Mutex<HashMap<u64, Waiting>>) {
-        let number = v.as_array().and_then(|a| a.get(1)).and_then(Value::as_u64);
-        let known = number.and_then(|n| lock(waiting).remove(&n));
-        let mut ends = lock(&self.ends);
-        let Some(w) = known else {
-            ends.odd += 1;
+    /// Counts the requests whose answer is too late to wait for.
+    fn expire(&self, pending: &PendingCalls, now: Instant, accountable: &AtomicBool) {
+        let mut calls = lock(pending);
+        let before = calls.len();
+        calls.retain(|_, due| now.saturating_duration_since(*due) < CLIENT_TIMEOUT + ANSWER_GRACE);
+        let expired = (before - calls.len()) as u64;
+        if expired > 0 {
+            lock(&self.outcomes).add_missing(expired, accountable.load(Ordering::Relaxed));
+        }
+    }
+
+    fn record_answer(&self, answer: &Value, pending: &PendingCalls) {
+        let number = answer.as_array().and_then(|a| a.get(1)).and_then(Value::as_u64);
+        let due = number.and_then(|n| u32::try_from(n).ok()).and_then(|n| lock(pending).remove(&n));
+        let mut outcomes = lock(&self.outcomes);
+        let Some(due) = due else {
+            outcomes.unexpected += 1;
             return;
         };
-        if v[2].is_nil() {
-            ends.served += 1;
-            let _ = ends.latency.record(w.due.elapsed().as_micros().max(1) as u64);
+        if answer[2].is_nil() {
+            outcomes.served += 1;
+            let _ = outcomes.latency.record(due.elapsed().as_micros().max(1) as u64);
         } else {
-            ends.errors += 1;
+            outcomes.errors += 1;
         }
     }
 }
-
-/// A call's bytes.
-fn call(n: u64, class: &str, object: u64) -> Vec<u8> {
-    let (trace, object) = (format!("{n:016x}"), format!("{object:016x}"));
-    let patience = PATIENCE.as_millis().to_string();
-    let fields = [
-        ("trace", trace.as_str()),
-        ("patience", &patience),
-        ("entity", &object),
-        ("slice", "0"),
-        ("set", "1"),
-        ("size", "4"),
-    ];
-    let fields = Value::Map(fields.iter().map(|(k, v)| ((*k).into(), (*v).into())).collect());
-    let params = Value::Array(vec![fields, Value::Binary(Vec::new())]);
-    let call = Value::Array(vec![0.into(), (n & 0xffff_ffff).into(), class.into(), params]);
-    let mut bytes = Vec::new();
-    // Into memory, which does not fail.
-    let _ = rmpv::encode::write_value(&mut bytes, &call);
-    bytes
-}
--- /dev/null
+++ b/crates/rig/src/run/garbage.rs
@@ -0,0 +1,62 @@
+//! The step that sends fronts datagrams which no front would send: replayed, random, or well signed but meaningless.
+
+use super::Run;
+use fernslip_gossip::Keyring;
+use fernslip_view::{Id, Item, Message};
+use rand::seq::IndexedRandom;
+use rand::Rng;
+use rand_chacha::ChaCha8Rng;
+use std::time::Duration;
+use tokio::time::{sleep, Instant};
+
+/// The longest datagram of random bytes.
+const MAX_RANDOM_LEN: usize = 1400;
+
+impl Run<'_> {
+    /// Sends garbage from and to any front, `per_second` datagrams for a while.
+    pub(super) async fn send_garbage(&mut self, per_second: f64, duration: Duration) {
+        self.record_event("garbage", true);
+        let keys = fernslip_front::keyfile::read(self.fronts.key_file()).ok();
+        let recorded = self.fronts.links.recorded();
+        let end = Instant::now() + duration;
+        let endpoints: Vec<usize> = self.fronts.all.iter().map(|f| f.endpoint).collect();
+        while Instant::now() < end {
+            let (Some(from), Some(to)) = (endpoints.choose(&mut self.rng), endpoints.choose(&mut self.rng))
+            else {
+                break;
+            };
+            let bytes = match (self.rng.random_range(0..3), &keys) {
+                (0, _) if !recorded.is_empty() => {
+                    recorded[self.rng.random_range(0..recorded.len())].bytes.clone()
+                }
+                (1, Some(keys)) => signed_nonsense(keys, &mut self.rng),
+                _ => (0..self.rng.random_range(0..MAX_RANDOM_LEN)).map(|_| self.rng.random()).collect(),
+            };
+            self.fronts.links.deliver(*from, *to, bytes, Duration::ZERO);
+            sleep(Duration::from_secs_f64(1.0 / per_second)).await;
+        }
+        self.record_event("garbage over", false);
+    }
+}
+
+/// A message with a valid signature and random items.
+fn signed_nonsense(keys: &Keyring, rng: &mut ChaCha8Rng) -> Vec<u8> {
+    let mut message =
+        Message::new(keys.signs(), Id(rng.random()), rng.random(), rng.random(), rng.random(), vec![255; 13]);
+    message.items = vec![
+        Item::Ack(rng.random()),
+        Item::Want((0..20).map(|_| Id(rng.random())).collect()),
+        Item::Differ(rng.random()),
+        Item::Ask(Id(rng.random()), rng.random(), rng.random()),
+        Item::Alert {
+            of: Id::of(&format!("f{}", rng.random_range(0..100))),
+            birth: rng.random(),
+            incarnation: rng.random(),
+            word: u32::MAX,
+            ping: rng.random(),
+            stands: true,
+            alone: true,
+        },
+    ];
+    message.seal(keys)
+}
--- /dev/null
+++ b/crates/rig/src/run/observe.rs
@@ -0,0 +1,162 @@
+//! Observes the fronts of a run: their reports over time, whether a goal is reached, false reports, and steady-state cost.
+
+use super::{Run, Sample};
+use crate::fronts::ProcessState;
+use crate::links::LinkFaults;
+use crate::scenario::Goal;
+use serde_json::Value;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+use tokio::time::{sleep, Instant};
+
+/// Between two polls of all fronts while a goal is awaited.
+const GOAL_POLL_INTERVAL: Duration = Duration::from_millis(150);
+/// Between two polls of all fronts while time passes.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
+/// Fronts whose links were cut may report each other gone for so long after the links work again.
+const CUT_REPORT_SPREAD: Duration = Duration::from_secs(8);
+
+/// A front's answer to a poll.
+struct FrontSummary {
+    front: usize,
+    /// `None` where the front did not answer.
+    summary: Option<Value>,
+}
+
+/// The fronts on one side of a partition.
+#[derive(Default)]
+struct Side {
+    fronts: usize,
+    /// The digest of the first view seen, which all others must equal.
+    digest: Option<String>,
+}
+
+impl Run<'_> {
+    /// Lets time pass, and polls the fronts meanwhile.
+    pub(super) async fn wait(&mut self, duration: Duration) {
+        let end = Instant::now() + duration;
+        while Instant::now() < end {
+            if self.options.with_view {
+                self.poll().await;
+            }
+            sleep(SAMPLE_INTERVAL.min(end.saturating_duration_since(Instant::now()))).await;
+        }
+    }
+
+    /// Polls all running fronts and records a sample of each that answers.
+    async fn poll(&mut self) -> Vec<FrontSummary> {
+        let running = self.fronts.in_state(ProcessState::Running);
+        let mut summaries = Vec::with_capacity(running.len());
+        // One after the other: a poll costs a front little, but all at once would load the machine.
+        for front in running {
+            summaries.push(FrontSummary { front, summary: self.fronts.query(front, "summary").await });
+        }
+        let at_ms = self.elapsed_ms();
+        for FrontSummary { front, summary } in &summaries {
+            let Some(summary) = summary else { continue };
+            let member_count = summary["count"].as_u64().unwrap_or(0) as usize;
+            let settled = summary["settled"] == true;
+            self.report.samples.push(Sample { at_ms, front: *front, member_count, settled });
+        }
+        summaries
+    }
+
+    /// The first front that keeps a goal from being reached; `None` where it is reached.
+    fn deviating_front(&self, goal: Goal, summaries: &[FrontSummary]) -> Option<usize> {
+        let faults = self.fronts.links.faults();
+        let side_of = |front: usize| faults.side(self.fronts.all[front].endpoint);
+        let mut sides: BTreeMap<usize, Side> = BTreeMap::new();
+        for polled in summaries {
+            sides.entry(side_of(polled.front)).or_default().fronts += 1;
+        }
+        for FrontSummary { front, summary } in summaries {
+            let (Some(summary), Some(side)) = (summary, sides.get_mut(&side_of(*front))) else {
+                return Some(*front);
+            };
+            let member_count = summary["count"].as_u64().unwrap_or(0) as usize;
+            let agrees = match goal {
+                Goal::Known => member_count <= side.fronts,
+                Goal::Even | Goal::Settled => {
+                    let digest = summary["digest"].as_str().map(str::to_string);
+                    let expected = side.digest.get_or_insert_with(|| digest.clone().unwrap_or_default());
+                    member_count == side.fronts && digest.as_ref() == Some(expected)
+                }
+            };
+            if !agrees || (goal == Goal::Settled && summary["settled"] != true) {
+                return Some(*front);
+            }
+        }
+        None
+    }
+
+    /// Waits until a goal is reached; milliseconds since the last event, or `None` where it is not reached in time.
+    pub(super) async fn wait_for(&mut self, goal: Goal, within: Duration) -> Option<f64> {
+        let since = self.last_event;
+        loop {
+            let polled_at = Instant::now();
+            let summaries = self.poll().await;
+            if self.deviating_front(goal, &summaries).is_none() {
+                return Some(polled_at.saturating_duration_since(since).as_secs_f64() * 1000.0);
+            }
+            if polled_at.saturating_duration_since(since) > within {
+                return None;
+            }
+            sleep(GOAL_POLL_INTERVAL.saturating_sub(polled_at.elapsed())).await;
+        }
+    }
+
+    /// Polls once more for the front that keeps a goal from being reached.
+    pub(super) async fn find_deviating_front(&mut self, goal: Goal) -> Option<usize> {
+        let summaries = self.poll().await;
+        self.deviating_front(goal, &summaries)
+    }
+
+    /// Collects reports of live fronts that are gone, unless a fault explains them.
+    pub(super) fn collect_false_gone_reports(&mut self) {
+        self.past_faults.retain(|past| past.until.elapsed() < CUT_REPORT_SPREAD);
+        let current = self.fronts.links.faults();
+        let is_cut = |reporter: usize, subject: usize| {
+            let cuts = |faults: &LinkFaults| {
+                faults.is_cut(reporter, subject)
+                    || faults.is_cut(subject, reporter)
+                    || faults.inbound_blocked.contains(&subject)
+            };
+            cuts(&current) || self.past_faults.iter().any(|past| cuts(&past.faults))
+        };
+        let reports = self.fronts.take_false_gone_reports(is_cut);
+        self.report.false_gone.extend(reports);
+    }
+
+    /// Measures bytes, CPU and memory of each front while nothing happens and nobody polls.
+    pub(super) async fn measure(&mut self, duration: Duration) {
+        let started = Instant::now();
+        let (bytes_before, usage_before) = (self.fronts.links.bytes_sent(), self.fronts.resource_usage());
+        sleep(duration).await;
+        let seconds = started.elapsed().as_secs_f64();
+        let (bytes_after, usage_after) = (self.fronts.links.bytes_sent(), self.fronts.resource_usage());
+        let cpu_before: BTreeMap<usize, f64> =
+            usage_before.iter().map(|usage| (usage.front, usage.cpu_seconds)).collect();
+        for usage in usage_after {
+            let endpoint = self.fronts.all[usage.front].endpoint;
+            let bytes_at = |bytes: &[u64]| bytes.get(endpoint).copied().unwrap_or(0);
+            let bytes = bytes_at(&bytes_after) - bytes_at(&bytes_before);
+            self.report.bytes_per_s.push(bytes as f64 / seconds);
+            self.report.memory_mb.push(usage.memory_mb);
+            let before = cpu_before.get(&usage.front);
+            self.report.cpu.extend(before.map(|before| (usage.cpu_seconds - before) / seconds));
+        }
+    }
+
+    /// Counts, over all running fronts, the members of their views that have ended.
+    pub(super) async fn count_stale_members(&mut self) {
+        let running = self.fronts.in_state(ProcessState::Running);
+        let live: BTreeSet<String> = running.iter().map(|i| self.fronts.all[*i].name.clone()).collect();
+        for i in running {
+            let Some(view) = self.fronts.query(i, "members").await else { continue };
+            let members = view["members"].as_array().cloned().unwrap_or_default();
+            let is_counted_on = |m: &&Value| !matches!(m["state"].as_str(), Some("gone" | "left"));
+            let is_stale = |m: &&Value| m["name"].as_str().is_some_and(|name| !live.contains(name));
+            self.report.stale_members += members.iter().filter(is_counted_on).filter(is_stale).count();
+        }
+    }
+}
--- a/crates/rig/src/shim.rs
+++ b/crates/rig/src/shim.rs
@@ -1,7 +1,7 @@
-//! Faults of the machine under a real process: system calls that fail as Linux documents, and a wall clock that is stepped.
+//! Machine faults under a real process: system calls that fail as Linux documents, and a stepped wall clock.
 //!
-//! A small library in C (`shim/faults.c`), built with the system's compiler and loaded into the process alone, reads its rates
-//! from a file that [`Faults::set`] changes while the process runs. Nothing outside that process is touched.
+//! A small library in C (`shim/faults.c`), built with the system's compiler and preloaded into the process alone, reads its
+//! rates from a file that [`Faults::set`] changes while the process runs. Nothing outside that process is affected.
 
 use std::io;
 use std::os::unix::fs::FileExt;
@@ -10,16 +10,16 @@
 
 const SOURCE: &str = include_str!("../shim/faults.c");
 
-/// The library, built for this run; its folder goes with it.
+/// The library, built for this run; dropping it removes its folder.
 pub struct Shim {
     folder: tempfile::TempDir,
 }
 
 impl Shim {
-    /// Builds it with the system's C compiler, which the Rust tool chain needs for linking anyway.
+    /// Builds the library with the system's C compiler, which the Rust tool chain needs for linking anyway.
     ///
     /// # Errors
-    /// No folder or no compiler can be had, or it refuses the source.
+    /// The folder can't be created, or there is no compiler, or it rejects the source.
     pub fn build() -> io::Result<Shim> {
         let folder = tempfile::tempdir()?;
         let source = folder.path().join("faults.c");
@@ -41,7 +41,7 @@
         self.folder.path().join("libfaults.so")
     }
 
-    /// Faults for one process, none yet. `seed` makes the draws repeatable, as far as threads come in the same order.
+    /// The faults of one process, all off. `seed` makes them repeatable, as far as threads run in the same order.
     ///
     /// # Errors
     /// The file can't be written.
@@ -53,30 +53,30 @@
     }
 }
 
-/// How many figures the library reads.
+/// How many values the library reads from the file.
 const FIELDS: usize = 7;
 
-/// What fails, and how often; the place of each in the file.
+/// A fault that can be injected; its discriminant is the index of its value in the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The wall clock is off by that many nanoseconds.
+    /// The wall clock is off by so many nanoseconds.
     WallOffsetNs = 0,
-    /// `accept` fails, so many times of a thousand.
+    /// `accept` fails; this value and all below are rates in a thousand.
     Accept = 1,
     /// `socket` and `connect` fail.
     Connect = 2,
-    /// `send` and `recv` fail for a moment, or take one byte alone.
+    /// `send` and `recv` fail with a temporary error, or transfer a single byte.
     Transfer = 3,
     /// `epoll_wait` is interrupted.
     Wait = 4,
-    /// `epoll_ctl` finds no memory.
+    /// `epoll_ctl` fails for lack of memory.
     Register = 5,
     /// Files can't be opened, written, synced or renamed.
     Disk = 6,
 }
 
 impl Fault {
-    /// All whose figure is a rate.
+    /// All faults whose value is a rate.
     pub const RATES: [Fault; 6] =
         [Fault::Accept, Fault::Connect, Fault::Transfer, Fault::Wait, Fault::Register, Fault::Disk];
 }
@@ -90,7 +90,7 @@
 }
 
 impl Faults {
-    /// What the process is to have in its environment.
+    /// The environment variables that load the library into the process.
     pub fn environment(&self) -> [(&'static str, String); 3] {
         let text = |p: &Path| p.display().to_string();
         [
@@ -100,19 +100,19 @@
         ]
     }
 
-    /// From now on that fails so often, in parts of a thousand; the wall clock is off by so many nanoseconds.
+    /// Sets a fault's value from now on: its rate in a thousand, or the wall clock's offset in nanoseconds.
     ///
     /// # Errors
     /// The file can't be written.
-    pub fn set(&self, fault: Fault, figure: i64) -> io::Result<()> {
-        self.file.write_all_at(&figure.to_ne_bytes(), fault as u64 * size_of::<i64>() as u64)
+    pub fn set(&self, fault: Fault, value: i64) -> io::Result<()> {
+        self.file.write_all_at(&value.to_ne_bytes(), fault as u64 * size_of::<i64>() as u64)
     }
 
-    /// Everything works again, and the wall clock stays as it is.
+    /// Sets every rate to 0; the wall clock stays as it is.
     ///
     /// # Errors
     /// The file can't be written.
-    pub fn calm(&self) -> io::Result<()> {
+    pub fn clear_rates(&self) -> io::Result<()> {
         Fault::RATES.iter().try_for_each(|f| self.set(*f, 0))
     }
 }
--- a/crates/rig/src/soak/peers.rs
+++ b/crates/rig/src/soak/peers.rs
@@ -2,7 +2,7 @@
 //! from these. Some messages are lost.
 
 use super::Dice;
-use crate::Ground;
+use crate::addresses::LoopbackAddresses;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,17 +18,17 @@
 /// # Errors
 /// An address can't be had.
 pub async fn start(
-    ground: &Arc<Ground>,
+    ground: &Arc<LoopbackAddresses>,
     fronts: usize,
     for_all: SocketAddr,
     seed: u64,
 ) -> std::io::Result<()> {
     let mut sockets = Vec::new();
     for i in 0..fronts {
-        sockets.push(UdpSocket::bind(ground.told(i)).await?);
+        sockets.push(UdpSocket::bind(ground.gossip_advertised(i)).await?);
     }
     let (sockets, all) = (Arc::new(sockets), UdpSocket::bind(for_all).await?);
-    let own: HashMap<SocketAddr, usize> = (0..fronts).map(|i| (ground.own(i), i)).collect();
+    let own: HashMap<SocketAddr, usize> = (0..fronts).map(|i| (ground.gossip_listen(i), i)).collect();
     let (own, dice) = (Arc::new(own), Arc::new(Dice::new(seed, 3_000)));
     for to in 0..fronts {
         let (sockets, own, ground) = (sockets.clone(), own.clone(), ground.clone());
@@ -37,7 +37,7 @@
             let mut data = [0; LONGEST];
             while let Ok((n, sender)) = sockets[to].recv_from(&mut data).await {
                 if let Some(from) = own.get(&sender).filter(|_| !dice.hits(LOST)) {
-                    let _ = sockets[*from].send_to(&data[..n], ground.own(to)).await;
+                    let _ = sockets[*from].send_to(&data[..n], ground.gossip_listen(to)).await;
                 }
             }
         });
@@ -49,7 +49,7 @@
             let Some(from) = own.get(&sender) else { continue };
             for to in (0..fronts).filter(|to| to != from) {
                 if !dice.hits(LOST) {
-                    let _ = sockets[*from].send_to(&data[..n], ground.own(to)).await;
+                    let _ = sockets[*from].send_to(&data[..n], ground.gossip_listen(to)).await;
                 }
             }
         }
--- a/crates/rig/src/soak/run.rs
+++ b/crates/rig/src/soak/run.rs
@@ -8,8 +8,8 @@
 use super::plan::{draw, Planned, Trouble};
 use super::process::Process;
 use super::{lock, peers, Dice};
+use crate::addresses::LoopbackAddresses;
 use crate::shim::{Fault, Shim};
-use crate::Ground;
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -104,7 +104,7 @@
     fronts: Vec<tokio::sync::Mutex<Process>>,
     clients: Arc<Clients>,
     purges: Mutex<Vec<(u64, Instant, u64)>>,
-    ground: Arc<Ground>,
+    ground: Arc<LoopbackAddresses>,
     for_all: SocketAddr,
     dice: Dice,
 }
@@ -156,10 +156,10 @@
         }
         let of_location = |l: usize| (0..fronts).filter(|f| f % LOCATIONS == l).count();
         c["name"] = format!("n{front}").into();
-        c["listen"] = self.ground.clients(front).to_string().into();
+        c["listen"] = self.ground.client_listen(front).to_string().into();
         c["seed"] = format!("{:016x}", self.dice.number(0..u64::MAX)).into();
-        c["peer_listen"] = self.ground.own(front).to_string().into();
-        c["peers"] = (0..fronts).map(|f| self.ground.told(f).to_string()).collect();
+        c["peer_listen"] = self.ground.gossip_listen(front).to_string().into();
+        c["peers"] = (0..fronts).map(|f| self.ground.gossip_advertised(f).to_string()).collect();
         c["peers_all"] = self.for_all.to_string().into();
         c["bus"] = self.buses[front].addresses[bus].to_string().into();
         c["known"] = json!({"offset": 1, "batch": [known]});
@@ -310,10 +310,10 @@
                     self.fronts[front].lock().await.faults.set(fault, rate)?;
                 }
                 sleep(lasts).await;
-                self.fronts[front].lock().await.faults.calm()?;
+                self.fronts[front].lock().await.faults.clear_rates()?;
             }
             Trouble::Misbehave(front, how_many) => {
-                let at = self.ground.clients(front);
+                let at = self.ground.client_listen(front);
                 self.clients.clone().misbehave(at, how_many, lasts).await;
             }
         }
@@ -344,9 +344,9 @@
         ms(&info["purge_done_ms"]),
     ));
     let (folder, shim) = (tempfile::tempdir()?, Shim::build()?);
-    let ground = Arc::new(Ground::take(options.fronts + 1)?);
+    let ground = Arc::new(LoopbackAddresses::reserve(options.fronts + 1)?);
     // One address more than there are fronts stands for all of them.
-    let for_all = ground.told(options.fronts);
+    let for_all = ground.gossip_advertised(options.fronts);
     peers::start(&ground, options.fronts, for_all, options.seed).await?;
     let places = (0..LOCATIONS * NODES_OF_LOCATION)
         .map(|n| (zone(n), "standard"))
@@ -364,7 +364,7 @@
         let own = folder.path().join(format!("n{front}"));
         std::fs::create_dir_all(&own)?;
         let faults = shim.faults(&format!("n{front}"), options.seed ^ front as u64)?;
-        let (clients, mut admin) = (ground.clients(front), ground.clients(front));
+        let (clients, mut admin) = (ground.client_listen(front), ground.client_listen(front));
         admin.set_port(admin.port() + 1);
         let at = [clients, admin];
         let mut process =
