--- a/crates/front/src/buffer.rs
+++ b/crates/front/src/buffer.rs
@@ -1,10 +1,11 @@
-//! The one buffer of a connection: bytes come in at its end and leave at its front.
+//! The one buffer of a connection: bytes come in at its end and are consumed at its front.
 
 use std::io::{self, Read};
 
-const LEAST_ROOM: usize = 4 * 1024;
-/// An emptied buffer larger than this gives its memory back: one large message must not hold it for good.
-const KEEP: usize = 64 * 1024;
+/// At least so many bytes are free before a read.
+const MIN_FREE: usize = 4 * 1024;
+/// An emptied buffer larger than this gives its memory back: one large message must not keep it for good.
+const MAX_RETAINED: usize = 64 * 1024;
 
 /// Grows as it needs and is compacted in place.
 #[derive(Default)]
@@ -20,58 +21,43 @@
         &self.bytes[self.start..self.end]
     }
 
-    /// Drops the first `n` bytes.
+    /// Drops the first `n` bytes, or all if there are fewer.
     pub fn consume(&mut self, n: usize) {
         self.start = self.start.saturating_add(n).min(self.end);
         if self.start == self.end {
             (self.start, self.end) = (0, 0);
-            if self.bytes.len() > KEEP {
+            if self.bytes.len() > MAX_RETAINED {
                 self.bytes = Vec::new();
             }
         }
     }
 
-    /// Reads once into the free end; how much came.
+    /// Reads once into the free end; how many bytes came.
+    ///
+    /// # Errors
+    /// That of the read; nothing has come.
     pub fn read_from(&mut self, from: &mut impl Read) -> io::Result<usize> {
-        self.make_room();
+        self.reserve_free();
         let n = from.read(&mut self.bytes[self.end..])?;
         self.end += n;
         Ok(n)
     }
 
-    fn make_room(&mut self) {
-        if self.bytes.len() - self.end >= LEAST_ROOM {
+    fn reserve_free(&mut self) {
+        if self.bytes.len() - self.end >= MIN_FREE {
             return;
         }
-        let held = self.end - self.start;
+        let len = self.end - self.start;
         // Moved down only where that frees at least as much as it moves: else a slow trickle would copy the
         // same bytes again and again.
-        if self.start >= held && self.bytes.len() - held >= LEAST_ROOM {
+        if self.start >= len && self.bytes.len() - len >= MIN_FREE {
             self.bytes.copy_within(self.start..self.end, 0);
-            (self.start, self.end) = (0, held);
+            (self.start, self.end) = (0, len);
         } else {
-            self.bytes.resize((self.bytes.len() * 2).max(self.end + LEAST_ROOM), 0);
+            self.bytes.resize((self.bytes.len() * 2).max(self.end + MIN_FREE), 0);
         }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn grows_compacts_and_gives_memory_back() {
-        let mut b = Buffer::default();
-        let all: Vec<u8> = (0..200_000u32).map(|i| (i % 251) as u8).collect();
-        let (mut from, mut seen) = (&all[..], Vec::new());
-        while b.read_from(&mut from).unwrap() > 0 {
-            let n = b.data().len() / 3;
-            seen.extend_from_slice(&b.data()[..n]);
-            b.consume(n);
-        }
-        seen.extend_from_slice(b.data());
-        assert_eq!(seen, all);
-        b.consume(usize::MAX);
-        assert!(b.data().is_empty() && b.bytes.len() <= KEEP);
-    }
-}
+mod tests;
--- a/crates/front/src/clients/forward.rs
+++ b/crates/front/src/clients/forward.rs
@@ -1,13 +1,13 @@
 //! A request's life: picked, tried as often as the module says, answered.
 
 use crate::call::Ask;
-use crate::connection_pool::Reply;
 use crate::dispatch_queue::{Caller, DispatchQueue};
 use crate::invariants::Invariant;
 use crate::pending_attempt::AttemptTimes;
 use crate::reason_counts::Kind;
 use crate::send_guard::SendGuard;
 use crate::shared::Shared;
+use crate::upstream::completed_attempt::Reply;
 use fernslip::facade::{AttemptResult, Decision};
 use fernslip::{Effect, Ending, Request};
 use std::sync::Arc;
@@ -100,13 +100,13 @@
                 let times = AttemptTimes { deadline, begin_by };
                 let guard = Arc::new(SendGuard::new(queue, caller, ask, &a, times, client_until));
                 let end = upstream.execute(&a, &ask.trace, ask.known.clone(), times, guard.clone());
-                if let Some(begun) = end.begun {
+                if let Some(begun) = end.first_byte_at {
                     guard.verify(&front.invariants, clock, begun, front.drain_grace_ms);
                 }
                 permit.attempt_ended(&a, end.ending);
                 may_have_run |= !end.ending.never_ran();
                 last = Some(end.ending);
-                if end.whole {
+                if end.fully_written {
                     front.metrics.sent(ask_class);
                 }
                 if end.ending == Ending::Completed {
@@ -117,7 +117,7 @@
                 tracing::debug!(
                     trace = %ask.trace, class = %ask.class, object = %ask.item, size = request_kb, n = a.number, node = %a.cache.0,
                     via = %a.source.as_ref().map_or("-", |s| &s.0), ending = ?end.ending, detail = end.detail,
-                    ms = elapsed_ms as u64, holds = end.holds, "attempt"
+                    ms = elapsed_ms as u64, holds = end.reported_in_flight, "attempt"
                 );
                 let ended = AttemptResult {
                     id: a.id,
@@ -127,7 +127,7 @@
                     elapsed_ms,
                     detail: end.detail,
                     fill_wait_ms: end.fill_wait_ms,
-                    reported_in_flight: end.holds,
+                    reported_in_flight: end.reported_in_flight,
                 };
                 decision = dispatcher.report(clock.now(), ended);
             }
--- a/crates/front/src/clients/server.rs
+++ b/crates/front/src/clients/server.rs
@@ -202,7 +202,7 @@
         {
             self.link.close(why);
         } else {
-            self.link.finish(why);
+            self.link.close_gracefully(why);
         }
     }
 
@@ -341,7 +341,7 @@
 
     /// How much of the room for answers its end would free: one that has read nothing for longest goes first.
     fn weight_of_unread(&self, now: Instant) -> Option<(bool, Duration, usize)> {
-        self.link.stuck_for(now).map(|stuck| (true, stuck, self.link.waiting()))
+        self.link.stalled_for(now).map(|stuck| (true, stuck, self.link.unwritten_bytes()))
     }
 
     /// Why it is to be closed, if it is.
@@ -358,7 +358,7 @@
             () if open.partial == 0 && over(open.idle_since, IDLE) && self.link.is_drained() => {
                 Some(Reason::Idle)
             }
-            () if self.link.stuck_for(now).is_some_and(|t| t >= UNREAD) => Some(Reason::SlowReader),
+            () if self.link.stalled_for(now).is_some_and(|t| t >= UNREAD) => Some(Reason::SlowReader),
             () => None,
         }
     }
@@ -395,7 +395,7 @@
     fn drop(&mut self) {
         let Ended { front, number, client, peer, why } = self;
         let server = &front.server;
-        client.link.end();
+        client.link.terminate();
         lock(&server.clients).remove(number);
         let (left, taken, leaving) = {
             let mut open = lock(&client.open);
@@ -594,7 +594,7 @@
         peer: SocketAddr,
     ) {
         let mut ended = Ended { front, number, client, peer, why: Reason::Defect };
-        client.link.up(Stream::Taken(stream));
+        client.link.attach(Stream::Std(stream));
         ended.why = client.link.run(|buffer| client.take(front, buffer), |why| client.stays(front, why));
     }
 
--- a/crates/front/src/control/discovery_watch.rs
+++ b/crates/front/src/control/discovery_watch.rs
@@ -224,7 +224,7 @@
             }
             (state.link, state.last_received) = (link.clone(), Some(Instant::now()));
         }
-        link.up(stream);
+        link.attach(stream);
         link.send(format!("from {}\n", history.offset()).into_bytes(), None);
         let (mut scanned, mut has_received) = (0, false);
         let receive = |buffer: &mut Buffer| {
@@ -237,7 +237,7 @@
             Ok(())
         };
         let reason = link.run(receive, |_| false);
-        link.end();
+        link.terminate();
         let mut state = lock(&self.state);
         state.last_received = None;
         // An overloaded bus may need longer for its first line: it must not be abandoned each time just before it.
@@ -254,7 +254,7 @@
             // A defect costs this connection, not the watch: without one the front would learn of no change any more.
             let ended = catch_unwind(AssertUnwindSafe(|| self.watch_once(front, addr, &mut history)));
             let reason = ended.unwrap_or_else(|_| {
-                lock(&self.state).link.end();
+                lock(&self.state).link.terminate();
                 Reason::Defect
             });
             let offset = history.offset();
--- a/crates/front/src/link/tests.rs
+++ b/crates/front/src/link/tests.rs
@@ -1,5 +1,8 @@
 use super::*;
-use std::net::{Shutdown, TcpListener};
+use may::net::TcpStream;
+use std::io::Write;
+use std::net::TcpListener;
+use std::sync::atomic::Ordering;
 
 /// Two ends of a connection: the front's, in may's hands, and the other side's.
 fn ends() -> (TcpStream, std::net::TcpStream) {
@@ -24,7 +27,7 @@
             Ok(())
         };
         let why = link.run(take, stays);
-        link.end();
+        link.terminate();
         (why, taken)
     })
 }
@@ -46,7 +49,7 @@
 
 fn upped(front: TcpStream) -> Arc<Link> {
     let link = Arc::new(Link::default());
-    link.up(front);
+    link.attach(front);
     link
 }
 
@@ -62,7 +65,7 @@
         }
         let link = upped(front);
         link.send(b"the last answer".to_vec(), None);
-        link.finish(Reason::Idle);
+        link.close_gracefully(Reason::Idle);
         let ended = run(&link, |_| false);
         if crossing == "after" {
             let mut seen = [0; 15];
@@ -91,7 +94,7 @@
         arrived(&front, 6);
         let link = upped(front);
         if graceful {
-            link.finish(Reason::Idle);
+            link.close_gracefully(Reason::Idle);
         } else {
             link.close(Reason::SlowReader);
         }
@@ -105,7 +108,7 @@
             let mut seen = [0; 10];
             other.read_exact(&mut seen).expect("the answer");
             assert_eq!(&seen, b"its answer");
-            link.finish(Reason::Shutdown);
+            link.close_gracefully(Reason::Shutdown);
             link.close(Reason::Reset); // at once goes before gracefully
         }
         if !goes_on {
@@ -131,7 +134,7 @@
     // It sends without end.
     let (front, other) = ends();
     let link = upped(front);
-    link.finish(Reason::Idle);
+    link.close_gracefully(Reason::Idle);
     let ended = run(&link, |_| false);
     let mut writes = &other;
     while writes.write_all(&[b'x'; 4096]).is_ok() {}
@@ -139,7 +142,7 @@
     // It keeps the connection open and says nothing.
     let (front, other) = ends();
     let link = upped(front);
-    link.finish(Reason::Idle);
+    link.close_gracefully(Reason::Idle);
     let ended = run(&link, |_| false);
     assert_eq!(rest(&other), (Vec::new(), None));
     let began = Instant::now();
@@ -158,7 +161,7 @@
     for read in [true, false] {
         let (front, mut other) = ends();
         let link = Arc::new(Link::counted(waiting.clone()));
-        link.up(front);
+        link.attach(front);
         let ended = run(&link, |_| false);
         // More than the sockets on the way hold.
         link.send(vec![b'x'; 32 << 20], None);
@@ -168,12 +171,12 @@
         assert!(link.retract(7) && !link.retract(7));
         assert_eq!(waiting.load(Ordering::SeqCst) % (32 << 20), held - 1000);
         assert!(link
-            .stuck_for(Instant::now() + Duration::from_secs(9))
+            .stalled_for(Instant::now() + Duration::from_secs(9))
             .is_some_and(|t| t > Duration::from_secs(8)));
         if read {
             let mut all = vec![0; 32 << 20];
             other.read_exact(&mut all).expect("all of it");
-            assert!(link.stuck_for(Instant::now()).is_none());
+            assert!(link.stalled_for(Instant::now()).is_none());
             assert_eq!(waiting.load(Ordering::SeqCst), 0, "with the last byte, not with the next answer");
         }
         let end = if read { Reason::PeerClosed } else { Reason::SlowReader };
--- a/crates/front/src/upstream/dispatch_queue.rs
+++ b/crates/front/src/upstream/dispatch_queue.rs
@@ -2,11 +2,11 @@
 //! A front without a site document has a single queue without a pool.
 
 use crate::clock::Clock;
-use crate::connection_pool::ConnectionPool;
 use crate::dispatch_host::DispatchHost;
 use crate::link::lock;
 use crate::plan::{AnswerTimeouts, Plan, PlannedMember};
 use crate::sleep;
+use crate::upstream::connection_pool::ConnectionPool;
 use arc_swap::ArcSwap;
 use fernslip::facade::{Attempt, Dispatcher};
 use fernslip::{CacheId, Ending, Entry, ListKind, RequestId, Settings, SettingsError};
--- a/crates/front/src/upstream/dispatch_queue/tests.rs
+++ b/crates/front/src/upstream/dispatch_queue/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::connection_pool::ConnectionLimits;
+use crate::upstream::connection_pool::ConnectionLimits;
 use fernslip::{Action, Event, ObjectId, Phase, Request, Router};
 
 fn base() -> (Settings, fernslip::json::Names) {
--- a/crates/front/src/upstream/send_guard.rs
+++ b/crates/front/src/upstream/send_guard.rs
@@ -3,10 +3,10 @@
 
 use crate::call::Ask;
 use crate::clock::Clock;
-use crate::dispatch_queue::{Caller, DispatchQueue};
 use crate::invariants::{Invariant, Invariants, LIMIT_SLACK_MS, SEND_AFTER_LEAVING_MS};
-use crate::pending_attempt::{AttemptTimes, Denied, PendingAttempt};
-use crate::resp;
+use crate::upstream::dispatch_queue::{Caller, DispatchQueue};
+use crate::upstream::pending_attempt::{AttemptTimes, Denied, PendingAttempt};
+use crate::upstream::resp;
 use fernslip::facade::Attempt;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -93,7 +93,7 @@
 
     fn bytes(&self, now: Instant) -> Vec<u8> {
         let left = self.times.deadline.saturating_duration_since(now);
-        resp::ask(&self.ask.trace, &fields(&self.ask, &self.attempt, left), &self.ask.body)
+        resp::request(&self.ask.trace, &fields(&self.ask, &self.attempt, left), &self.ask.body)
     }
 }
 
--- /dev/null
+++ b/crates/front/src/upstream/test_support.rs
@@ -0,0 +1,38 @@
+//! What the tests of the upstream modules share.
+
+use crate::upstream::pending_attempt::{Denied, PendingAttempt};
+use crate::upstream::resp;
+use fernslip::facade::Attempt;
+use fernslip::RequestId;
+use std::sync::Arc;
+use std::time::Instant;
+
+/// An attempt that may always begin.
+pub struct AlwaysAllowed;
+
+impl PendingAttempt for AlwaysAllowed {
+    fn check(&self, _: Instant) -> Result<(), Denied> {
+        Ok(())
+    }
+
+    fn bytes(&self, _: Instant) -> Vec<u8> {
+        resp::request("0000000000000001", "cls=x", b"")
+    }
+}
+
+/// The first attempt of the request with that id, at the node `s-1`.
+pub fn attempt(id: u64) -> Attempt {
+    Attempt {
+        id: RequestId(id),
+        number: 0,
+        cache: "s-1".into(),
+        source: None,
+        until_ms: 0.0,
+        begin_by_ms: f64::INFINITY,
+        rank: 0,
+        age_ms: 0.0,
+        join: false,
+        renew: false,
+        cancelled: Arc::default(),
+    }
+}
