--- a/crates/front/src/control/view.rs
+++ b/crates/front/src/control/view.rs
@@ -142,8 +142,8 @@
         lock(&self.view).gossips()
     }
 
-    /// The others that are counted on, as they are kept on disk.
-    pub fn fellows(&self) -> Vec<(String, fernslip_store::layers::Fellow)> {
+    /// The other members that count, as they are stored on disk.
+    pub fn peers_to_store(&self) -> Vec<(String, fernslip_store::layers::Peer)> {
         let view = lock(&self.view);
         let own = view.config().name.clone();
         let others = view.members(self.clock.now()).into_iter().map(|s| s.fact);
@@ -151,7 +151,7 @@
             .filter(|f| f.stand.counts() && f.name != own)
             .map(|f| {
                 let (addr, location, generation) = (f.addr.to_string(), f.location, f.generation);
-                (f.name, fernslip_store::layers::Fellow { addr, location, generation })
+                (f.name, fernslip_store::layers::Peer { addr, location, generation })
             })
             .collect()
     }
--- a/crates/front/src/startup.rs
+++ b/crates/front/src/startup.rs
@@ -155,7 +155,7 @@
     clock: &Clock,
     gossip: Option<&Talk>,
 ) -> Result<Arc<Fleet>, StartError> {
-    let opened = plan.store.as_deref().and_then(|file| Snapshot::open_soon(file, random_store_id()));
+    let opened = plan.store.as_deref().and_then(|file| Snapshot::open_with_timeout(file, random_store_id()));
     // Another number for each process: births and orders must differ where all else is the same.
     let seed = config.seed ^ unix_nanos() ^ u64::from(std::process::id()).rotate_left(32);
     let gossip_addr = gossip.map(|g| g.told_addr());
--- a/crates/store/src/faulty_disk.rs
+++ b/crates/store/src/faulty_disk.rs
@@ -1,5 +1,5 @@
-//! A disk in memory that does what disks do: loses what was not synced, tears writes, says synced and is not, flips bits,
-//! is full, fails to sync, stalls, and comes back as it was an hour ago. Deterministic by its seed.
+//! An in-memory disk with the faults of real ones: it loses unsynced writes, tears writes, reports syncs it did not make,
+//! flips bits, is full, fails to sync, stalls, and is restored from an earlier copy. Deterministic by its seed.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -9,25 +9,25 @@
 use std::time::Duration;
 
 /// A write may be torn at each multiple of this, in bytes.
-const SECTOR: usize = 512;
+const SECTOR_BYTES: usize = 512;
 
-/// What is wrong with it.
+/// The faults of a disk.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// It says synced and is not.
-    pub lies: bool,
-    /// From the operation of that number on (writes, syncs, changes of length), counted from 0, the machine has no power:
-    /// that one and all later ones fail, and nothing of them is on the disk.
-    pub dies_at: Option<u64>,
-    /// That sync, counted from 0, fails.
-    pub fails_sync: Option<u64>,
-    /// It holds no more bytes than this.
-    pub full_at: Option<u64>,
-    /// When power is lost, no change of length that was not synced is there; writes are, or torn, or not, as ever. A
-    /// write that is there then sets the length.
+    /// Syncs are reported as done and are not made.
+    pub ignores_syncs: bool,
+    /// Power fails before the operation of that number (writes, syncs, changes of length), counted from 0: that one and
+    /// all later ones fail, and nothing of them is on the disk.
+    pub power_fails_at: Option<u64>,
+    /// The sync of that number, counted from 0, fails.
+    pub failing_sync: Option<u64>,
+    /// Capacity in bytes.
+    pub capacity_bytes: Option<u64>,
+    /// A loss of power drops every unsynced change of length; unsynced writes survive, are torn, or are lost as
+    /// without this fault. A write that survives then sets the length.
     pub loses_lengths: bool,
-    /// Each sync takes so long.
-    pub stalls: Duration,
+    /// How long each sync takes.
+    pub sync_delay: Duration,
 }
 
 #[derive(Clone, Debug)]
@@ -38,27 +38,30 @@
 
 #[derive(Debug)]
 struct State {
-    /// What is there after a loss of power.
+    /// The contents after a loss of power that loses every unsynced operation.
     durable: Vec<u8>,
-    /// What programs see.
-    seen: Vec<u8>,
-    /// Done since the last sync that was one.
-    since: Vec<Op>,
+    /// The contents that programs see.
+    visible: Vec<u8>,
+    /// Operations since the last sync that was made.
+    unsynced: Vec<Op>,
     faults: Faults,
     ops: u64,
     syncs: u64,
     rng: ChaCha8Rng,
-    /// The program that has it open; others have lost it.
-    opened: u64,
+    /// Number of the handle that is valid; earlier ones fail.
+    current_handle: u64,
 }
 
-/// The disk, as the test holds it; programs get [`FaultyDisk::disk`].
+/// The disk, as the test controls it; programs get a [`FaultyDisk::disk`].
 #[derive(Clone, Debug)]
 pub struct FaultyDisk(Arc<Mutex<State>>);
 
-/// What a program has of it.
+/// A program's handle on the disk.
 #[derive(Debug)]
-pub struct FaultyDiskHandle(FaultyDisk, u64);
+pub struct FaultyDiskHandle {
+    disk: FaultyDisk,
+    number: u64,
+}
 
 fn apply(to: &mut Vec<u8>, op: &Op) {
     match op {
@@ -78,13 +81,13 @@
     pub fn new(seed: u64) -> FaultyDisk {
         FaultyDisk(Arc::new(Mutex::new(State {
             durable: Vec::new(),
-            seen: Vec::new(),
-            since: Vec::new(),
+            visible: Vec::new(),
+            unsynced: Vec::new(),
             faults: Faults::default(),
             ops: 0,
             syncs: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            opened: 0,
+            current_handle: 0,
         })))
     }
 
@@ -92,139 +95,139 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// For a program that starts; whoever had it before has it no more.
+    /// A handle for a program that starts; earlier handles fail from now on.
     pub fn disk(&self) -> FaultyDiskHandle {
-        let mut s = self.lock();
-        s.opened += 1;
-        FaultyDiskHandle(self.clone(), s.opened)
+        let mut state = self.lock();
+        state.current_handle += 1;
+        FaultyDiskHandle { disk: self.clone(), number: state.current_handle }
     }
 
-    /// What is wrong from now on.
-    pub fn faults(&self, faults: Faults) {
-        let mut s = self.lock();
-        (s.faults, s.syncs, s.ops) = (faults, 0, 0);
+    /// Sets the faults from now on and counts operations anew.
+    pub fn set_faults(&self, faults: Faults) {
+        let mut state = self.lock();
+        (state.faults, state.syncs, state.ops) = (faults, 0, 0);
     }
 
-    /// Operations since faults were last set.
+    /// Number of operations since faults were last set.
     pub fn ops(&self) -> u64 {
         self.lock().ops
     }
 
-    /// The machine loses power and has it again: of what was not synced each operation is there, or torn, or not.
+    /// Loses power and comes back: each unsynced operation survives, is torn, or is lost.
     pub fn power_loss(&self) {
-        let mut s = self.lock();
-        let State { durable, since, rng, faults, .. } = &mut *s;
-        for op in since.drain(..) {
+        let mut state = self.lock();
+        let State { durable, unsynced, rng, faults, .. } = &mut *state;
+        for op in unsynced.drain(..) {
             match (rng.random_range(0..3), &op) {
                 (0, _) => {}
                 (_, Op::Length(_)) if faults.loses_lengths => {}
                 (1, Op::Write(at, data)) => {
-                    let sectors = data.len().div_ceil(SECTOR);
-                    let kept = rng.random_range(0..=sectors) * SECTOR;
-                    let torn = Op::Write(*at, data[..kept.min(data.len())].to_vec());
+                    let sectors = data.len().div_ceil(SECTOR_BYTES);
+                    let survives = rng.random_range(0..=sectors) * SECTOR_BYTES;
+                    let torn = Op::Write(*at, data[..survives.min(data.len())].to_vec());
                     apply(durable, &torn);
                 }
                 _ => apply(durable, &op),
             }
         }
-        s.seen = s.durable.clone();
-        s.faults = Faults::default();
-        s.opened += 1;
+        state.visible = state.durable.clone();
+        state.faults = Faults::default();
+        state.current_handle += 1;
     }
 
-    /// The bytes that are durable now, for [`FaultyDisk::restore`].
+    /// A copy of the durable bytes, for [`FaultyDisk::restore`].
     pub fn copy(&self) -> Vec<u8> {
         self.lock().durable.clone()
     }
 
-    /// The disk is as it was then.
+    /// Restores the disk from an earlier copy.
     pub fn restore(&self, copy: Vec<u8>) {
-        let mut s = self.lock();
-        (s.seen, s.durable) = (copy.clone(), copy);
-        s.since.clear();
-        s.opened += 1;
+        let mut state = self.lock();
+        (state.visible, state.durable) = (copy.clone(), copy);
+        state.unsynced.clear();
+        state.current_handle += 1;
     }
 
-    /// Flips so many bits of what is durable, anywhere.
-    pub fn flip(&self, bits: usize) {
-        let mut s = self.lock();
-        let len = s.durable.len();
+    /// Flips that many bits anywhere in the durable bytes.
+    pub fn flip_bits(&self, bits: usize) {
+        let mut state = self.lock();
+        let len = state.durable.len();
         for _ in 0..if len > 0 { bits } else { 0 } {
-            let (at, bit) = (s.rng.random_range(0..len), s.rng.random_range(0..8));
-            s.durable[at] ^= 1 << bit;
+            let (at, bit) = (state.rng.random_range(0..len), state.rng.random_range(0..8));
+            state.durable[at] ^= 1 << bit;
         }
-        s.seen = s.durable.clone();
+        state.visible = state.durable.clone();
     }
 }
 
 impl FaultyDiskHandle {
     fn state(&self) -> io::Result<MutexGuard<'_, State>> {
-        let s = self.0.lock();
-        match s.opened == self.1 {
-            true => Ok(s),
+        let state = self.disk.lock();
+        match state.current_handle == self.number {
+            true => Ok(state),
             false => Err(io::Error::other("another program has this disk")),
         }
     }
 
-    /// Counts an operation that changes the disk, unless the power has gone.
-    fn change(&self) -> io::Result<MutexGuard<'_, State>> {
-        let mut s = self.state()?;
-        let n = s.ops;
-        if s.faults.dies_at.is_some_and(|at| n >= at) {
+    /// Counts an operation that changes the disk, unless power has failed.
+    fn count_change(&self) -> io::Result<MutexGuard<'_, State>> {
+        let mut state = self.state()?;
+        let number = state.ops;
+        if state.faults.power_fails_at.is_some_and(|at| number >= at) {
             return Err(io::Error::other("no power"));
         }
-        s.ops += 1;
-        Ok(s)
+        state.ops += 1;
+        Ok(state)
     }
 }
 
 impl StorageBackend for FaultyDiskHandle {
     fn len(&self) -> io::Result<u64> {
-        Ok(self.state()?.seen.len() as u64)
+        Ok(self.state()?.visible.len() as u64)
     }
 
     fn read(&self, offset: u64, len: usize) -> io::Result<Vec<u8>> {
-        let s = self.state()?;
+        let state = self.state()?;
         let at = offset as usize;
-        s.seen.get(at..at + len).map(<[u8]>::to_vec).ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
+        state.visible.get(at..at + len).map(<[u8]>::to_vec).ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        let mut s = self.change()?;
-        if s.faults.full_at.is_some_and(|most| len > most) {
+        let mut state = self.count_change()?;
+        if state.faults.capacity_bytes.is_some_and(|capacity| len > capacity) {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        apply(&mut s.seen, &Op::Length(len));
-        s.since.push(Op::Length(len));
+        apply(&mut state.visible, &Op::Length(len));
+        state.unsynced.push(Op::Length(len));
         Ok(())
     }
 
     fn sync_data(&self, _eventual: bool) -> io::Result<()> {
-        let stalls = self.state()?.faults.stalls;
-        if !stalls.is_zero() {
-            std::thread::sleep(stalls);
+        let delay = self.state()?.faults.sync_delay;
+        if !delay.is_zero() {
+            std::thread::sleep(delay);
         }
-        let mut s = self.change()?;
-        let n = s.syncs;
-        s.syncs += 1;
-        if s.faults.fails_sync == Some(n) {
+        let mut state = self.count_change()?;
+        let number = state.syncs;
+        state.syncs += 1;
+        if state.faults.failing_sync == Some(number) {
             return Err(io::Error::other("sync failed"));
         }
-        if !s.faults.lies {
-            let done: Vec<Op> = s.since.drain(..).collect();
-            done.iter().for_each(|op| apply(&mut s.durable, op));
+        if !state.faults.ignores_syncs {
+            let synced: Vec<Op> = state.unsynced.drain(..).collect();
+            synced.iter().for_each(|op| apply(&mut state.durable, op));
         }
         Ok(())
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        let mut s = self.change()?;
+        let mut state = self.count_change()?;
         let op = Op::Write(offset, data.to_vec());
-        if s.faults.full_at.is_some_and(|most| offset + data.len() as u64 > most) {
+        if state.faults.capacity_bytes.is_some_and(|capacity| offset + data.len() as u64 > capacity) {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        apply(&mut s.seen, &op);
-        s.since.push(op);
+        apply(&mut state.visible, &op);
+        state.unsynced.push(op);
         Ok(())
     }
 }
--- a/crates/store/src/layers.rs
+++ b/crates/store/src/layers.rs
@@ -1,17 +1,18 @@
-//! The kinds of knowledge that a front keeps, each with its format's version.
+//! The kinds of values in a store, each with the version of its format.
 
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
-/// A kind of value on disk.
+/// A kind of value in a store.
 pub trait Layer: Serialize + DeserializeOwned {
-    /// Its name on disk; no other has it, and none begins with another's and a zero.
+    /// Its name on disk. Unique, and no layer's name begins with another's followed by a zero byte.
     const NAME: &'static str;
-    /// The version that this program writes. It reads that and all before it.
+    /// The format version that this program writes; it reads this one and all earlier ones.
     const VERSION: u16;
-    /// What its values are held under.
+    /// The type of its keys.
     type Key: Serialize + DeserializeOwned;
 
-    /// Reads a value of that version, which is this program's or an earlier one's. Overridden where a format has changed.
+    /// Decodes a value of that format version, this program's or an earlier one; `None` where the bytes are none.
+    /// Overridden where a format has changed.
     fn read(_version: u16, bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
@@ -20,9 +21,9 @@
 /// How far this front has followed the event bus, and in which numbering.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Position {
-    /// Of the numbering: the Unix time in milliseconds of the first event that this front had of it.
+    /// Identifies the numbering: Unix time in milliseconds of the first event that this front received of it.
     pub epoch: u64,
-    /// The last event.
+    /// Offset of the last event.
     pub offset: u64,
     /// Unix time in milliseconds up to which all purges are known.
     pub at_unix_ms: u64,
@@ -34,76 +35,76 @@
     type Key = ();
 }
 
-/// A purge: the time of the last one, under what it named.
+/// The time of the last purge of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Purge {
     /// Unix time in milliseconds.
     pub at_unix_ms: u64,
 }
 
-/// What a purge names.
+/// The target of a purge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Purged {
+pub enum PurgeTarget {
     /// An object.
     Object(u64),
     /// A group.
     Group(u64),
-    /// All that is older: purges that were let go of for their number.
+    /// Everything: stands for older purges that were dropped to bound their number.
     All,
 }
 
 impl Layer for Purge {
     const NAME: &'static str = "purge";
     const VERSION: u16 = 1;
-    type Key = Purged;
+    type Key = PurgeTarget;
 }
 
-/// A machine that must not get anything new: it drains, has gone, or was taken out by hand.
+/// A cache node that gets no new requests: it drains, has departed, or is manually excluded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Avoided {
-    /// Taken out by hand, and put back by hand alone.
-    pub by_hand: bool,
-    /// Unix time in milliseconds at which this front was told.
+pub struct AvoidedNode {
+    /// Manually excluded, and included again only by a command.
+    pub manual: bool,
+    /// Unix time in milliseconds at which this front learnt of it.
     pub since_unix_ms: u64,
 }
 
-impl Layer for Avoided {
+impl Layer for AvoidedNode {
     const NAME: &'static str = "avoided";
     const VERSION: u16 = 1;
     type Key = String;
 }
 
-/// A front of the fleet, as last seen.
+/// A peer: another front of the fleet, as last seen.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fellow {
-    /// Where it was reached, as text.
+pub struct Peer {
+    /// The address at which it was reached, as text.
     pub addr: String,
     /// Its location.
     pub location: String,
-    /// Its start.
+    /// Its generation, which rises with each start.
     pub generation: u64,
 }
 
-impl Layer for Fellow {
+impl Layer for Peer {
     const NAME: &'static str = "fellow";
     const VERSION: u16 = 1;
     type Key = String;
 }
 
-/// A write that may have gone out and whose end is not known: not sent again under its id.
+/// A write that may have been sent and whose outcome is unknown: it is not sent again under its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OpenWrite {
-    /// Unix time in milliseconds after which its client has given up.
+pub struct InDoubtWrite {
+    /// Unix time in milliseconds after which its client has timed out.
     pub until_unix_ms: u64,
 }
 
-impl Layer for OpenWrite {
+impl Layer for InDoubtWrite {
     const NAME: &'static str = "write";
     const VERSION: u16 = 1;
     type Key = u64;
 }
 
-/// Bytes that another crate of the heart writes and reads in a format of its own, which carries its version.
+/// Bytes that another crate encodes in a format of its own, which carries its version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Raw(pub Vec<u8>);
 
--- a/crates/store/src/marks.rs
+++ b/crates/store/src/marks.rs
@@ -1,12 +1,12 @@
-//! Whether a disk is from now or from an hour ago.
+//! Whether the state on a disk is current or was restored from an earlier time.
 
 use crate::layers::Layer;
 use serde::{Deserialize, Serialize};
 
-/// How far a disk has come. Others are told, and remember it for the front.
+/// How far a disk has come; reported to other fronts, which remember it for this one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Marks {
-    /// Drawn when the disk was empty: a disk that was lost and made anew has another.
+    /// Drawn when the disk was empty: a disk that was lost and recreated has another.
     pub disk: u64,
     /// Starts of the front on this disk, this one included.
     pub boots: u64,
@@ -20,28 +20,28 @@
     type Key = ();
 }
 
-/// What a front may believe of its disk.
+/// How far a front may trust its disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trust {
-    /// As far as others remember it, or further: what it holds was true when the front last ran.
+    /// At least as far as others remember: its contents were true when the front last ran.
     Current,
-    /// The disk is empty, and nobody remembers another: there is nothing to believe.
+    /// The disk is empty, and nobody remembers another: there is nothing to trust.
     Fresh,
-    /// Others remember this disk further on: it came back from before. Nothing on it is believed.
+    /// Others remember this disk at a later state: it was restored from an earlier one. Nothing on it is trusted.
     Behind {
-        /// Commits that it lacks at the least, or starts where commits don't show it.
+        /// Least number of missing commits, or of starts where commits don't show it.
         by: u64,
     },
-    /// Others remember another disk of this front: this one is a copy, an older one, or was made anew. Nothing on it is
-    /// believed, and votes that the front gave are lost with the other.
+    /// Others remember another disk of this front: this one is a copy, an older one, or was recreated. Nothing on it is
+    /// trusted, and votes that the front gave are lost with the other.
     Other,
-    /// Nobody has told yet.
+    /// Nobody has answered yet.
     Unknown,
 }
 
 impl Marks {
     /// Compares what was found on the disk at this start with the furthest that any other remembers of this front:
-    /// `None` where nobody has told yet. One who remembers nothing of it tells `Marks::default()`.
+    /// `None` where nobody has answered yet. One who remembers nothing of it answers `Marks::default()`.
     pub fn trust(found: Option<Marks>, remembered: Option<Marks>) -> Trust {
         match (found, remembered) {
             (_, None) => Trust::Unknown,
@@ -50,15 +50,16 @@
             (Some(_), Some(m)) if m == Marks::default() => Trust::Current,
             (Some(f), Some(m)) if f.disk != m.disk => Trust::Other,
             (Some(f), Some(m)) if f.commits < m.commits => Trust::Behind { by: m.commits - f.commits },
-            // The commit counts of two lives of one disk may meet; the starts between them don't.
+            // The commit counts of two runs of one disk may be equal; the starts between them are not.
             (Some(f), Some(m)) if f.boots < m.boots => Trust::Behind { by: m.boots - f.boots },
             _ => Trust::Current,
         }
     }
 
-    /// What is remembered once the front has said `later` itself. Words may come in any order within one disk's life; of
-    /// another disk the host takes only what a later start of the front says, since old words would bring the old back.
-    pub fn further(self, later: Marks) -> Marks {
+    /// The marks to remember once the front has reported `later` itself. Reports may come in any order within one disk's
+    /// life; of another disk the host accepts only what a later start of the front reports, since a late report would
+    /// bring the old disk back.
+    pub fn merged_with(self, later: Marks) -> Marks {
         if self.disk != later.disk {
             return later;
         }
--- a/crates/store/src/marks/tests.rs
+++ b/crates/store/src/marks/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the private items of `marks`.
+//! Unit tests of a disk's marks.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_disk_is_believed_only_where_nobody_knows_better() {
+fn a_disk_is_trusted_only_where_nobody_remembers_a_later_state() {
     let table = [
         (Some(m(1, 3, 40)), None, Trust::Unknown),
         (None, None, Trust::Unknown),
@@ -23,6 +23,6 @@
     for (found, remembered, is) in table {
         assert_eq!(Marks::trust(found, remembered), is, "{found:?} {remembered:?}");
     }
-    assert_eq!(m(1, 3, 40).further(m(1, 4, 30)), m(1, 4, 40));
-    assert_eq!(m(1, 3, 40).further(m(2, 1, 1)), m(2, 1, 1));
+    assert_eq!(m(1, 3, 40).merged_with(m(1, 4, 30)), m(1, 4, 40));
+    assert_eq!(m(1, 3, 40).merged_with(m(2, 1, 1)), m(2, 1, 1));
 }
--- a/crates/store/src/ordered.rs
+++ b/crates/store/src/ordered.rs
@@ -1,13 +1,13 @@
-//! A disk on which a change of length is where writes stop being reordered.
+//! A disk on which writes are not reordered across a change of length.
 
 use redb::StorageBackend;
 use std::io;
 
 /// Makes each change of the file's length durable before anything else is written, and what came before it durable first.
 ///
-/// It guards against a loss of power that keeps a write but not the change of length before it: a part of a write past
-/// the old end then sets the length, the file ends within a page, and a store whose commits were all durable can't be
-/// opened any more. Growing and shrinking are rare, so two more syncs each are cheap.
+/// This guards against a loss of power that retains a write but not the change of length before it: part of a write past
+/// the old end then sets the length, the file ends within a page, and a store whose commits were all durable can no
+/// longer be opened. Growing and shrinking are rare, so two more syncs each are cheap.
 #[derive(Debug)]
 pub(crate) struct Ordered<B>(pub B);
 
--- a/crates/store/tests/disks.rs
+++ b/crates/store/tests/disks.rs
@@ -1,8 +1,8 @@
 //! The store over disks that lose power, tear, lie, fill up, fail to sync, flip bits and go back in time.
 
 use fernslip_store::faulty_disk::{Faults, FaultyDisk};
-use fernslip_store::layers::{Avoided, Position, Purge, Purged};
-use fernslip_store::{Change, Marks, Store, StoreError, Trust};
+use fernslip_store::layers::{AvoidedNode, Position, Purge, PurgeTarget};
+use fernslip_store::{Change, LayerContents, Marks, Store, StoreError, Trust};
 use proptest::prelude::*;
 
 /// What is on the disk after `n` commits of [`put`]: offset `n`, and purges of the objects below it.
@@ -10,22 +10,22 @@
     let position = Position { epoch: 5, offset: n, at_unix_ms: 1000 * n };
     store.commit(&[
         Change::put(&(), &position)?,
-        Change::put(&Purged::Object(n), &Purge { at_unix_ms: 1000 * n })?,
-        Change::remove::<Purge>(&Purged::Object(n.wrapping_sub(3)))?,
+        Change::put(&PurgeTarget::Object(n), &Purge { at_unix_ms: 1000 * n })?,
+        Change::remove::<Purge>(&PurgeTarget::Object(n.wrapping_sub(3)))?,
     ])
 }
 
 /// The last commit that is there; panics where it is there in part.
 fn holds(store: &Store) -> Result<u64, StoreError> {
     let at = store.get::<Position>(&())?.map_or(0, |p| p.offset);
-    let (purges, damaged) = store.all::<Purge>()?;
+    let LayerContents { entries: purges, damaged } = store.all::<Purge>()?;
     if damaged > 0 {
         return Err(StoreError::Damaged("purge", "some"));
     }
     let keys: Vec<u64> = purges
         .iter()
         .map(|(k, v)| match k {
-            Purged::Object(n) if v.at_unix_ms == 1000 * n => *n,
+            PurgeTarget::Object(n) if v.at_unix_ms == 1000 * n => *n,
             other => panic!("{other:?} {v:?}"),
         })
         .collect();
@@ -34,13 +34,13 @@
     Ok(at)
 }
 
-fn play(faulty_disk: &FaultyDisk, from: u64, most: u64) -> (u64, Option<Marks>) {
-    let (mut done, mut told) = (from, None);
+fn commit_until_failure(faulty_disk: &FaultyDisk, from: u64, most: u64) -> (u64, Option<Marks>) {
+    let (mut done, mut reported) = (from, None);
     if let Ok((mut store, _)) = Store::open(faulty_disk.disk(), 9) {
-        told = Some(store.marks());
+        reported = Some(store.marks());
         for n in from + 1..=most {
             match put(&mut store, n) {
-                Ok(marks) => (done, told) = (n, Some(marks)),
+                Ok(marks) => (done, reported) = (n, Some(marks)),
                 Err(_) => {
                     assert!(matches!(put(&mut store, n), Err(StoreError::Failed)), "after a failure nothing");
                     break;
@@ -48,25 +48,25 @@
             }
         }
     }
-    (done, told)
+    (done, reported)
 }
 
 /// Loses power at each operation, several times over with other seeds: the order in which the store writes its pages is
 /// another in each process, so one fate a place is a matter of luck.
 fn lose_power_everywhere(faults: &Faults) {
-    let whole = FaultyDisk::new(0);
-    play(&whole, 0, 6);
-    let operations = whole.ops();
+    let intact = FaultyDisk::new(0);
+    commit_until_failure(&intact, 0, 6);
+    let operations = intact.ops();
     assert!(operations > 30, "{operations}");
     for (at, seed) in (0..operations).flat_map(|at| (0..6).map(move |seed| (at, seed))) {
         let faulty_disk = FaultyDisk::new(at * 100 + seed);
-        faulty_disk.faults(Faults { dies_at: Some(at), ..faults.clone() });
-        let (done, told) = play(&faulty_disk, 0, 6);
+        faulty_disk.set_faults(Faults { power_fails_at: Some(at), ..faults.clone() });
+        let (done, reported) = commit_until_failure(&faulty_disk, 0, 6);
         faulty_disk.power_loss();
         let (store, found) = match Store::open(faulty_disk.disk(), 9) {
             Ok(opened) => opened,
             // The disk was being made: nothing was ever called durable.
-            Err(e) if told.is_none() => {
+            Err(e) if reported.is_none() => {
                 let _: StoreError = e;
                 continue;
             }
@@ -74,40 +74,40 @@
         };
         let there = holds(&store).expect("sound");
         assert!(there == done || there == done + 1, "lost power at {at}, seed {seed}: {there} of {done}");
-        // What others were told is there: the disk is believed.
-        if let Some(told) = told {
-            assert_eq!(Marks::trust(found, Some(told)), Trust::Current, "at {at}, seed {seed}");
+        // What was reported to others is there: the disk is trusted.
+        if let Some(reported) = reported {
+            assert_eq!(Marks::trust(found, Some(reported)), Trust::Current, "at {at}, seed {seed}");
         }
     }
 }
 
 #[test]
-fn power_lost_at_every_operation_leaves_a_commit_whole_or_not_at_all() {
+fn power_lost_at_every_operation_leaves_a_commit_complete_or_absent() {
     lose_power_everywhere(&Faults::default());
 }
 
 #[test]
-fn a_change_of_length_that_is_lost_alone_takes_no_commit_with_it() {
+fn a_lost_change_of_length_loses_no_commit() {
     lose_power_everywhere(&Faults { loses_lengths: true, ..Faults::default() });
 }
 
 #[test]
-fn a_disk_that_lies_or_is_from_an_hour_ago_is_found_by_what_others_remember() {
+fn a_disk_that_ignores_syncs_or_was_restored_is_detected_by_the_marks_others_remember() {
     let (mut behind, mut broken) = (0, 0);
     for seed in 0..60 {
         let faulty_disk = FaultyDisk::new(seed);
-        let (_, _) = play(&faulty_disk, 0, 3);
+        let (_, _) = commit_until_failure(&faulty_disk, 0, 3);
         let old = faulty_disk.copy();
-        faulty_disk.faults(Faults { lies: true, ..Faults::default() });
-        let (done, told) = play(&faulty_disk, 3, 9);
-        let told = told.expect("opened");
+        faulty_disk.set_faults(Faults { ignores_syncs: true, ..Faults::default() });
+        let (done, reported) = commit_until_failure(&faulty_disk, 3, 9);
+        let reported = reported.expect("opened");
         if seed % 2 == 0 {
             faulty_disk.power_loss();
         } else {
             faulty_disk.restore(old);
         }
         match Store::open(faulty_disk.disk(), 77) {
-            Ok((store, found)) => match Marks::trust(found, Some(told)) {
+            Ok((store, found)) => match Marks::trust(found, Some(reported)) {
                 Trust::Current => assert_eq!(holds(&store).expect("sound"), done, "seed {seed}"),
                 Trust::Behind { by } => {
                     assert!(by > 0);
@@ -118,20 +118,20 @@
             Err(_) => broken += 1,
         }
     }
-    assert!(behind >= 30, "{behind} behind, {broken} broken: restored copies open, and are not believed");
+    assert!(behind >= 30, "{behind} behind, {broken} broken: restored copies open, and are not trusted");
 }
 
 #[test]
-fn a_full_disk_or_a_sync_that_fails_ends_what_is_called_durable() {
+fn nothing_is_reported_durable_after_a_full_disk_or_a_failed_sync() {
     for faults in [
-        Faults { full_at: Some(0), ..Faults::default() },
-        Faults { fails_sync: Some(0), ..Faults::default() },
-        Faults { fails_sync: Some(1), ..Faults::default() },
+        Faults { capacity_bytes: Some(0), ..Faults::default() },
+        Faults { failing_sync: Some(0), ..Faults::default() },
+        Faults { failing_sync: Some(1), ..Faults::default() },
     ] {
         let faulty_disk = FaultyDisk::new(3);
         let (mut store, _) = Store::open(faulty_disk.disk(), 9).expect("a sound disk");
         put(&mut store, 1).expect("a sound disk");
-        faulty_disk.faults(faults.clone());
+        faulty_disk.set_faults(faults.clone());
         let all: Vec<_> = (2..400).map_while(|n| put(&mut store, n).ok()).collect();
         assert!(all.len() < 398, "{faults:?}");
         assert!(store.has_failed(), "{faults:?}");
@@ -145,12 +145,12 @@
 }
 
 #[test]
-fn what_a_later_program_wrote_is_refused_by_number_and_stays() {
+fn a_value_of_a_later_version_is_rejected_by_number_and_stays() {
     use fernslip_store::layers::Layer;
     #[derive(serde::Serialize, serde::Deserialize)]
     struct Newer(String);
     impl Layer for Newer {
-        const NAME: &'static str = <Avoided as Layer>::NAME;
+        const NAME: &'static str = <AvoidedNode as Layer>::NAME;
         const VERSION: u16 = 3;
         type Key = String;
     }
@@ -158,14 +158,14 @@
     let (mut store, _) = Store::open(faulty_disk.disk(), 9).expect("a sound disk");
     let change = Change::put(&"box-1".to_string(), &Newer("later".into())).expect("short");
     store.commit(&[change]).expect("a sound disk");
-    assert!(matches!(store.get::<Avoided>(&"box-1".into()), Err(StoreError::Later("avoided", 3))));
-    assert!(matches!(store.all::<Avoided>(), Err(StoreError::Later("avoided", 3))));
+    assert!(matches!(store.get::<AvoidedNode>(&"box-1".into()), Err(StoreError::LaterVersion("avoided", 3))));
+    assert!(matches!(store.all::<AvoidedNode>(), Err(StoreError::LaterVersion("avoided", 3))));
     put(&mut store, 1).expect("other layers go on");
     assert_eq!(store.get::<Newer>(&"box-1".into()).expect("sound").map(|n| n.0).as_deref(), Some("later"));
 }
 
 #[test]
-fn a_file_is_held_by_one_program_and_kept_for_the_next() {
+fn a_file_is_locked_by_one_process_and_readable_by_the_next() {
     let dir = tempfile::tempdir().expect("a folder");
     let file = dir.path().join("front.store");
     let open = || {
@@ -183,11 +183,11 @@
     put(&mut store, 1).expect("written");
     let second =
         fernslip_store::file(std::fs::File::options().read(true).write(true).open(&file).expect("it"));
-    assert!(matches!(second.err(), Some(StoreError::Held)), "two programs on one disk");
-    let told = store.marks();
+    assert!(matches!(second.err(), Some(StoreError::Locked)), "two programs on one disk");
+    let reported = store.marks();
     drop(store);
     let (store, found) = Store::open(open().expect("free"), 5).expect("opened");
-    assert_eq!((found, store.marks().boots), (Some(told), told.boots + 1));
+    assert_eq!((found, store.marks().boots), (Some(reported), reported.boots + 1));
     assert_eq!(holds(&store).expect("sound"), 1);
 }
 
@@ -198,9 +198,9 @@
     #[test]
     fn flipped_bits_never_become_knowledge(seed in any::<u64>(), bits in 1usize..400, commits in 1u64..8) {
         let faulty_disk = FaultyDisk::new(seed);
-        let (done, _) = play(&faulty_disk, 0, commits);
+        let (done, _) = commit_until_failure(&faulty_disk, 0, commits);
         prop_assert_eq!(done, commits);
-        faulty_disk.flip(bits);
+        faulty_disk.flip_bits(bits);
         if let Ok((store, _)) = Store::open(faulty_disk.disk(), 1) {
             if let Ok(there) = holds(&store) {
                 prop_assert_eq!(there, done);
--- a/crates/store/tests/stored_data.rs
+++ b/crates/store/tests/stored_data.rs
@@ -7,17 +7,17 @@
 //! a temporary example (never committed) opened `fernslip_store::file(...)` on a new, empty file with the fresh disk id
 //! [`DISK_ID`] and made two commits after the one that `Store::open` makes:
 //!
-//! 1. one change of every layer kind in `src/layers.rs`: a [`Position`]; a [`Purge`] under each kind of [`Purged`]
-//!    key (`Object`, `Group`, `All`); two [`Avoided`] cache nodes (one excluded by hand, one not); three [`Fellow`]
-//!    peers (`front-1`, `front-2`, `front-gone`); an [`OpenWrite`] under id 77; and a [`Raw`] value under
+//! 1. one change of every layer kind in `src/layers.rs`: a [`Position`]; a [`Purge`] under each kind of [`PurgeTarget`]
+//!    key (`Object`, `Group`, `All`); two [`AvoidedNode`] cache nodes (one excluded by hand, one not); three [`Peer`]
+//!    peers (`front-1`, `front-2`, `front-gone`); an [`InDoubtWrite`] under id 77; and a [`Raw`] value under
 //!    `("view", 2)`;
-//! 2. a removal of the peer `front-gone` and an [`OpenWrite`] under id 78.
+//! 2. a removal of the peer `front-gone` and an [`InDoubtWrite`] under id 78.
 //!
 //! It then dropped the store. The example printed `Marks { disk: 15593365331693, boots: 1, commits: 3 }`. To make a
 //! file for a later landing, do the same at that commit with the values below, and add a file beside this one.
 
-use fernslip_store::layers::{Avoided, Fellow, OpenWrite, Position, Purge, Purged, Raw};
-use fernslip_store::{file, Marks, Store, StoreError};
+use fernslip_store::layers::{AvoidedNode, InDoubtWrite, Peer, Position, Purge, PurgeTarget, Raw};
+use fernslip_store::{file, LayerContents, Marks, Store, StoreError};
 use std::path::PathBuf;
 
 /// The fresh disk id that the writing program gave to the empty file.
@@ -60,56 +60,59 @@
 
     assert_eq!(
         store.all::<Purge>()?,
-        (
-            vec![
-                (Purged::Object(17), Purge { at_unix_ms: 1_700_000_001_000 }),
-                (Purged::Group(9), Purge { at_unix_ms: 1_700_000_002_000 }),
-                (Purged::All, Purge { at_unix_ms: 1_699_999_000_000 }),
+        LayerContents {
+            entries: vec![
+                (PurgeTarget::Object(17), Purge { at_unix_ms: 1_700_000_001_000 }),
+                (PurgeTarget::Group(9), Purge { at_unix_ms: 1_700_000_002_000 }),
+                (PurgeTarget::All, Purge { at_unix_ms: 1_699_999_000_000 }),
             ],
-            0
-        )
+            damaged: 0,
+        }
     );
 
     assert_eq!(
-        store.all::<Avoided>()?,
-        (
-            vec![
-                ("cache-a:7070".to_string(), Avoided { by_hand: true, since_unix_ms: 1_700_000_003_000 }),
-                ("cache-b:7070".to_string(), Avoided { by_hand: false, since_unix_ms: 1_700_000_004_000 }),
+        store.all::<AvoidedNode>()?,
+        LayerContents {
+            entries: vec![
+                ("cache-a:7070".to_string(), AvoidedNode { manual: true, since_unix_ms: 1_700_000_003_000 }),
+                ("cache-b:7070".to_string(), AvoidedNode { manual: false, since_unix_ms: 1_700_000_004_000 }),
             ],
-            0
-        )
+            damaged: 0,
+        }
     );
 
     assert_eq!(
-        store.all::<Fellow>()?,
-        (
-            vec![
+        store.all::<Peer>()?,
+        LayerContents {
+            entries: vec![
                 (
                     "front-1".to_string(),
-                    Fellow { addr: "10.0.0.1:9000".into(), location: "ams".into(), generation: 3 }
+                    Peer { addr: "10.0.0.1:9000".into(), location: "ams".into(), generation: 3 }
                 ),
                 (
                     "front-2".to_string(),
-                    Fellow { addr: "10.0.0.2:9000".into(), location: "fra".into(), generation: 5 }
+                    Peer { addr: "10.0.0.2:9000".into(), location: "fra".into(), generation: 5 }
                 ),
             ],
-            0
-        )
+            damaged: 0,
+        }
     );
-    assert_eq!(store.get::<Fellow>(&"front-gone".to_string())?, None, "a removed peer stays removed");
+    assert_eq!(store.get::<Peer>(&"front-gone".to_string())?, None, "a removed peer stays removed");
 
     assert_eq!(
-        store.all::<OpenWrite>()?,
-        (
-            vec![
-                (77, OpenWrite { until_unix_ms: 1_700_000_005_000 }),
-                (78, OpenWrite { until_unix_ms: 1_700_000_006_000 }),
+        store.all::<InDoubtWrite>()?,
+        LayerContents {
+            entries: vec![
+                (77, InDoubtWrite { until_unix_ms: 1_700_000_005_000 }),
+                (78, InDoubtWrite { until_unix_ms: 1_700_000_006_000 }),
             ],
-            0
-        )
+            damaged: 0,
+        }
     );
 
-    assert_eq!(store.all::<Raw>()?, (vec![(("view".to_string(), 2), Raw(vec![0, 1, 2, 254, 255]))], 0));
+    assert_eq!(
+        store.all::<Raw>()?,
+        LayerContents { entries: vec![(("view".to_string(), 2), Raw(vec![0, 1, 2, 254, 255]))], damaged: 0 }
+    );
     Ok(())
 }
