--- a/crates/front/src/clients/server.rs
+++ b/crates/front/src/clients/server.rs
@@ -3,7 +3,7 @@
 use crate::budget::Budget;
 use crate::buffer::Buffer;
 use crate::call;
-use crate::dispatch_queue::{Caller, DispatchQueue};
+use crate::dispatch_queue::DispatchQueue;
 use crate::failure::Failure;
 use crate::forward::{self, Answer};
 use crate::invariants::Invariant;
@@ -16,6 +16,7 @@
 use crate::reason_counts::Kind;
 use crate::shared::Shared;
 use crate::spawn::spawn;
+use crate::upstream::caller::Caller;
 use fernslip::{Class, Request, RequestId};
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/front/src/dispatch_host.rs
+++ b/crates/front/src/dispatch_host.rs
@@ -1,9 +1,9 @@
 //! What the decision crate's facade reaches through its host: sockets to cache nodes, peers, gossip and the log.
 
 use crate::connection_pool::ConnectionPool;
-use crate::dispatch_queue::NodeRegistry;
 use crate::gossip::Evidence;
 use crate::peers::Peers;
+use crate::upstream::node_registry::NodeRegistry;
 use crate::upstream::waiter::BlockerWaiter;
 use fernslip::facade::{Host, Waiter};
 use fernslip::{CacheId, Effect, Entry, RequestId, Sign};
--- a/crates/front/src/main_loop.rs
+++ b/crates/front/src/main_loop.rs
@@ -152,7 +152,8 @@
             fleet.leave();
         }
         let held = front.server.held();
-        let open: usize = front.queues.all().iter().map(|q| q.dispatcher.open_requests() + q.waiting()).sum();
+        let open: usize =
+            front.queues.all().iter().map(|q| q.dispatcher.open_requests() + q.queued_requests()).sum();
         let settled = held == Held::default() && open == 0 && front.upstream.attempts_in_flight() == 0;
         front.invariants.check(Invariant::EndSettled, settled, || {
             format!("{held:?} attempts={} open={open}", front.upstream.attempts_in_flight())
--- a/crates/front/src/reconfigure.rs
+++ b/crates/front/src/reconfigure.rs
@@ -19,6 +19,7 @@
     if let Some(plan) = new.plan {
         match front.queues.apply_plan(&front.clock, &front.upstream, plan) {
             Ok(changes) => {
+                let changes = changes.map_or(String::new(), |c| c.to_string());
                 front.announce_members();
                 tracing::info!("reload: site: {changes}");
             }
--- a/crates/front/src/shared.rs
+++ b/crates/front/src/shared.rs
@@ -3,7 +3,6 @@
 use crate::clock::Clock;
 use crate::connection_pool::ConnectionPool;
 use crate::discovery_watch::DiscoveryWatch;
-use crate::dispatch_queue::DispatchQueues;
 use crate::gossip::Talk;
 use crate::invariants::Invariants;
 use crate::manual_exclusion::ManualExclusions;
@@ -11,6 +10,7 @@
 use crate::peers::Peers;
 use crate::reason_counts::ReasonCounts;
 use crate::server::Server;
+use crate::upstream::dispatch_queues::DispatchQueues;
 use crate::view::Fleet;
 use crate::wall_clock::WallClock;
 use fernslip::json::Names;
--- /dev/null
+++ b/crates/front/src/upstream/dispatch_queues.rs
@@ -0,0 +1,179 @@
+//! All dispatch queues of a front: which one a request goes to, and how many requests are open in all of them.
+//!
+//! Endpoint lists are applied in `endpoint_updates.rs`, reloaded site documents in `plan_updates.rs`. Nothing here yields.
+
+mod endpoint_updates;
+pub mod plan_updates;
+
+use crate::dispatch_host::DispatchHost;
+use crate::link::lock;
+use crate::plan::{Plan, PlannedMember};
+use crate::upstream::dispatch_queue::DispatchQueue;
+use crate::upstream::node_registry::NodeRegistry;
+use arc_swap::ArcSwap;
+use fernslip::facade::Dispatcher;
+use fernslip::{CacheId, Entry, RequestId, Settings, SettingsError};
+use fernslip_pool::{Pool, Routed, Routes};
+use std::collections::{BTreeMap, HashMap, HashSet};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+
+/// The Retry-After of a request that its pool rejected, in milliseconds, where clients heed it: as the decision module's
+/// own hints.
+const RETRY_AFTER_MS: f64 = 400.0;
+
+/// The routes and the queues that they lead to.
+struct RoutingTable {
+    routes: Routes,
+    /// The index of the queue of each pool that the routes name.
+    queue_of_pool: Vec<usize>,
+}
+
+/// All dispatch queues of a front.
+pub struct DispatchQueues {
+    queues: Vec<Arc<DispatchQueue>>,
+    routing: ArcSwap<RoutingTable>,
+    registry: Arc<NodeRegistry>,
+    /// The site document's members, where the front serves from them; `None`: members come from the event bus.
+    document_members: Option<Mutex<BTreeMap<Arc<str>, PlannedMember>>>,
+    /// What the event bus has listed, for pools.
+    listed_nodes: Mutex<HashMap<CacheId, Entry>>,
+    /// Requests open in any queue: an id may be open once.
+    open_ids: Mutex<HashSet<RequestId>>,
+    open_requests: AtomicUsize,
+    max_open_requests: usize,
+    max_pools_per_cache: u32,
+    max_retry_after_ms: f64,
+}
+
+/// A request's id, which no other open request has as long as this lives.
+pub struct RequestReservation<'q> {
+    queues: &'q DispatchQueues,
+    id: RequestId,
+}
+
+impl Drop for RequestReservation<'_> {
+    fn drop(&mut self) {
+        lock(&self.queues.open_ids).remove(&self.id);
+        self.queues.open_requests.fetch_sub(1, Ordering::Relaxed);
+    }
+}
+
+impl DispatchQueues {
+    /// The queues of a plan, or the one of a front without a plan; `host` makes the host of each.
+    ///
+    /// # Errors
+    /// The settings are not sound.
+    pub fn new(
+        base: &Settings,
+        seed: u64,
+        plan: Option<Plan>,
+        registry: Arc<NodeRegistry>,
+        host: impl Fn() -> DispatchHost,
+    ) -> Result<DispatchQueues, SettingsError> {
+        let plan = plan.unwrap_or_else(plan_without_pools);
+        let pool_count = plan.pools.len();
+        let mut queues = Vec::new();
+        for (index, (spec, answer_timeouts)) in plan.pools.into_iter().zip(plan.answers).enumerate() {
+            let settings = queue_settings(base, pool_count, index, plan.max_pools_per_cache);
+            let dispatcher = Dispatcher::new(settings, seed ^ index as u64, host())?;
+            let make_pool = |spec| match plan.from_file {
+                true => Pool::new(spec, seed),
+                false => Pool::awaiting_endpoint_list(spec, seed),
+            };
+            let queue = DispatchQueue::with_pool(spec, make_pool, answer_timeouts, dispatcher);
+            queues.push(Arc::new(queue));
+        }
+        if queues.is_empty() {
+            let dispatcher = Dispatcher::new(base.clone(), seed, host())?;
+            queues.push(Arc::new(DispatchQueue::without_pool(dispatcher)));
+        }
+        let routing = RoutingTable { routes: plan.routes, queue_of_pool: (0..pool_count).collect() };
+        Ok(DispatchQueues {
+            queues,
+            routing: ArcSwap::from_pointee(routing),
+            registry,
+            document_members: plan.from_file.then(|| Mutex::new(plan.members)),
+            listed_nodes: Mutex::default(),
+            open_ids: Mutex::default(),
+            open_requests: AtomicUsize::new(0),
+            max_open_requests: base.max_in_flight as usize,
+            max_pools_per_cache: plan.max_pools_per_cache,
+            max_retry_after_ms: base.max_retry_after_ms,
+        })
+    }
+
+    /// Every queue.
+    pub fn all(&self) -> &[Arc<DispatchQueue>] {
+        &self.queues
+    }
+
+    /// The ids of the site document's members, where the front serves from them.
+    pub fn members(&self) -> Option<Vec<CacheId>> {
+        let members = self.document_members.as_ref()?;
+        Some(lock(members).keys().map(|id| CacheId(id.clone())).collect())
+    }
+
+    /// Whether the members are the site document's.
+    pub fn members_from_file(&self) -> bool {
+        self.document_members.is_some()
+    }
+
+    /// When a rejected request may come back, in milliseconds.
+    pub fn retry_after_ms(&self) -> f64 {
+        RETRY_AFTER_MS.min(self.max_retry_after_ms)
+    }
+
+    /// The queue of a request of that class for that object; `None`: no route leads anywhere. A request of this
+    /// protocol has no host and no path: its path is `/CLASS/OBJECT`.
+    pub fn route(&self, class: &str, object: &str) -> Option<&Arc<DispatchQueue>> {
+        let routing = self.routing.load();
+        if routing.routes.is_empty() {
+            return self.queues.first();
+        }
+        match routing.routes.route("", &format!("/{class}/{object}")) {
+            Routed::Pool(pool) => routing.queue_of_pool.get(pool).and_then(|index| self.queues.get(*index)),
+            Routed::Excluded | Routed::Unrouted => None,
+        }
+    }
+
+    /// Reserves an id; `None`: it is open already, or too many requests are. One queue's module sees to both by itself.
+    pub fn reserve(&self, id: RequestId) -> Option<RequestReservation<'_>> {
+        let is_single = self.queues.len() == 1;
+        if !is_single && !lock(&self.open_ids).insert(id) {
+            return None;
+        }
+        let open_before = self.open_requests.fetch_add(1, Ordering::Relaxed);
+        let reservation = RequestReservation { queues: self, id };
+        (is_single || open_before < self.max_open_requests).then_some(reservation)
+    }
+}
+
+/// The plan of a front without a site document.
+fn plan_without_pools() -> Plan {
+    Plan {
+        from_file: false,
+        members: BTreeMap::new(),
+        pools: Vec::new(),
+        answers: Vec::new(),
+        routes: Routes::of(&fernslip_site::Site::default()),
+        max_pools_per_cache: 1,
+    }
+}
+
+/// Settings of one queue of several: a node's capacity is shared among all that send to it, so each queue counts as a
+/// front of its own.
+fn queue_settings(base: &Settings, queue_count: usize, index: usize, max_pools_per_cache: u32) -> Settings {
+    let mut settings = base.clone();
+    if queue_count > 1 {
+        settings.routers *= queue_count as u32;
+        settings.slot = settings.slot * queue_count as u32 + index as u32;
+        settings.zone_routers.iter_mut().for_each(|n| *n *= max_pools_per_cache);
+        // Peers of one front's queues can't be told apart by their address.
+        settings.peers = false;
+    }
+    settings
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/front/src/upstream/dispatch_queues/endpoint_updates.rs
@@ -0,0 +1,124 @@
+//! How endpoint lists reach the dispatch queues: parents and the origin go to every queue's decisions, cache nodes to the
+//! pools, which decide what their queue's decisions see of them.
+
+use super::DispatchQueues;
+use crate::clock::Clock;
+use crate::link::lock;
+use crate::plan::PlannedMember;
+use crate::upstream::connection_pool::ConnectionPool;
+use crate::upstream::node_registry::NodeAttributes;
+use fernslip::{CacheId, Entry, ListKind, Phase};
+use fernslip_pool::{Event, Notified};
+use fernslip_site::State;
+use std::collections::{BTreeMap, HashSet};
+use std::sync::Arc;
+
+impl DispatchQueues {
+    /// Begins to serve from the site document's members, if they are the front's: each queue's first list is complete.
+    pub fn start(&self, clock: &Clock, upstream: &ConnectionPool) {
+        let Some(members) = &self.document_members else {
+            for queue in self.queues.iter().filter(|queue| queue.has_pool()) {
+                queue.dispatcher.update_endpoints(clock.now(), ListKind::Full, Vec::new());
+            }
+            return;
+        };
+        let members = lock(members).clone();
+        self.register_members(&members);
+        for (id, member) in &members {
+            upstream.add_node(CacheId(id.clone()), member.addr, 0.0);
+            upstream.set_timeouts(&CacheId(id.clone()), member.timeouts);
+        }
+        let sources = members.iter().filter(|(_, m)| m.is_source);
+        let sources: Vec<Entry> = sources.map(|(id, m)| source_entry(id, m, 0.0)).collect();
+        for queue in &self.queues {
+            queue.dispatcher.update_endpoints(clock.now(), ListKind::Full, sources.clone());
+            queue.feed(clock, Event::Tick);
+        }
+    }
+
+    /// Replaces what the registry knows by these members.
+    pub(super) fn register_members(&self, members: &BTreeMap<Arc<str>, PlannedMember>) {
+        let attributes =
+            |m: &PlannedMember| NodeAttributes { zone: m.zone, kind: m.kind, cell: 0, link: m.link };
+        self.registry.replace(members.iter().map(|(id, m)| (id.clone(), attributes(m))));
+    }
+
+    /// Applies the event bus's complete endpoint list (`full`), or changes of it; does nothing where the members are the
+    /// site document's.
+    pub fn apply_endpoint_list(&self, clock: &Clock, full: bool, entries: Vec<Entry>) {
+        if self.members_from_file() {
+            return;
+        }
+        let kind = if full { ListKind::Full } else { ListKind::Delta };
+        if let [queue] = &self.queues[..] {
+            if !queue.has_pool() {
+                return queue.dispatcher.update_endpoints(clock.now(), kind, entries);
+            }
+        }
+        let changes = self.register_listed(full, entries);
+        self.notify_queues(clock, &changes);
+        // Departed nodes are forgotten once the queues are notified.
+        let listed = lock(&self.listed_nodes);
+        self.registry.retain(|id| listed.contains_key(&CacheId(id.clone())));
+    }
+
+    /// Records listed nodes; the changes, with those that a complete list does not name as departed.
+    fn register_listed(&self, full: bool, entries: Vec<Entry>) -> Vec<Entry> {
+        let mut changes = entries;
+        let mut listed = lock(&self.listed_nodes);
+        if full {
+            let present: HashSet<CacheId> = changes.iter().map(|e| e.cache.clone()).collect();
+            let departed = listed.values().filter(|e| !present.contains(&e.cache)).cloned();
+            let departed: Vec<Entry> = departed.map(|e| Entry { phase: Phase::Out, ..e }).collect();
+            changes.extend(departed);
+        }
+        for entry in &changes {
+            if entry.phase == Phase::Out {
+                listed.remove(&entry.cache);
+            } else {
+                listed.insert(entry.cache.clone(), entry.clone());
+            }
+        }
+        let attributes =
+            |e: &Entry| NodeAttributes { zone: e.zone, kind: e.kind, cell: e.cell, link: e.weight };
+        self.registry.extend(changes.iter().map(|e| (e.cache.0.clone(), attributes(e))));
+        changes
+    }
+
+    /// Notifies every queue: its decisions of sources, its pool of other nodes.
+    pub(super) fn notify_queues(&self, clock: &Clock, entries: &[Entry]) {
+        for queue in &self.queues {
+            let host = queue.dispatcher.host();
+            let sources: Vec<Entry> = entries.iter().filter(|e| host.is_source(e.kind)).cloned().collect();
+            if !sources.is_empty() {
+                queue.dispatcher.update_endpoints(clock.now(), ListKind::Delta, sources);
+            }
+            for entry in entries.iter().filter(|e| !host.is_source(e.kind)) {
+                let state = match entry.phase {
+                    Phase::In => Notified::Up,
+                    Phase::Draining => Notified::Draining,
+                    Phase::Out => Notified::Removed,
+                };
+                let (id, started_ms) = (entry.cache.0.clone(), entry.born_ms);
+                queue.feed(clock, Event::Notified { id, state, started_ms });
+            }
+        }
+    }
+}
+
+/// A parent or the origin of the site document as the decision module's endpoint list has it.
+pub(super) fn source_entry(id: &Arc<str>, member: &PlannedMember, started_ms: f64) -> Entry {
+    Entry {
+        cache: CacheId(id.clone()),
+        weight: member.link,
+        zone: member.zone,
+        kind: member.kind,
+        cell: 0,
+        born_ms: started_ms,
+        phase: match member.state {
+            State::Draining => Phase::Draining,
+            State::Stopped => Phase::Out,
+            _ => Phase::In,
+        },
+    }
+}
--- a/crates/front/src/upstream/dispatch_queue/tests.rs
+++ b/crates/front/src/upstream/dispatch_queues/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
-use crate::upstream::connection_pool::ConnectionLimits;
-use fernslip::{Action, Event, ObjectId, Phase, Request, Router};
+use crate::upstream::connection_pool::{ConnectionLimits, ConnectionPool};
+use fernslip::{Action, Ending, Event, ListKind, ObjectId, Phase, Request, Router};
+use std::time::Duration;
 
 fn base() -> (Settings, fernslip::json::Names) {
     let text = include_str!("../../../../../examples/config.json");
@@ -15,14 +16,14 @@
 
 /// Guards a cold parent against the queues of one front: each has a module of its own, which knows of no other.
 #[test]
-fn lanes_that_share_a_cold_parent_keep_to_its_budget_together() {
+fn queues_that_share_a_warming_up_parent_keep_to_its_budget_together() {
     let (base, _) = base();
     let base = Settings { routers: 2, ..base };
     let (queues, born) = (4, 50_000.0);
     let mut all = Vec::new();
     for front in 0..2 {
         for queue in 0..queues {
-            let set = settings(&Settings { slot: front, ..base.clone() }, queues, queue, queues as u32);
+            let set = queue_settings(&Settings { slot: front, ..base.clone() }, queues, queue, queues as u32);
             let mut r = Router::new(set, 1 + u64::from(front)).expect("sound");
             let entries = vec![
                 entry("cache-1", base.zone, Some(0), 0.0),
@@ -90,7 +91,7 @@
         connections: 4,
     };
     let registry = Arc::new(NodeRegistry::default());
-    let ways = || DispatchHost {
+    let host = || DispatchHost {
         upstream: Arc::new(ConnectionPool::new(limits, Arc::default(), Arc::default())),
         peers: None,
         registry: registry.clone(),
@@ -98,14 +99,14 @@
         evidence: Default::default(),
         sources: [None, None],
     };
-    let mut queues = DispatchQueues::new(set, 1, None, registry.clone(), ways).expect("sound");
+    let mut queues = DispatchQueues::new(set, 1, None, registry.clone(), host).expect("sound");
     queues.queues.push(queues.queues[0].clone());
     queues
 }
 
 /// Guards the front's memory: each queue's module counts its own requests only.
 #[test]
-fn open_requests_are_capped_over_all_lanes() {
+fn open_requests_are_limited_over_all_queues() {
     let queues = queues(&Settings { max_in_flight: 3, ..base().0 });
     let held: Vec<_> = (0..3).map(|n| queues.reserve(RequestId(n)).expect("room")).collect();
     assert!(queues.reserve(RequestId(9)).is_none(), "a fourth");
@@ -117,7 +118,7 @@
 
 /// Two customers' settings in one process: limits, pauses and open requests of the one are not the other's.
 #[test]
-fn lanes_of_other_settings_share_nothing() {
+fn queues_of_other_settings_share_nothing() {
     let (first, _) = base();
     let (a, b) =
         (queues(&first), queues(&Settings { max_in_flight: 1, max_retry_after_ms: 70.0, ..first.clone() }));
--- a/crates/front/src/upstream/send_guard.rs
+++ b/crates/front/src/upstream/send_guard.rs
@@ -4,7 +4,8 @@
 use crate::call::Ask;
 use crate::clock::Clock;
 use crate::invariants::{Invariant, Invariants, LIMIT_SLACK_MS, SEND_AFTER_LEAVING_MS};
-use crate::upstream::dispatch_queue::{Caller, DispatchQueue};
+use crate::upstream::caller::Caller;
+use crate::upstream::dispatch_queue::DispatchQueue;
 use crate::upstream::pending_attempt::{AttemptTimes, Denied, PendingAttempt};
 use crate::upstream::resp;
 use fernslip::facade::Attempt;
