--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -1,30 +1,30 @@
 //! A short soak with few fronts, so that the rig's own keeps working; `fernslip-rig soak` plays dozens of fronts and many seeds.
 
-use fernslip_rig::soak::run::{run, Options};
+use fernslip_rig::soak::run::{run_soak, Options};
 use std::time::Duration;
 
-fn soak(seed: u64, calm: bool) {
+fn soak(seed: u64, without_faults: bool) {
     let options = Options {
         program: env!("CARGO_BIN_EXE_fernslip").into(),
         fronts: 4,
         seed,
-        lasts: Duration::from_secs(5),
-        a_second: 8.0,
+        fault_period: Duration::from_secs(5),
+        requests_per_second: 8.0,
         logs: None,
-        calm,
+        without_faults,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
-    let report = runtime.block_on(run(&options)).expect("a run");
+    let report = runtime.block_on(run_soak(&options)).expect("a run");
     assert!(report.breaches.is_empty(), "{:#?}", report);
     assert!(report.counts.get("served").is_some_and(|n| *n > 50), "{:?}", report.counts);
 }
 
 #[test]
-fn fronts_without_trouble_break_no_rule() {
+fn fronts_without_faults_break_no_rule() {
     soak(1, true);
 }
 
 #[test]
-fn fronts_under_overlapping_troubles_break_no_rule() {
+fn fronts_under_overlapping_faults_break_no_rule() {
     soak(2, false);
 }
--- a/crates/rig/examples/plan.rs
+++ b/crates/rig/examples/plan.rs
@@ -1,14 +1,14 @@
-//! Prints the troubles that a seed draws: `cargo run --release -p fernslip-rig --example plan -- SEED SECONDS FRONTS`.
+//! Prints the faults that a seed draws: `cargo run --release -p fernslip-rig --example plan -- SEED SECONDS FRONTS`.
 
-use fernslip_rig::soak::plan::draw;
-use fernslip_rig::soak::run::{nodes, SOURCES};
+use fernslip_rig::soak::plan::draw_plan;
+use fernslip_rig::soak::run::fleet;
 use std::time::Duration;
 
 fn main() {
     let mut numbers = std::env::args().skip(1).filter_map(|a| a.parse::<u64>().ok());
     let mut next = |default| numbers.next().unwrap_or(default);
     let (seed, seconds, fronts) = (next(1), next(25), next(24));
-    for p in draw(seed, Duration::from_secs(seconds), fronts as usize, nodes(), SOURCES) {
-        println!("{:>6} ms for {:>5} ms: {:?}", p.after.as_millis(), p.lasts.as_millis(), p.what);
+    for p in draw_plan(seed, Duration::from_secs(seconds), fleet(fronts as usize)) {
+        println!("{:>6} ms for {:>5} ms: {:?}", p.after.as_millis(), p.duration.as_millis(), p.kind);
     }
 }
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -7,11 +7,12 @@
 use fernslip_rig::programs::Programs;
 use fernslip_rig::run::{run_scenario, Options, RunReport};
 use fernslip_rig::scenario::Scenario;
-use fernslip_rig::soak::run as soak;
+use fernslip_rig::soak::run::{run_soak as run_soak_seed, Options as SoakOptions};
 use fernslip_rig::{chart, pairs, suite};
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use std::time::Duration;
 use tokio::signal::unix::{signal, SignalKind};
 
 /// Exit code when something did not hold.
@@ -174,19 +175,19 @@
     let program = find_program(args.program.as_ref())?;
     let (mut runs, mut holds) = (Vec::new(), true);
     for seed in args.seeds {
-        let options = soak::Options {
+        let options = SoakOptions {
             program: program.clone(),
             fronts: args.fronts,
             seed,
-            lasts: std::time::Duration::from_secs(args.seconds),
-            a_second: args.load,
+            fault_period: Duration::from_secs(args.seconds),
+            requests_per_second: args.load,
             logs: args.logs.clone(),
-            calm: args.calm,
+            without_faults: args.calm,
         };
-        let report = soak::run(&options).await.map_err(|e| e.to_string())?;
+        let report = run_soak_seed(&options).await.map_err(|e| e.to_string())?;
         eprintln!(
             "seed {seed}: {} troubles, broken {:?}, {:?}",
-            report.troubles, report.breaches, report.counts
+            report.faults, report.breaches, report.counts
         );
         report.texts.iter().take(12).for_each(|text| eprintln!("  {text}"));
         holds &= report.breaches.is_empty();
--- a/crates/rig/src/soak/bus.rs
+++ b/crates/rig/src/soak/bus.rs
@@ -1,8 +1,10 @@
-//! The discovery bus: numbered events for each front, told over TCP; and its own troubles.
+//! The discovery bus: for each front a feed of numbered events, streamed over TCP, and the bus's own faults.
 
-use super::judge::Judge;
-use super::{lock, Dice};
+use super::checker::{RuleChecker, ASSUMED_KNOWN_AFTER};
+use super::seeded_rng::SeededRng;
+use crate::sync::lock;
 use serde_json::Value;
+use std::io;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -11,213 +13,230 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// A line comes at least so often.
+/// A line is written at least so often.
 const HEARTBEAT: Duration = Duration::from_secs(1);
-/// The end of a connection that its front has closed shows within this.
-const ON_ITS_WAY: Duration = Duration::from_millis(30);
-/// What the bus has to tell counts as told after this.
-const TOLD_ANYWAY: Duration = Duration::from_secs(7);
-/// Addresses of the bus for each front: a new configuration names another.
-pub const ADDRESSES: usize = 2;
+/// That a front has closed a connection is seen within this time.
+const CLOSE_DETECTION: Duration = Duration::from_millis(30);
+/// Addresses of the bus for each front, so that a new configuration can name another one.
+pub const ADDRESSES_PER_FRONT: usize = 2;
 
 /// How the bus behaves towards a front.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mode {
-    /// As it should.
+pub enum BusMode {
+    /// It works.
     #[default]
-    Well,
-    /// It ends connections and takes no new ones up.
+    Healthy,
+    /// It closes connections, also new ones.
     Down,
-    /// It takes connections and says nothing.
-    Mute,
-    /// It is late by so long with what it has to say, and writes it in two pieces.
-    Late(Duration),
+    /// It accepts connections and writes nothing.
+    Silent,
+    /// It writes everything so much later, in two pieces.
+    Delayed(Duration),
 }
 
-/// What a front knows once it was told an event.
+/// What an event obliges a front to once it knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
-    /// Nothing that binds it.
-    Nothing,
-    /// Nothing new may go to that node.
-    Drain(usize),
-    /// It may again.
-    Back(usize),
-    /// An object was purged.
-    Purge(u64, Instant),
+pub enum Obligation {
+    /// Nothing.
+    None,
+    /// Sends nothing new to that node.
+    Drain {
+        /// The node.
+        node: usize,
+    },
+    /// May send to that node again.
+    Restore {
+        /// The node.
+        node: usize,
+    },
+    /// Names no copy of the object from before the purge as good enough.
+    Purge {
+        /// The object.
+        object: u64,
+        /// When it was purged.
+        at: Instant,
+    },
 }
 
 struct Event {
     text: String,
-    told: Told,
-    is_told: bool,
+    obligation: Obligation,
+    /// Whether the front knows it, or has to be assumed to.
+    known: bool,
 }
 
+/// The events of a front's current process.
 #[derive(Default)]
 struct Feed {
-    /// A front that starts anew has numbers that begin anew.
+    /// Counts the processes: numbers of events begin anew with each.
     generation: u64,
     events: Vec<Event>,
 }
 
+impl Feed {
+    /// The events after the first `offset` ones, a line each.
+    fn lines_after(&self, offset: usize) -> Vec<&str> {
+        self.events.iter().skip(offset).map(|event| event.text.as_str()).collect()
+    }
+}
+
 /// The bus as one front sees it.
 pub struct Bus {
     front: usize,
     feed: Mutex<Feed>,
-    news: watch::Sender<u64>,
-    mode: watch::Sender<Mode>,
-    judge: Arc<Judge>,
-    dice: Dice,
+    /// Changes with each published event.
+    published: watch::Sender<u64>,
+    mode: watch::Sender<BusMode>,
+    checker: Arc<RuleChecker>,
+    rng: SeededRng,
     /// Where it listens.
-    pub addresses: [SocketAddr; ADDRESSES],
+    pub addresses: [SocketAddr; ADDRESSES_PER_FRONT],
 }
 
 impl Bus {
-    /// The bus of that front, from now on.
+    /// Starts the bus of a front.
     ///
     /// # Errors
-    /// No port can be had.
-    pub async fn start(front: usize, seed: u64, judge: Arc<Judge>) -> std::io::Result<Arc<Bus>> {
+    /// No port can be bound.
+    pub async fn start(front: usize, seed: u64, checker: Arc<RuleChecker>) -> io::Result<Arc<Bus>> {
         let listeners = [TcpListener::bind("127.0.0.1:0").await?, TcpListener::bind("127.0.0.1:0").await?];
         let addresses = [listeners[0].local_addr()?, listeners[1].local_addr()?];
-        let (news, mode) = (watch::Sender::new(0), watch::Sender::new(Mode::Well));
         let bus = Arc::new(Bus {
             front,
             feed: Mutex::default(),
-            news,
-            mode,
-            judge,
-            dice: Dice::new(seed, 1_000 + front as u64),
+            published: watch::Sender::new(0),
+            mode: watch::Sender::new(BusMode::Healthy),
+            checker,
+            rng: SeededRng::new(seed, 1_000 + front as u64),
             addresses,
         });
         for listener in listeners {
-            let bus = bus.clone();
+            tokio::spawn(bus.clone().accept(listener));
+        }
+        Ok(bus)
+    }
+
+    async fn accept(self: Arc<Bus>, listener: TcpListener) {
+        while let Ok((stream, _)) = listener.accept().await {
+            let bus = self.clone();
             tokio::spawn(async move {
-                while let Ok((stream, _)) = listener.accept().await {
-                    let bus = bus.clone();
-                    tokio::spawn(async move {
-                        let mut mode = bus.mode.subscribe();
-                        let down = async move { drop(mode.wait_for(|m| *m == Mode::Down).await) };
-                        // Dropped in the middle, the connection ends.
-                        tokio::select! {
-                            _ = down => {}
-                            _ = bus.tell(stream) => {}
-                        }
-                    });
+                let mut mode = bus.mode.subscribe();
+                let down = async move { drop(mode.wait_for(|m| *m == BusMode::Down).await) };
+                // The branch that loses is dropped, which closes the connection.
+                tokio::select! {
+                    _ = down => {}
+                    _ = bus.stream_events(stream) => {}
                 }
             });
         }
-        Ok(bus)
     }
 
     /// How it behaves from now on.
-    pub fn behave(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: BusMode) {
         self.mode.send_replace(mode);
     }
 
-    /// The front starts anew: its numbers begin with this event, which its configuration tells.
-    pub fn begin(&self, list: &Value) -> Value {
+    /// Begins the feed of a new process with the event that its configuration holds; that event.
+    pub fn begin_feed(&self, list: &Value) -> Value {
         let mut feed = lock(&self.feed);
         feed.generation += 1;
         let mut first = list.clone();
         first["offset"] = 1.into();
-        feed.events = vec![Event { text: first.to_string(), told: Told::Nothing, is_told: true }];
-        self.judge.started(self.front);
+        feed.events = vec![Event { text: first.to_string(), obligation: Obligation::None, known: true }];
+        self.checker.front_started(self.front);
         first
     }
 
-    /// One more event.
-    pub fn publish(self: &Arc<Bus>, mut event: Value, told: Told) {
+    /// Publishes an event.
+    pub fn publish(self: &Arc<Bus>, mut event: Value, obligation: Obligation) {
         let (generation, number) = {
             let mut feed = lock(&self.feed);
             let number = feed.events.len() + 1;
             event["offset"] = number.into();
-            feed.events.push(Event { text: event.to_string(), told, is_told: false });
+            feed.events.push(Event { text: event.to_string(), obligation, known: false });
             (feed.generation, number)
         };
-        if let Told::Purge(object, at) = told {
-            self.judge.purged(self.front, object, at, None);
+        if let Obligation::Purge { object, at } = obligation {
+            self.checker.object_purged(self.front, object, at, None);
         }
-        self.news.send_modify(|n| *n += 1);
+        self.published.send_modify(|n| *n += 1);
         let bus = self.clone();
         tokio::spawn(async move {
-            sleep(TOLD_ANYWAY).await;
-            bus.is_told(generation, number);
+            sleep(ASSUMED_KNOWN_AFTER).await;
+            bus.mark_known(generation, number);
         });
     }
 
-    /// The front has been told that event and all before it, or counts as told.
-    fn is_told(&self, generation: u64, number: usize) {
-        let news: Vec<Told> = {
+    /// The front knows the first `count` events of its feed, or has to be assumed to.
+    fn mark_known(&self, generation: u64, count: usize) {
+        let obligations: Vec<Obligation> = {
             let mut feed = lock(&self.feed);
             if feed.generation != generation {
                 return;
             }
-            let told = feed.events.iter_mut().take(number).filter(|e| !e.is_told);
-            told.map(|event| {
-                event.is_told = true;
-                event.told
+            let new = feed.events.iter_mut().take(count).filter(|event| !event.known);
+            new.map(|event| {
+                event.known = true;
+                event.obligation
             })
             .collect()
         };
         let now = Instant::now();
-        for told in news {
-            match told {
-                Told::Nothing => {}
-                Told::Drain(node) => self.judge.drains(self.front, node, Some(now)),
-                Told::Back(node) => self.judge.drains(self.front, node, None),
-                Told::Purge(object, at) => self.judge.purged(self.front, object, at, Some(now)),
+        for obligation in obligations {
+            match obligation {
+                Obligation::None => {}
+                Obligation::Drain { node } => self.checker.drain_known(self.front, node, now),
+                Obligation::Restore { node } => self.checker.restored(self.front, node),
+                Obligation::Purge { object, at } => {
+                    self.checker.object_purged(self.front, object, at, Some(now));
+                }
             }
         }
     }
 
-    /// Tells one connection all that comes after what it has.
-    async fn tell(&self, stream: TcpStream) -> std::io::Result<()> {
+    /// Serves one connection: every event after the offset that the front names, and heartbeats.
+    async fn stream_events(&self, stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let (read, mut write) = stream.into_split();
-        let (mut asked, mut read) = (String::new(), BufReader::new(read));
-        read.read_line(&mut asked).await?;
-        let from = asked.trim().strip_prefix("from ").and_then(|n| n.parse::<usize>().ok());
-        let mut next = from.ok_or_else(|| std::io::Error::other("not `from N`"))?;
-        let (mut news, mut mode) = (self.news.subscribe(), self.mode.subscribe());
-        let asked_in = lock(&self.feed).generation;
+        let (mut line, mut read) = (String::new(), BufReader::new(read));
+        read.read_line(&mut line).await?;
+        let offset = line.trim().strip_prefix("from ").and_then(|n| n.parse::<usize>().ok());
+        let mut offset = offset.ok_or_else(|| io::Error::other("not `from N`"))?;
+        let (mut published, mut mode) = (self.published.subscribe(), self.mode.subscribe());
+        let generation = lock(&self.feed).generation;
         loop {
-            let behaves = *mode.borrow_and_update();
-            if behaves == Mode::Mute {
+            let current_mode = *mode.borrow_and_update();
+            if current_mode == BusMode::Silent {
                 let _ = mode.changed().await;
                 continue;
             }
-            news.mark_unchanged();
-            let (generation, lines) = {
+            published.mark_unchanged();
+            let (feed_generation, count, text) = {
                 let feed = lock(&self.feed);
-                let lines = feed.events.iter().enumerate().skip(next).map(|(i, e)| (i + 1, e.text.clone()));
-                (feed.generation, lines.collect::<Vec<_>>())
+                let lines = feed.lines_after(offset);
+                (feed.generation, lines.len(), lines.join("\n"))
             };
-            // Its front has started anew: what is written here reaches nobody.
-            if generation != asked_in {
+            // The front has started anew: nobody reads this connection.
+            if feed_generation != generation {
                 return Ok(());
             }
-            // All at once: a bus that is late with each of many events would be late by far more than the rules allow it.
-            let (before, text) =
-                (next, lines.iter().map(|(_, line)| line.as_str()).collect::<Vec<_>>().join("\n"));
-            if let Some((last, _)) = lines.last() {
-                self.write_line(&mut write, &text, behaves).await?;
-                next = *last;
-            }
-            // What was written to a connection that its front has closed was told to nobody.
-            if next > before {
-                if timeout(ON_ITS_WAY, read.read_line(&mut asked)).await.is_ok() {
+            if count > 0 {
+                // All in one write: delayed one by one, many events would be later than the rules allow the bus to be.
+                self.write_line(&mut write, &text, current_mode).await?;
+                offset += count;
+                // What was written to a connection that the front has closed is not known to it.
+                if timeout(CLOSE_DETECTION, read.read_line(&mut line)).await.is_ok() {
                     return Ok(());
                 }
-                self.is_told(generation, next);
+                self.mark_known(generation, offset);
             }
             tokio::select! {
-                _ = news.changed() => {}
+                _ = published.changed() => {}
                 _ = mode.changed() => {}
                 _ = sleep(HEARTBEAT) => {
                     let last = lock(&self.feed).events.len();
-                    if last == next {
-                        self.write_line(&mut write, &last.to_string(), behaves).await?;
+                    if last == offset {
+                        self.write_line(&mut write, &last.to_string(), current_mode).await?;
                     }
                 }
             }
@@ -228,14 +247,14 @@
         &self,
         write: &mut (impl AsyncWriteExt + Unpin),
         line: &str,
-        mode: Mode,
-    ) -> std::io::Result<()> {
+        mode: BusMode,
+    ) -> io::Result<()> {
         let bytes = format!("{line}\n").into_bytes();
-        let Mode::Late(late) = mode else { return write.write_all(&bytes).await };
-        let cut = self.dice.number(0..bytes.len() as u64) as usize;
-        sleep(late / 2).await;
+        let BusMode::Delayed(delay) = mode else { return write.write_all(&bytes).await };
+        let cut = self.rng.number(0..bytes.len() as u64) as usize;
+        sleep(delay / 2).await;
         write.write_all(&bytes[..cut]).await?;
-        sleep(late / 2).await;
+        sleep(delay / 2).await;
         write.write_all(&bytes[cut..]).await
     }
 }
--- a/crates/rig/src/soak/clients.rs
+++ b/crates/rig/src/soak/clients.rs
@@ -1,11 +1,15 @@
-//! Clients of a front: good ones, open-loop and judged, of which some cancel, leave, rest or read slowly; and bad ones.
+//! Clients of a front: open-loop, and checked by the rules. Some cancel requests, disconnect, keep idle connections or read
+//! slowly.
 
-use super::judge::{Asked, Effect, Judge, Rule};
-use super::nodes::body;
-use super::process::Standing;
-use super::{lock, Dice};
+use super::availability::FrontAvailability;
+use super::checker::{ClientRequest, Effect, Rule, RuleChecker};
+use super::nodes::object_body;
+use super::seeded_rng::SeededRng;
+use crate::client_protocol::{encode_cancellation, Call};
+use crate::sync::lock;
 use rmpv::Value;
 use std::collections::HashMap;
+use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -13,320 +17,304 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
+use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// A call that crosses the close of a resting connection within this is asked again, once.
+/// A call that crosses the close of an idle connection within this time is no lost request: a client would send it again.
 const CROSSING: Duration = Duration::from_millis(50);
-/// Requests on a connection at once.
-const MOST_OPEN: usize = 32;
-/// Objects that are asked for; the hot ones first.
-const OBJECTS: u64 = 400;
-/// Between two tries to reach a front that takes no connection.
-const AGAIN: Duration = Duration::from_millis(50);
-/// A write's body at the most, in bytes.
-const MOST_BODY: u64 = 40_000;
+/// Requests in flight on one connection.
+pub(super) const MAX_IN_FLIGHT: usize = 32;
+/// Objects that are requested; the first ones most often.
+pub(super) const OBJECTS: u64 = 400;
+/// Wait before connecting again to a front that takes no connection.
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
+/// A connection attempt is given up after this time.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// The longest pause between two requests of a connection, in seconds.
+const MAX_GAP_SECONDS: f64 = 6.0;
+/// A connection that sends no more requests waits so long for its last answers, or idles so long.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(9);
+/// A write's body is shorter than this, in bytes.
+const MAX_BODY_LEN: u64 = 40_000;
+/// How often an answer is waited for before the connection is looked at again.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Bytes that a client reads at once, and those that a slow client reads before each pause: some 1 MB a second.
+const READ_LEN: usize = 65_536;
+const SLOW_READ_LEN: usize = 8_000;
+const SLOW_READ_PAUSE: Duration = Duration::from_millis(8);
 
-/// A class as clients know it.
+/// A request class as clients know it.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// What it allows.
+    /// How often its requests may be executed.
     pub effect: Effect,
-    /// Whether it writes.
+    /// Whether its requests write.
     pub writes: bool,
-    /// How long clients wait at the most, in milliseconds.
+    /// How long clients wait at most, in milliseconds.
     pub deadline_ms: u64,
 }
 
 /// What all clients of a run share.
 pub struct Clients {
-    classes: Vec<Class>,
-    judge: Arc<Judge>,
-    dice: Dice,
-    over: AtomicBool,
+    pub(super) classes: Vec<Class>,
+    pub(super) rng: SeededRng,
+    checker: Arc<RuleChecker>,
+    stopped: AtomicBool,
 }
 
-static TRACES: AtomicU64 = AtomicU64::new(1);
+/// The trace of the next request, over all clients.
+pub(super) static NEXT_TRACE: AtomicU64 = AtomicU64::new(1);
 
-/// Calls of one connection that wait for their answer, by number: the trace, the object, the part.
-type Open = Arc<Mutex<HashMap<u32, Call>>>;
+/// Calls of one connection that have no answer yet, by number.
+type PendingCalls = Arc<Mutex<HashMap<u32, PendingCall>>>;
 
 #[derive(Clone, Copy)]
-struct Call {
+struct PendingCall {
     trace: u64,
     object: u64,
     part: u64,
-    at: Instant,
+    sent_at: Instant,
+}
+
+/// A call as the soak's clients send it: set and size are functions of the object.
+pub(super) fn soak_call(class: &str, number: u32, trace: u64, object: u64) -> Call<'_> {
+    Call {
+        number,
+        class,
+        trace,
+        object,
+        part: 0,
+        set: object % 256,
+        size: 40,
+        patience_ms: 2_000,
+        body_len: 0,
+    }
 }
 
 impl Clients {
-    /// Of those classes.
-    pub fn new(classes: Vec<Class>, seed: u64, judge: Arc<Judge>) -> Arc<Clients> {
-        Arc::new(Clients { classes, judge, dice: Dice::new(seed, 4_000), over: AtomicBool::new(false) })
+    /// Clients that send requests of those classes.
+    pub fn new(classes: Vec<Class>, seed: u64, checker: Arc<RuleChecker>) -> Arc<Clients> {
+        let rng = SeededRng::new(seed, 4_000);
+        Arc::new(Clients { classes, rng, checker, stopped: AtomicBool::new(false) })
     }
 
-    /// No more connections are made.
-    pub fn end(&self) {
-        self.over.store(true, Ordering::Relaxed);
+    /// Makes no more connections and sends no more requests.
+    pub fn stop(&self) {
+        self.stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Keeps so many connections to a front in use, `a_second` requests on all of them together.
+    /// Keeps so many connections to a front in use, with `requests_per_second` on all of them together.
     pub fn add(
         self: &Arc<Clients>,
         front: usize,
-        at: SocketAddr,
-        standing: &Arc<Standing>,
+        address: SocketAddr,
+        availability: &Arc<FrontAvailability>,
         connections: usize,
-        a_second: f64,
+        requests_per_second: f64,
     ) {
         for _ in 0..connections {
-            let (all, standing) = (self.clone(), standing.clone());
+            let (clients, availability) = (self.clone(), availability.clone());
+            let per_connection = requests_per_second / connections as f64;
             tokio::spawn(async move {
-                while !all.over.load(Ordering::Relaxed) {
-                    if !standing.takes_clients() {
-                        sleep(AGAIN).await;
+                while !clients.stopped.load(Ordering::Relaxed) {
+                    if !availability.accepts_connections() {
+                        sleep(RECONNECT_DELAY).await;
                         continue;
                     }
-                    match timeout(Duration::from_secs(2), TcpStream::connect(at)).await {
+                    match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
                         Ok(Ok(stream)) => {
-                            all.connection(front, stream, &standing, a_second / connections as f64).await;
+                            clients.run_connection(front, stream, &availability, per_connection).await;
                         }
-                        _ => sleep(AGAIN).await,
+                        _ => sleep(RECONNECT_DELAY).await,
                     }
                 }
             });
         }
     }
 
-    async fn connection(&self, front: usize, stream: TcpStream, standing: &Arc<Standing>, a_second: f64) {
-        let _ = stream.set_nodelay(self.dice.hits(0.7));
-        let generation = standing.generation();
-        let (read, mut write) = stream.into_split();
-        let open: Open = Arc::default();
-        let slow = self.dice.hits(0.05);
-        let reader = tokio::spawn(answers(read, open.clone(), self.judge.clone(), slow));
-        let lives = Duration::from_millis(self.dice.number(200..6_000));
-        let leaves = self.dice.hits(0.1);
-        let begun = Instant::now();
+    /// Uses one connection until its time is over or it breaks.
+    async fn run_connection(
+        &self,
+        front: usize,
+        stream: TcpStream,
+        availability: &FrontAvailability,
+        requests_per_second: f64,
+    ) {
+        let _ = stream.set_nodelay(self.rng.chance(0.7));
+        let generation = availability.generation();
+        let (read, write) = stream.into_split();
+        let pending = PendingCalls::default();
+        let slow = self.rng.chance(0.05);
+        let reader = tokio::spawn(read_answers(read, pending.clone(), self.checker.clone(), slow));
+        let lifetime = Duration::from_millis(self.rng.number(200..6_000));
+        let abandons = self.rng.chance(0.1);
+        let mut connection =
+            Connection { clients: self, front, availability, generation, write, pending, reader };
+        connection.send_requests(lifetime, requests_per_second).await;
+        if abandons && !connection.reader.is_finished() {
+            connection.abandon();
+        } else {
+            connection.finish().await;
+        }
+    }
+}
+
+/// A connection in use.
+struct Connection<'a> {
+    clients: &'a Clients,
+    front: usize,
+    availability: &'a FrontAvailability,
+    /// The front's process when the connection was made.
+    generation: u64,
+    write: OwnedWriteHalf,
+    pending: PendingCalls,
+    reader: JoinHandle<()>,
+}
+
+impl Connection<'_> {
+    async fn send_requests(&mut self, lifetime: Duration, requests_per_second: f64) {
+        let rng = &self.clients.rng;
+        let started = Instant::now();
         let mut number = 0;
-        while begun.elapsed() < lives && !reader.is_finished() && !self.over.load(Ordering::Relaxed) {
-            let gap = -(1.0 - self.dice.part()).ln() / a_second;
-            sleep(Duration::from_secs_f64(gap.min(6.0))).await;
-            if lock(&open).len() >= MOST_OPEN || !standing.takes_requests(generation) {
+        while started.elapsed() < lifetime
+            && !self.reader.is_finished()
+            && !self.clients.stopped.load(Ordering::Relaxed)
+        {
+            let gap = -(1.0 - rng.fraction()).ln() / requests_per_second;
+            sleep(Duration::from_secs_f64(gap.min(MAX_GAP_SECONDS))).await;
+            if lock(&self.pending).len() >= MAX_IN_FLIGHT
+                || !self.availability.accepts_requests(self.generation)
+            {
                 continue;
             }
             number += 1;
-            if self.ask(front, number, &mut write, &open).await.is_err() {
+            if self.send_request(number).await.is_err() {
                 break;
             }
-            if self.dice.hits(0.04) {
-                sleep(Duration::from_millis(self.dice.number(0..40))).await;
-                self.cancel(number, &mut write, &open).await;
+            if rng.chance(0.04) {
+                sleep(Duration::from_millis(rng.number(0..40))).await;
+                self.cancel(number).await;
             }
         }
-        if leaves && !reader.is_finished() {
-            // Leaves with whatever it had asked.
-            reader.abort();
-            lock(&open).drain().for_each(|(_, call)| self.judge.left(call.trace));
-            return;
-        }
-        // The last answers get their time, and some stay until the front ends the connection.
-        let rests = self.dice.hits(0.3);
-        let until = Instant::now() + Duration::from_secs(9);
-        while !reader.is_finished() && Instant::now() < until && (rests || !lock(&open).is_empty()) {
-            sleep(Duration::from_millis(5)).await;
-        }
-        let ended = Instant::now();
-        let by_front = reader.is_finished();
-        reader.abort();
-        drop(write);
-        let left: Vec<Call> = lock(&open).drain().map(|(_, call)| call).collect();
-        let crossing = left.iter().all(|call| ended.saturating_duration_since(call.at) < CROSSING);
-        for call in left {
-            let excuse =
-                standing.excuse(generation, call.at).or((by_front && crossing).then_some("crossings"));
-            let why = if by_front { "connection closed without its answer" } else { "no answer" };
-            self.judge.unanswered(call.trace, excuse, why);
-        }
     }
 
-    async fn ask(
-        &self,
-        front: usize,
-        number: u32,
-        write: &mut OwnedWriteHalf,
-        open: &Open,
-    ) -> std::io::Result<()> {
-        let class = self.dice.one(&self.classes);
-        let trace = TRACES.fetch_add(1, Ordering::Relaxed);
-        let object = (self.dice.part().powi(3) * OBJECTS as f64) as u64;
-        let part = self.dice.number(0..3);
-        // Some have very little time.
-        let least = if self.dice.hits(0.05) { 1 } else { 300 };
-        let patience_ms = self.dice.number(least..class.deadline_ms);
-        let size = if class.writes { self.dice.number(0..MOST_BODY) as usize } else { 0 };
-        let bytes = call(number, &class.name, trace, object, part, patience_ms, size);
-        let asked = |at| Asked {
-            front,
-            effect: class.effect,
-            object,
-            at,
-            patience: Duration::from_millis(patience_ms),
-        };
-        // Known before its last byte is written, since it may be answered at once.
-        let at = Instant::now();
-        self.judge.asked(trace, asked(at));
-        lock(open).insert(number, Call { trace, object, part, at });
-        let written = if self.dice.hits(0.1) && bytes.len() > 1 {
-            let cut = self.dice.number(1..bytes.len() as u64) as usize;
-            write.write_all(&bytes[..cut]).await?;
-            sleep(Duration::from_millis(self.dice.number(1..60))).await;
-            write.write_all(&bytes[cut..]).await
-        } else {
-            write.write_all(&bytes).await
-        };
-        // It counts from its last byte.
-        let at = Instant::now();
-        if let Some(call) = lock(open).get_mut(&number) {
-            call.at = at;
-            self.judge.asked_at(trace, at);
+    async fn send_request(&mut self, number: u32) -> io::Result<()> {
+        let (clients, rng) = (self.clients, &self.clients.rng);
+        let class = rng.pick(&clients.classes);
+        let trace = NEXT_TRACE.fetch_add(1, Ordering::Relaxed);
+        let object = (rng.fraction().powi(3) * OBJECTS as f64) as u64;
+        let part = rng.number(0..3);
+        // Some clients have very little time.
+        let min_patience_ms = if rng.chance(0.05) { 1 } else { 300 };
+        let patience_ms = rng.number(min_patience_ms..class.deadline_ms);
+        let body_len = if class.writes { rng.number(0..MAX_BODY_LEN) as usize } else { 0 };
+        let call = Call { part, patience_ms, body_len, ..soak_call(&class.name, number, trace, object) };
+        // Registered before its last byte is written, since it may be answered at once.
+        let sent_at = Instant::now();
+        let patience = Duration::from_millis(patience_ms);
+        let request = ClientRequest { front: self.front, effect: class.effect, object, sent_at, patience };
+        clients.checker.request_sent(trace, request);
+        lock(&self.pending).insert(number, PendingCall { trace, object, part, sent_at });
+        let bytes = call.encode();
+        let remaining = self.write_first_piece(&bytes).await?;
+        let written = self.write.write_all(remaining).await;
+        // The client's patience counts from the last byte.
+        let sent_at = Instant::now();
+        if let Some(pending) = lock(&self.pending).get_mut(&number) {
+            pending.sent_at = sent_at;
+            clients.checker.request_written(trace, sent_at);
         }
         written
     }
 
-    async fn cancel(&self, number: u32, write: &mut OwnedWriteHalf, open: &Open) {
-        let gone = lock(open).remove(&number);
-        let Some(call) = gone else { return };
-        if write.write_all(&forget(number)).await.is_ok() {
-            self.judge.left(call.trace);
+    /// Writes the first piece of a tenth of all calls, and pauses; what remains to be written.
+    async fn write_first_piece<'b>(&mut self, bytes: &'b [u8]) -> io::Result<&'b [u8]> {
+        let rng = &self.clients.rng;
+        if !rng.chance(0.1) || bytes.len() < 2 {
+            return Ok(bytes);
+        }
+        let (first, remaining) = bytes.split_at(rng.number(1..bytes.len() as u64) as usize);
+        self.write.write_all(first).await?;
+        sleep(Duration::from_millis(rng.number(1..60))).await;
+        Ok(remaining)
+    }
+
+    async fn cancel(&mut self, number: u32) {
+        let removed = lock(&self.pending).remove(&number);
+        let Some(call) = removed else { return };
+        if self.write.write_all(&encode_cancellation(number)).await.is_ok() {
+            self.clients.checker.request_abandoned(call.trace);
         } else {
-            lock(open).insert(number, call);
+            lock(&self.pending).insert(number, call);
         }
     }
 
-    /// Bad clients, for a while: they connect and say nothing, half a thing, nonsense, or much that they never read.
-    pub async fn misbehave(self: Arc<Clients>, at: SocketAddr, how_many: u64, lasts: Duration) {
-        let until = Instant::now() + lasts;
-        let mut all = Vec::new();
-        for _ in 0..how_many {
-            let Ok(Ok(mut stream)) = timeout(Duration::from_secs(1), TcpStream::connect(at)).await else {
-                continue;
-            };
-            // Traces of its own for each of its calls.
-            let trace = TRACES.fetch_add(MOST_OPEN as u64, Ordering::Relaxed);
-            let class = &self.dice.one(&self.classes).name;
-            let whole = call(1, class, trace, self.dice.number(0..OBJECTS), 0, 2_000, 0);
-            let bytes = match self.dice.number(0..6) {
-                0 => Vec::new(),
-                1 => whole[..self.dice.number(1..whole.len() as u64) as usize].to_vec(),
-                2 => (0..400).map(|_| self.dice.number(0..256) as u8).collect(),
-                // A string that is longer than what comes.
-                3 => [&[0x94, 0x00, 0x01, 0xda, 0xd0, 0x00][..], &vec![b'x'; 50_000]].concat(),
-                // The same number twice.
-                4 => [&whole[..], &whole].concat(),
-                _ => (1..30).flat_map(|n| call(n, class, trace + u64::from(n), 6, 0, 2_000, 0)).collect(),
-            };
-            // Not judged: nothing is owed to them, but what they ask may come to nodes.
-            let _ = timeout(Duration::from_secs(1), stream.write_all(&bytes)).await;
-            if self.dice.hits(0.7) {
-                all.push(stream);
-            }
+    /// Disconnects without waiting for answers.
+    fn abandon(self) {
+        self.reader.abort();
+        lock(&self.pending).drain().for_each(|(_, call)| self.clients.checker.request_abandoned(call.trace));
+    }
+
+    /// Waits for the last answers, or idles until the front closes the connection, and then disconnects.
+    async fn finish(self) {
+        let Connection { clients, availability, generation, write, pending, reader, .. } = self;
+        let idles = clients.rng.chance(0.3);
+        let until = Instant::now() + IDLE_TIMEOUT;
+        while !reader.is_finished() && Instant::now() < until && (idles || !lock(&pending).is_empty()) {
+            sleep(POLL_INTERVAL).await;
+        }
+        let ended = Instant::now();
+        let closed_by_front = reader.is_finished();
+        reader.abort();
+        drop(write);
+        let unanswered: Vec<PendingCall> = lock(&pending).drain().map(|(_, call)| call).collect();
+        let crossing = closed_by_front
+            && unanswered.iter().all(|call| ended.saturating_duration_since(call.sent_at) < CROSSING);
+        let why = if closed_by_front { "connection closed without its answer" } else { "no answer" };
+        for call in unanswered {
+            let excuse = availability.excuse(generation, call.sent_at).or(crossing.then_some("crossings"));
+            clients.checker.request_unanswered(call.trace, excuse, why);
         }
-        sleep(until.saturating_duration_since(Instant::now())).await;
     }
 }
 
 /// Reads answers until the connection ends.
-async fn answers(mut read: OwnedReadHalf, open: Open, judge: Arc<Judge>, slow: bool) {
-    let (mut held, mut more) = (Vec::new(), vec![0; if slow { 8_000 } else { 65_536 }]);
-    while let Ok(n @ 1..) = read.read(&mut more).await {
-        held.extend_from_slice(&more[..n]);
+async fn read_answers(mut read: OwnedReadHalf, pending: PendingCalls, checker: Arc<RuleChecker>, slow: bool) {
+    let (mut buffer, mut chunk) = (Vec::new(), vec![0; if slow { SLOW_READ_LEN } else { READ_LEN }]);
+    while let Ok(n @ 1..) = read.read(&mut chunk).await {
+        buffer.extend_from_slice(&chunk[..n]);
         let mut used = 0;
         loop {
-            let mut rest = &held[used..];
-            let Ok(value) = rmpv::decode::read_value(&mut rest) else { break };
-            used = held.len() - rest.len();
-            answered(&value, &open, &judge);
+            let mut unread = &buffer[used..];
+            let Ok(answer) = rmpv::decode::read_value(&mut unread) else { break };
+            used = buffer.len() - unread.len();
+            check_answer(&answer, &pending, &checker);
         }
-        held.drain(..used);
+        buffer.drain(..used);
         if slow {
-            // Some 1 MB a second.
-            sleep(Duration::from_millis(8)).await;
+            sleep(SLOW_READ_PAUSE).await;
         }
     }
 }
 
-fn answered(value: &Value, open: &Open, judge: &Judge) {
-    let number = value[1].as_u64().and_then(|n| u32::try_from(n).ok());
-    let Some(call) = number.and_then(|n| lock(open).remove(&n)) else {
-        // One that was cancelled may still be answered, once.
-        judge.count("answers to what was cancelled");
+fn check_answer(answer: &Value, pending: &PendingCalls, checker: &RuleChecker) {
+    let number = answer[1].as_u64().and_then(|n| u32::try_from(n).ok());
+    let Some(call) = number.and_then(|n| lock(pending).remove(&n)) else {
+        // A request that was cancelled may still be answered, once.
+        checker.count("answers to what was cancelled");
         return;
     };
-    judge.answered(call.trace);
-    if !value[2].is_nil() {
-        judge.count(if value[2][0].as_str() == Some("Shed") { "refused" } else { "failed" });
+    checker.request_answered(call.trace);
+    let error = &answer[2];
+    if !error.is_nil() {
+        checker.count(if error[0].as_str() == Some("Shed") { "refused" } else { "failed" });
         return;
     }
-    judge.count("served");
-    let wanted = body(&format!("{:016x}", call.object), &call.part.to_string());
-    if value[3][0].as_slice() != Some(&wanted[..]) {
-        judge.breach(Rule::Foreign, format!("{:016x} got what no node made for it", call.trace));
-    }
-}
-
-fn map(fields: &[(&str, String)]) -> Value {
-    Value::Map(fields.iter().map(|(k, v)| ((*k).into(), v.as_str().into())).collect())
-}
-
-fn encode(value: &Value) -> Vec<u8> {
-    let mut bytes = Vec::new();
-    // Into memory, which does not fail.
-    let _ = rmpv::encode::write_value(&mut bytes, value);
-    bytes
-}
-
-/// The bytes of a call.
-fn call(
-    number: u32,
-    class: &str,
-    trace: u64,
-    object: u64,
-    part: u64,
-    patience_ms: u64,
-    size: usize,
-) -> Vec<u8> {
-    let fields = map(&[
-        ("trace", format!("{trace:016x}")),
-        ("patience", patience_ms.to_string()),
-        ("entity", format!("{object:016x}")),
-        ("slice", part.to_string()),
-        ("set", (object % 256).to_string()),
-        ("size", "40".into()),
-    ]);
-    let params = Value::Array(vec![fields, Value::Binary(vec![b'w'; size])]);
-    encode(&Value::Array(vec![0.into(), number.into(), class.into(), params]))
-}
-
-/// The bytes that cancel a call.
-fn forget(number: u32) -> Vec<u8> {
-    encode(&Value::Array(vec![2.into(), "forget".into(), Value::Array(vec![number.into()])]))
-}
-
-/// Whether a front says that it is well.
-///
-/// # Errors
-/// It can't be asked.
-pub async fn is_well(at: SocketAddr) -> std::io::Result<bool> {
-    let mut stream = TcpStream::connect(at).await?;
-    let call = Value::Array(vec![0.into(), 1.into(), "isWell".into(), Value::Array(vec![map(&[])])]);
-    stream.write_all(&encode(&call)).await?;
-    let mut held = Vec::new();
-    while stream.read_buf(&mut held).await? > 0 {
-        if let Ok(value) = rmpv::decode::read_value(&mut &held[..]) {
-            return Ok(value[3][0].as_bool() == Some(true));
-        }
+    checker.count("served");
+    let expected = object_body(&format!("{:016x}", call.object), &call.part.to_string());
+    if answer[3][0].as_slice() != Some(&expected[..]) {
+        checker.breach(Rule::Foreign, format!("{:016x} got what no node made for it", call.trace));
     }
-    Ok(false)
 }
--- a/crates/rig/src/soak/nodes.rs
+++ b/crates/rig/src/soak/nodes.rs
@@ -1,83 +1,101 @@
 //! Cache nodes, parents and the origin, and the network before them: each front reaches each node at an address of its own, so
-//! that every link can be stalled alone. What comes is handed to the judge before it is answered.
+//! that every link can be stalled alone. What arrives is handed to the checker before it is answered.
 
-use super::judge::Judge;
-use super::{lock, Dice};
+use super::checker::{Attempt, Rule, RuleChecker};
+use super::seeded_rng::SeededRng;
+use crate::sync::lock;
 use fernslip_front::resp;
 use std::collections::HashSet;
+use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// What was read so long after a link or a node stood still is judged by its time again.
+/// So long after a link or a node was blocked, what is read counts as read promptly again.
 const PROMPT_AFTER: Duration = Duration::from_secs(2);
-/// A second answer comes so long after the first.
-const SECOND_AFTER: Duration = Duration::from_millis(4);
+/// A duplicate answer comes so long after the first.
+const DUPLICATE_DELAY: Duration = Duration::from_millis(4);
 
 /// How a node behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mode {
+pub enum NodeMode {
     /// It serves.
     #[default]
-    Well,
-    /// It stands still: neither reads nor answers.
-    Hangs,
+    Healthy,
+    /// It neither reads nor writes.
+    Hanging,
     /// Its process is dead: connections are reset.
     Dead,
-    /// So many milliseconds more for each answer.
-    Slow(u64),
+    /// Each answer takes so much longer.
+    Slow(Duration),
     /// Half of its answers are errors.
-    Fails,
-    /// Half of its answers are that it is full.
+    Failing,
+    /// Half of its answers are that it is overloaded.
     Full,
-    /// It resets a connection under every twentieth request.
-    Resets,
-    /// Some answers come twice, some end in the middle.
-    Spoils,
+    /// It resets a connection at every twentieth request.
+    Resetting,
+    /// Some answers are sent twice, some are cut off.
+    Corrupting,
+}
+
+/// A node's location and kind, as settings and the bus name them.
+#[derive(Clone, Copy, Debug)]
+pub struct NodeRole {
+    /// Its zone.
+    pub zone: &'static str,
+    /// `standard`, `parent` or `origin`.
+    pub kind: &'static str,
 }
 
 /// One node.
 pub struct Node {
     /// Its id.
     pub id: String,
-    /// Its zone and kind, as the settings name them.
-    pub place: (&'static str, &'static str),
-    number: usize,
-    mode: watch::Sender<Mode>,
-    /// Links that stand still, by front.
-    stalled: watch::Sender<HashSet<usize>>,
-    /// Its process: another after each start.
-    process: watch::Sender<u64>,
-    still: Mutex<Option<Instant>>,
+    /// Its location and kind.
+    pub role: NodeRole,
     /// Where each front reaches it.
     pub addresses: Vec<SocketAddr>,
-    judge: Arc<Judge>,
-    dice: Dice,
+    number: usize,
+    mode: watch::Sender<NodeMode>,
+    /// The fronts whose link to this node is stalled.
+    stalled: watch::Sender<HashSet<usize>>,
+    /// Counts its processes: connections end with theirs.
+    incarnation: watch::Sender<u64>,
+    /// When the node or a link was blocked last.
+    last_blocked: Mutex<Option<Instant>>,
+    checker: Arc<RuleChecker>,
+    rng: SeededRng,
 }
 
-static CONNECTIONS: AtomicU64 = AtomicU64::new(0);
+/// The number of the next connection, over all nodes.
+static NEXT_CONNECTION: AtomicU64 = AtomicU64::new(0);
 
 struct Connection {
     number: u64,
-    open: Mutex<HashSet<u64>>,
+    /// Traces of the requests that are neither answered nor cancelled.
+    pending: Mutex<HashSet<u64>>,
 }
 
+/// Bytes to be written to a connection; none stand for its end.
+type Answers = UnboundedSender<Vec<u8>>;
+
 impl Node {
-    /// A node that so many fronts reach.
+    /// Starts a node that `fronts` fronts reach.
     ///
     /// # Errors
-    /// No port can be had.
+    /// No port can be bound.
     pub async fn start(
         number: usize,
-        place: (&'static str, &'static str),
+        role: NodeRole,
         fronts: usize,
         seed: u64,
-        judge: Arc<Judge>,
-    ) -> std::io::Result<Arc<Node>> {
+        checker: Arc<RuleChecker>,
+    ) -> io::Result<Arc<Node>> {
         let mut listeners = Vec::new();
         for _ in 0..fronts {
             listeners.push(TcpListener::bind("127.0.0.1:0").await?);
@@ -85,21 +103,21 @@
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
         let node = Arc::new(Node {
             id: format!("s-{number:04}"),
-            place,
+            role,
+            addresses,
             number,
-            mode: watch::Sender::new(Mode::Well),
+            mode: watch::Sender::new(NodeMode::Healthy),
             stalled: watch::Sender::new(HashSet::new()),
-            process: watch::Sender::new(0),
-            still: Mutex::new(None),
-            addresses,
-            judge,
-            dice: Dice::new(seed, 2_000 + number as u64),
+            incarnation: watch::Sender::new(0),
+            last_blocked: Mutex::new(None),
+            checker,
+            rng: SeededRng::new(seed, 2_000 + number as u64),
         });
         for (front, listener) in listeners.into_iter().enumerate() {
             let node = node.clone();
             tokio::spawn(async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    tokio::spawn(node.clone().connection(front, stream));
+                    tokio::spawn(node.clone().run_connection(front, stream));
                 }
             });
         }
@@ -107,55 +125,60 @@
     }
 
     /// How it behaves from now on. One that dies loses its connections.
-    pub fn behave(&self, mode: Mode) {
-        self.stood_still();
-        if mode == Mode::Dead {
-            self.process.send_modify(|p| *p += 1);
+    pub fn set_mode(&self, mode: NodeMode) {
+        self.note_blocked();
+        if mode == NodeMode::Dead {
+            self.incarnation.send_modify(|n| *n += 1);
         }
         self.mode.send_replace(mode);
     }
 
-    /// The link from a front stands still, or goes on with what was on it.
-    pub fn stall(&self, front: usize, stalls: bool) {
-        self.stood_still();
-        self.stalled.send_if_modified(|all| if stalls { all.insert(front) } else { all.remove(&front) });
+    /// Stalls the link from a front, or lets it deliver what was on it.
+    pub fn set_stalled(&self, front: usize, stalled: bool) {
+        self.note_blocked();
+        self.stalled
+            .send_if_modified(|fronts| if stalled { fronts.insert(front) } else { fronts.remove(&front) });
     }
 
-    fn stood_still(&self) {
-        *lock(&self.still) = Some(Instant::now());
+    fn note_blocked(&self) {
+        *lock(&self.last_blocked) = Some(Instant::now());
     }
 
-    async fn connection(self: Arc<Node>, front: usize, stream: TcpStream) {
+    async fn run_connection(self: Arc<Node>, front: usize, stream: TcpStream) {
         let connection = Arc::new(Connection {
-            number: CONNECTIONS.fetch_add(1, Ordering::Relaxed),
-            open: Mutex::default(),
+            number: NEXT_CONNECTION.fetch_add(1, Ordering::Relaxed),
+            pending: Mutex::default(),
         });
-        let mut process = self.process.subscribe();
-        process.mark_unchanged();
-        if *self.mode.borrow() == Mode::Dead {
+        let mut incarnation = self.incarnation.subscribe();
+        incarnation.mark_unchanged();
+        if *self.mode.borrow() == NodeMode::Dead {
             let _ = stream.set_zero_linger();
             return;
         }
         let _ = stream.set_nodelay(true);
         tokio::select! {
-            _ = process.changed() => {}
+            _ = incarnation.changed() => {}
             _ = self.serve(front, &stream, &connection) => {}
         }
         let _ = stream.set_zero_linger();
-        for trace in std::mem::take(&mut *lock(&connection.open)) {
-            self.judge.leaves(self.number, connection.number, trace);
+        for trace in std::mem::take(&mut *lock(&connection.pending)) {
+            self.checker.attempt_ended(self.attempt(&connection, trace));
         }
     }
 
-    /// Waits as long as the node or the link stands still.
-    async fn moves(&self, front: usize) {
+    fn attempt(&self, connection: &Connection, trace: u64) -> Attempt {
+        Attempt { node: self.number, connection: connection.number, trace }
+    }
+
+    /// Waits while the node hangs or the link is stalled.
+    async fn wait_until_unblocked(&self, front: usize) {
         let (mut mode, mut stalled) = (self.mode.subscribe(), self.stalled.subscribe());
-        while *mode.borrow_and_update() == Mode::Hangs || stalled.borrow_and_update().contains(&front) {
+        while *mode.borrow_and_update() == NodeMode::Hanging || stalled.borrow_and_update().contains(&front) {
             tokio::select! {
                 _ = mode.changed() => {}
                 _ = stalled.changed() => {}
             }
-            self.stood_still();
+            self.note_blocked();
         }
     }
 
@@ -164,136 +187,148 @@
         front: usize,
         stream: &TcpStream,
         connection: &Arc<Connection>,
-    ) -> std::io::Result<()> {
-        let (answers, mut ready) = tokio::sync::mpsc::unbounded_channel::<Vec<u8>>();
-        let (mut held, mut more) = (Vec::new(), vec![0; 16_384]);
+    ) -> io::Result<()> {
+        let (answers, mut ready) = unbounded_channel::<Vec<u8>>();
+        let (mut buffer, mut chunk) = (Vec::new(), vec![0; 16_384]);
         loop {
-            self.moves(front).await;
+            self.wait_until_unblocked(front).await;
             tokio::select! {
                 answer = ready.recv() => {
                     let Some(answer) = answer else { return Ok(()) };
-                    self.moves(front).await;
+                    self.wait_until_unblocked(front).await;
                     write_all(stream, &answer).await?;
-                    // Nothing to write stands for the end of the connection.
                     if answer.is_empty() {
                         return Ok(());
                     }
                 }
                 readable = stream.readable() => {
                     readable?;
-                    self.moves(front).await;
-                    match stream.try_read(&mut more) {
+                    self.wait_until_unblocked(front).await;
+                    match stream.try_read(&mut chunk) {
                         Ok(0) => return Ok(()),
-                        Ok(n) => held.extend_from_slice(&more[..n]),
-                        Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => continue,
+                        Ok(n) => buffer.extend_from_slice(&chunk[..n]),
+                        Err(e) if e.kind() == io::ErrorKind::WouldBlock => continue,
                         Err(e) => return Err(e),
                     }
                     let mut used = 0;
-                    while let Ok(Some((len, parts))) = resp::parts(&held[used..]) {
-                        let words: Vec<String> =
+                    while let Ok(Some((len, parts))) = resp::parts(&buffer[used..]) {
+                        let arguments: Vec<String> =
                             parts.iter().map(|p| String::from_utf8_lossy(p).into_owned()).collect();
                         used += len;
-                        self.take(connection, &words, &answers);
+                        self.handle_command(connection, &arguments, &answers);
                     }
-                    held.drain(..used);
+                    buffer.drain(..used);
                 }
             }
         }
     }
 
-    /// Takes one command.
-    fn take(
+    fn handle_command(
         self: &Arc<Node>,
         connection: &Arc<Connection>,
-        words: &[String],
-        answers: &tokio::sync::mpsc::UnboundedSender<Vec<u8>>,
+        arguments: &[String],
+        answers: &Answers,
     ) {
-        let trace = words.get(1).and_then(|id| u64::from_str_radix(id, 16).ok());
-        match (words.first().map(String::as_str), trace) {
+        let trace = arguments.get(1).and_then(|id| u64::from_str_radix(id, 16).ok());
+        match (arguments.first().map(String::as_str), trace) {
             (Some("QUIT"), Some(trace)) => {
-                lock(&connection.open).remove(&trace);
-                self.judge.leaves(self.number, connection.number, trace);
+                lock(&connection.pending).remove(&trace);
+                self.checker.attempt_ended(self.attempt(connection, trace));
             }
             (Some("ASK"), Some(trace)) => {
-                let fields = words.get(2).cloned().unwrap_or_default();
-                lock(&connection.open).insert(trace);
-                let prompt = lock(&self.still).is_none_or(|at| at.elapsed() > PROMPT_AFTER);
-                if self.judge.arrives(self.number, connection.number, trace, &fields, prompt).is_none() {
-                    self.judge.count("attempts of requests that are forgotten");
-                }
-                let (judge, node, number) = (self.judge.clone(), self.number, connection.number);
-                tokio::spawn(async move { judge.compare(node, number, trace).await });
-                let (node, connection, answers) = (self.clone(), connection.clone(), answers.clone());
-                tokio::spawn(async move { node.answer(&connection, trace, &fields, &answers).await });
+                let fields = arguments.get(2).cloned().unwrap_or_default();
+                self.start_attempt(connection, trace, fields, answers);
             }
-            _ => self.judge.breach(super::judge::Rule::Foreign, format!("no command: {words:?}")),
+            _ => self.checker.breach(Rule::Foreign, format!("no command: {arguments:?}")),
         }
     }
 
-    async fn answer(
-        &self,
-        connection: &Connection,
+    fn start_attempt(
+        self: &Arc<Node>,
+        connection: &Arc<Connection>,
         trace: u64,
-        fields: &str,
-        answers: &tokio::sync::mpsc::UnboundedSender<Vec<u8>>,
+        fields: String,
+        answers: &Answers,
     ) {
+        lock(&connection.pending).insert(trace);
+        let attempt = self.attempt(connection, trace);
+        let prompt = lock(&self.last_blocked).is_none_or(|at| at.elapsed() > PROMPT_AFTER);
+        if self.checker.attempt_arrived(attempt, &fields, prompt).is_none() {
+            self.checker.count("attempts of requests that are forgotten");
+        }
+        let checker = self.checker.clone();
+        tokio::spawn(async move { checker.check_concurrent_attempts(attempt).await });
+        let (node, connection, answers) = (self.clone(), connection.clone(), answers.clone());
+        tokio::spawn(async move { node.answer(&connection, trace, &fields, &answers).await });
+    }
+
+    /// Answers a request as the mode has it, unless it is cancelled meanwhile.
+    async fn answer(&self, connection: &Connection, trace: u64, fields: &str, answers: &Answers) {
         let mode = *self.mode.borrow();
-        let (luck, base) = (self.dice.part(), self.dice.number(1..25));
-        let word = match mode {
-            Mode::Fails if luck < 0.5 => "crashed",
-            Mode::Full if luck < 0.5 => "overload",
+        let (luck, base_ms) = (self.rng.fraction(), self.rng.number(1..25));
+        let status = match mode {
+            NodeMode::Failing if luck < 0.5 => "crashed",
+            NodeMode::Full if luck < 0.5 => "overload",
             _ if luck > 0.99 => "not_here",
             _ => "served",
         };
-        if matches!(word, "served" | "crashed") {
-            self.judge.runs(self.number, trace);
+        if matches!(status, "served" | "crashed") {
+            self.checker.request_executed(self.number, trace);
         }
-        let slow = if let Mode::Slow(ms) = mode { ms } else { 0 };
-        sleep(Duration::from_millis(base + slow)).await;
-        if !lock(&connection.open).remove(&trace) {
+        let extra = if let NodeMode::Slow(extra) = mode { extra } else { Duration::ZERO };
+        sleep(Duration::from_millis(base_ms) + extra).await;
+        if !lock(&connection.pending).remove(&trace) {
             return;
         }
-        let field = |name: &str| fields.split(',').filter_map(|f| f.split_once('=')).find(|f| f.0 == name);
-        let item = field("item").map_or("", |f| f.1);
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
-        let told = format!("tell=fill,tag={item},minted={unix}");
-        let id = format!("{trace:016x}");
-        let body = if word == "served" { body(item, field("chunk").map_or("", |f| f.1)) } else { Vec::new() };
-        let whole = resp::array(&[id.as_bytes(), word.as_bytes(), told.as_bytes(), &body]);
-        let ends = match mode {
-            Mode::Resets if luck < 0.05 => Some(Vec::new()),
-            Mode::Spoils if luck < 0.05 => Some(whole[..whole.len() / 2].to_vec()),
+        let answer = encode_answer(trace, status, fields);
+        let truncated = match mode {
+            NodeMode::Resetting if luck < 0.05 => Some(Vec::new()),
+            NodeMode::Corrupting if luck < 0.05 => Some(answer[..answer.len() / 2].to_vec()),
             _ => None,
         };
-        if let Some(part) = ends {
+        if let Some(part) = truncated {
             let _ = answers.send(part);
             let _ = answers.send(Vec::new());
             return;
         }
-        let twice = mode == Mode::Spoils && luck < 0.1;
-        let _ = answers.send(whole.clone());
-        self.judge.leaves(self.number, connection.number, trace);
-        if twice {
-            sleep(SECOND_AFTER).await;
-            let _ = answers.send(whole);
+        let duplicate = mode == NodeMode::Corrupting && luck < 0.1;
+        let _ = answers.send(answer.clone());
+        self.checker.attempt_ended(self.attempt(connection, trace));
+        if duplicate {
+            sleep(DUPLICATE_DELAY).await;
+            let _ = answers.send(answer);
         }
     }
 }
 
-/// The bytes of a part of an object: what a client that asked for it must get.
-pub fn body(item: &str, chunk: &str) -> Vec<u8> {
-    let head = format!("{item}/{chunk}/");
-    // From some hundred bytes to far more than a socket holds at once.
-    let size = u64::from_str_radix(item, 16).unwrap_or(0) % 7;
-    head.repeat(1 << (3 + 2 * size)).into_bytes()
+/// The bytes of an answer; only one that is `served` has a body.
+fn encode_answer(trace: u64, status: &str, fields: &str) -> Vec<u8> {
+    let field = |name: &str| {
+        let mut all = fields.split(',').filter_map(|f| f.split_once('='));
+        all.find(|f| f.0 == name).map_or("", |f| f.1)
+    };
+    let object = field("item");
+    let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
+    let id = format!("{trace:016x}");
+    let report = format!("tell=fill,tag={object},minted={now_ms}");
+    let body = if status == "served" { object_body(object, field("chunk")) } else { Vec::new() };
+    resp::array(&[id.as_bytes(), status.as_bytes(), report.as_bytes(), &body])
+}
+
+/// The bytes of a part of an object, which a client that requested it must receive: from some hundred bytes to far more
+/// than a socket buffers.
+pub fn object_body(object: &str, part: &str) -> Vec<u8> {
+    let unit = format!("{object}/{part}/");
+    let size_class = u64::from_str_radix(object, 16).unwrap_or(0) % 7;
+    unit.repeat(1 << (3 + 2 * size_class)).into_bytes()
 }
 
-async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> std::io::Result<()> {
+async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         stream.writable().await?;
         match stream.try_write(bytes) {
             Ok(n) => bytes = &bytes[n..],
-            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
             Err(e) => return Err(e),
         }
     }
