--- a/crates/front/examples/ask.rs
+++ b/crates/front/examples/request.rs
@@ -1,4 +1,4 @@
-//! Asks the front of `examples/config.json` for an object, as a client does: `ask OBJECT`.
+//! Requests an object from the front of `examples/config.json`, as a client does: `request OBJECT`.
 
 use rmpv::Value;
 use std::net::TcpStream;
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -109,16 +109,16 @@
     }
 
     /// Ends the connection at once, for that reason.
-    pub fn close(&self, why: Reason) {
-        lock(&self.queue).request_close(Close { why, graceful: false });
+    pub fn close(&self, reason: Reason) {
+        lock(&self.queue).request_close(Close { reason, graceful: false });
         self.wake();
     }
 
     /// Ends the connection gracefully: what is owed goes out, however long the other side takes, and what comes meanwhile is
     /// taken; then the sending half is shut, and the remainder is read and dropped within a bound. Guards the last answer: a
     /// close over unread bytes resets the connection, and what the other side has not read yet is lost with it.
-    pub fn close_gracefully(&self, why: Reason) {
-        lock(&self.queue).request_close(Close { why, graceful: true });
+    pub fn close_gracefully(&self, reason: Reason) {
+        lock(&self.queue).request_close(Close { reason, graceful: true });
         self.wake();
     }
 
@@ -183,13 +183,13 @@
         }
     }
 
-    /// Reads and writes until the connection ends; `take` is given the buffer whenever something came, and consumes
-    /// what it can. Before a graceful close, and after all that had come by then, `stays` is asked whether there is
+    /// Reads and writes until the connection ends; `receive` is given the buffer whenever something came, and
+    /// consumes what it can. Before a graceful close, and after all that had come by then, `keeps_open` is asked whether there is
     /// reason to go on after all. Only after [`Link::attach`]; the owner calls [`Link::terminate`] afterwards. Yields.
     pub fn run(
         &self,
-        mut take: impl FnMut(&mut Buffer) -> Result<(), Reason>,
-        mut stays: impl FnMut(Reason) -> bool,
+        mut receive: impl FnMut(&mut Buffer) -> Result<(), Reason>,
+        mut keeps_open: impl FnMut(Reason) -> bool,
     ) -> Reason {
         let Some(socket) = self.socket() else { return Reason::Reset };
         let mut buffer = Buffer::default();
@@ -199,17 +199,17 @@
             let due = lock(&self.queue).close_due();
             let graceful_close = match due {
                 Ok(graceful_close) => graceful_close,
-                Err(why) => return why,
+                Err(reason) => return reason,
             };
-            if let Err(why) = read_available(&socket, &mut buffer, &mut take) {
-                return why;
+            if let Err(reason) = read_available(&socket, &mut buffer, &mut receive) {
+                return reason;
             }
             match graceful_close {
-                Some(why) if stays(why) => lock(&self.queue).cancel_graceful_close(),
-                Some(why) if self.close_if_drained() => {
+                Some(reason) if keeps_open(reason) => lock(&self.queue).cancel_graceful_close(),
+                Some(reason) if self.close_if_drained() => {
                     drop(buffer);
                     self.linger(&socket);
-                    return why;
+                    return reason;
                 }
                 // What is owed goes out first, and what comes meanwhile is still taken.
                 Some(_) | None => socket.stream.wait_io(),
@@ -270,14 +270,14 @@
 fn read_available(
     socket: &Socket,
     buffer: &mut Buffer,
-    take: &mut impl FnMut(&mut Buffer) -> Result<(), Reason>,
+    receive: &mut impl FnMut(&mut Buffer) -> Result<(), Reason>,
 ) -> Result<(), Reason> {
     let mut read_since_yield = 0;
     loop {
         match buffer.read_from(&mut socket.stream.inner()) {
             Ok(0) => return Err(Reason::PeerClosed),
             Ok(n) => {
-                take(buffer)?;
+                receive(buffer)?;
                 read_since_yield += n;
                 if read_since_yield > READ_QUANTUM {
                     read_since_yield = 0;
--- a/crates/front/src/link/tests.rs
+++ b/crates/front/src/link/tests.rs
@@ -4,8 +4,8 @@
 use std::net::TcpListener;
 use std::sync::atomic::Ordering;
 
-/// Two ends of a connection: the front's, in may's hands, and the other side's.
-fn ends() -> (TcpStream, std::net::TcpStream) {
+/// Two ends of a connection: the front's, as may's socket, and the other side's.
+fn connection() -> (TcpStream, std::net::TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let front = TcpStream::connect(listener.local_addr().expect("bound")).expect("it listens");
     let other = listener.accept().expect("it came").0;
@@ -13,41 +13,41 @@
     (front, other)
 }
 
-/// Runs a link to its end; why it ended and what was taken of it.
+/// Runs a link to its end; the reason of that and the bytes that were read.
 fn run(
     link: &Arc<Link>,
-    stays: impl Fn(Reason) -> bool + Send + 'static,
+    keeps_open: impl Fn(Reason) -> bool + Send + 'static,
 ) -> may::coroutine::JoinHandle<(Reason, Vec<u8>)> {
     let link = link.clone();
     may::go!(move || {
-        let mut taken = Vec::new();
-        let take = |b: &mut Buffer| {
-            taken.extend_from_slice(b.data());
+        let mut received = Vec::new();
+        let receive = |b: &mut Buffer| {
+            received.extend_from_slice(b.data());
             b.consume(usize::MAX);
             Ok(())
         };
-        let why = link.run(take, stays);
+        let reason = link.run(receive, keeps_open);
         link.terminate();
-        (why, taken)
+        (reason, received)
     })
 }
 
 /// Waits until the other side's bytes have come to the front's socket.
-fn arrived(front: &TcpStream, bytes: usize) {
-    let mut some = vec![0; bytes];
-    while front.inner().peek(&mut some).unwrap_or(0) < bytes {
+fn wait_until_arrived(front: &TcpStream, bytes: usize) {
+    let mut peeked = vec![0; bytes];
+    while front.inner().peek(&mut peeked).unwrap_or(0) < bytes {
         std::thread::yield_now();
     }
 }
 
 /// Everything that the other side reads until the end; the error that it ended with.
-fn rest(mut other: &std::net::TcpStream) -> (Vec<u8>, Option<ErrorKind>) {
+fn read_to_end(mut other: &std::net::TcpStream) -> (Vec<u8>, Option<ErrorKind>) {
     let mut all = Vec::new();
     let e = other.read_to_end(&mut all).err().map(|e| e.kind());
     (all, e)
 }
 
-fn upped(front: TcpStream) -> Arc<Link> {
+fn attached(front: TcpStream) -> Arc<Link> {
     let link = Arc::new(Link::default());
     link.attach(front);
     link
@@ -58,12 +58,12 @@
 #[test]
 fn a_graceful_close_loses_no_answer() {
     for crossing in ["nothing", "before", "after"] {
-        let (front, mut other) = ends();
+        let (front, mut other) = connection();
         if crossing == "before" {
-            other.write_all(b"a call").expect("room");
-            arrived(&front, 6);
+            other.write_all(b"a call").expect("it is sent");
+            wait_until_arrived(&front, 6);
         }
-        let link = upped(front);
+        let link = attached(front);
         link.send(b"the last answer".to_vec(), None);
         link.close_gracefully(Reason::Idle);
         let ended = run(&link, |_| false);
@@ -75,24 +75,24 @@
                 other.write_all(b"a call that crosses").expect("the front still reads");
             }
         } else {
-            assert_eq!(rest(&other), (b"the last answer".to_vec(), None), "{crossing}");
+            assert_eq!(read_to_end(&other), (b"the last answer".to_vec(), None), "{crossing}");
         }
         drop(other);
-        let (why, taken) = ended.join().expect("no panic");
-        assert_eq!(why, Reason::Idle);
-        assert_eq!(taken, if crossing == "before" { &b"a call"[..] } else { b"" }, "{crossing}");
+        let (reason, received) = ended.join().expect("no panic");
+        assert_eq!(reason, Reason::Idle);
+        assert_eq!(received, if crossing == "before" { &b"a call"[..] } else { b"" }, "{crossing}");
         assert!(link.send(b"late".to_vec(), None).is_none());
     }
 }
 
 /// What came before the close is looked at, and may be a reason to go on; what must end at once is not asked.
 #[test]
-fn a_close_that_a_call_crosses_is_taken_back() {
+fn a_graceful_close_that_a_call_crosses_is_cancelled() {
     for (graceful, goes_on) in [(true, true), (true, false), (false, false)] {
-        let (front, mut other) = ends();
-        other.write_all(b"a call").expect("room");
-        arrived(&front, 6);
-        let link = upped(front);
+        let (front, mut other) = connection();
+        other.write_all(b"a call").expect("it is sent");
+        wait_until_arrived(&front, 6);
+        let link = attached(front);
         if graceful {
             link.close_gracefully(Reason::Idle);
         } else {
@@ -112,10 +112,10 @@
             link.close(Reason::Reset); // at once goes before gracefully
         }
         if !goes_on {
-            let _ = rest(&other); // up to the front's end
+            let _ = read_to_end(&other); // up to the front's end
         }
         drop(other); // a graceful close waits for that
-        let (why, taken) = ended.join().expect("no panic");
+        let (reason, received) = ended.join().expect("no panic");
         let expected = if goes_on {
             Reason::Reset
         } else if graceful {
@@ -123,8 +123,8 @@
         } else {
             Reason::SlowReader
         };
-        assert_eq!(why, expected);
-        assert_eq!(taken, if graceful { &b"a call"[..] } else { b"" });
+        assert_eq!(reason, expected);
+        assert_eq!(received, if graceful { &b"a call"[..] } else { b"" });
     }
 }
 
@@ -132,44 +132,44 @@
 #[test]
 fn a_graceful_close_is_bounded() {
     // It sends without end.
-    let (front, other) = ends();
-    let link = upped(front);
+    let (front, other) = connection();
+    let link = attached(front);
     link.close_gracefully(Reason::Idle);
     let ended = run(&link, |_| false);
     let mut writes = &other;
     while writes.write_all(&[b'x'; 4096]).is_ok() {}
     assert_eq!(ended.join().expect("no panic").0, Reason::Idle);
     // It keeps the connection open and says nothing.
-    let (front, other) = ends();
-    let link = upped(front);
+    let (front, other) = connection();
+    let link = attached(front);
     link.close_gracefully(Reason::Idle);
     let ended = run(&link, |_| false);
-    assert_eq!(rest(&other), (Vec::new(), None));
-    let began = Instant::now();
+    assert_eq!(read_to_end(&other), (Vec::new(), None));
+    let started = Instant::now();
     while !ended.is_done() {
         link.sweep(Instant::now());
         std::thread::yield_now();
-        assert!(began.elapsed() < Duration::from_secs(20), "it never ends");
+        assert!(started.elapsed() < Duration::from_secs(20), "it never ends");
     }
     drop(other);
 }
 
 /// Bytes that wait are counted until they are written, taken back or given up; the descriptor goes with the end.
 #[test]
-fn what_waits_is_given_back() {
+fn queued_bytes_are_released_when_written_retracted_or_abandoned() {
     let waiting = Arc::new(AtomicUsize::new(0));
     for read in [true, false] {
-        let (front, mut other) = ends();
+        let (front, mut other) = connection();
         let link = Arc::new(Link::counted(waiting.clone()));
         link.attach(front);
         let ended = run(&link, |_| false);
         // More than the sockets on the way hold.
         link.send(vec![b'x'; 32 << 20], None);
         link.send(vec![b'y'; 1000], Some(7));
-        let held = waiting.load(Ordering::SeqCst);
-        assert!(held > 1000 && !link.is_drained());
+        let queued_bytes = waiting.load(Ordering::SeqCst);
+        assert!(queued_bytes > 1000 && !link.is_drained());
         assert!(link.retract(7) && !link.retract(7));
-        assert_eq!(waiting.load(Ordering::SeqCst) % (32 << 20), held - 1000);
+        assert_eq!(waiting.load(Ordering::SeqCst) % (32 << 20), queued_bytes - 1000);
         assert!(link
             .stalled_for(Instant::now() + Duration::from_secs(9))
             .is_some_and(|t| t > Duration::from_secs(8)));
@@ -188,7 +188,7 @@
         assert_eq!(ended.join().expect("no panic").0, end);
         assert_eq!(waiting.load(Ordering::SeqCst), 0);
         // Though the link is still referred to.
-        let (_, e) = rest(&other);
+        let (_, e) = read_to_end(&other);
         assert!(matches!(e, None | Some(ErrorKind::ConnectionReset)));
     }
 }
--- a/crates/front/src/link/write_queue.rs
+++ b/crates/front/src/link/write_queue.rs
@@ -45,7 +45,7 @@
 /// Why a connection is to end, and how.
 #[derive(Clone, Copy)]
 pub(super) struct Close {
-    pub why: Reason,
+    pub reason: Reason,
     /// What is queued still goes out.
     pub graceful: bool,
 }
@@ -214,9 +214,9 @@
     /// The connection is to end at once, for that reason.
     pub fn close_due(&self) -> Result<Option<Reason>, Reason> {
         match self.closing {
-            Some(close) if !close.graceful => Err(close.why),
+            Some(close) if !close.graceful => Err(close.reason),
             _ if self.broken => Err(Reason::Reset),
-            closing => Ok(closing.map(|close| close.why)),
+            closing => Ok(closing.map(|close| close.reason)),
         }
     }
 
--- a/crates/front/src/upstream/connection.rs
+++ b/crates/front/src/upstream/connection.rs
@@ -236,9 +236,9 @@
     }
 
     /// Admits nothing more and ends at once, for that reason.
-    pub fn close(&self, why: Reason) {
+    pub fn close(&self, reason: Reason) {
         lock(&self.state).closed = true;
-        self.link.close(why);
+        self.link.close(reason);
     }
 
     /// Periodically: ends attempts whose request has waited `connect_timeout` for its first byte, forgets retired ids, and
@@ -249,8 +249,8 @@
             self.complete(RequestId(tag), CompletedAttempt::without_answer(Ending::ConnectionRefused));
         }
         lock(&self.state).retired_ids.retain(|_, at| now.duration_since(*at) < LATE_ANSWER_WINDOW);
-        if let Some(why) = self.close_reason(now, idle_timeout) {
-            self.close(why);
+        if let Some(reason) = self.close_reason(now, idle_timeout) {
+            self.close(reason);
         }
     }
 
--- a/crates/front/src/upstream/connection/tests.rs
+++ b/crates/front/src/upstream/connection/tests.rs
@@ -2,8 +2,8 @@
 use crate::upstream::test_support::{attempt, AlwaysAllowed};
 use may::net::TcpStream;
 
-/// Guards a request that is asked again against a second copy of the answer that sent it on: the copy ended
-/// the next attempt, on the same connection.
+/// Guards a request that is retried against a duplicate of the answer that caused the retry: the duplicate ended the next
+/// attempt, on the same connection.
 #[test]
 fn an_id_that_was_answered_is_not_used_again_on_its_connection() {
     let connection = Connection::default();
@@ -17,7 +17,7 @@
     assert!(connection.admit(RequestId(99), &in_flight, 32));
 }
 
-/// Guards an attempt against a connection that is told to end and has not ended yet: it took the attempt and sent nothing.
+/// Guards an attempt against a connection that is to close and has not closed yet: it admitted the attempt and sent nothing.
 #[test]
 fn a_connection_that_is_to_close_admits_nothing_new() {
     let connection = Connection::default();
@@ -27,7 +27,7 @@
     assert!(!connection.admit(RequestId(2), &in_flight, 32));
 }
 
-/// What was written in part never came whole, so it never ran; what was written whole may have.
+/// What was written in part never arrived complete, so it never ran; what was written completely may have.
 #[test]
 fn a_partially_written_request_never_ran() {
     let (listener, connection) =
@@ -41,7 +41,7 @@
         for (id, in_flight) in &attempts {
             connection.admit(*id, in_flight, 32);
         }
-        connection.link.send(b"whole".to_vec(), Some(1));
+        connection.link.send(b"complete".to_vec(), Some(1));
         // More than the sockets on the way hold.
         connection.link.send(vec![b'x'; 64 << 20], Some(2));
         connection.terminate(Ending::Retracted);
@@ -51,8 +51,7 @@
     assert_eq!(ends, [Some(Ending::ConnectionLost), Some(Ending::Retracted)]);
 }
 
-/// The node hears of a connection's end as late as of a word that gives a request up. The attempts on it ended at once, and
-/// the next was out beside the first (seen on a short day: 'not given up .., sent 0.553 s before').
+/// The node sees a connection's end as late as a cancel. The attempts on it ended at once, and the next was out beside the first (seen on a short day: 'not given up .., sent 0.553 s before').
 #[test]
 fn attempts_on_a_broken_connection_end_once_the_node_can_know() {
     let (listener, connection) =
@@ -63,10 +62,10 @@
         connection.set_handshake(Duration::from_millis(3));
         let in_flight = Arc::new(InFlightAttempt::new(&attempt(1), None, Arc::new(AlwaysAllowed)));
         connection.admit(RequestId(1), &in_flight, 32);
-        connection.link.send(b"whole".to_vec(), Some(1));
-        let began = Instant::now();
+        connection.link.send(b"complete".to_vec(), Some(1));
+        let started = Instant::now();
         connection.terminate(Ending::Retracted);
-        let (waited, ended) = (began.elapsed(), in_flight.take_result().map(|e| e.ending));
+        let (waited, ended) = (started.elapsed(), in_flight.take_result().map(|e| e.ending));
         (waited, ended, connection.admit(RequestId(2), &in_flight, 32))
     });
     let (waited, ended, takes_more) = done.join().expect("no panic");
--- a/crates/front/src/upstream/connection_pool.rs
+++ b/crates/front/src/upstream/connection_pool.rs
@@ -198,9 +198,9 @@
         mut times: AttemptTimes,
     ) -> CompletedAttempt {
         let now = Instant::now();
-        if let Err(why) = in_flight.pending.check(now) {
-            self.reason_counts.add(Kind::Denied, why.name());
-            return CompletedAttempt::without_answer(why.ending());
+        if let Err(denied) = in_flight.pending.check(now) {
+            self.reason_counts.add(Kind::Denied, denied.name());
+            return CompletedAttempt::without_answer(denied.ending());
         }
         let connection = match self.checkout(attempt, in_flight) {
             Ok(connection) => connection,
@@ -228,9 +228,9 @@
         trace: &str,
         times: &mut AttemptTimes,
     ) {
-        if let Some(why) = in_flight.progress().denied {
-            self.reason_counts.add(Kind::Denied, why.name());
-            connection.complete(attempt.id, CompletedAttempt::without_answer(why.ending()));
+        if let Some(denied) = in_flight.progress().denied {
+            self.reason_counts.add(Kind::Denied, denied.name());
+            connection.complete(attempt.id, CompletedAttempt::without_answer(denied.ending()));
             return;
         }
         let now = Instant::now();
--- a/crates/front/src/upstream/connection_pool/tests.rs
+++ b/crates/front/src/upstream/connection_pool/tests.rs
@@ -2,30 +2,30 @@
 use crate::upstream::connection::{MIN_CANCEL_DELAY, UNRESPONSIVE_AFTER};
 use crate::upstream::test_support::{attempt, AlwaysAllowed};
 
-/// Guards all that would share a connection that has stopped: it cost up to 32 attempts their whole time.
+/// Guards all attempts that would share a connection that has stalled: it cost up to 32 of them all their time.
 #[test]
 fn attempts_are_spread_and_kept_off_unresponsive_connections() {
     let limits = ConnectionLimits {
         streams: 32,
         connect_timeout: Duration::from_millis(400),
         idle: Duration::from_secs(9),
-        connections: 16, // half of them for machines to come
+        connections: 16, // half of them for other nodes
     };
     let upstream = Arc::new(ConnectionPool::new(limits, Arc::default(), Arc::default()));
     let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     upstream.add_node("s-1".into(), silent.local_addr().expect("bound"), 0.0);
     let done = may::go!(move || {
         let in_flight = Arc::new(InFlightAttempt::new(&attempt(0), None, Arc::new(AlwaysAllowed)));
-        let took: Vec<_> = (0..24)
+        let checked_out: Vec<_> = (0..24)
             .map(|i| upstream.checkout(&attempt(i), &in_flight).map(|c| Arc::as_ptr(&c) as usize).ok())
             .collect();
         let connections = lock(&upstream.nodes)[&CacheId::from("s-1")].connections.clone();
-        (took, connections)
+        (checked_out, connections)
     });
-    let (took, connections) = done.join().expect("no panic");
-    let firsts: std::collections::HashSet<_> = took[..16].iter().collect();
-    assert!(took.iter().all(Option::is_some));
-    assert_eq!(firsts.len(), 8, "two share a connection while there are places");
+    let (checked_out, connections) = done.join().expect("no panic");
+    let firsts: std::collections::HashSet<_> = checked_out[..16].iter().collect();
+    assert!(checked_out.iter().all(Option::is_some));
+    assert_eq!(firsts.len(), 8, "two share a connection while there may be more");
     let now = Instant::now();
     assert!(connections.iter().all(|c| c.load(now).in_flight == 3), "then all share evenly");
     assert!(connections.iter().all(|c| c.load(now + 2 * UNRESPONSIVE_AFTER).unresponsive), "nothing came");
@@ -42,7 +42,7 @@
         connections: 4,
     };
     let upstream = Arc::new(ConnectionPool::new(limits, Arc::default(), Arc::default()));
-    // A machine that takes connections and says nothing.
+    // A node that accepts connections and never answers.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     upstream.add_node("s-1".into(), silent.local_addr().expect("bound"), 0.0);
     let ends: Vec<_> = (0..20u64)
@@ -62,8 +62,7 @@
     }
 }
 
-/// The word that gives a request up goes over another connection than the next attempt: that one waits until the word
-/// can be there. One in some 1,300 retries at the same node came before it: two attempts were out at once.
+/// A cancel goes over another connection than the next attempt: that one waits until the cancel can have reached the node. One in some 1,300 retries at the same node came before it: two attempts were out at once.
 #[test]
 fn a_cancelled_attempt_ends_once_the_cancel_can_have_reached_the_node() {
     let limits = ConnectionLimits {
@@ -87,8 +86,8 @@
         (end.ending, waited)
     });
     let (mut connection, _) = node.accept().expect("it connects");
-    let mut asked = [0; 16];
-    std::io::Read::read_exact(&mut connection, &mut asked).expect("it asks");
+    let mut request = [0; 16];
+    std::io::Read::read_exact(&mut connection, &mut request).expect("it is sent");
     *lock(&gave_up) = Some(Instant::now());
     cancelled.store(true, Ordering::Release);
     upstream.cancel(RequestId(1), 0);
@@ -98,8 +97,8 @@
     assert_eq!(upstream.attempts_in_flight(), 0);
 }
 
-/// All connections that the front may have are made, to other nodes, and rest: one of them makes room. Such a want of the
-/// front's own was reported as the node's answer that it is full, and the node was ejected for it.
+/// All connections that the front may have are made, to other nodes, and idle: one of them is closed. The front's own limit
+/// was reported as the node's answer that it is full, and the node was ejected for it.
 #[test]
 fn an_idle_connection_is_closed_to_make_one_to_another_node() {
     let limits = ConnectionLimits {
@@ -117,15 +116,15 @@
     let done = may::go!(move || {
         let in_flight = Arc::new(InFlightAttempt::new(&attempt(0), None, Arc::new(AlwaysAllowed)));
         let to = |id: u64, node: &str| Attempt { cache: node.into(), ..attempt(id) };
-        let first = upstream.checkout(&to(1, "n-1"), &in_flight).expect("room");
-        let second = upstream.checkout(&to(2, "n-2"), &in_flight).expect("room");
-        let busy = upstream.checkout(&to(3, "n-3"), &in_flight).err();
+        let first = upstream.checkout(&to(1, "n-1"), &in_flight).expect("a connection");
+        let second = upstream.checkout(&to(2, "n-2"), &in_flight).expect("a connection");
+        let refused = upstream.checkout(&to(3, "n-3"), &in_flight).err();
         first.complete(RequestId(1), CompletedAttempt::without_answer(Ending::Completed));
         let third = upstream.checkout(&to(3, "n-3"), &in_flight).is_ok();
-        (busy, third, first.link.is_closing(), second.link.is_closing())
+        (refused, third, first.link.is_closing(), second.link.is_closing())
     });
-    let (busy, third, first_closes, second_closes) = done.join().expect("no panic");
-    assert_eq!(busy, Some(Ending::Retracted), "the front's own limit is nothing that the node did");
+    let (refused, third, first_closes, second_closes) = done.join().expect("no panic");
+    assert_eq!(refused, Some(Ending::Retracted), "the front's own limit is nothing that the node did");
     assert!(third && first_closes && !second_closes);
     drop(nodes);
 }
--- a/crates/front/src/upstream/dialer.rs
+++ b/crates/front/src/upstream/dialer.rs
@@ -35,7 +35,7 @@
 
 /// Why a connection ended, and what becomes of an attempt on it that was not written completely.
 struct ConnectionEnd {
-    why: Reason,
+    reason: Reason,
     unwritten_ending: Ending,
 }
 
@@ -49,13 +49,13 @@
     /// back.
     fn run(&self) {
         let end = catch_unwind(AssertUnwindSafe(|| self.serve()));
-        let defect = ConnectionEnd { why: Reason::Defect, unwritten_ending: Ending::Retracted };
-        let ConnectionEnd { why, unwritten_ending } = end.unwrap_or(defect);
+        let defect = ConnectionEnd { reason: Reason::Defect, unwritten_ending: Ending::Retracted };
+        let ConnectionEnd { reason, unwritten_ending } = end.unwrap_or(defect);
         self.connection.terminate(unwritten_ending);
         self.open_connections.fetch_sub(1, Ordering::Relaxed);
-        self.reason_counts.add(Kind::UpstreamClosed, why.code());
+        self.reason_counts.add(Kind::UpstreamClosed, reason.code());
         let (node, addr, asked) = (&self.node.0, self.addr, self.connection.requests());
-        tracing::info!(kind = %"upstream", %node, %addr, reason = %why.code(), asked, "end");
+        tracing::info!(kind = %"upstream", %node, %addr, reason = %reason.code(), asked, "end");
     }
 
     /// Brings the connection up and reads its answers until it ends.
@@ -65,8 +65,8 @@
             Err(e) => return ConnectionEnd::of_dial_error(&e),
         };
         self.connection.link.attach(stream);
-        let why = self.connection.link.run(|buffer| self.connection.read_answers(buffer), |_| false);
-        ConnectionEnd { why, unwritten_ending: Ending::Retracted }
+        let reason = self.connection.link.run(|buffer| self.connection.read_answers(buffer), |_| false);
+        ConnectionEnd { reason, unwritten_ending: Ending::Retracted }
     }
 
     /// Connects, again for a while where this machine lacks something and an attempt still waits.
@@ -90,19 +90,19 @@
     fn of_dial_error(e: &io::Error) -> ConnectionEnd {
         if e.kind() == ErrorKind::TimedOut {
             return ConnectionEnd {
-                why: Reason::ConnectTimeout,
+                reason: Reason::ConnectTimeout,
                 unwritten_ending: Ending::ConnectionRefused,
             };
         }
         match Failure::of(e) {
             Failure::Descriptors => {
-                ConnectionEnd { why: Reason::NoDescriptor, unwritten_ending: Ending::Retracted }
+                ConnectionEnd { reason: Reason::NoDescriptor, unwritten_ending: Ending::Retracted }
             }
             Failure::Machine | Failure::Again => {
-                ConnectionEnd { why: Reason::NoRoute, unwritten_ending: Ending::Retracted }
+                ConnectionEnd { reason: Reason::NoRoute, unwritten_ending: Ending::Retracted }
             }
             Failure::Remote => {
-                ConnectionEnd { why: Reason::Refused, unwritten_ending: Ending::ConnectionRefused }
+                ConnectionEnd { reason: Reason::Refused, unwritten_ending: Ending::ConnectionRefused }
             }
         }
     }
--- a/crates/front/src/upstream/dispatch_queues/tests.rs
+++ b/crates/front/src/upstream/dispatch_queues/tests.rs
@@ -14,7 +14,7 @@
     Entry { cache: name.into(), weight, zone, kind, cell, born_ms, phase }
 }
 
-/// Guards a cold parent against the queues of one front: each has a module of its own, which knows of no other.
+/// Guards a parent that warms up against the queues of one front: each has a module of its own, which knows of no other.
 #[test]
 fn queues_that_share_a_warming_up_parent_keep_to_its_budget_together() {
     let (base, _) = base();
@@ -23,8 +23,9 @@
     let mut all = Vec::new();
     for front in 0..2 {
         for queue in 0..queues {
-            let set = queue_settings(&Settings { slot: front, ..base.clone() }, queues, queue, queues as u32);
-            let mut r = Router::new(set, 1 + u64::from(front)).expect("sound");
+            let settings =
+                queue_settings(&Settings { slot: front, ..base.clone() }, queues, queue, queues as u32);
+            let mut r = Router::new(settings, 1 + u64::from(front)).expect("sound");
             let entries = vec![
                 entry("cache-1", base.zone, Some(0), 0.0),
                 entry("cache-2", base.zone, Some(0), 0.0),
@@ -34,12 +35,12 @@
             all.push(r);
         }
     }
-    // Work of 100 ms each, far more than a cold parent may be sent; all of it has to be filled.
+    // Work of 100 ms each, far more than a parent that warms up may be sent; all of it has to be filled.
     let size_kb = base.stream_kb_per_s / 10.0;
     let mut sends = Vec::new();
     for n in 0..8_000u64 {
         let now = born + n as f64;
-        let ask = Request {
+        let request = Request {
             id: RequestId(n + 1),
             object: ObjectId(n),
             part: 0,
@@ -48,11 +49,11 @@
             budget_ms: 3000.0,
             group: 0,
         };
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         let r = &mut all[n as usize % (2 * queues)];
-        r.handle(now, Event::Request(ask), &mut out);
-        for a in out {
-            if let Action::Forward { id, cache, source, .. } = a {
+        r.handle(now, Event::Request(request), &mut actions);
+        for action in actions {
+            if let Action::Forward { id, cache, source, .. } = action {
                 if &*source.0 == "parent-1" {
                     sends.push(now);
                 }
@@ -83,7 +84,7 @@
 }
 
 /// Two queues of a front with those settings, by one module: only what the queues share matters.
-fn queues(set: &Settings) -> DispatchQueues {
+fn queues(settings: &Settings) -> DispatchQueues {
     let limits = ConnectionLimits {
         streams: 32,
         connect_timeout: Duration::from_millis(400),
@@ -99,7 +100,7 @@
         evidence: Default::default(),
         sources: [None, None],
     };
-    let mut queues = DispatchQueues::new(set, 1, None, registry.clone(), host).expect("sound");
+    let mut queues = DispatchQueues::new(settings, 1, None, registry.clone(), host).expect("sound");
     queues.queues.push(queues.queues[0].clone());
     queues
 }
@@ -108,12 +109,13 @@
 #[test]
 fn open_requests_are_limited_over_all_queues() {
     let queues = queues(&Settings { max_in_flight: 3, ..base().0 });
-    let held: Vec<_> = (0..3).map(|n| queues.reserve(RequestId(n)).expect("room")).collect();
+    let reservations: Vec<_> =
+        (0..3).map(|n| queues.reserve(RequestId(n)).expect("below the limit")).collect();
     assert!(queues.reserve(RequestId(9)).is_none(), "a fourth");
     assert!(queues.reserve(RequestId(1)).is_none(), "an id that is open");
-    drop(held);
+    drop(reservations);
     let again: Vec<_> = (0..3).map(|n| queues.reserve(RequestId(n))).collect();
-    assert!(again.iter().all(Option::is_some), "places come back");
+    assert!(again.iter().all(Option::is_some), "reservations are given back");
 }
 
 /// Two customers' settings in one process: limits, pauses and open requests of the one are not the other's.
@@ -123,10 +125,10 @@
     let (a, b) =
         (queues(&first), queues(&Settings { max_in_flight: 1, max_retry_after_ms: 70.0, ..first.clone() }));
     assert_eq!((a.retry_after_ms(), b.retry_after_ms()), (400.0, 70.0));
-    let held = b.reserve(RequestId(1)).expect("room for one");
+    let reservations = b.reserve(RequestId(1)).expect("the first");
     assert!(b.reserve(RequestId(2)).is_none(), "no more");
     let others: Vec<_> = (1..9).map(|n| a.reserve(RequestId(n))).collect();
     assert!(others.iter().all(Option::is_some), "the same ids, and as many as its own settings allow");
-    drop(held);
+    drop(reservations);
     assert!(b.reserve(RequestId(2)).is_some());
 }
--- a/crates/front/src/upstream/in_flight_attempt.rs
+++ b/crates/front/src/upstream/in_flight_attempt.rs
@@ -103,8 +103,8 @@
         let now = Instant::now();
         let withdrawn = self.withdrawn.load(Ordering::Acquire);
         let allowed = if withdrawn { Err(Denied::Outdated) } else { self.pending.check(now) };
-        if let Err(why) = allowed {
-            lock(&self.progress).denied = Some(why);
+        if let Err(denied) = allowed {
+            lock(&self.progress).denied = Some(denied);
             self.blocker.unpark();
             return WriteDecision::Drop;
         }
--- a/crates/front/src/upstream/pending_attempt.rs
+++ b/crates/front/src/upstream/pending_attempt.rs
@@ -1,32 +1,32 @@
-//! What an attempt asks of whoever decided on it, up to its first byte: may it begin, and with which bytes.
+//! An attempt that has been decided on and has not begun, as its connection sees it: may it begin, and with which bytes.
 
 use fernslip::Ending;
 use std::time::Instant;
 
-/// When an attempt ends and, where that matters, has begun.
+/// When an attempt ends and, where that matters, has to begin.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTimes {
-    /// It ends by then.
+    /// Without a result by then it has timed out.
     pub deadline: Instant,
-    /// Its first byte is written by then, or it is taken back; `None`: whenever its connection is up.
+    /// Its first byte is written by then, or it is retracted; `None`: it begins whenever its connection is up.
     pub begin_by: Option<Instant>,
 }
 
-/// Why an attempt is not to begin any more.
+/// Why an attempt may not begin any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
-    /// The module called it off.
+    /// The decision module cancelled it.
     Cancelled,
     /// Its client has disconnected or cancelled.
     ClientDisconnected,
-    /// Its node or its source drains, or what it asks for was purged, since it was decided on.
+    /// Since it was decided on, its node or its source drains, or what it requests was purged.
     Outdated,
-    /// It had to begin by a time that is over.
+    /// The time by which it had to begin, or its deadline, is over.
     TooLate,
 }
 
 impl Denied {
-    /// Its name in figures.
+    /// Its reason in the metrics.
     pub fn name(self) -> &'static str {
         match self {
             Denied::Cancelled => "called_off",
@@ -36,7 +36,7 @@
         }
     }
 
-    /// What is reported of the attempt: nothing of it ran.
+    /// The ending that is reported of the attempt: nothing of it ran.
     pub fn ending(self) -> Ending {
         match self {
             Denied::Cancelled => Ending::Cancelled,
@@ -47,6 +47,9 @@
 }
 
 /// An attempt that has been decided on and has not begun.
+///
+/// Called when its first byte is about to be written, with the connection's write queue locked: implementations neither
+/// yield nor call back into the connection.
 pub trait PendingAttempt: Send + Sync {
     /// Whether it may begin at that moment.
     ///
@@ -54,6 +57,6 @@
     /// Why it may not.
     fn check(&self, now: Instant) -> Result<(), Denied>;
 
-    /// The request's bytes, with the time that is left at that moment.
+    /// The request's bytes, which name the time that remains at that moment.
     fn bytes(&self, now: Instant) -> Vec<u8>;
 }
--- a/crates/front/src/upstream/send_guard.rs
+++ b/crates/front/src/upstream/send_guard.rs
@@ -1,5 +1,5 @@
-//! The one guard for sending: whether an attempt may begin, asked when its first byte is about to be written, however long
-//! after the decision that is; and what the attempt then looks like on the wire.
+//! The one guard for sending: whether an attempt may begin, checked when its first byte is about to be written, however
+//! long after the decision that is; and what the attempt then looks like on the wire.
 
 use crate::call::Ask;
 use crate::clock::Clock;
@@ -18,23 +18,21 @@
     queue: Arc<DispatchQueue>,
     caller: Arc<Caller>,
     ask: Arc<Ask>,
-    /// The attempt.
-    pub attempt: Attempt,
-    /// Its times.
-    pub times: AttemptTimes,
+    attempt: Attempt,
+    times: AttemptTimes,
     /// The client waits until then.
-    client_until: Instant,
+    client_deadline: Instant,
 }
 
 impl SendGuard {
-    /// For an attempt of that caller's request.
+    /// The guard of an attempt of that caller's request.
     pub fn new(
         queue: &Arc<DispatchQueue>,
         caller: &Arc<Caller>,
         ask: &Arc<Ask>,
         attempt: &Attempt,
         times: AttemptTimes,
-        client_until: Instant,
+        client_deadline: Instant,
     ) -> SendGuard {
         SendGuard {
             queue: queue.clone(),
@@ -42,32 +40,32 @@
             ask: ask.clone(),
             attempt: attempt.clone(),
             times,
-            client_until,
+            client_deadline,
         }
     }
 
-    /// Looks, after the fact, at how the attempt began: for a client that waited, at a node that served, within the time
-    /// that the client had.
-    pub fn verify(&self, invariants: &Invariants, clock: &Clock, begun: Instant, grace_ms: f64) {
+    /// Checks, after the fact, how the attempt began: for a client that waited, at a node in service, within the time that
+    /// the client had. `drain_grace_ms` is how long after a drain an attempt may still begin.
+    pub fn verify(&self, invariants: &Invariants, clock: &Clock, begun: Instant, drain_grace_ms: f64) {
         let id =
             || format!("trace={} n={} node={}", self.ask.trace, self.attempt.number, self.attempt.cache.0);
-        let since = |at: Instant| begun.saturating_duration_since(at).as_secs_f64() * 1000.0;
-        let left = self.caller.disconnected_at().map_or(0.0, since);
-        invariants.check(Invariant::SendForWaitingClient, left <= SEND_AFTER_LEAVING_MS, || {
-            format!("{} begun {left:.0} ms after its client left", id())
+        let ms_since = |at: Instant| begun.saturating_duration_since(at).as_secs_f64() * 1000.0;
+        let disconnected_ms = self.caller.disconnected_at().map_or(0.0, ms_since);
+        invariants.check(Invariant::SendForWaitingClient, disconnected_ms <= SEND_AFTER_LEAVING_MS, || {
+            format!("{} begun {disconnected_ms:.0} ms after its client left", id())
         });
-        let over = since(self.client_until);
-        invariants.check(Invariant::SendWithinClientTime, over <= LIMIT_SLACK_MS, || {
-            format!("{} begun {over:.0} ms after its client's time", id())
+        let overrun_ms = ms_since(self.client_deadline);
+        invariants.check(Invariant::SendWithinClientTime, overrun_ms <= LIMIT_SLACK_MS, || {
+            format!("{} begun {overrun_ms:.0} ms after its client's time", id())
         });
         if self.queue.has_pool() {
             return;
         }
-        let nodes = [Some(&self.attempt.cache), self.attempt.source.as_ref()];
-        let out = nodes.into_iter().flatten().filter_map(|n| self.queue.dispatcher.out_of_service_since(n));
-        let late = out.map(|since| clock.at(begun) - since).fold(0.0, f64::max);
-        invariants.check(Invariant::SendToServingNode, late <= grace_ms, || {
-            format!("{} begun {late:.0} ms after a drain", id())
+        let nodes = [Some(&self.attempt.cache), self.attempt.source.as_ref()].into_iter().flatten();
+        let out_since_ms = nodes.filter_map(|node| self.queue.dispatcher.out_of_service_since(node));
+        let drained_ms = out_since_ms.map(|since_ms| clock.at(begun) - since_ms).fold(0.0, f64::max);
+        invariants.check(Invariant::SendToServingNode, drained_ms <= drain_grace_ms, || {
+            format!("{} begun {drained_ms:.0} ms after a drain", id())
         });
     }
 }
@@ -85,46 +83,46 @@
         }
         let dispatcher = &self.queue.dispatcher;
         // A pool takes a member out of service for its own limits too, and the attempt that reaches them still goes there.
-        let served = self.queue.has_pool() || dispatcher.is_in_service(&self.attempt);
-        match served && dispatcher.is_wanted(&self.attempt) {
+        let in_service = self.queue.has_pool() || dispatcher.is_in_service(&self.attempt);
+        match in_service && dispatcher.is_wanted(&self.attempt) {
             true => Ok(()),
             false => Err(Denied::Outdated),
         }
     }
 
     fn bytes(&self, now: Instant) -> Vec<u8> {
-        let left = self.times.deadline.saturating_duration_since(now);
-        resp::request(&self.ask.trace, &fields(&self.ask, &self.attempt, left), &self.ask.body)
+        let remaining = self.times.deadline.saturating_duration_since(now);
+        resp::request(&self.ask.trace, &fields(&self.ask, &self.attempt, remaining), &self.ask.body)
     }
 }
 
-/// The fields of a request to a cache node, which has so long.
-fn fields(ask: &Ask, a: &Attempt, left: Duration) -> String {
-    let mut f = format!(
+/// The fields of a request to a cache node, which has so long to answer.
+fn fields(ask: &Ask, attempt: &Attempt, remaining: Duration) -> String {
+    let mut fields = format!(
         "cls={},item={},chunk={},limit={}",
         ask.class,
         ask.item,
         ask.chunk,
-        (left.as_millis() as u64).max(1)
+        (remaining.as_millis() as u64).max(1)
     );
-    if let Some(source) = &a.source {
-        f += &format!(",via={}", source.0);
+    if let Some(source) = &attempt.source {
+        fields += &format!(",via={}", source.0);
     }
-    if a.rank > 0 {
-        f += &format!(",tier={}", a.rank);
+    if attempt.rank > 0 {
+        fields += &format!(",tier={}", attempt.rank);
     }
     // Cut, not rounded: a copy that is a part of a millisecond too old is too old.
-    if a.age_ms > 0.0 {
-        f += &format!(",fresh={}", (a.age_ms.floor() as u64).max(1));
+    if attempt.age_ms > 0.0 {
+        fields += &format!(",fresh={}", (attempt.age_ms.floor() as u64).max(1));
     }
-    match (a.join, a.renew) {
-        (true, true) => f += ",opts=j+r",
-        (true, false) => f += ",opts=j",
-        (false, true) => f += ",opts=r",
+    match (attempt.join, attempt.renew) {
+        (true, true) => fields += ",opts=j+r",
+        (true, false) => fields += ",opts=j",
+        (false, true) => fields += ",opts=r",
         (false, false) => {}
     }
     if let Some(tag) = &ask.known {
-        f += &format!(",known={tag}");
+        fields += &format!(",known={tag}");
     }
-    f
+    fields
 }
--- a/crates/front/tests/sleep.rs
+++ b/crates/front/tests/sleep.rs
@@ -6,7 +6,7 @@
 
 /// The front rests on one thread for all its coroutines: what does not yield is not interrupted.
 #[test]
-fn who_comes_out_of_a_wait_goes_on_on_the_worker() {
+fn a_coroutine_resumes_on_the_worker_after_a_timed_wait() {
     may::config().set_workers(1);
     let thread = || std::thread::current().id();
     let slept = may::go!(move || {
