--- a/crates/fernslip/benches/decide.rs
+++ b/crates/fernslip/benches/decide.rs
@@ -130,8 +130,8 @@
         let mut rig = rig(20, 200_000);
         (0..open).for_each(|n| drop(rig.ask(n)));
         // What the module holds may be fewer than were asked: it refuses past its own bounds.
-        let held = rig.router.held().0;
-        eprintln!("watch: {open} asked, {held} held open");
+        let retained = rig.router.retained().requests;
+        eprintln!("watch: {open} asked, {retained} held open");
         group.bench_with_input(BenchmarkId::new("timer, requests asked", open), &open, |b, _| {
             b.iter(|| {
                 rig.now += 0.01;
--- a/crates/fernslip/src/bandwidth.rs
+++ b/crates/fernslip/src/bandwidth.rs
@@ -6,11 +6,11 @@
 //! measure of BBR (delivery rate, with what is limited by its sender marked as such) put into transfers.
 
 /// An answer that took this many times its sending time found the link full: small ones vary by less.
-const FULL: f64 = 1.25;
+const SATURATED_STRETCH: f64 = 1.25;
 /// Weight of an answer that took long beside what it takes besides its sending.
-const STEP: f64 = 0.1;
+const ANSWER_WEIGHT: f64 = 0.1;
 /// Time besides its sending at which an answer counts by half, in milliseconds.
-const SURE_MS: f64 = 50.0;
+const HALF_WEIGHT_MS: f64 = 50.0;
 /// Part of the width from which a link counts as used: answers in time under it may raise the width.
 const USED: f64 = 0.8;
 /// What an answer in time on a used link raises the width by, as a part of it: a link that was slow for a while, or
@@ -20,73 +20,74 @@
 impl crate::api::Settings {
     /// By role, the least that told links let expect of a machine's width, in a location of so many caches; 0: none are
     /// told. Caches that keep anything send more than their link brings in; a parent feeds a location or more.
-    pub(crate) fn told_widths(&self, caches: usize) -> [f64; 3] {
+    pub(crate) fn expected_bandwidth(&self, caches: usize) -> [f64; 3] {
         let links = self.link_in_kb_per_s.iter().map(|kb| kb / self.stream_kb_per_s);
-        let told: Vec<f64> = links.clone().filter(|l| *l > 0.0).collect();
+        let listed: Vec<f64> = links.clone().filter(|l| *l > 0.0).collect();
         let own = links.clone().nth(self.zone).unwrap_or(0.0) / caches.max(1) as f64;
-        [own, told.iter().sum::<f64>() / told.len().max(1) as f64, 0.0]
+        [own, listed.iter().sum::<f64>() / listed.len().max(1) as f64, 0.0]
     }
 }
 
 /// What is known of a link's width, in transfers at full pace.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Width {
+pub struct Bandwidth {
     /// What it was seen to carry; 0: nothing was seen yet.
-    pub carries: f64,
+    pub capacity: f64,
     /// It was seen full: `carries` is what it can do, not only what it had to.
-    pub full: bool,
+    pub saturated: bool,
 }
 
-impl Width {
+impl Bandwidth {
     /// Begins with what a list tells, which is a figure where it is not 1: lists that know none tell 1 of all.
-    pub fn guess(&mut self, told: f64) {
-        if self.carries == 0.0 && told != 1.0 {
-            *self = Width { carries: told, full: true };
+    pub fn set_initial(&mut self, listed: f64) {
+        if self.capacity == 0.0 && listed != 1.0 {
+            *self = Bandwidth { capacity: listed, saturated: true };
         }
     }
 
     /// Takes an answer in: its sending time, what it took in all, and how many were under way on average while it was.
     /// Times are in milliseconds; `base_ms` is what any answer takes besides its sending.
-    pub fn answered(&mut self, work_ms: f64, took_ms: f64, base_ms: f64, open: f64) {
+    pub fn record_answer(&mut self, work_ms: f64, took_ms: f64, base_ms: f64, open: f64) {
         if !(work_ms > 0.0 && took_ms.is_finite() && open.is_finite()) {
             return;
         }
         let stretch = ((took_ms - base_ms) / work_ms).max(1.0);
-        let (carried, sure) = (open.max(1.0) / stretch, STEP * work_ms / (work_ms + SURE_MS));
-        let crowded = stretch > FULL;
-        if self.carries == 0.0 {
-            self.carries = carried;
-        } else if crowded || carried > self.carries {
-            self.carries += sure * (carried - self.carries);
-        } else if open >= USED * self.carries {
-            self.carries *= 1.0 + RISE * sure / STEP;
+        let (shown, weight) = (open.max(1.0) / stretch, ANSWER_WEIGHT * work_ms / (work_ms + HALF_WEIGHT_MS));
+        let crowded = stretch > SATURATED_STRETCH;
+        if self.capacity == 0.0 {
+            self.capacity = shown;
+        } else if crowded || shown > self.capacity {
+            self.capacity += weight * (shown - self.capacity);
+        } else if open >= USED * self.capacity {
+            self.capacity *= 1.0 + RISE * weight / ANSWER_WEIGHT;
         }
-        self.full |= crowded;
+        self.saturated |= crowded;
     }
 }
 
 /// Deliveries are averaged over so long, in milliseconds: some answers of a machine in light use.
-const DELIVERED_MS: f64 = 500.0;
+const DELIVERY_WINDOW_MS: f64 = 500.0;
 
 /// Work that a machine was seen to send of late, a moving average: what it can do at the least.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Delivered {
+pub struct DeliveryRate {
     rate: f64,
     at: f64,
 }
 
-impl Delivered {
+impl DeliveryRate {
     /// An answer of `work_ms` of sending has come whole at the time `now`, `took_ms` after it was asked for: of one that
     /// took long, only the last part came of late.
-    pub fn add(&mut self, now: f64, work_ms: f64, took_ms: f64) {
+    pub fn record(&mut self, now: f64, work_ms: f64, took_ms: f64) {
         if work_ms > 0.0 && took_ms >= 0.0 {
-            *self = Delivered { rate: self.rate(now) + work_ms / took_ms.max(DELIVERED_MS), at: now };
+            *self =
+                DeliveryRate { rate: self.rate(now) + work_ms / took_ms.max(DELIVERY_WINDOW_MS), at: now };
         }
     }
 
     /// In transfers at full pace at the time `now`, this router's own alone.
     pub fn rate(&self, now: f64) -> f64 {
-        self.rate * (-(now - self.at).max(0.0) / DELIVERED_MS).exp()
+        self.rate * (-(now - self.at).max(0.0) / DELIVERY_WINDOW_MS).exp()
     }
 }
 
@@ -95,31 +96,31 @@
 pub struct Link {
     /// What it carries of all that is under way there. Transfers that wait for their source count too, so that it is
     /// what the load there is to be compared with.
-    pub width: Width,
+    pub bandwidth: Bandwidth,
     /// What it was seen to send, counted by what came whole: what a cold machine's budget may go by.
-    pub proven: Width,
+    pub proven: Bandwidth,
     /// What this router saw it send lately.
-    pub lately: Delivered,
+    pub delivery: DeliveryRate,
 }
 
 impl Link {
     /// Begins with what a list tells.
-    pub fn guess(&mut self, told: f64) {
-        self.width.guess(told);
-        self.proven.guess(told);
+    pub fn set_initial(&mut self, listed: f64) {
+        self.bandwidth.set_initial(listed);
+        self.proven.set_initial(listed);
     }
 
-    /// Takes an answer in as [`Width::answered`] does; `routers` send to it, each taken to see as much as this one.
-    pub fn answered(&mut self, now: f64, answer: Answer, routers: f64) {
+    /// Takes an answer in as [`Bandwidth::answered`] does; `routers` send to it, each taken to see as much as this one.
+    pub fn record_answer(&mut self, now: f64, answer: Answer, routers: f64) {
         let Answer { work_ms, took_ms, base_ms, open } = answer;
-        self.width.answered(work_ms, took_ms, base_ms, open);
+        self.bandwidth.record_answer(work_ms, took_ms, base_ms, open);
         let stretch = ((took_ms - base_ms) / work_ms).max(1.0);
-        let sent = self.lately.rate(now) * routers * stretch;
-        self.proven.answered(work_ms, took_ms, base_ms, open.min(sent));
+        let sent = self.delivery.rate(now) * routers * stretch;
+        self.proven.record_answer(work_ms, took_ms, base_ms, open.min(sent));
     }
 }
 
-/// An answer, as [`Width::answered`] takes it.
+/// An answer, as [`Bandwidth::answered`] takes it.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer {
     /// Its sending time, in milliseconds.
--- a/crates/fernslip/src/facade.rs
+++ b/crates/fernslip/src/facade.rs
@@ -64,7 +64,7 @@
 //! ```
 
 use crate::api::*;
-use crate::manual_exclusion::Hand;
+use crate::manual_exclusion::ManualExclusions;
 use crate::policy::Router;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -219,7 +219,7 @@
     router: Router,
     open: HashMap<RequestId, Open>,
     timers: BinaryHeap<Reverse<Due>>,
-    hand: Hand,
+    exclusions: ManualExclusions,
 }
 
 enum Effect {
@@ -241,7 +241,12 @@
     /// A dispatcher that knows no caches yet.
     pub fn new(settings: Settings, seed: u64, host: H) -> Result<Self, SettingsError> {
         let router = Router::new(settings, seed)?;
-        let inner = Inner { router, open: HashMap::new(), timers: BinaryHeap::new(), hand: Hand::default() };
+        let inner = Inner {
+            router,
+            open: HashMap::new(),
+            timers: BinaryHeap::new(),
+            exclusions: ManualExclusions::default(),
+        };
         Ok(Dispatcher { inner: Mutex::new(inner), host })
     }
 
@@ -359,13 +364,13 @@
     /// [`Host::draining`].
     pub fn is_in_service(&self, attempt: &Attempt) -> bool {
         let inner = self.lock();
-        let serves = |cache: &CacheId| inner.hand.serves(cache);
+        let serves = |cache: &CacheId| inner.exclusions.is_in_service(cache);
         serves(&attempt.cache) && attempt.source.as_ref().is_none_or(serves)
     }
 
     /// Since when a cache is not to be sent anything new, in the time of the events; `None`: it may be.
     pub fn out_of_service_since(&self, cache: &CacheId) -> Option<f64> {
-        self.lock().hand.out_of_service_since(cache)
+        self.lock().exclusions.out_of_service_since(cache)
     }
 
     /// Runs what is due; when the next is, if any.
@@ -388,7 +393,7 @@
     pub fn update_endpoints(&self, now_ms: f64, kind: ListKind, mut entries: Vec<Entry>) {
         let (draining, effects) = {
             let mut inner = self.lock();
-            inner.hand.rewrite(now_ms, kind, &mut entries);
+            inner.exclusions.rewrite(now_ms, kind, &mut entries);
             let drain = |e: &&Entry| e.phase != Phase::In;
             let draining: Vec<CacheId> = entries.iter().filter(drain).map(|e| e.cache.clone()).collect();
             (draining, inner.handle(now_ms, Event::Endpoints { kind, entries }))
@@ -404,7 +409,7 @@
     pub fn exclude(&self, now_ms: f64, cache: &CacheId) -> bool {
         let effects = {
             let mut inner = self.lock();
-            let Some(entry) = inner.hand.exclude(now_ms, cache) else { return false };
+            let Some(entry) = inner.exclusions.exclude(now_ms, cache) else { return false };
             inner.handle(now_ms, Event::Endpoints { kind: ListKind::Delta, entries: vec![entry] })
         };
         self.carry_out(effects);
@@ -417,7 +422,7 @@
     pub fn include(&self, now_ms: f64, cache: &CacheId) -> bool {
         let effects = {
             let mut inner = self.lock();
-            match inner.hand.include(cache) {
+            match inner.exclusions.include(cache) {
                 None => return false,
                 Some(None) => Vec::new(),
                 Some(Some(entry)) => {
@@ -431,23 +436,23 @@
 
     /// Whether a cache of that id is listed.
     pub fn is_listed(&self, cache: &CacheId) -> bool {
-        self.lock().hand.is_listed(cache)
+        self.lock().exclusions.is_listed(cache)
     }
 
     /// Takes caches out by hand before they are listed: the set that a front kept across its restart.
     pub fn restore(&self, caches: impl IntoIterator<Item = CacheId>) {
-        self.lock().hand.restore(caches);
+        self.lock().exclusions.restore(caches);
     }
 
     /// The caches out by hand.
     pub fn excluded(&self) -> Vec<CacheId> {
-        self.lock().hand.out().cloned().collect()
+        self.lock().exclusions.excluded().cloned().collect()
     }
 
     /// Caches listed, and of them those avoided: out by hand or draining.
     pub fn listed(&self) -> (usize, usize) {
         let inner = self.lock();
-        (inner.hand.listed(), inner.hand.avoided())
+        (inner.exclusions.listed_count(), inner.exclusions.avoided_count())
     }
 
     /// An object, or with `None` a whole group, was purged so long ago.
@@ -491,7 +496,7 @@
 
     /// What was given up since the start, by cause.
     pub fn given_up(&self) -> Vec<(&'static str, u64)> {
-        self.lock().router.given_up.totals().iter().map(|(why, n)| (*why, *n)).collect()
+        self.lock().router.rejections.totals().iter().map(|(why, n)| (*why, *n)).collect()
     }
 
     /// How many requests are open.
--- a/crates/fernslip/src/filter.rs
+++ b/crates/fernslip/src/filter.rs
@@ -8,9 +8,9 @@
 pub struct Hashes(pub [u32; 4]);
 
 /// Hashes the parts of a key.
-pub fn hash(words: &[u64]) -> Hashes {
+pub fn hash(parts: &[u64]) -> Hashes {
     let mut md = Md5::new();
-    for w in words {
+    for w in parts {
         md.update(w.to_be_bytes());
     }
     let sum: [u8; 16] = md.finalize().into();
@@ -21,7 +21,7 @@
     Hashes(h)
 }
 
-const FULL: u8 = 15;
+const SATURATED: u8 = 15;
 
 /// Two generations of 4-bit counters.
 #[derive(Clone, Debug)]
@@ -51,7 +51,7 @@
     }
 
     /// The counters of a key, each once, in ascending order.
-    pub fn places(&self, h: Hashes) -> Vec<u32> {
+    pub fn positions(&self, h: Hashes) -> Vec<u32> {
         let m = self.counters() as u32;
         let mut p: Vec<u32> = h.0[..self.hashes].iter().map(|x| x % m).collect();
         p.sort_unstable();
@@ -60,68 +60,68 @@
     }
 
     fn get(gen: &[u8], at: u32) -> u8 {
-        (gen[at as usize / 2] >> (at % 2 * 4)) & FULL
+        (gen[at as usize / 2] >> (at % 2 * 4)) & SATURATED
     }
 
     fn step(gen: &mut [u8], at: u32, up: bool) {
         let (byte, shift) = (&mut gen[at as usize / 2], at % 2 * 4);
-        let v = (*byte >> shift) & FULL;
+        let v = (*byte >> shift) & SATURATED;
         // A counter that is full has lost count: it stays full until its generation goes.
         let new = match (v, up) {
-            (FULL, _) | (0, false) => v,
+            (SATURATED, _) | (0, false) => v,
             (_, true) => v + 1,
             (_, false) => v - 1,
         };
-        *byte = (*byte & !(FULL << shift)) | (new << shift);
+        *byte = (*byte & !(SATURATED << shift)) | (new << shift);
     }
 
-    fn least(gen: &[u8], places: &[u32]) -> u8 {
-        places.iter().map(|&p| Self::get(gen, p)).min().unwrap_or(0)
+    fn minimum(gen: &[u8], positions: &[u32]) -> u8 {
+        positions.iter().map(|&p| Self::get(gen, p)).min().unwrap_or(0)
     }
 
     /// Whether either generation shows the key.
-    pub fn shows(&self, h: Hashes) -> bool {
+    pub fn contains(&self, h: Hashes) -> bool {
         self.count(h) > 0
     }
 
     /// The larger of both generations' estimates, 15 at most.
     pub fn count(&self, h: Hashes) -> u8 {
-        let p = self.places(h);
-        Self::least(&self.now, &p).max(Self::least(&self.old, &p))
+        let p = self.positions(h);
+        Self::minimum(&self.now, &p).max(Self::minimum(&self.old, &p))
     }
 
     /// Counts the key in the current generation, whether it is there or not.
     pub fn bump(&mut self, h: Hashes) {
-        for p in self.places(h) {
+        for p in self.positions(h) {
             Self::step(&mut self.now, p, true);
         }
     }
 
     /// Adds the key to the current generation if that lacks it; the changes made.
     pub fn add(&mut self, h: Hashes) -> Vec<Change> {
-        let places = self.places(h);
-        if Self::least(&self.now, &places) > 0 {
+        let positions = self.positions(h);
+        if Self::minimum(&self.now, &positions) > 0 {
             return Vec::new();
         }
-        places.into_iter().map(|at| self.apply_one(Change { at, up: true })).collect()
+        positions.into_iter().map(|at| self.apply_one(Change { at, up: true })).collect()
     }
 
     /// Removes the key from each generation that shows it; the changes made to the current one.
     pub fn remove(&mut self, h: Hashes) -> Vec<Change> {
-        let places = self.places(h);
-        if Self::least(&self.old, &places) > 0 {
-            places.iter().for_each(|&p| Self::step(&mut self.old, p, false));
+        let positions = self.positions(h);
+        if Self::minimum(&self.old, &positions) > 0 {
+            positions.iter().for_each(|&p| Self::step(&mut self.old, p, false));
         }
-        if Self::least(&self.now, &places) == 0 {
+        if Self::minimum(&self.now, &positions) == 0 {
             return Vec::new();
         }
-        places.into_iter().map(|at| self.apply_one(Change { at, up: false })).collect()
+        positions.into_iter().map(|at| self.apply_one(Change { at, up: false })).collect()
     }
 
     /// What would make an empty filter show what this one shows.
-    pub fn shown(&self) -> Vec<Change> {
-        let held = |at: &u32| Self::get(&self.now, *at).max(Self::get(&self.old, *at)) > 0;
-        (0..self.counters() as u32).filter(held).map(|at| Change { at, up: true }).collect()
+    pub fn set_counters(&self) -> Vec<Change> {
+        let is_set = |at: &u32| Self::get(&self.now, *at).max(Self::get(&self.old, *at)) > 0;
+        (0..self.counters() as u32).filter(is_set).map(|at| Change { at, up: true }).collect()
     }
 
     fn apply_one(&mut self, c: Change) -> Change {
@@ -138,7 +138,7 @@
     }
 
     /// Begins a new generation and drops the older one.
-    pub fn age(&mut self) {
+    pub fn rotate(&mut self) {
         std::mem::swap(&mut self.now, &mut self.old);
         self.now.fill(0);
     }
@@ -159,7 +159,7 @@
     pub up: bool,
 }
 
-fn put(out: &mut Vec<u8>, mut v: u32) {
+fn put_varint(out: &mut Vec<u8>, mut v: u32) {
     while v >= 128 {
         out.push(v as u8 | 128);
         v >>= 7;
@@ -167,7 +167,7 @@
     out.push(v as u8);
 }
 
-fn take(data: &mut &[u8]) -> Option<u32> {
+fn take_varint(data: &mut &[u8]) -> Option<u32> {
     let mut v = 0u32;
     for shift in [0u32, 7, 14, 21, 28] {
         let (&b, rest) = data.split_first()?;
@@ -188,11 +188,11 @@
     let (mut pieces, mut piece, mut last) = (Vec::new(), Vec::new(), 0);
     for c in sorted {
         let mut code = Vec::new();
-        put(&mut code, (c.at - last) << 1 | u32::from(c.up));
+        put_varint(&mut code, (c.at - last) << 1 | u32::from(c.up));
         if piece.len() + code.len() > limit && !piece.is_empty() {
             pieces.push(std::mem::take(&mut piece));
             code.clear();
-            put(&mut code, c.at << 1 | u32::from(c.up));
+            put_varint(&mut code, c.at << 1 | u32::from(c.up));
         }
         piece.extend(code);
         last = c.at;
@@ -207,8 +207,8 @@
 pub fn decode(mut data: &[u8], counters: usize) -> Vec<Change> {
     let (mut out, mut last) = (Vec::new(), 0u32);
     while !data.is_empty() {
-        let place = take(&mut data).and_then(|v| Some((v, last.checked_add(v >> 1)?)));
-        let Some((v, at)) = place.filter(|p| (p.1 as usize) < counters) else { return Vec::new() };
+        let next = take_varint(&mut data).and_then(|v| Some((v, last.checked_add(v >> 1)?)));
+        let Some((v, at)) = next.filter(|p| (p.1 as usize) < counters) else { return Vec::new() };
         out.push(Change { at, up: v & 1 == 1 });
         last = at;
     }
--- a/crates/fernslip/src/lib.rs
+++ b/crates/fernslip/src/lib.rs
@@ -122,4 +122,4 @@
 mod state;
 
 pub use api::*;
-pub use policy::Router;
+pub use policy::{Retained, Router};
--- a/crates/fernslip/src/manual_exclusion.rs
+++ b/crates/fernslip/src/manual_exclusion.rs
@@ -1,7 +1,7 @@
 //! Cache nodes taken out by hand: from the operators' `exclude` until their `include`, a node counts as draining
 //! for this router, whatever the list says meanwhile.
 //!
-//! The set sits between the list and the decisions: every list passes through [`Hand::rewrite`], which keeps the
+//! The set sits between the list and the decisions: every list passes through [`ManualExclusions::rewrite`], which keeps the
 //! last word of the list on each node and turns `In` into `Draining` for those out by hand. Calls are not counted:
 //! two `exclude` need one `include`. Deterministic and without I/O; keeping the set across a restart is the host's.
 
@@ -9,25 +9,25 @@
 use std::collections::{BTreeSet, HashMap};
 
 /// For how long it is remembered since when a node is out of service, in milliseconds: longer than any attempt waits.
-const REMEMBERED_MS: f64 = 3_600_000.0;
+const OUT_OF_SERVICE_RETENTION_MS: f64 = 3_600_000.0;
 
 /// The nodes out by hand, and what the list last said of each node.
 #[derive(Default)]
-pub struct Hand {
-    out: BTreeSet<CacheId>,
+pub struct ManualExclusions {
+    excluded: BTreeSet<CacheId>,
     listed: HashMap<CacheId, Entry>,
     /// Since when nothing new is to go to a node, in the time of the events; nodes in service are not in it.
-    since: HashMap<CacheId, f64>,
+    out_of_service: HashMap<CacheId, f64>,
 }
 
-impl Hand {
+impl ManualExclusions {
     /// Takes a list in and rewrites it: nodes out by hand are draining in it.
     pub fn rewrite(&mut self, now_ms: f64, kind: ListKind, entries: &mut [Entry]) {
         match kind {
             ListKind::Failed => return,
             ListKind::Full | ListKind::Cached => {
                 for id in std::mem::take(&mut self.listed).into_keys() {
-                    self.since.entry(id).or_insert(now_ms);
+                    self.out_of_service.entry(id).or_insert(now_ms);
                 }
             }
             ListKind::Delta => {}
@@ -38,26 +38,26 @@
             } else {
                 self.listed.insert(e.cache.clone(), e.clone());
             }
-            if e.phase == Phase::In && self.out.contains(&e.cache) {
+            if e.phase == Phase::In && self.excluded.contains(&e.cache) {
                 e.phase = Phase::Draining;
             }
             if e.phase == Phase::In {
-                self.since.remove(&e.cache);
+                self.out_of_service.remove(&e.cache);
             } else {
-                self.since.entry(e.cache.clone()).or_insert(now_ms);
+                self.out_of_service.entry(e.cache.clone()).or_insert(now_ms);
             }
         }
-        self.since.retain(|_, since| now_ms - *since < REMEMBERED_MS);
+        self.out_of_service.retain(|_, since| now_ms - *since < OUT_OF_SERVICE_RETENTION_MS);
     }
 
     /// Whether something new may go to that node.
-    pub fn serves(&self, id: &CacheId) -> bool {
-        self.listed.get(id).is_some_and(|e| e.phase == Phase::In) && !self.out.contains(id)
+    pub fn is_in_service(&self, id: &CacheId) -> bool {
+        self.listed.get(id).is_some_and(|e| e.phase == Phase::In) && !self.excluded.contains(id)
     }
 
     /// Since when nothing new is to go to that node; `None`: it may, or it is too long ago to be remembered.
     pub fn out_of_service_since(&self, id: &CacheId) -> Option<f64> {
-        self.since.get(id).copied()
+        self.out_of_service.get(id).copied()
     }
 
     /// Whether a node of that id is listed.
@@ -68,8 +68,8 @@
     /// Takes a node out; the entry that tells the decisions so, or `None` where no node of that id is listed.
     pub fn exclude(&mut self, now_ms: f64, id: &CacheId) -> Option<Entry> {
         let entry = self.listed.get(id)?;
-        self.out.insert(id.clone());
-        self.since.entry(id.clone()).or_insert(now_ms);
+        self.excluded.insert(id.clone());
+        self.out_of_service.entry(id.clone()).or_insert(now_ms);
         let phase = if entry.phase == Phase::In { Phase::Draining } else { entry.phase };
         Some(Entry { phase, ..entry.clone() })
     }
@@ -77,35 +77,35 @@
     /// Puts a node back; the entry as the list last gave it, or `None` where the id is neither listed nor out.
     /// A node that is out and no longer listed is put back all the same, with no entry to tell.
     pub fn include(&mut self, id: &CacheId) -> Option<Option<Entry>> {
-        let was_out = self.out.remove(id);
-        if self.serves(id) {
-            self.since.remove(id);
+        let was_excluded = self.excluded.remove(id);
+        if self.is_in_service(id) {
+            self.out_of_service.remove(id);
         }
         match self.listed.get(id) {
             Some(e) => Some(Some(e.clone())),
-            None if was_out => Some(None),
+            None if was_excluded => Some(None),
             None => None,
         }
     }
 
     /// Takes nodes out before they are listed, as a restarted front does with the set that it kept.
     pub fn restore(&mut self, ids: impl IntoIterator<Item = CacheId>) {
-        self.out.extend(ids);
+        self.excluded.extend(ids);
     }
 
     /// The nodes out by hand, in order.
-    pub fn out(&self) -> impl Iterator<Item = &CacheId> {
-        self.out.iter()
+    pub fn excluded(&self) -> impl Iterator<Item = &CacheId> {
+        self.excluded.iter()
     }
 
     /// Nodes listed and not gone: in service or draining.
-    pub fn listed(&self) -> usize {
+    pub fn listed_count(&self) -> usize {
         self.listed.len()
     }
 
     /// Listed nodes that are out by hand or draining by the list.
-    pub fn avoided(&self) -> usize {
-        self.listed.values().filter(|e| e.phase != Phase::In || self.out.contains(&e.cache)).count()
+    pub fn avoided_count(&self) -> usize {
+        self.listed.values().filter(|e| e.phase != Phase::In || self.excluded.contains(&e.cache)).count()
     }
 }
 
--- a/crates/fernslip/src/manual_exclusion/tests.rs
+++ b/crates/fernslip/src/manual_exclusion/tests.rs
@@ -6,47 +6,47 @@
 
 #[test]
 fn a_node_out_by_hand_stays_draining_whatever_the_list_says() {
-    let mut hand = Hand::default();
+    let mut exclusions = ManualExclusions::default();
     let mut list = vec![entry("a", Phase::In), entry("b", Phase::In)];
-    hand.rewrite(0.0, ListKind::Full, &mut list);
-    assert_eq!(hand.exclude(0.0, &"a".into()).map(|e| e.phase), Some(Phase::Draining));
+    exclusions.rewrite(0.0, ListKind::Full, &mut list);
+    assert_eq!(exclusions.exclude(0.0, &"a".into()).map(|e| e.phase), Some(Phase::Draining));
     let mut again = vec![entry("a", Phase::In)];
-    hand.rewrite(0.0, ListKind::Delta, &mut again);
+    exclusions.rewrite(0.0, ListKind::Delta, &mut again);
     assert_eq!(again[0].phase, Phase::Draining);
     let mut full = vec![entry("a", Phase::In), entry("b", Phase::In)];
-    hand.rewrite(0.0, ListKind::Full, &mut full);
+    exclusions.rewrite(0.0, ListKind::Full, &mut full);
     assert_eq!((full[0].phase, full[1].phase), (Phase::Draining, Phase::In));
-    assert_eq!((hand.listed(), hand.avoided()), (2, 1));
+    assert_eq!((exclusions.listed_count(), exclusions.avoided_count()), (2, 1));
 }
 
 #[test]
 fn two_out_need_one_back_and_unknown_ids_get_a_no() {
-    let mut hand = Hand::default();
-    hand.rewrite(0.0, ListKind::Full, &mut [entry("a", Phase::In)]);
-    assert!(hand.exclude(0.0, &"a".into()).is_some());
-    assert!(hand.exclude(0.0, &"a".into()).is_some());
-    assert!(hand.exclude(0.0, &"nobody".into()).is_none());
-    assert!(hand.include(&"nobody".into()).is_none());
-    assert_eq!(hand.include(&"a".into()).flatten().map(|e| e.phase), Some(Phase::In));
+    let mut exclusions = ManualExclusions::default();
+    exclusions.rewrite(0.0, ListKind::Full, &mut [entry("a", Phase::In)]);
+    assert!(exclusions.exclude(0.0, &"a".into()).is_some());
+    assert!(exclusions.exclude(0.0, &"a".into()).is_some());
+    assert!(exclusions.exclude(0.0, &"nobody".into()).is_none());
+    assert!(exclusions.include(&"nobody".into()).is_none());
+    assert_eq!(exclusions.include(&"a".into()).flatten().map(|e| e.phase), Some(Phase::In));
     let mut list = [entry("a", Phase::In)];
-    hand.rewrite(0.0, ListKind::Delta, &mut list);
+    exclusions.rewrite(0.0, ListKind::Delta, &mut list);
     assert_eq!(list[0].phase, Phase::In);
 }
 
 #[test]
 fn a_restored_set_binds_nodes_listed_later() {
-    let mut hand = Hand::default();
-    hand.restore(["a".into()]);
+    let mut exclusions = ManualExclusions::default();
+    exclusions.restore(["a".into()]);
     let mut list = [entry("a", Phase::In)];
-    hand.rewrite(0.0, ListKind::Full, &mut list);
+    exclusions.rewrite(0.0, ListKind::Full, &mut list);
     assert_eq!(list[0].phase, Phase::Draining);
-    assert_eq!(hand.out().count(), 1);
+    assert_eq!(exclusions.excluded().count(), 1);
 }
 
 #[test]
 fn a_failed_list_changes_nothing() {
-    let mut hand = Hand::default();
-    hand.rewrite(0.0, ListKind::Full, &mut [entry("a", Phase::In)]);
-    hand.rewrite(0.0, ListKind::Failed, &mut []);
-    assert_eq!(hand.listed(), 1);
+    let mut exclusions = ManualExclusions::default();
+    exclusions.rewrite(0.0, ListKind::Full, &mut [entry("a", Phase::In)]);
+    exclusions.rewrite(0.0, ListKind::Failed, &mut []);
+    assert_eq!(exclusions.listed_count(), 1);
 }
--- a/crates/fernslip/src/message/tests.rs
+++ b/crates/fernslip/src/message/tests.rs
@@ -4,10 +4,10 @@
 fn what_is_written_is_read_and_what_is_cut_or_odd_is_not() {
     let changes: Vec<Change> = (0..60).map(|n| Change { at: n * 9, up: n % 4 > 0 }).collect();
     let piece = encode(&changes, 251).remove(0);
-    let data = [head(7, [1, 2, 3]), piece].concat();
-    assert_eq!(read(&data, 16384), Some((7, Message::Changes([1, 2, 3], changes))));
-    for asks in [false, true] {
-        assert_eq!(read(&greeting(7, asks), 16384), Some((7, Message::Greeting(asks))));
+    let data = [header(7, [1, 2, 3]), piece].concat();
+    assert_eq!(read(&data, 16384), Some((7, Message::Changes { tag: [1, 2, 3], changes })));
+    for wants_reply in [false, true] {
+        assert_eq!(read(&greeting(7, wants_reply), 16384), Some((7, Message::Greeting { wants_reply })));
     }
     let odd: [&[u8]; 7] =
         [&[], &[2], &[2, 7], &[2, 7, 2], &[2, 7, 1, 2, 3], &[3, 7, 1], &[2, 7, 1, 2, 3, 255, 255]];
--- a/crates/fernslip/src/peers.rs
+++ b/crates/fernslip/src/peers.rs
@@ -5,62 +5,62 @@
 
 /// Who was heard, and over how long things were learned, here or by one whose knowledge was taken over.
 #[derive(Clone, Debug, Default)]
-pub struct Mates {
-    heard: BTreeSet<u32>,
+pub struct Peers {
+    known: BTreeSet<u32>,
     /// When this router's first event came.
-    pub began: Option<f64>,
+    pub first_event_ms: Option<f64>,
     /// For how much longer one had learned whose knowledge it took over.
-    told_ms: f64,
+    adopted_ms: f64,
 }
 
-impl Mates {
+impl Peers {
     /// An event came at that time.
-    pub fn event(&mut self, now: f64) {
-        self.began.get_or_insert(now);
+    pub fn record_event(&mut self, now: f64) {
+        self.first_event_ms.get_or_insert(now);
     }
 
     /// One was heard, of this location or of another.
-    pub fn heard(&mut self, from: u32, is_mate: bool) {
-        if is_mate {
-            self.heard.insert(from);
+    pub fn record_message(&mut self, from: u32, same_location: bool) {
+        if same_location {
+            self.known.insert(from);
         } else {
-            self.heard.remove(&from);
+            self.known.remove(&from);
         }
     }
 
     /// Their numbers.
     pub fn all(&self) -> impl Iterator<Item = u32> + '_ {
-        self.heard.iter().copied()
+        self.known.iter().copied()
     }
 
     /// Whether all of a location of `routers` were heard, this one included.
-    pub fn are_all(&self, routers: u32) -> bool {
-        self.heard.len() + 1 >= routers as usize
+    pub fn all_known(&self, routers: u32) -> bool {
+        self.known.len() + 1 >= routers as usize
     }
 
     /// This router's place among the location's: by the order of their numbers, and by chance while some were not heard.
-    pub fn place(&self, own: u32, routers: u32) -> u32 {
-        if !self.are_all(routers) {
+    pub fn index(&self, own: u32, routers: u32) -> u32 {
+        if !self.all_known(routers) {
             return mix(own.into()) as u32;
         }
-        self.heard.iter().filter(|&&m| m < own).count() as u32
+        self.known.iter().filter(|&&m| m < own).count() as u32
     }
 
     /// Whether this router is the one that comes after `other` in the order of numbers, round and round.
     pub fn comes_after(&self, own: u32, other: u32) -> bool {
         let after = |m: u32| m.wrapping_sub(other);
-        self.heard.iter().all(|&m| m == other || after(own) < after(m))
+        self.known.iter().all(|&m| m == other || after(own) < after(m))
     }
 
     /// Over how long things were learned, in milliseconds.
     pub fn known_ms(&self, now: f64) -> f64 {
-        self.began.map_or(0.0, |b| now - b) + self.told_ms
+        self.first_event_ms.map_or(0.0, |b| now - b) + self.adopted_ms
     }
 
     /// Knowledge of that many milliseconds is taken over, if it is more than there is.
-    pub fn take_over(&mut self, now: f64, known_ms: f64) -> bool {
+    pub fn adopt(&mut self, now: f64, known_ms: f64) -> bool {
         let more = known_ms - self.known_ms(now);
-        self.told_ms += more.max(0.0);
+        self.adopted_ms += more.max(0.0);
         more > 0.0
     }
 }
--- a/crates/fernslip/src/peers/tests.rs
+++ b/crates/fernslip/src/peers/tests.rs
@@ -4,12 +4,12 @@
 fn each_has_a_place_of_its_own_and_one_comes_next() {
     let numbers = [3u32, 7, 20, 21];
     let of = |own: u32| {
-        let mut m = Mates::default();
-        numbers.iter().filter(|n| **n != own).for_each(|n| m.heard(*n, true));
+        let mut m = Peers::default();
+        numbers.iter().filter(|n| **n != own).for_each(|n| m.record_message(*n, true));
         m
     };
-    let places: Vec<u32> = numbers.iter().map(|n| of(*n).place(*n, 4)).collect();
-    assert_eq!(places, [0, 1, 2, 3]);
+    let indices: Vec<u32> = numbers.iter().map(|n| of(*n).index(*n, 4)).collect();
+    assert_eq!(indices, [0, 1, 2, 3]);
     let next = |other: u32| {
         numbers.iter().filter(|n| **n != other && of(**n).comes_after(**n, other)).collect::<Vec<_>>()
     };
@@ -18,8 +18,8 @@
 
 #[test]
 fn what_is_taken_over_counts_from_then_on() {
-    let mut m = Mates::default();
-    m.event(1_000.0);
-    assert!(m.take_over(1_010.0, 9_000.0) && !m.take_over(1_020.0, 5_000.0));
+    let mut m = Peers::default();
+    m.record_event(1_000.0);
+    assert!(m.adopt(1_010.0, 9_000.0) && !m.adopt(1_020.0, 5_000.0));
     assert_eq!(m.known_ms(2_010.0), 10_000.0);
 }
--- a/crates/fernslip/src/policy/capacity.rs
+++ b/crates/fernslip/src/policy/capacity.rs
@@ -1,73 +1,89 @@
-//! Capacity: the learned bandwidth and pace of cache nodes, and the load that is put on them.
+//! Capacity: the learned bandwidth and pace of nodes, and the load that is put on them.
 
 use super::Router;
-use super::{PACE_SEEN_MS, SLOW, SLOW_PART};
+use super::{PACE_SEEN_MS, SLOW, SLOW_FRACTION};
 use crate::api::*;
-use crate::bandwidth::{Answer, Width};
-use crate::state::{mean_proven, Cache};
+use crate::bandwidth::{Answer, Bandwidth};
+use crate::state::{mean_proven_capacity, Node};
 
 impl Router {
-    /// The part of its weight that is left to a machine slower than its fellows. Guards against parents that
-    /// slow, pause or crowd, and caches that crawl. Harm: what a merely busy one holds is fetched anew.
-    pub(super) fn quickness(&self, c: &Cache) -> f64 {
-        let n = self.fellows(c).count().max(1) as f64;
-        let others = self.fellows(c).map(|f| f.pace_at(self.now)).sum::<f64>() / n;
-        if others > 0.0 {
-            (SLOW * others / c.pace_at(self.now).max(0.01)).powi(2).min(1.0)
+    /// The share of its weight that remains to a node slower than its peers, up to 1. Guards against parents that
+    /// slow, pause or crowd, and caches that crawl. Harm: what a merely busy one has is fetched anew.
+    pub(super) fn speed_factor(&self, node: &Node) -> f64 {
+        let count = self.peers_of(node).count().max(1) as f64;
+        let mean_pace = self.peers_of(node).map(|peer| peer.pace_at(self.now_ms)).sum::<f64>() / count;
+        if mean_pace > 0.0 {
+            (SLOW * mean_pace / node.pace_at(self.now_ms).max(0.01)).powi(2).min(1.0)
         } else {
             1.0
         }
     }
 
-    /// Whether what went through a cache took no longer than its hits do: its own link is the crowded one.
-    pub(super) fn is_busy(&self, c: &Cache, pace: f64) -> bool {
-        c.pace_at(self.now) > SLOW && pace < SLOW * c.pace_at(self.now)
+    /// Whether what went through a cache took no longer than its hits do: its own link is the congested one.
+    pub(super) fn is_congested(&self, node: &Node, pace: f64) -> bool {
+        let own_pace = node.pace_at(self.now_ms);
+        own_pace > SLOW && pace < SLOW * own_pace
     }
 
-    pub(super) fn is_slow(&self, c: &Cache) -> bool {
-        self.quickness(c) < SLOW_PART
+    /// Whether it is so much slower than its peers that it alone is to blame for late fills.
+    pub(super) fn is_slow(&self, node: &Node) -> bool {
+        self.speed_factor(node) < SLOW_FRACTION
     }
 
-    /// Its part of the homes.
-    pub(super) fn gives(&self, c: &Cache) -> f64 {
-        c.told * self.warmth(c) * self.quickness(c)
+    /// Its weight in the hash order of homes: as listed, less what it lacks in warmth and speed.
+    pub(super) fn effective_weight(&self, node: &Node) -> f64 {
+        node.listed_weight * self.capacity_fraction(node) * self.speed_factor(node)
     }
 
-    /// What it carries when warm: as it showed, else as its fellows did, else as told links let expect.
-    pub(super) fn width(&self, c: &Cache, shown: Width) -> f64 {
-        let role = c.role as usize;
-        let least = shown.carries.max(1.0);
-        if shown.full {
+    /// How many transfers at full pace it carries when warm: as it showed, else as its peers did, else as known links
+    /// let expect.
+    pub(super) fn warm_capacity(&self, node: &Node, shown: Bandwidth) -> f64 {
+        let role = node.role as usize;
+        let least = shown.capacity.max(1.0);
+        if shown.saturated {
             least
         } else {
-            least.max(self.typical[role]).max(self.first[role])
+            least.max(self.typical_bandwidth[role]).max(self.expected_bandwidth[role])
         }
     }
 
-    /// What it carries now. One that warms up carries at least what the rules tell, and what it has shown.
-    pub(super) fn carries(&self, c: &Cache) -> f64 {
-        (self.width(c, c.link.width) * self.warmth(c)).max(c.link.lately.rate(self.now) * self.sharers(c))
+    /// What it carries now. In slow start it carries at least what the settings say, and what it has shown.
+    pub(super) fn current_capacity(&self, node: &Node) -> f64 {
+        let by_ramp = self.warm_capacity(node, node.link.bandwidth) * self.capacity_fraction(node);
+        by_ramp.max(node.link.delivery.rate(self.now_ms) * self.sharers(node))
     }
 
     /// Takes in what an answer shows of a link: a cache's by its hits, a source's by the fills from it.
-    pub(super) fn measure(&mut self, id: &CacheId, work_ms: f64, took_ms: f64, base_ms: f64, seen: f64) {
-        let (now, open) = (self.now, (self.seen(id) - seen) / took_ms.max(1.0));
-        let routers = self.caches.get(id).map_or(1.0, |c| self.sharers(c));
-        let cold = self.caches.get(id).is_none_or(|c| self.warming(c).is_some());
-        let Some(c) = self.caches.get_mut(id).filter(|_| !cold) else { return };
-        c.link.answered(now, Answer { work_ms, took_ms, base_ms, open }, routers);
-        let role = c.role as usize;
-        self.typical[role] = mean_proven(self.caches.values(), role);
+    /// `total_when_sent` is what [`Router::in_flight_total`] was when the attempt was sent.
+    pub(super) fn measure(
+        &mut self,
+        id: &CacheId,
+        work_ms: f64,
+        took_ms: f64,
+        base_ms: f64,
+        total_when_sent: f64,
+    ) {
+        let now = self.now_ms;
+        let open = (self.in_flight_total(id) - total_when_sent) / took_ms.max(1.0);
+        let known = self.caches.get(id);
+        let routers = known.map_or(1.0, |node| self.sharers(node));
+        let warming_up = known.is_none_or(|node| self.slow_start(node).is_some());
+        let Some(node) = self.caches.get_mut(id).filter(|_| !warming_up) else { return };
+        node.link.record_answer(now, Answer { work_ms, took_ms, base_ms, open }, routers);
+        let role = node.role as usize;
+        self.typical_bandwidth[role] = mean_proven_capacity(self.caches.values(), role);
     }
 
-    pub(super) fn load(&self, c: &Cache) -> f64 {
-        let routers = f64::from(self.set.near_routers());
-        let counted = c.open.of_all(self.now, routers) / self.carries(c);
-        if self.warmth(c) >= 1.0 {
+    /// How many times the transfers that it carries are in flight there: 1 is full.
+    pub(super) fn load(&self, node: &Node) -> f64 {
+        let routers = f64::from(self.settings.near_routers());
+        let counted = node.in_flight.estimate_all(self.now_ms, routers) / self.current_capacity(node);
+        if self.capacity_fraction(node) >= 1.0 {
             return counted;
         }
-        // Its warmth is the least it may be, and others' parts are a guess: what its hits took tells more.
-        let fresh = (-(self.now - c.paced) / PACE_SEEN_MS).exp2() * (1.0 - 1.0 / routers);
-        counted + (counted.min(c.pace) - counted) * fresh
+        // Its ramp is the least it may have, and others' shares are a guess: what its hits took tells more.
+        let fading = (-(self.now_ms - node.pace_updated) / PACE_SEEN_MS).exp2();
+        let trust = fading * (1.0 - 1.0 / routers);
+        counted + (counted.min(node.pace) - counted) * trust
     }
 }
--- a/crates/fernslip/src/policy/filters.rs
+++ b/crates/fernslip/src/policy/filters.rs
@@ -1,24 +1,26 @@
-//! Counting Bloom filters: changes noted for peers and the rank that recent demand gives a request.
+//! Counting Bloom filters: changes that peers have not been sent yet, and the rank that recent demand gives a request.
 
 use super::Router;
-use super::{MAX_NOTED, RANK2_FROM, RANK3_FROM};
+use super::{MAX_PENDING_CHANGES, RANK2_FROM, RANK3_FROM};
 use crate::api::*;
 use crate::filter::{Change, Filter};
-use crate::state::Req;
+use crate::state::PendingRequest;
 
 impl Router {
-    pub(super) fn record(&mut self, id: &CacheId, change: impl Fn(&mut Filter) -> Vec<Change>) {
-        if let Some(c) = self.caches.get_mut(id) {
-            let room = MAX_NOTED.saturating_sub(c.changes.len());
-            c.changes.extend(change(&mut c.filter).into_iter().take(room));
+    /// Changes a node's filter, and notes the changes for peers as far as there is capacity for them.
+    pub(super) fn record_change(&mut self, id: &CacheId, change: impl Fn(&mut Filter) -> Vec<Change>) {
+        if let Some(node) = self.caches.get_mut(id) {
+            let capacity = MAX_PENDING_CHANGES.saturating_sub(node.changes.len());
+            node.changes.extend(change(&mut node.filter).into_iter().take(capacity));
         }
     }
 
-    pub(super) fn rank(&self, req: &Req) -> u8 {
-        if self.set.classes[req.ask.class].write {
+    /// The rank at which a cache is to keep what is fetched: 0 for writes, else 1 to 3 by recent demand.
+    pub(super) fn rank(&self, req: &PendingRequest) -> u8 {
+        if self.settings.classes[req.request.class].write {
             return 0;
         }
-        let seen = self.wanted.count(req.key);
-        1 + u8::from(seen >= RANK2_FROM) + u8::from(seen >= RANK3_FROM)
+        let recent = self.demand.count(req.key);
+        1 + u8::from(recent >= RANK2_FROM) + u8::from(recent >= RANK3_FROM)
     }
 }
--- a/crates/fernslip/src/purges.rs
+++ b/crates/fernslip/src/purges.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 /// Purges held: beyond it the oldest bounds all objects instead of its own.
-const MOST: usize = 4096;
+const MAX_PURGES: usize = 4096;
 
 /// The last purge of each object and group.
 #[derive(Clone, Debug, Default)]
@@ -11,25 +11,25 @@
     /// By what was named: an object (true) or a group.
     last: BTreeMap<(bool, u64), f64>,
     /// Of those let go of for their number, the latest: it may have been of anything.
-    forgotten: Option<f64>,
+    latest_evicted: Option<f64>,
 }
 
 impl Purges {
     /// An object, or with `None` a group, was purged at that time.
-    pub fn note(&mut self, object: Option<u64>, group: u64, at: f64) {
-        if self.last.len() >= MOST {
+    pub fn record(&mut self, object: Option<u64>, group: u64, at: f64) {
+        if self.last.len() >= MAX_PURGES {
             let oldest = self.last.iter().min_by(|a, b| a.1.total_cmp(b.1)).map(|p| *p.0);
-            let gone = oldest.and_then(|k| self.last.remove(&k));
-            self.forgotten = self.forgotten.into_iter().chain(gone).reduce(f64::max);
+            let evicted = oldest.and_then(|k| self.last.remove(&k));
+            self.latest_evicted = self.latest_evicted.into_iter().chain(evicted).reduce(f64::max);
         }
         let last = self.last.entry(object.map_or((false, group), |o| (true, o))).or_insert(at);
         *last = last.max(at);
     }
 
     /// The last purge that concerns an object of a group.
-    pub fn of(&self, object: u64, group: u64) -> Option<f64> {
+    pub fn latest(&self, object: u64, group: u64) -> Option<f64> {
         let keys = [(true, object), (false, group)];
-        keys.iter().filter_map(|k| self.last.get(k)).copied().chain(self.forgotten).reduce(f64::max)
+        keys.iter().filter_map(|k| self.last.get(k)).copied().chain(self.latest_evicted).reduce(f64::max)
     }
 
     /// Lets go of those before that time: no copy is that old any more.
--- a/crates/fernslip/src/rendezvous.rs
+++ b/crates/fernslip/src/rendezvous.rs
@@ -16,7 +16,7 @@
 }
 
 /// A key's hashes as one number.
-pub fn word(h: Hashes) -> u64 {
+pub fn key_number(h: Hashes) -> u64 {
     u64::from(h.0[0]) << 32 | u64::from(h.0[1])
 }
 
--- a/crates/fernslip/src/slow_start/tests.rs
+++ b/crates/fernslip/src/slow_start/tests.rs
@@ -2,12 +2,12 @@
 
 #[test]
 fn turns_of_all_routers_are_all_turns() {
-    let w = Warming { from: 0.1, ms: 10_000.0, multiple: 2.0, rate: 5.0 };
+    let w = SlowStart { initial_fraction: 0.1, duration_ms: 10_000.0, multiple: 2.0, rate: 5.0 };
     for routers in [1, 3, 7, 100] {
         for age in (0..12_000).step_by(130).map(f64::from) {
-            let all: u32 = (0..routers).map(|k| w.turns(age, 1500.0, 300.0, k, routers)).sum();
-            let since = if age < 1500.0 { 0.0 } else { w.allowed(age - 1500.0) };
-            let due = (w.allowed(age) - since) / 300.0;
+            let all: u32 = (0..routers).map(|k| w.tokens(age, 1500.0, 300.0, k, routers)).sum();
+            let since = if age < 1500.0 { 0.0 } else { w.budget_until(age - 1500.0) };
+            let due = (w.budget_until(age) - since) / 300.0;
             assert!((f64::from(all) - due).abs() <= 1.0 + 1e-9, "{routers} at {age}: {all}, due {due}");
         }
     }
@@ -15,10 +15,10 @@
 
 #[test]
 fn what_is_allowed_follows_its_warmth() {
-    let w = Warming { from: 0.25, ms: 8_000.0, multiple: 2.0, rate: 2.0 };
+    let w = SlowStart { initial_fraction: 0.25, duration_ms: 8_000.0, multiple: 2.0, rate: 2.0 };
     for age in (0..9_000).step_by(500).map(f64::from) {
-        let slope = w.allowed(age + 0.5) - w.allowed(age - 0.5).max(0.0);
+        let slope = w.budget_until(age + 0.5) - w.budget_until(age - 0.5).max(0.0);
         let half = if age == 0.0 { 0.5 } else { 1.0 };
-        assert!((slope - 2.0 * half * w.warmth(age)).abs() < 1e-3, "at {age}: {slope}");
+        assert!((slope - 2.0 * half * w.capacity_fraction(age)).abs() < 1e-3, "at {age}: {slope}");
     }
 }
--- a/crates/fernslip/tests/failures.rs
+++ b/crates/fernslip/tests/failures.rs
@@ -117,9 +117,9 @@
             r.event(Event::Purged { object: Some(ObjectId(n)), group: n, age_ms: 10.0 });
         }
     }
-    let (requests, purges, changes) = r.router.held();
+    let Retained { requests, purges, filter_changes } = r.router.retained();
     assert_eq!(requests, 0);
-    assert!(purges <= 4096 && changes <= 7 * 4096, "{purges} {changes}");
+    assert!(purges <= 4096 && filter_changes <= 7 * 4096, "{purges} {filter_changes}");
 }
 
 /// Incident "overload makes all late": what its size and the load make late is refused at once, the large first.
--- a/crates/fernslip/tests/filter.rs
+++ b/crates/fernslip/tests/filter.rs
@@ -6,13 +6,13 @@
 fn adds_once_and_removes_only_what_shows() {
     let mut f = Filter::new(1024, 4);
     let (a, b) = (hash(&[1, 2]), hash(&[3, 4]));
-    assert!(!f.shows(a));
-    assert_eq!(f.add(a).len(), f.places(a).len());
+    assert!(!f.contains(a));
+    assert_eq!(f.add(a).len(), f.positions(a).len());
     assert!(f.add(a).is_empty(), "a second add changes nothing");
     assert!(f.remove(b).is_empty(), "what does not show is not removed");
-    assert!(f.shows(a));
+    assert!(f.contains(a));
     f.remove(a);
-    assert!(!f.shows(a), "one removal undoes one addition");
+    assert!(!f.contains(a), "one removal undoes one addition");
 }
 
 #[test]
@@ -23,10 +23,10 @@
     assert_eq!(f.count(a), 15);
     (0..40).for_each(|_| drop(f.remove(a)));
     assert_eq!(f.count(a), 15, "a full counter has lost count");
-    f.age();
-    assert!(f.shows(a), "the older generation still shows it");
-    f.age();
-    assert!(!f.shows(a));
+    f.rotate();
+    assert!(f.contains(a), "the older generation still shows it");
+    f.rotate();
+    assert!(!f.contains(a));
 }
 
 #[test]
@@ -34,10 +34,10 @@
     let mut f = Filter::new(1024, 4);
     let a = hash(&[5]);
     f.add(a);
-    f.age();
+    f.rotate();
     assert!(!f.add(a).is_empty());
-    f.age();
-    assert!(f.shows(a));
+    f.rotate();
+    assert!(f.contains(a));
 }
 
 #[test]
