--- a/crates/front/src/clients/forward.rs
+++ b/crates/front/src/clients/forward.rs
@@ -1,14 +1,14 @@
 //! A request's life: picked, tried as often as the module says, answered.
 
 use crate::call::Ask;
-use crate::dispatch_queue::DispatchQueue;
 use crate::invariants::Invariant;
-use crate::pending_attempt::AttemptTimes;
 use crate::reason_counts::Kind;
-use crate::send_guard::SendGuard;
 use crate::shared::Shared;
 use crate::upstream::caller::Caller;
 use crate::upstream::completed_attempt::Reply;
+use crate::upstream::dispatch_queue::DispatchQueue;
+use crate::upstream::pending_attempt::AttemptTimes;
+use crate::upstream::send_guard::SendGuard;
 use fernslip::facade::{AttemptResult, Decision};
 use fernslip::{Effect, Ending, Request};
 use std::sync::Arc;
--- a/crates/front/src/control/gossip.rs
+++ b/crates/front/src/control/gossip.rs
@@ -2,8 +2,8 @@
 //! for operators.
 
 use crate::clock::Clock;
-use crate::dispatch_queue::DispatchQueue;
-use crate::link::lock;
+use crate::sync::lock;
+use crate::upstream::dispatch_queue::DispatchQueue;
 use crate::view::Fleet;
 use fernslip::{CacheId, Sign};
 use fernslip_gossip::{Action, BoxKey, Change, Config, Event, Gossip, Keyring, Kind, Now, MOST_BYTES};
--- a/crates/front/src/control/manual_exclusion.rs
+++ b/crates/front/src/control/manual_exclusion.rs
@@ -13,7 +13,7 @@
 //! line of its own, which the earlier one takes for the id of a node that does not exist.
 
 use crate::failure::patiently;
-use crate::link::lock;
+use crate::sync::lock;
 use fernslip::json::Names;
 use fernslip::CacheId;
 use fernslip_view::Id;
--- a/crates/front/src/control/node_starts.rs
+++ b/crates/front/src/control/node_starts.rs
@@ -1,7 +1,7 @@
 //! Start times of cache nodes: the Unix times of the discovery watch as module time, stable whatever becomes of the wall
 //! clock.
 
-use crate::link::lock;
+use crate::sync::lock;
 use crate::wall_clock::WallClock;
 use fernslip::CacheId;
 use std::collections::HashMap;
--- a/crates/front/src/control/plan.rs
+++ b/crates/front/src/control/plan.rs
@@ -1,7 +1,7 @@
 //! A site document as a front can serve from it: addresses, kinds and zones resolved, pools and routes taken over, or
 //! every reason why it can't be.
 
-use crate::connection_pool::Timeouts;
+use crate::upstream::connection_pool::Timeouts;
 use fernslip::json::Names;
 use fernslip::Settings;
 use fernslip_pool::{Routes, Spec};
--- a/crates/front/src/control/view.rs
+++ b/crates/front/src/control/view.rs
@@ -2,7 +2,7 @@
 //! `fernslip fleet`. The worker never waits for it.
 
 use crate::clock::Clock;
-use crate::link::lock;
+use crate::sync::lock;
 use fernslip_gossip::Keyring;
 use fernslip_view::{Action, Config, Event, Now, Seen, Stand, View, MOST_BYTES};
 use prometheus_client::encoding::text::encode;
--- a/crates/front/src/dispatch_host.rs
+++ b/crates/front/src/dispatch_host.rs
@@ -1,8 +1,8 @@
 //! What the decision crate's facade reaches through its host: sockets to cache nodes, peers, gossip and the log.
 
-use crate::connection_pool::ConnectionPool;
 use crate::gossip::Evidence;
 use crate::peers::Peers;
+use crate::upstream::connection_pool::ConnectionPool;
 use crate::upstream::node_registry::NodeRegistry;
 use crate::upstream::waiter::BlockerWaiter;
 use fernslip::facade::{Host, Waiter};
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -22,6 +22,7 @@
 mod spawn;
 pub mod start_error;
 pub mod startup;
+mod sync;
 pub mod upstream;
 pub mod wall_clock;
 
@@ -33,4 +34,4 @@
 pub use loaded_config::LoadedConfig;
 pub use start_error::StartError;
 pub use startup::start;
-pub use upstream::{connection_pool, dispatch_queue, pending_attempt, resp, send_guard};
+pub use upstream::resp;
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -16,11 +16,12 @@
 use crate::failure::Failure;
 use crate::log::Reason;
 use crate::sleep;
+use crate::sync::lock;
 use may::io::WaitIoWaker;
 use std::io::{self, ErrorKind, Read};
 use std::net::Shutdown;
 use std::sync::atomic::AtomicUsize;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 use write_queue::{Close, Flush, WriteQueue};
 
@@ -34,11 +35,6 @@
 /// Where the machine has no buffers for a moment, what is to be read or written is tried again after this.
 const STARVATION_BACKOFF: Duration = Duration::from_millis(2);
 
-/// Locks; a panic elsewhere does not poison it. Never held across a yield.
-pub fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
-    m.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 struct Socket {
     stream: Stream,
     waker: WaitIoWaker,
--- a/crates/front/src/reason_counts.rs
+++ b/crates/front/src/reason_counts.rs
@@ -1,7 +1,7 @@
 //! Why things happened, counted by kind and reason: connections closed, attempts repeated or kept from beginning, requests
 //! given up. One line each in the operators' figures, `relay.KIND.REASON=COUNT`.
 
-use crate::link::lock;
+use crate::sync::lock;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
--- a/crates/front/src/shared.rs
+++ b/crates/front/src/shared.rs
@@ -1,7 +1,6 @@
 //! What all parts of a running front share.
 
 use crate::clock::Clock;
-use crate::connection_pool::ConnectionPool;
 use crate::discovery_watch::DiscoveryWatch;
 use crate::gossip::Talk;
 use crate::invariants::Invariants;
@@ -10,6 +9,7 @@
 use crate::peers::Peers;
 use crate::reason_counts::ReasonCounts;
 use crate::server::Server;
+use crate::upstream::connection_pool::ConnectionPool;
 use crate::upstream::dispatch_queues::DispatchQueues;
 use crate::view::Fleet;
 use crate::wall_clock::WallClock;
--- a/crates/front/src/startup.rs
+++ b/crates/front/src/startup.rs
@@ -5,7 +5,6 @@
 
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::connection_pool::{ConnectionLimits, ConnectionPool};
 use crate::control::watch_event;
 use crate::discovery_watch::{self, DiscoveryWatch};
 use crate::dispatch_host::DispatchHost;
@@ -27,6 +26,7 @@
 use crate::snapshot::{RestoredState, Snapshot};
 use crate::spawn::{spawn, spawn_deep};
 use crate::start_error::StartError;
+use crate::upstream::connection_pool::{ConnectionLimits, ConnectionPool};
 use crate::upstream::dispatch_queues::DispatchQueues;
 use crate::upstream::node_registry::NodeRegistry;
 use crate::view::Fleet;
--- a/crates/front/src/upstream/caller.rs
+++ b/crates/front/src/upstream/caller.rs
@@ -1,6 +1,6 @@
 //! Who waits for the answer to a request.
 
-use crate::link::lock;
+use crate::sync::lock;
 use may::sync::Blocker;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
--- a/crates/front/src/upstream/connection.rs
+++ b/crates/front/src/upstream/connection.rs
@@ -5,9 +5,10 @@
 //! across a yield; only [`Connection::terminate`] yields.
 
 use crate::buffer::Buffer;
-use crate::link::{lock, Link};
+use crate::link::Link;
 use crate::log::Reason;
 use crate::sleep;
+use crate::sync::lock;
 use crate::upstream::completed_attempt::CompletedAttempt;
 use crate::upstream::in_flight_attempt::InFlightAttempt;
 use crate::upstream::resp;
--- a/crates/front/src/upstream/connection_pool.rs
+++ b/crates/front/src/upstream/connection_pool.rs
@@ -5,10 +5,10 @@
 //! order nodes, connection state, link.
 
 use crate::invariants::{Invariant, Invariants};
-use crate::link::lock;
 use crate::log::Reason;
 use crate::reason_counts::{Kind, ReasonCounts};
 use crate::sleep;
+use crate::sync::lock;
 use crate::upstream::completed_attempt::CompletedAttempt;
 use crate::upstream::connection::{Connection, Load};
 use crate::upstream::dialer::Dialer;
--- a/crates/front/src/upstream/dispatch_queue.rs
+++ b/crates/front/src/upstream/dispatch_queue.rs
@@ -3,9 +3,9 @@
 
 use crate::clock::Clock;
 use crate::dispatch_host::DispatchHost;
-use crate::link::lock;
 use crate::plan::AnswerTimeouts;
 use crate::sleep;
+use crate::sync::lock;
 use crate::upstream::caller::Caller;
 use arc_swap::ArcSwap;
 use fernslip::facade::{Attempt, Dispatcher};
--- a/crates/front/src/upstream/dispatch_queues.rs
+++ b/crates/front/src/upstream/dispatch_queues.rs
@@ -6,8 +6,8 @@
 pub mod plan_updates;
 
 use crate::dispatch_host::DispatchHost;
-use crate::link::lock;
 use crate::plan::{Plan, PlannedMember};
+use crate::sync::lock;
 use crate::upstream::dispatch_queue::DispatchQueue;
 use crate::upstream::node_registry::NodeRegistry;
 use arc_swap::ArcSwap;
--- a/crates/front/src/upstream/dispatch_queues/endpoint_updates.rs
+++ b/crates/front/src/upstream/dispatch_queues/endpoint_updates.rs
@@ -3,8 +3,8 @@
 
 use super::DispatchQueues;
 use crate::clock::Clock;
-use crate::link::lock;
 use crate::plan::PlannedMember;
+use crate::sync::lock;
 use crate::upstream::connection_pool::ConnectionPool;
 use crate::upstream::node_registry::NodeAttributes;
 use fernslip::{CacheId, Entry, ListKind, Phase};
--- a/crates/front/src/upstream/dispatch_queues/plan_updates.rs
+++ b/crates/front/src/upstream/dispatch_queues/plan_updates.rs
@@ -3,8 +3,8 @@
 use super::endpoint_updates::source_entry;
 use super::{DispatchQueues, RoutingTable};
 use crate::clock::Clock;
-use crate::link::lock;
 use crate::plan::{Plan, PlannedMember};
+use crate::sync::lock;
 use crate::upstream::connection_pool::ConnectionPool;
 use fernslip::{CacheId, Entry, ListKind, Phase};
 use fernslip_pool::{Event, Notified};
--- a/crates/front/src/upstream/in_flight_attempt.rs
+++ b/crates/front/src/upstream/in_flight_attempt.rs
@@ -3,7 +3,8 @@
 //! The attempt's coroutine parks on [`InFlightAttempt::blocker`]; the connection's coroutine, the sweep and the facade's
 //! callbacks wake it. Locks here are held for single assignments, never across a yield.
 
-use crate::link::{lock, SendGate, WriteDecision};
+use crate::link::{SendGate, WriteDecision};
+use crate::sync::lock;
 use crate::upstream::completed_attempt::CompletedAttempt;
 use crate::upstream::pending_attempt::{Denied, PendingAttempt};
 use fernslip::facade::Attempt;
--- a/crates/front/src/upstream/node_registry.rs
+++ b/crates/front/src/upstream/node_registry.rs
@@ -1,6 +1,6 @@
 //! What is known of cache nodes beside what their pools know: where they are and how fast.
 
-use crate::link::lock;
+use crate::sync::lock;
 use fernslip::{CacheId, Entry};
 use fernslip_pool::{Endpoint, Phase};
 use std::collections::HashMap;
--- a/crates/front/src/wall_clock.rs
+++ b/crates/front/src/wall_clock.rs
@@ -7,7 +7,7 @@
 //! clocks of the two machines differ.
 
 use crate::clock::Clock;
-use crate::link::lock;
+use crate::sync::lock;
 use std::sync::Mutex;
 use std::time::{SystemTime, UNIX_EPOCH};
 
