--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -210,7 +210,7 @@
     if out.output.is_none() && print(&text) != ExitCode::SUCCESS {
         return ExitCode::FAILURE;
     }
-    match out.strict && report.count(Verdict::LeftOut) > 0 {
+    match out.strict && report.count(Verdict::Omitted) > 0 {
         true => ExitCode::from(EXIT_INCOMPLETE_IMPORT),
         false => ExitCode::SUCCESS,
     }
--- a/crates/import/benches/import.rs
+++ b/crates/import/benches/import.rs
@@ -1,4 +1,4 @@
-//! Imports of generated files with 1,000, 10,000 and 50,000 members: time, and peak memory over what was held before.
+//! Imports of generated files with 1,000, 10,000 and 50,000 members: time, and peak memory above the baseline.
 //! Both are also given for each member, which is what has to stay the same. The document that comes out is read back.
 
 use fernslip_import::{httpd, modjk, Imported, Memory, Options};
@@ -18,7 +18,7 @@
         );
     }
     text += "</Proxy>\nProxyPass / balancer://big/\n";
-    Memory::of([("httpd.conf", text.as_bytes())])
+    Memory::from_files([("httpd.conf", text.as_bytes())])
 }
 
 fn jk_files(members: usize) -> Memory {
@@ -33,7 +33,7 @@
         all.push(format!("w{i}"));
     }
     text += &format!("worker.lb.type=lb\nworker.lb.balance_workers={}\n", all.join(","));
-    Memory::of([("workers.properties", text.as_bytes()), ("uriworkermap.properties", b"/*=lb\n")])
+    Memory::from_files([("workers.properties", text.as_bytes()), ("uriworkermap.properties", b"/*=lb\n")])
 }
 
 /// Peak resident memory of this process since it was last reset, in KB.
--- /dev/null
+++ b/crates/import/src/endpoint.rs
@@ -0,0 +1,55 @@
+//! Addresses of backend servers.
+
+use fernslip_site::{host_port, Protocol};
+
+/// Where a backend server is reached.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct Endpoint {
+    pub protocol: Protocol,
+    pub address: String,
+    pub path: Option<String>,
+}
+
+/// Schemes of URLs, their protocols and default ports.
+const SCHEMES: [(&str, Protocol, u16); 11] = [
+    ("http", Protocol::Http, 80),
+    ("https", Protocol::Https, 443),
+    ("h2", Protocol::H2, 443),
+    ("h2c", Protocol::H2c, 80),
+    ("ajp", Protocol::Ajp13, 8009),
+    ("fcgi", Protocol::Fcgi, 8000),
+    ("scgi", Protocol::Scgi, 4000),
+    ("uwsgi", Protocol::Uwsgi, 3031),
+    ("ws", Protocol::Ws, 80),
+    ("wss", Protocol::Wss, 443),
+    ("ftp", Protocol::Ftp, 21),
+];
+
+impl Endpoint {
+    /// Parses `scheme://host:port/path`, the port optional.
+    ///
+    /// # Errors
+    /// The reason why it is no address, as the report shows it.
+    pub fn parse(url: &str) -> Result<Endpoint, String> {
+        if url.starts_with("unix:") {
+            return Err("a Unix socket has no address that other machines reach".into());
+        }
+        let (scheme, after_scheme) = url.split_once("://").ok_or("no URL")?;
+        let row = SCHEMES.iter().find(|s| s.0.eq_ignore_ascii_case(scheme));
+        let (_, protocol, port) = row.ok_or_else(|| format!("the scheme `{scheme}` is not known"))?;
+        let (host, path) = after_scheme.find('/').map_or((after_scheme, ""), |i| after_scheme.split_at(i));
+        let host = host.to_ascii_lowercase();
+        let has_port = host.rsplit_once(':').is_some_and(|(h, _)| !h.starts_with('[') || h.ends_with(']'));
+        let address = if has_port { host } else { format!("{host}:{port}") };
+        if host_port(&address).is_none() {
+            return Err(format!("`{address}` is no host and port"));
+        }
+        let path = Some(path.trim_end_matches('/')).filter(|p| !p.is_empty()).map(String::from);
+        Ok(Endpoint { protocol: *protocol, address, path })
+    }
+
+    /// The id of its member.
+    pub fn id(&self) -> String {
+        format!("{}{}", self.address, self.path.as_deref().unwrap_or(""))
+    }
+}
--- a/crates/import/src/error.rs
+++ b/crates/import/src/error.rs
@@ -1,70 +1,71 @@
 //! Why an import ends without a site: nothing is written then.
 
-use crate::report::Place;
+use crate::location::Location;
 
-/// What stopped it, and where.
+/// What stopped an import, and where. It reads `FILE:LINE:COLUMN: message`, without line and column where a file as a
+/// whole is meant.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ImportError {
-    /// A file that was named on the command line can't be read.
-    #[error("{file}: {why}")]
+    /// A file that the caller named can't be read.
+    #[error("{file}: {cause}")]
     Read {
-        /// Which.
+        /// The file.
         file: String,
-        /// The system's words.
-        why: String,
+        /// The system's message.
+        cause: String,
     },
-    /// A file that another one names can't be read.
-    #[error("{at}: {file}: {why}")]
-    Named {
+    /// A file that another file names can't be read.
+    #[error("{location}: {file}: {cause}")]
+    ReadReferenced {
         /// Where it is named.
-        at: Place,
-        /// Which.
+        location: Location,
+        /// The file.
         file: String,
-        /// The system's words.
-        why: String,
+        /// The system's message.
+        cause: String,
     },
-    /// A pattern that must name a file names none.
-    #[error("{at}: no file is named `{pattern}`; IncludeOptional would allow that")]
-    NoFile {
+    /// A pattern that must match a file matches none.
+    #[error("{location}: no file is named `{pattern}`; IncludeOptional would allow that")]
+    NoMatchingFile {
         /// Where it stands.
-        at: Place,
+        location: Location,
         /// The pattern.
         pattern: String,
     },
     /// A file includes itself, directly or through others.
-    #[error("{at}: `{file}` is included from within itself")]
-    Cycle {
-        /// Where it comes round.
-        at: Place,
-        /// Which.
+    #[error("{location}: `{file}` is included from within itself")]
+    IncludeCycle {
+        /// Where the cycle closes.
+        location: Location,
+        /// The file.
         file: String,
     },
     /// Files or sections nest too deep, or there are too many files.
-    #[error("{at}: {what}: more than {most}")]
-    TooMany {
-        /// Where the limit is reached.
-        at: Place,
-        /// Of what.
-        what: &'static str,
+    #[error("{location}: {subject}: more than {limit}")]
+    LimitExceeded {
+        /// Where the limit is exceeded.
+        location: Location,
+        /// What is limited.
+        subject: &'static str,
         /// The limit.
-        most: usize,
+        limit: usize,
     },
-    /// A line, be it after its variables were put in, is too long.
-    #[error("{at}: the line is longer than {most} bytes{}", if *.expanded { " after its variables are put in" } else { "" })]
-    TooLong {
+    /// A line is too long, as it stands or with its variables expanded.
+    #[error("{location}: the line is longer than {limit} bytes{}", if *.expanded { " after its variables are put in" } else { "" })]
+    LineTooLong {
         /// Where.
-        at: Place,
-        /// Only with its variables put in.
+        location: Location,
+        /// Only with its variables expanded.
         expanded: bool,
-        /// The limit.
-        most: usize,
+        /// The limit, bytes.
+        limit: usize,
     },
     /// A section is closed that was not opened, or the other way round.
-    #[error("{at}: {what}")]
+    #[error("{location}: {message}")]
     Section {
         /// Where.
-        at: Place,
+        location: Location,
         /// What is wrong with it.
-        what: String,
+        message: String,
     },
 }
--- /dev/null
+++ b/crates/import/src/httpd/routes.rs
@@ -0,0 +1,68 @@
+//! ProxyPass lines to routes.
+
+use super::model::{ProxyRule, ProxyTarget, Server};
+use super::pools::Pools;
+use crate::builder::SourcedRoute;
+use crate::ledger::Ledger;
+use fernslip_site::{Match, Route, Target, MAX_REGEX_BYTES};
+
+/// The routes of the server with this index, those of its locations first.
+pub(crate) fn proxy_routes(
+    ledger: &mut Ledger,
+    server: &Server,
+    index: usize,
+    pools: &Pools,
+) -> Vec<SourcedRoute> {
+    let rules = server.location_rules.iter().chain(&server.rules);
+    let route_of = |rule: &ProxyRule| {
+        proxy_route(ledger, rule, server, index, pools).map(|route| SourcedRoute { route, item: rule.item })
+    };
+    rules.filter_map(route_of).collect()
+}
+
+fn proxy_route(
+    ledger: &mut Ledger,
+    rule: &ProxyRule,
+    server: &Server,
+    index: usize,
+    pools: &Pools,
+) -> Option<Route> {
+    let is_regex = rule.matching == Match::Regex;
+    if is_regex && regex::RegexBuilder::new(&rule.pattern).size_limit(MAX_REGEX_BYTES).build().is_err() {
+        let reason = "its expression needs what only a backtracking matcher has, or is too large";
+        ledger.omitted(rule.item, reason);
+        return None;
+    }
+    if !is_regex && !rule.pattern.starts_with('/') {
+        ledger.omitted(rule.item, "its path does not begin with `/`");
+        return None;
+    }
+    let route = |target, rewrite| Route {
+        pattern: rule.pattern.clone(),
+        matching: is_regex.then_some(Match::Regex),
+        target,
+        rewrite,
+    };
+    let pool = match &rule.target {
+        ProxyTarget::Excluded => {
+            ledger.mapped(rule.item, "route exclude");
+            return Some(route(Target::Exclude(None), None));
+        }
+        ProxyTarget::Balancer(name) => {
+            pools.of_balancer(index, name, server.inherits_balancers.unwrap_or(true))
+        }
+        ProxyTarget::Worker(url) => pools.of_worker(index, url),
+    };
+    match pool {
+        Ok(pool) => {
+            ledger.mapped(rule.item, format!("route pool=\"{pool}\""));
+            Some(route(Target::Pool(pool), rule.rewrite.clone()))
+        }
+        Err(reason) => {
+            // httpd would fail these requests; a later route must not take them instead.
+            let reason = format!("{reason}: the path is kept from other routes");
+            ledger.approximated(rule.item, "route exclude", reason);
+            Some(route(Target::Exclude(None), None))
+        }
+    }
+}
--- a/crates/import/src/text.rs
+++ b/crates/import/src/text.rs
@@ -1,214 +1,206 @@
-//! Bytes to lines and words, with the places of all of them.
+//! Bytes to lines and tokens, each with its position in the file.
 
 use crate::error::ImportError;
-use crate::report::Place;
+use crate::location::Location;
+use std::borrow::Cow;
 use std::sync::Arc;
 
-/// A line is this long at the most, in bytes, continuations and variables put in.
-pub const MOST_LINE_BYTES: usize = 1 << 20;
+/// Limit of a line, in bytes, continuations joined and variables expanded.
+pub const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// One line, its continuations joined.
-#[derive(Clone, Debug)]
+/// One logical line.
+#[derive(Clone, Debug, Default)]
 pub(crate) struct Line {
     pub text: String,
     /// Some of its bytes are no UTF-8; they are replaced.
-    pub broken: bool,
-    /// Where each physical line begins in `text`, its number, and how many bytes were cut at its front.
-    starts: Vec<(usize, usize, usize)>,
+    pub invalid_utf8: bool,
+    /// The physical lines that it is joined from.
+    parts: Vec<PhysicalLine>,
+}
+
+/// A line of the file within a logical line.
+#[derive(Clone, Debug)]
+struct PhysicalLine {
+    /// Where it begins in the logical line's text, bytes.
+    start: usize,
+    /// Its number in the file, from 1.
+    number: usize,
+    /// How many bytes of blanks were cut off its front.
+    trimmed: usize,
 }
 
 impl Line {
-    /// Where a byte of the text stands.
-    pub fn place(&self, file: &Arc<str>, offset: usize) -> Place {
-        let at = self.starts.partition_point(|s| s.0 <= offset).max(1) - 1;
-        let (start, line, cut) = self.starts[at];
+    /// Where a byte of the text stands in the file.
+    pub fn location(&self, file: &Arc<str>, offset: usize) -> Location {
+        let index = self.parts.partition_point(|p| p.start <= offset).max(1) - 1;
+        let PhysicalLine { start, number, trimmed } = self.parts[index];
         let mut offset = offset.min(self.text.len()).max(start);
         while !self.text.is_char_boundary(offset) {
             offset -= 1;
         }
-        let column = self.text[start..offset].chars().count() + cut + 1;
-        Place { file: file.clone(), line, column }
+        let column = self.text[start..offset].chars().count() + trimmed + 1;
+        Location { file: file.clone(), line: number, column }
+    }
+
+    /// Appends a physical line.
+    fn append(&mut self, bytes: &[u8], number: usize) {
+        let text = String::from_utf8_lossy(bytes);
+        self.invalid_utf8 |= matches!(text, Cow::Owned(_));
+        let is_first = self.text.is_empty();
+        let trimmed = if is_first { text.len() - text.trim_start().len() } else { 0 };
+        self.parts.push(PhysicalLine { start: self.text.len(), number, trimmed });
+        self.text += &text[trimmed..];
     }
 }
 
-/// The lines of a file that are not blank; a backslash before a line's end joins it with the next where `joined`.
-pub(crate) fn lines(file: &Arc<str>, bytes: &[u8], joined: bool) -> Result<Vec<Line>, ImportError> {
-    let mut out: Vec<Line> = Vec::new();
-    let mut open: Option<Line> = None;
+/// What a backslash at the end of a line means.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Continuations {
+    /// The line goes on in the next one.
+    Joined,
+    /// Nothing.
+    Ignored,
+}
+
+/// The logical lines of a file that are not blank, trimmed.
+pub(crate) fn read_lines(
+    file: &Arc<str>,
+    bytes: &[u8],
+    continuations: Continuations,
+) -> Result<Vec<Line>, ImportError> {
+    let mut lines: Vec<Line> = Vec::new();
+    let mut unfinished: Option<Line> = None;
     let bytes = bytes.strip_prefix(b"\xef\xbb\xbf").unwrap_or(bytes);
     for (i, raw) in bytes.split(|b| *b == b'\n').enumerate() {
         let raw = raw.strip_suffix(b"\r").unwrap_or(raw);
-        let mut line = open.take().unwrap_or(Line { text: String::new(), broken: false, starts: Vec::new() });
-        let (part, more) = match raw.strip_suffix(b"\\") {
-            Some(part) if joined => (part, true),
+        let mut line = unfinished.take().unwrap_or_default();
+        let (content, continues) = match raw.strip_suffix(b"\\") {
+            Some(content) if continuations == Continuations::Joined => (content, true),
             _ => (raw, false),
         };
-        if line.text.len() + part.len() > MOST_LINE_BYTES {
-            let at = Place { file: file.clone(), line: i + 1, column: 1 };
-            return Err(ImportError::TooLong { at, expanded: false, most: MOST_LINE_BYTES });
+        if line.text.len() + content.len() > MAX_LINE_BYTES {
+            let location = Location { file: file.clone(), line: i + 1, column: 1 };
+            return Err(ImportError::LineTooLong { location, expanded: false, limit: MAX_LINE_BYTES });
         }
-        let text = String::from_utf8_lossy(part);
-        line.broken |= matches!(text, std::borrow::Cow::Owned(_));
-        let cut = text.len() - text.trim_start().len();
-        line.starts.push((line.text.len(), i + 1, if line.text.is_empty() { cut } else { 0 }));
-        line.text += if line.text.is_empty() { text.trim_start() } else { &text };
-        if more {
-            open = Some(line);
+        line.append(content, i + 1);
+        if continues {
+            unfinished = Some(line);
         } else {
-            out.push(line);
+            lines.push(line);
         }
     }
-    out.extend(open);
-    for line in &mut out {
+    lines.extend(unfinished);
+    for line in &mut lines {
         line.text.truncate(line.text.trim_end().len());
     }
-    out.retain(|l| !l.text.is_empty());
-    Ok(out)
+    lines.retain(|l| !l.text.is_empty());
+    Ok(lines)
 }
 
-/// A word of a line and the byte it begins at.
+/// A token of a line, without its quotes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Word {
+pub(crate) struct Token {
     pub text: String,
-    pub at: usize,
+    /// Where it begins in the line, bytes.
+    pub offset: usize,
 }
 
-/// Words as httpd cuts them: at blanks, unless between quotes; a backslash before a quote or a backslash keeps it.
-pub(crate) fn words(text: &str) -> Vec<Word> {
+/// Splits a line as httpd does: at blanks outside of quotes; within quotes a backslash escapes a backslash or the quote.
+pub(crate) fn tokens(text: &str) -> Vec<Token> {
     let mut out = Vec::new();
-    let mut rest = text.char_indices().peekable();
-    while let Some(&(at, c)) = rest.peek() {
+    let mut chars = text.char_indices().peekable();
+    while let Some(&(offset, c)) = chars.peek() {
         if c.is_whitespace() {
-            rest.next();
+            chars.next();
             continue;
         }
         let quote = Some(c).filter(|c| matches!(c, '"' | '\''));
         if quote.is_some() {
-            rest.next();
+            chars.next();
         }
-        let mut word = String::new();
-        while let Some((_, c)) = rest.next() {
+        let mut token = String::new();
+        while let Some((_, c)) = chars.next() {
+            let next = chars.peek().map(|n| n.1);
             match c {
-                '\\' if rest.peek().is_some_and(|n| n.1 == '\\' || Some(n.1) == quote) && quote.is_some() => {
-                    word.extend(rest.next().map(|n| n.1));
+                '\\' if quote.is_some() && (next == Some('\\') || next == quote) => {
+                    token.extend(chars.next().map(|n| n.1));
                 }
                 c if Some(c) == quote => break,
                 c if quote.is_none() && c.is_whitespace() => break,
-                c => word.push(c),
+                c => token.push(c),
             }
         }
-        out.push(Word { text: word, at });
+        out.push(Token { text: token, offset });
     }
     out
 }
 
-/// A text whose variables are put in, and where its pieces came from.
+/// A text with its variables expanded, and where its segments came from.
 pub(crate) struct Expanded {
     pub text: String,
-    /// Where a piece begins in `text`, where in the source, and whether it is the source's own words.
-    pieces: Vec<(usize, usize, bool)>,
+    segments: Vec<Segment>,
+}
+
+struct Segment {
+    /// Where it begins in the expanded text, bytes.
+    start: usize,
+    /// Where it, or the variable that it is the value of, begins in the source, bytes.
+    source: usize,
+    /// Whether it is the source's own text, not a value.
+    is_literal: bool,
 }
 
 impl Expanded {
-    /// The byte of the source that a byte of the text came from.
-    pub fn source(&self, offset: usize) -> usize {
-        let at = self.pieces.partition_point(|p| p.0 <= offset);
-        match self.pieces.get(at.wrapping_sub(1)) {
-            Some((start, source, true)) => source + (offset - start),
-            Some((_, source, false)) => *source,
+    /// The byte of the source that a byte of the text came from; for a value, where its variable begins.
+    pub fn source_offset(&self, offset: usize) -> usize {
+        let index = self.segments.partition_point(|s| s.start <= offset);
+        match self.segments.get(index.wrapping_sub(1)) {
+            Some(Segment { start, source, is_literal: true }) => source + (offset - start),
+            Some(Segment { source, is_literal: false, .. }) => *source,
             None => offset,
         }
     }
+
+    /// Begins a segment at the end of the text.
+    fn begin(&mut self, source: usize, is_literal: bool) {
+        self.segments.push(Segment { start: self.text.len(), source, is_literal });
+    }
 }
 
-/// Puts variables in, `open` to `close`, once: what a variable holds is not looked at again, so that none can hold
-/// itself. `None`: it grows past [`MOST_LINE_BYTES`].
+/// Expands variables, from `open` to `close`, once: a value is not expanded again, so that none can contain itself. A
+/// variable without a value stays as it is written. `None`: the text grows past [`MAX_LINE_BYTES`].
 pub(crate) fn expand<'v>(
     text: &str,
     open: &str,
     close: char,
     value: impl Fn(&str) -> Option<&'v str>,
 ) -> Option<Expanded> {
-    let mut out = Expanded { text: String::new(), pieces: vec![(0, 0, true)] };
+    let mut out = Expanded { text: String::new(), segments: Vec::new() };
+    out.begin(0, true);
     let mut at = 0;
     while let Some(start) = text[at..].find(open).map(|i| at + i) {
         let name_at = start + open.len();
         let Some(end) = text[name_at..].find(close).map(|i| name_at + i) else { break };
         out.text += &text[at..start];
         match value(&text[name_at..end]) {
-            Some(v) => {
-                out.pieces.push((out.text.len(), start, false));
-                out.text += v;
+            Some(value) => {
+                out.begin(start, false);
+                out.text += value;
             }
             None => {
-                out.pieces.push((out.text.len(), start, true));
+                out.begin(start, true);
                 out.text += &text[start..=end];
             }
         }
         at = end + close.len_utf8();
-        out.pieces.push((out.text.len(), at, true));
-        if out.text.len() > MOST_LINE_BYTES {
+        out.begin(at, true);
+        if out.text.len() > MAX_LINE_BYTES {
             return None;
         }
     }
     out.text += &text[at..];
-    (out.text.len() <= MOST_LINE_BYTES).then_some(out)
+    (out.text.len() <= MAX_LINE_BYTES).then_some(out)
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn cut(text: &str) -> Vec<String> {
-        words(text).into_iter().map(|w| w.text).collect()
-    }
-
-    #[test]
-    fn words_are_cut_as_httpd_cuts_them() {
-        assert_eq!(cut(r#"ProxyPass "/a b" 'c "d"' e"#), ["ProxyPass", "/a b", "c \"d\"", "e"]);
-        assert_eq!(cut(r#""a\"b" c\d "x\\y" "open"#), ["a\"b", "c\\d", "x\\y", "open"]);
-        assert_eq!(cut("  \t "), [""; 0]);
-    }
-
-    #[test]
-    fn places_are_those_of_the_file() {
-        let file: Arc<str> = "f".into();
-        let all = lines(&file, b"\xef\xbb\xbf# c\r\n\r\n  a \\\r\n    b\xff c\nd", true).expect("short");
-        let texts: Vec<&str> = all.iter().map(|l| l.text.as_str()).collect();
-        assert_eq!(texts, ["# c", "a     b\u{fffd} c", "d"]);
-        assert!(all[1].broken && !all[2].broken);
-        let place = |l: &Line, word: &str| {
-            let p = l.place(&file, l.text.find(word).expect("there"));
-            (p.line, p.column)
-        };
-        assert_eq!(place(&all[1], "a"), (3, 3));
-        assert_eq!(place(&all[1], "b"), (4, 5));
-        assert_eq!(place(&all[1], "c"), (4, 8));
-        assert_eq!(place(&all[2], "d"), (5, 1));
-    }
-
-    #[test]
-    fn variables_are_put_in_once_and_places_kept() {
-        let get = |n: &str| match n {
-            "A" => Some("${A}${A}"),
-            "LONG" => Some("long value"),
-            _ => None,
-        };
-        let e = expand("x ${A} ${none} ${LONG} y ${open", "${", '}', get).expect("short");
-        assert_eq!(e.text, "x ${A}${A} ${none} long value y ${open");
-        assert_eq!(e.source(e.text.find("value").expect("there")), 15);
-        assert_eq!(e.source(e.text.find('y').expect("there")), 23);
-        let much = "${M}".repeat(1000);
-        let big = "x".repeat(2000);
-        assert!(expand(&much, "${", '}', |_| Some(&big)).is_none());
-    }
-
-    #[test]
-    fn a_line_without_end_is_refused() {
-        let file: Arc<str> = "f".into();
-        let long = vec![b'x'; MOST_LINE_BYTES + 1];
-        assert!(matches!(lines(&file, &long, true), Err(ImportError::TooLong { .. })));
-        let joined = b"xxxxxxxxxxxxxxx\\\n".repeat(MOST_LINE_BYTES / 15 + 1);
-        assert!(matches!(lines(&file, &joined, true), Err(ImportError::TooLong { .. })));
-    }
-}
+mod tests;
--- a/crates/import/tests/hard.rs
+++ b/crates/import/tests/hostile_input.rs
@@ -1,102 +1,102 @@
-//! Input that is broken, or meant to break something: a located error or a report, never a panic or a full memory.
+//! Input that is malformed or hostile: a located error or a report, never a panic or exhausted memory.
 
 use fernslip_import::*;
 use proptest::prelude::*;
 use std::path::PathBuf;
 
 fn conf(files: &[(&str, &str)]) -> Result<Imported, ImportError> {
-    let files = Memory::of(files.iter().map(|(n, t)| (*n, t.as_bytes())));
+    let files = Memory::from_files(files.iter().map(|(n, t)| (*n, t.as_bytes())));
     httpd(&files, &["a.conf".into()], &Options::default())
 }
 
-fn told(files: &[(&str, &str)]) -> String {
+fn error_of(files: &[(&str, &str)]) -> String {
     conf(files).map(|_| String::new()).unwrap_err().to_string()
 }
 
 #[test]
-fn includes_that_come_round_are_told() {
+fn include_cycles_are_reported_at_their_position() {
     let files = [("a.conf", "Include b.conf\n"), ("b.conf", "# x\n  Include ./a.conf\n")];
-    assert_eq!(told(&files), "b.conf:2:3: `./a.conf` is included from within itself");
+    assert_eq!(error_of(&files), "b.conf:2:3: `./a.conf` is included from within itself");
     assert_eq!(
-        told(&[("a.conf", "\nInclude a.conf")]),
+        error_of(&[("a.conf", "\nInclude a.conf")]),
         "a.conf:2:1: `a.conf` is included from within itself"
     );
     let deep: Vec<(String, String)> =
         (0..100).map(|i| (format!("{i}.c"), format!("Include {}.c\n", i + 1))).collect();
     let mut files: Vec<(&str, &str)> = deep.iter().map(|(n, t)| (n.as_str(), t.as_str())).collect();
     files.push(("a.conf", "Include 0.c"));
-    assert!(told(&files).contains("files within files: more than 64"));
+    assert!(error_of(&files).contains("files within files: more than 64"));
 }
 
 /// A file that includes another twice, that one a third twice, and so on: few files, and more reads than atoms.
 #[test]
-fn includes_that_double_are_bounded() {
+fn includes_that_multiply_are_bounded() {
     let all: Vec<(String, String)> =
         (0..60).map(|i| (format!("{i}.c"), format!("Include {0}.c\nInclude {0}.c\n", i + 1))).collect();
     let mut files: Vec<(&str, &str)> = all.iter().map(|(n, t)| (n.as_str(), t.as_str())).collect();
     files.extend([("60.c", ""), ("a.conf", "Include 0.c")]);
-    assert!(told(&files).contains("files: more than 10000"));
+    assert!(error_of(&files).contains("files: more than 10000"));
 }
 
 #[test]
-fn what_is_not_there_is_told() {
+fn missing_files_are_reported_at_their_position() {
     assert_eq!(
-        told(&[("a.conf", "Include x/*.conf")]),
+        error_of(&[("a.conf", "Include x/*.conf")]),
         "a.conf:1:1: no file is named `x/*.conf`; IncludeOptional would allow that"
     );
     assert!(conf(&[("a.conf", "IncludeOptional x/*.conf")]).is_ok());
-    assert!(told(&[("b.conf", "")]).starts_with("a.conf: "));
-    assert!(told(&[("a.conf", "JkWorkersFile w.properties")]).starts_with("a.conf:1:1: w.properties: "));
+    assert!(error_of(&[("b.conf", "")]).starts_with("a.conf: "));
+    assert!(error_of(&[("a.conf", "JkWorkersFile w.properties")]).starts_with("a.conf:1:1: w.properties: "));
 }
 
 #[test]
-fn sections_that_do_not_close_are_told() {
+fn unclosed_sections_are_reported_at_their_position() {
     assert_eq!(
-        told(&[("a.conf", "<Proxy x>\n<Location /a>\n</Proxy>")]),
+        error_of(&[("a.conf", "<Proxy x>\n<Location /a>\n</Proxy>")]),
         "a.conf:3:1: </Proxy> closes <Location> of line 2"
     );
-    assert_eq!(told(&[("a.conf", "\n </Proxy>")]), "a.conf:2:2: </Proxy> closes nothing");
-    assert_eq!(told(&[("a.conf", "<Proxy x>")]), "a.conf:1:1: <Proxy> is not closed in its file");
+    assert_eq!(error_of(&[("a.conf", "\n </Proxy>")]), "a.conf:2:2: </Proxy> closes nothing");
+    assert_eq!(error_of(&[("a.conf", "<Proxy x>")]), "a.conf:1:1: <Proxy> is not closed in its file");
     // Not even by the file that includes it.
     let files = [("a.conf", "Include b.conf\n</Proxy>"), ("b.conf", "<Proxy x>")];
-    assert_eq!(told(&files), "b.conf:1:1: <Proxy> is not closed in its file");
+    assert_eq!(error_of(&files), "b.conf:1:1: <Proxy> is not closed in its file");
     let files = [("a.conf", "<Proxy x>\nInclude b.conf\n"), ("b.conf", "</Proxy>")];
-    assert_eq!(told(&files), "b.conf:1:1: </Proxy> closes nothing");
-    assert!(told(&[("a.conf", &"<Location /a>\n".repeat(100))]).contains("sections within sections"));
+    assert_eq!(error_of(&files), "b.conf:1:1: </Proxy> closes nothing");
+    assert!(error_of(&[("a.conf", &"<Location /a>\n".repeat(100))]).contains("sections within sections"));
 }
 
-/// A variable that holds itself stays as it is written; one that doubles with each line is stopped with its place.
+/// A variable that contains itself stays as it is written; one that doubles with each line ends the import at its position.
 #[test]
-fn variables_can_not_grow_without_end() {
+fn variables_cannot_grow_without_bound() {
     let site = conf(&[("a.conf", "Define A ${A}\nDefine B ${A}x\nProxyPass / http://h:1/${B}\n")]);
     assert_eq!(site.expect("fine").site.members[0].path.as_deref(), Some("/${A}x"));
     let doubling = format!("Define A xxxxxxxxxxxxxxxx\n{}", "Define A ${A}${A}\n".repeat(40));
-    let e = told(&[("a.conf", &doubling)]);
+    let e = error_of(&[("a.conf", &doubling)]);
     assert!(e.contains("after its variables are put in") && e.starts_with("a.conf:17:1: "), "{e}");
     let jk = format!("a=xxxxxxxxxxxxxxxx\n{}", "a=$(a)$(a)\n".repeat(40));
-    let files = Memory::of([("w", jk.as_bytes())]);
+    let files = Memory::from_files([("w", jk.as_bytes())]);
     let e = modjk(&files, &["w".into()], &[], &[], &Options::default()).unwrap_err().to_string();
     assert!(e.contains("after its variables are put in"), "{e}");
 }
 
 #[test]
-fn a_line_of_a_hundred_megabytes_is_refused() {
-    let folder = std::env::temp_dir().join(format!("fernslip-import-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let file = folder.join("long.conf");
+fn a_line_of_a_hundred_megabytes_is_rejected() {
+    let directory = std::env::temp_dir().join(format!("fernslip-import-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("a directory");
+    let file = directory.join("long.conf");
     let out = std::fs::File::create(&file).expect("a file");
-    out.set_len(100 << 20).expect("room"); // a hole: zeros without a line end
+    out.set_len(100 << 20).expect("space"); // a hole: zeros without a line end
     let e = httpd(&Disk, std::slice::from_ref(&file), &Options::default()).unwrap_err().to_string();
-    out.set_len(60 << 20).expect("room");
+    out.set_len(60 << 20).expect("space");
     let shorter = httpd(&Disk, std::slice::from_ref(&file), &Options::default()).unwrap_err().to_string();
-    let _ = std::fs::remove_dir_all(&folder);
+    let _ = std::fs::remove_dir_all(&directory);
     assert!(e.contains("longer than 67108864 bytes"), "{e}");
     assert!(shorter.contains("the line is longer than 1048576 bytes"), "{shorter}");
 }
 
 #[test]
-fn what_comes_later_overrides_and_is_told() {
-    let files = Memory::of([
+fn a_later_parameter_overrides_and_the_earlier_is_reported() {
+    let files = Memory::from_files([
         ("1", &b"<Proxy balancer://b>\nBalancerMember http://h:1 loadfactor=2\n</Proxy>\n"[..]),
         ("2", &b"<Proxy balancer://b>\nBalancerMember http://h:1 loadfactor=7\n</Proxy>\nProxyPass / balancer://b"[..]),
     ]);
@@ -105,26 +105,29 @@
     assert_eq!(imported.site.pools[0].members.len(), 1);
     assert_eq!(imported.site.pools[0].members[0].weight, Some(7.0));
     let first = imported.report.entries.iter().find(|e| e.file == "1" && e.directive.contains("loadfactor"));
-    assert_eq!(first.map(|e| (e.verdict, e.why.as_str())), Some((Verdict::LeftOut, "overridden at 2:2:27")));
+    assert_eq!(
+        first.map(|e| (e.verdict, e.reason.as_str())),
+        Some((Verdict::Omitted, "overridden at 2:2:27"))
+    );
 }
 
 /// A path whose pool can't be made must not fall through to the next route.
 #[test]
-fn a_route_to_nothing_keeps_its_path() {
+fn a_route_to_nothing_excludes_its_path() {
     let site =
         conf(&[("a.conf", "ProxyPass /x balancer://none\nProxyPass / http://h:1/")]).expect("fine").site;
     assert_eq!(site.routes[0].rules[0].target, fernslip_site::Target::Exclude(None));
 }
 
 #[test]
-fn secrets_are_in_no_output() {
+fn secrets_appear_in_no_output() {
     let text = "ProxyPass / ajp://h:1/ secret=sesame\n";
     let imported = conf(&[("a.conf", text)]).expect("fine");
     let out = imported.site.to_kdl() + &imported.report.to_json() + &imported.report.to_table();
     assert!(out.contains("secret") && !out.contains("sesame"));
 }
 
-const HTTPD: &[&str] = &[
+const HTTPD_TOKENS: &[&str] = &[
     "ProxyPass",
     "/a",
     "balancer://b",
@@ -176,7 +179,7 @@
     "[::1]",
     "unix:/x|http://y",
 ];
-const JK: &[&str] = &[
+const JK_TOKENS: &[&str] = &[
     "worker.",
     "lb",
     ".type=lb",
@@ -211,21 +214,21 @@
     ".fail_on_status=-1,500",
 ];
 
-fn pieces(of: &'static [&'static str]) -> impl Strategy<Value = String> {
-    proptest::collection::vec((0..of.len(), any::<bool>()), 0..60).prop_map(|all| {
-        all.into_iter().map(|(i, blank)| format!("{}{}", of[i], if blank { " " } else { "" })).collect()
+fn token_sequence(from: &'static [&'static str]) -> impl Strategy<Value = String> {
+    proptest::collection::vec((0..from.len(), any::<bool>()), 0..60).prop_map(|all| {
+        all.into_iter().map(|(i, blank)| format!("{}{}", from[i], if blank { " " } else { "" })).collect()
     })
 }
 
 /// Whatever comes out can be read, and everything that is reported has a reason.
-fn sound(imported: &Imported) -> Result<(), TestCaseError> {
+fn check_is_sound(imported: &Imported) -> Result<(), TestCaseError> {
     let text = imported.site.to_kdl();
     match fernslip_site::Site::parse("site.kdl", &text) {
         Ok(read) => prop_assert_eq!(&read.site, &imported.site),
         Err(e) => return Err(TestCaseError::fail(format!("{e}\n{text}"))),
     }
     for e in &imported.report.entries {
-        prop_assert!(e.verdict != Verdict::LeftOut || !e.why.is_empty(), "{:?}", e);
+        prop_assert!(e.verdict != Verdict::Omitted || !e.reason.is_empty(), "{:?}", e);
     }
     Ok(())
 }
@@ -234,20 +237,20 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(400) })]
 
     #[test]
-    fn any_bytes_are_imported_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        let files = Memory::of([("a.conf", &bytes[..])]);
-        if let Ok(i) = httpd(&files, &["a.conf".into()], &Options::default()) { sound(&i)?; }
-        if let Ok(i) = modjk(&files, &["a.conf".into()], &["a.conf".into()], &[], &Options::default()) { sound(&i)?; }
+    fn any_bytes_are_imported_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+        let files = Memory::from_files([("a.conf", &bytes[..])]);
+        if let Ok(i) = httpd(&files, &["a.conf".into()], &Options::default()) { check_is_sound(&i)?; }
+        if let Ok(i) = modjk(&files, &["a.conf".into()], &["a.conf".into()], &[], &Options::default()) { check_is_sound(&i)?; }
     }
 
     #[test]
-    fn any_pieces_of_httpd_are_imported_or_refused(text in pieces(HTTPD)) {
-        if let Ok(i) = conf(&[("a.conf", &text)]) { sound(&i)?; }
+    fn any_sequence_of_httpd_tokens_is_imported_or_rejected(text in token_sequence(HTTPD_TOKENS)) {
+        if let Ok(i) = conf(&[("a.conf", &text)]) { check_is_sound(&i)?; }
     }
 
     #[test]
-    fn any_pieces_of_modjk_are_imported_or_refused(workers in pieces(JK), mounts in pieces(JK)) {
-        let files = Memory::of([("w", workers.as_bytes()), ("m", mounts.as_bytes())]);
-        if let Ok(i) = modjk(&files, &["w".into()], &["m".into()], &[], &Options::default()) { sound(&i)?; }
+    fn any_sequence_of_modjk_tokens_is_imported_or_rejected(workers in token_sequence(JK_TOKENS), mounts in token_sequence(JK_TOKENS)) {
+        let files = Memory::from_files([("w", workers.as_bytes()), ("m", mounts.as_bytes())]);
+        if let Ok(i) = modjk(&files, &["w".into()], &["m".into()], &[], &Options::default()) { check_is_sound(&i)?; }
     }
 }
