--- a/crates/record/src/bootstrap.rs
+++ b/crates/record/src/bootstrap.rs
@@ -1,14 +1,15 @@
-//! What a front knows while a record is founded: which of the named voters are there without a record.
+//! What a front knows while a record is bootstrapped: which of the configured voters are present without a record.
 //!
 //! The steps that use it are in `engine/bootstrapping.rs`.
 
-use crate::agreed::VoterId;
+use crate::state::VoterId;
 use std::collections::BTreeMap;
 
-/// What a front knows of the others that are named.
+/// What a front knows of the other configured voters.
 #[derive(Debug, Default)]
 pub(crate) struct Bootstrap {
-    /// Ids of those who are there without a record.
-    pub(crate) empty: BTreeMap<String, VoterId>,
-    pub(crate) next_ms: f64,
+    /// Ids of those that are present without a record, by their fronts' names.
+    pub(crate) without_record: BTreeMap<String, VoterId>,
+    /// When this front announces itself again, in milliseconds.
+    pub(crate) next_announcement_ms: f64,
 }
--- a/crates/record/src/engine/bootstrapping.rs
+++ b/crates/record/src/engine/bootstrapping.rs
@@ -1,98 +1,132 @@
-//! How a record is founded, and how a voter that lost its disk is taken in again.
+//! How a record is bootstrapped, and how a voter that lost its disk becomes one again.
 //!
-//! Founding takes all that are named, each without a record: a majority of them would not do, since one that lost its
-//! disk and one that never had a record look alike, and two of three could found a second record beside the first.
+//! The bootstrap takes all configured voters, each without a record: a majority of them would not do, since one that lost
+//! its disk and one that never had a record look alike, and two of three could bootstrap a second record beside the first.
 
 use super::Record;
-use crate::agreed::{Agreed, VoterId};
 use crate::events::Action;
-use crate::voter::{Voter, Writes};
+use crate::state::{RecordState, VoterId};
+use crate::storage::{StorageKey, StoredValue, Write};
+use crate::voter::{MembershipChange, Voter};
 use crate::wire::Item;
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Between two words of a front that is named as voter and is none.
-const READY_MS: f64 = 500.0;
+/// Between two announcements of a front that is configured as voter and is none, in milliseconds.
+const ANNOUNCEMENT_MS: f64 = 500.0;
+/// Term of the state that a record begins with.
+const FIRST_TERM: u64 = 1;
 
 impl Record {
-    fn is_named(&self) -> bool {
+    fn is_configured_voter(&self) -> bool {
         self.config.voters.contains(&self.config.name)
     }
 
-    pub(crate) fn bootstrap_tick(&mut self, now: f64, actions: &mut Vec<Action>) {
-        if !self.is_named() || self.voter.is_some() || self.has_failed_disk() || now < self.bootstrap.next_ms
+    /// A front that is configured as voter and is none announces itself to the others.
+    pub(super) fn bootstrap_tick(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
+        if !self.is_configured_voter()
+            || self.voter.is_some()
+            || self.has_failed_disk()
+            || now_ms < self.bootstrap.next_announcement_ms
         {
             return;
         }
-        self.bootstrap.next_ms = now + READY_MS;
-        let item = Item::Ready(self.config.voter(), self.agreed.birth == 0);
+        self.bootstrap.next_announcement_ms = now_ms + ANNOUNCEMENT_MS;
+        let item =
+            Item::VoterPresent { voter: self.config.voter_id(), without_record: self.state.record_id == 0 };
+        self.send_to_configured_voters(&item, actions);
+    }
+
+    fn send_to_configured_voters(&mut self, item: &Item, actions: &mut Vec<Action>) {
         for to in self.config.voters.clone() {
             self.send(&to, vec![item.clone()], actions);
         }
     }
 
-    /// A front that is named is there, and is no voter with its present disk.
-    pub(crate) fn ready(&mut self, from: &str, id: VoterId, empty: bool, actions: &mut Vec<Action>) {
-        if !self.config.voters.iter().any(|v| v == from) {
+    /// A front announces that it is configured as voter, and none with its present disk.
+    pub(super) fn on_voter_present(
+        &mut self,
+        from: &str,
+        voter: VoterId,
+        without_record: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        if !self.config.voters.iter().any(|name| name == from) {
             return;
         }
-        if self.agreed.birth != 0 {
-            let found = Item::Found(self.agreed.birth, self.agreed.voters.clone());
-            if self.agreed.voters.contains_key(&id) {
-                // It was named in the founding and has not heard of it, or waits for the leader's first state.
-                if empty && self.agreed.index <= 1 {
-                    self.send(from, vec![found], actions);
-                }
-            } else if self.leads() {
-                self.take_in(from, id);
+        if self.state.record_id != 0 {
+            self.readmit(from, voter, without_record, actions);
+        } else if without_record {
+            self.bootstrap.without_record.insert(from.into(), voter);
+            self.bootstrap_if_complete(actions);
+        }
+    }
+
+    /// There is a record: the front gets to know it, or the leader makes it a voter of it.
+    fn readmit(&mut self, from: &str, voter: VoterId, without_record: bool, actions: &mut Vec<Action>) {
+        if !self.state.voters.contains_key(&voter) {
+            if self.is_leader() {
+                self.propose_readmission(from, voter);
             }
-            return;
+        } else if without_record && self.state.applied_index <= 1 {
+            // It was named at the bootstrap and has not learned of it, or waits for the leader's first snapshot.
+            let item =
+                Item::Bootstrapped { record_id: self.state.record_id, voters: self.state.voters.clone() };
+            self.send(from, vec![item], actions);
         }
-        if !empty {
+    }
+
+    /// The first in the order of names bootstraps the record once all configured voters are present without one; the
+    /// others wait for its message.
+    fn bootstrap_if_complete(&mut self, actions: &mut Vec<Action>) {
+        let own_name = &self.config.name;
+        let is_first = self.config.voters.iter().min() == Some(own_name);
+        let present = |name: &String| name == own_name || self.bootstrap.without_record.contains_key(name);
+        let are_all_present = self.config.voters.iter().all(present);
+        if !is_first || !are_all_present || self.voter.is_some() || self.has_failed_disk() {
             return;
         }
-        self.bootstrap.empty.insert(from.into(), id);
-        // The first in the order of names founds; the others wait for its word.
-        let first = self.config.voters.iter().min() == Some(&self.config.name);
-        let all =
-            self.config.voters.iter().all(|v| *v == self.config.name || self.bootstrap.empty.contains_key(v));
-        if first && all && self.voter.is_none() && !self.has_failed_disk() {
-            let named = |v: &String| self.bootstrap.empty.get(v).map(|id| (*id, v.clone()));
-            let mut voters: BTreeMap<VoterId, String> = self.config.voters.iter().filter_map(named).collect();
-            voters.insert(self.config.voter(), self.config.name.clone());
-            let birth = self.rng.random::<u64>().max(1);
-            self.found(birth, voters.clone(), actions);
-            for to in self.config.voters.clone() {
-                self.send(&to, vec![Item::Found(birth, voters.clone())], actions);
-            }
-        }
+        let id_of = |name: &String| self.bootstrap.without_record.get(name).map(|id| (*id, name.clone()));
+        let mut voters: BTreeMap<VoterId, String> = self.config.voters.iter().filter_map(id_of).collect();
+        voters.insert(self.config.voter_id(), self.config.name.clone());
+        let record_id = self.rng.random::<u64>().max(1);
+        self.on_bootstrapped(record_id, voters.clone(), actions);
+        self.send_to_configured_voters(&Item::Bootstrapped { record_id, voters }, actions);
     }
 
-    /// The record was founded, and this front's present disk is named in it.
-    pub(crate) fn found(&mut self, birth: u64, voters: BTreeMap<VoterId, String>, actions: &mut Vec<Action>) {
-        let own = self.config.voter();
-        if self.agreed.birth != 0 || birth == 0 || self.has_failed_disk() || !voters.contains_key(&own) {
+    /// The record was bootstrapped; this front votes if its present disk is named in it.
+    pub(super) fn on_bootstrapped(
+        &mut self,
+        record_id: u64,
+        voters: BTreeMap<VoterId, String>,
+        actions: &mut Vec<Action>,
+    ) {
+        let own_id = self.config.voter_id();
+        if self.state.record_id != 0
+            || record_id == 0
+            || self.has_failed_disk()
+            || !voters.contains_key(&own_id)
+        {
             return;
         }
-        let agreed = Agreed::founded(birth, voters);
-        let (place, saved) = Voter::saved(&agreed, 1);
-        let writes: Writes = vec![(place, saved.clone())];
-        let on_disk = saved.map(|s| (place, s)).into_iter().collect();
-        self.voter = Voter::new(own, self.patience(), &on_disk).map(|v| v.0);
-        self.agreed = agreed;
-        actions.push(Action::Write(writes));
-        actions.push(Action::Changed);
+        let state = RecordState::bootstrapped(record_id, voters);
+        let snapshot = StoredValue::snapshot(&state, FIRST_TERM);
+        let stored = [(StorageKey::Snapshot, snapshot.clone())].into();
+        self.voter = Voter::restore(own_id, self.extra_election_ticks(), &stored).map(|r| r.voter);
+        self.state = state;
+        actions.push(Action::Write(vec![Write::put(StorageKey::Snapshot, snapshot)]));
+        actions.push(Action::StateChanged);
     }
 
-    /// A front came back with another disk: the voter that it was goes first, then the one that it is comes. One change
-    /// at a time; the front asks again until both are done.
-    fn take_in(&mut self, name: &str, id: VoterId) {
-        let old = self.agreed.voters.iter().find(|(_, n)| n.as_str() == name).map(|(id, _)| *id);
-        if let Some(v) = &mut self.voter {
-            match old {
-                Some(old) => v.change(old, false, name),
-                None => v.change(id, true, name),
-            };
+    /// A front came back with another disk: the voter that it was is removed first, then the one that it is is added. One
+    /// change at a time; the front announces itself until both are committed.
+    fn propose_readmission(&mut self, name: &str, id: VoterId) {
+        let old_id = self.state.voters.iter().find(|(_, n)| n.as_str() == name).map(|(id, _)| *id);
+        if let Some(voter) = &mut self.voter {
+            match old_id {
+                Some(old_id) => voter.propose_membership(old_id, MembershipChange::Remove, name),
+                None => voter.propose_membership(id, MembershipChange::Add, name),
+            }
         }
     }
 }
--- a/crates/record/src/engine/proposing.rs
+++ b/crates/record/src/engine/proposing.rs
@@ -1,227 +1,244 @@
-//! Commands on their way to be agreed: asked at this front until they are answered, and held by a leader until their
-//! texts are at a majority of voters.
+//! Proposals until they are committed: sent again by the front where they were made until they are answered, and kept
+//! pending by the leader until their texts are on a majority of voters.
 
 use super::Record;
-use crate::agreed::{VoterId, KIND_RULES};
 use crate::events::Action;
-use crate::proposals::{text_of, Asked, Offered, MOST};
-use crate::rules::{Command, Digest, Refusal};
-use crate::voter::{Place, Saved};
+use crate::proposals::{LocalProposal, PendingProposal, MAX_PROPOSALS};
+use crate::rules::{Command, Rejection};
+use crate::state::{VoterId, KIND_RULES};
+use crate::storage::{StorageKey, StoredValue, Write};
+use crate::texts::{Digest, TextRef};
 use crate::wire::Item;
+use rand::seq::IndexedRandom;
 
-/// Between two times that a command is asked again, in milliseconds.
-const ASK_MS: f64 = 400.0;
-/// Times that a voter who does not lead passes a command on.
-const HOPS: u8 = 2;
-/// A leader lets go of a command whose text does not come, after so many of its own looks.
-const LOOKS: u32 = 50;
+/// Between two attempts to have a proposal committed, in milliseconds.
+const RETRY_MS: f64 = 400.0;
+/// How often a voter that is not the leader forwards a proposal.
+const MAX_HOPS: u8 = 2;
+/// A pending proposal whose text does not come is dropped after so many ticks.
+const MAX_PENDING_TICKS: u32 = 50;
+
+/// What a pending proposal lacks.
+enum Missing {
+    /// Its text is not here, and can be fetched from a front.
+    Text { from: String, text: TextRef },
+    /// Its text is not on a majority of voters, or was not validated here.
+    Majority { text: TextRef },
+}
 
 impl Record {
-    /// Somebody at this front asks.
-    pub(crate) fn ask(&mut self, now: f64, c: Command, text: Option<Vec<u8>>, actions: &mut Vec<Action>) {
-        let refused = self.refuse_words(&c).or_else(|| {
-            let held = text.and_then(|t| self.texts.put(t));
-            let due = text_of(&c).map(|t| t.0);
-            (due.is_some() && held != due).then_some(Refusal::Words)
-        });
-        let known = self.agreed.rules.answer(&c.key).cloned();
-        if let Some(answer) = refused.map(Err).or(known) {
-            return actions.push(Action::Answered { key: c.key, answer });
-        }
-        if self.proposals.asked.len() < MOST {
-            self.proposals.asked.insert(c.key.clone(), Asked { command: c.clone(), next_ms: now + ASK_MS });
-        }
-        self.pass(c, HOPS, actions);
+    /// A command is proposed at this front.
+    pub(super) fn propose(
+        &mut self,
+        now_ms: f64,
+        command: Command,
+        text: Option<Vec<u8>>,
+        actions: &mut Vec<Action>,
+    ) {
+        let known = self.state.rules.answer(&command.key).cloned();
+        if let Some(answer) = self.reject(&command, text).map(Err).or(known) {
+            return actions.push(Action::Answered { key: command.key, answer });
+        }
+        if self.proposals.local.len() < MAX_PROPOSALS {
+            let proposal = LocalProposal { command: command.clone(), next_retry_ms: now_ms + RETRY_MS };
+            self.proposals.local.insert(command.key.clone(), proposal);
+        }
+        self.forward(command, MAX_HOPS, actions);
     }
 
-    /// To this front itself if it leads, else to who does, else to any voter.
-    fn pass(&mut self, c: Command, hops: u8, actions: &mut Vec<Action>) {
-        if self.leads() {
-            return self.offer(None, c, actions);
+    /// Why a command is not even proposed; stores its text if it is.
+    fn reject(&mut self, command: &Command, text: Option<Vec<u8>>) -> Option<Rejection> {
+        if !command.has_valid_lengths() {
+            return Some(Rejection::InvalidLength);
+        }
+        let stored = text.and_then(|text| self.texts.insert(text));
+        let needed = command.text().map(|text| text.digest);
+        (needed.is_some() && stored != needed).then_some(Rejection::InvalidLength)
+    }
+
+    /// Passes a proposal on to this front itself if it leads, else to the leader, else to any voter.
+    fn forward(&mut self, command: Command, hops: u8, actions: &mut Vec<Action>) {
+        if self.is_leader() {
+            return self.accept(None, command, actions);
         }
-        let voters: Vec<String> = match self.agreed.voters.is_empty() {
+        let voters: Vec<String> = match self.state.voters.is_empty() {
             true => self.config.voters.clone(),
-            false => self.agreed.voters.values().cloned().collect(),
+            false => self.state.voters.values().cloned().collect(),
         };
-        let to =
-            self.leader().map(str::to_string).or_else(|| self.replication.any_of(&voters, &mut self.rng));
+        let to = self.leader().map(str::to_string).or_else(|| voters.choose(&mut self.rng).cloned());
         if let Some(to) = to {
-            self.send(&to, vec![Item::Propose(c, hops)], actions);
+            self.send(&to, vec![Item::Propose { command, hops }], actions);
         }
     }
 
-    /// Another front passes a command here.
-    pub(crate) fn proposed(&mut self, from: &str, c: Command, hops: u8, actions: &mut Vec<Action>) {
-        if let Some(answer) = self.agreed.rules.answer(&c.key).cloned() {
-            return self.send(from, vec![Item::Answered(c.key, answer)], actions);
+    /// Another front forwards a proposal here.
+    pub(super) fn on_propose(&mut self, from: &str, command: Command, hops: u8, actions: &mut Vec<Action>) {
+        if let Some(answer) = self.state.rules.answer(&command.key).cloned() {
+            return self.send(from, vec![Item::Answered { key: command.key, answer }], actions);
         }
-        if self.refuse_words(&c).is_some() {
+        if !command.has_valid_lengths() {
             return;
         }
-        if self.leads() {
-            self.offer(Some(from.into()), c, actions);
-        } else if hops > 0 && self.leader().is_some_and(|l| l != from) {
-            // Its text is here first, or the leader would look for it in vain.
-            if let Some((d, bytes)) = text_of(&c) {
-                self.fetch(from, d, bytes, actions);
-                if self.texts.get(&d).is_none() {
-                    self.proposals
-                        .offered
-                        .insert(c.key.clone(), Offered { command: c, from: Some(from.into()), looks: 0 });
+        if self.is_leader() {
+            self.accept(Some(from.into()), command, actions);
+        } else if hops > 0 && self.leader().is_some_and(|leader| leader != from) {
+            // Its text must be here first, or the leader could not fetch it from here.
+            if let Some(text) = command.text() {
+                self.fetch(from, text, actions);
+                if self.texts.get(&text.digest).is_none() {
+                    let proposer = Some(from.into());
+                    let key = command.key.clone();
+                    self.proposals.pending.insert(key, PendingProposal { command, proposer, age_ticks: 0 });
                     return;
                 }
             }
-            self.pass(c, hops - 1, actions);
+            self.forward(command, hops - 1, actions);
         }
     }
 
-    /// A leader takes a command on.
-    fn offer(&mut self, from: Option<String>, c: Command, actions: &mut Vec<Action>) {
-        let key = c.key.clone();
-        if self.proposals.in_log.contains_key(&key) || self.proposals.offered.len() >= MOST {
+    /// The leader takes a proposal on.
+    fn accept(&mut self, proposer: Option<String>, command: Command, actions: &mut Vec<Action>) {
+        let key = command.key.clone();
+        if self.proposals.in_log.contains_key(&key) || self.proposals.pending.len() >= MAX_PROPOSALS {
             return;
         }
-        if let (Some((d, bytes)), Some(from)) = (text_of(&c), &from) {
-            self.fetch(from, d, bytes, actions);
+        if let (Some(text), Some(from)) = (command.text(), &proposer) {
+            self.fetch(from, text, actions);
         }
-        self.proposals.offered.entry(key).or_insert(Offered { command: c, from, looks: 0 });
-        self.look(actions);
+        self.proposals.pending.entry(key).or_insert(PendingProposal { command, proposer, age_ticks: 0 });
+        self.advance_pending(actions);
     }
 
-    pub(crate) fn proposals_tick(&mut self, now: f64, actions: &mut Vec<Action>) {
-        let mut again = Vec::new();
-        for a in self.proposals.asked.values_mut().filter(|a| now >= a.next_ms) {
-            a.next_ms = now + ASK_MS;
-            again.push(a.command.clone());
-        }
-        for c in again {
-            // It may have been agreed while nobody could say so.
-            match self.agreed.rules.answer(&c.key).cloned() {
-                Some(answer) => self.answer(&c.key, answer, actions),
-                None => self.pass(c, HOPS, actions),
+    pub(super) fn proposals_tick(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
+        let mut due = Vec::new();
+        for proposal in self.proposals.local.values_mut().filter(|p| now_ms >= p.next_retry_ms) {
+            proposal.next_retry_ms = now_ms + RETRY_MS;
+            due.push(proposal.command.clone());
+        }
+        for command in due {
+            // It may have been committed while the answer was lost.
+            match self.state.rules.answer(&command.key).cloned() {
+                Some(answer) => self.answer(&command.key, answer, actions),
+                None => self.forward(command, MAX_HOPS, actions),
             }
         }
-        let leads = self.leads();
-        if leads != std::mem::replace(&mut self.proposals.led, leads) {
-            // What another leader had offered may be lost: who asked asks again.
+        let is_leader = self.is_leader();
+        if is_leader != std::mem::replace(&mut self.proposals.was_leader, is_leader) {
+            // What an earlier leader appended may be lost: it is proposed again by the front where it was made.
             self.proposals.in_log.clear();
         }
-        self.proposals.offered.values_mut().for_each(|o| o.looks += 1);
-        self.proposals.offered.retain(|_, o| o.looks < LOOKS);
-        self.look(actions);
+        self.proposals.pending.values_mut().for_each(|p| p.age_ticks += 1);
+        self.proposals.pending.retain(|_, p| p.age_ticks < MAX_PENDING_TICKS);
+        self.advance_pending(actions);
     }
 
-    /// Looks at what is held for its text, here or at other voters.
-    pub(crate) fn look(&mut self, actions: &mut Vec<Action>) {
-        let mut moved = Vec::new();
-        let mut wanted = Vec::new();
-        for (key, o) in &self.proposals.offered {
-            let Some((d, bytes)) = text_of(&o.command) else {
-                moved.push(key.clone());
+    /// Appends or forwards the pending proposals whose texts are where they must be, and requests what others lack.
+    pub(super) fn advance_pending(&mut self, actions: &mut Vec<Action>) {
+        let mut ready = Vec::new();
+        let mut missing = Vec::new();
+        for (key, proposal) in &self.proposals.pending {
+            let Some(text) = proposal.command.text() else {
+                ready.push(key.clone());
                 continue;
             };
-            if self.texts.get(&d).is_none() {
-                wanted.extend(o.from.clone().map(|from| (from, d, bytes)));
-            } else if !self.leads() {
-                moved.push(key.clone());
+            if self.texts.get(&text.digest).is_none() {
+                missing.extend(proposal.proposer.clone().map(|from| Missing::Text { from, text }));
+            } else if !self.is_leader() || self.is_on_majority(&text.digest) {
+                ready.push(key.clone());
             } else {
-                match self.proposals.checked.get(&d) {
-                    None => wanted.push((String::new(), d, bytes)),
-                    Some(_) => {
-                        let held =
-                            self.proposals.holds.get(&d).map_or(0, |h| {
-                                h.iter().filter(|v| self.agreed.voters.contains_key(v)).count()
-                            });
-                        if 2 * held > self.agreed.voters.len() {
-                            moved.push(key.clone());
-                        } else {
-                            wanted.push((String::new(), d, bytes));
-                        }
-                    }
-                }
+                missing.push(Missing::Majority { text });
             }
         }
-        for (from, d, bytes) in wanted {
-            match from.is_empty() {
-                false => self.fetch(&from, d, bytes, actions),
-                true => self.check_all(d, bytes, actions),
+        for missing in missing {
+            match missing {
+                Missing::Text { from, text } => self.fetch(&from, text, actions),
+                Missing::Majority { text } => self.request_validation(text, actions),
             }
         }
-        for key in moved {
-            let Some(o) = self.proposals.offered.remove(&key) else { continue };
-            if !self.leads() {
-                self.pass(o.command, 1, actions);
-                continue;
-            }
-            let body = postcard::to_stdvec(&o.command).unwrap_or_default();
-            if self.voter.as_mut().is_some_and(|v| v.propose(KIND_RULES, &body)) {
-                self.proposals.in_log.insert(key, o.from);
-            }
+        for key in ready {
+            self.append_or_forward(key, actions);
+        }
+    }
+
+    /// Whether a text was validated here, and a majority of voters has it durably.
+    fn is_on_majority(&self, digest: &Digest) -> bool {
+        let voters = &self.state.voters;
+        let stored = self.proposals.text_voters.get(digest);
+        let count = stored.map_or(0, |ids| ids.iter().filter(|id| voters.contains_key(id)).count());
+        self.proposals.validated.contains_key(digest) && 2 * count > voters.len()
+    }
+
+    fn append_or_forward(&mut self, key: String, actions: &mut Vec<Action>) {
+        let Some(PendingProposal { command, proposer, .. }) = self.proposals.pending.remove(&key) else {
+            return;
+        };
+        if !self.is_leader() {
+            return self.forward(command, 1, actions);
+        }
+        let body = postcard::to_stdvec(&command).unwrap_or_default();
+        if self.voter.as_mut().is_some_and(|voter| voter.propose(KIND_RULES, &body)) {
+            self.proposals.in_log.insert(key, proposer);
         }
     }
 
-    /// A leader has a text: it is checked here, and the other voters are told that there is one to fetch and check.
-    fn check_all(&mut self, d: Digest, bytes: u32, actions: &mut Vec<Action>) {
-        self.check(d, actions);
-        let holds = self.proposals.holds.get(&d).cloned().unwrap_or_default();
+    /// The leader has a text: it is validated here, and the voters that lack it are to fetch and validate it.
+    fn request_validation(&mut self, text: TextRef, actions: &mut Vec<Action>) {
+        self.validate(text.digest, actions);
+        let stored = self.proposals.text_voters.get(&text.digest).cloned().unwrap_or_default();
         let lacking: Vec<String> = self
-            .agreed
+            .state
             .voters
             .iter()
-            .filter(|(id, _)| !holds.contains(id))
+            .filter(|(id, _)| !stored.contains(id))
             .map(|(_, name)| name.clone())
             .collect();
         for to in lacking {
-            self.send(&to, vec![Item::Whole(0, d, bytes)], actions);
+            self.send(&to, vec![Item::TextOffered { record_id: 0, text }], actions);
         }
     }
 
-    /// A text is here: may it be used?
-    pub(crate) fn check(&mut self, d: Digest, actions: &mut Vec<Action>) {
+    /// A voter has a text: its validation is requested, or its result reported again.
+    pub(super) fn validate(&mut self, digest: Digest, actions: &mut Vec<Action>) {
         if self.voter.is_none() {
             return;
         }
-        match self.proposals.checked.get(&d) {
-            Some(None) => self.tell_holds(d, actions),
+        match self.proposals.validated.get(&digest) {
+            Some(None) => self.report_text_stored(digest, actions),
             Some(Some(_)) => {}
             None => {
-                if let Some(text) = self.texts.get(&d) {
-                    actions.push(Action::Check { digest: d, text: text.to_vec() });
+                if let Some(text) = self.texts.get(&digest) {
+                    actions.push(Action::Validate { digest, text: text.to_vec() });
                 }
             }
         }
     }
 
-    /// It may, or may not.
-    pub(crate) fn checked(&mut self, d: Digest, wrong: Option<String>, actions: &mut Vec<Action>) {
-        let good = wrong.is_none();
-        if self.proposals.checked.insert(d, wrong).is_some() || !good {
+    /// A text was validated here; a valid one is made durable.
+    pub(super) fn on_validated(&mut self, digest: Digest, error: Option<String>, actions: &mut Vec<Action>) {
+        let is_valid = error.is_none();
+        if self.proposals.validated.insert(digest, error).is_some() || !is_valid {
             return;
         }
-        if let Some(text) = self.texts.get(&d).filter(|_| self.voter.is_some()) {
-            actions.push(Action::Write(vec![(Place::Text(d), Some(Saved::Text(text.to_vec())))]));
-            self.tell_holds(d, actions);
-            self.look(actions);
+        if let Some(text) = self.texts.get(&digest).filter(|_| self.voter.is_some()) {
+            let write = Write::put(StorageKey::Text(digest), StoredValue::Text(text.to_vec()));
+            actions.push(Action::Write(vec![write]));
+            self.report_text_stored(digest, actions);
+            self.advance_pending(actions);
         }
     }
 
-    fn tell_holds(&mut self, d: Digest, actions: &mut Vec<Action>) {
-        let own = self.config.voter();
-        if self.leads() {
-            return self.holds(d, own);
+    fn report_text_stored(&mut self, digest: Digest, actions: &mut Vec<Action>) {
+        let voter = self.config.voter_id();
+        if self.is_leader() {
+            return self.on_text_stored(digest, voter);
         }
         if let Some(to) = self.leader().map(str::to_string) {
-            self.send(&to, vec![Item::Holds(d, own)], actions);
+            self.send(&to, vec![Item::TextStored { digest, voter }], actions);
         }
     }
 
-    /// A voter has a text durably, and found it good.
-    pub(crate) fn holds(&mut self, d: Digest, voter: VoterId) {
-        self.proposals.holds.entry(d).or_default().insert(voter);
-    }
-
-    /// What is wrong with a text, where it was checked here.
-    pub fn wrong_with(&self, d: &Digest) -> Option<&str> {
-        self.proposals.checked.get(d)?.as_deref()
+    /// A voter has a text durably, and found it valid.
+    pub(super) fn on_text_stored(&mut self, digest: Digest, voter: VoterId) {
+        self.proposals.text_voters.entry(digest).or_default().insert(voter);
     }
 }
--- a/crates/record/src/engine/replicating.rs
+++ b/crates/record/src/engine/replicating.rs
@@ -1,246 +1,318 @@
-//! How what is agreed reaches all fronts: each tells others where it is, and who is behind pulls.
+//! How committed entries, snapshots and texts reach all fronts: each announces its status, and those behind pull.
 
 use super::Record;
-use crate::agreed::{Agreed, Entry};
 use crate::events::Action;
-use crate::rules::Digest;
-use crate::texts::WINDOW;
-use crate::wire::{room, size, Have, Item};
+use crate::replication::SnapshotSource;
+use crate::state::{LogEntry, RecordState};
+use crate::texts::{Digest, TextRef, PART_WINDOW};
+use crate::wire::{encoded_size, item_capacity, Item, Status};
 use rand::seq::IndexedRandom;
 
-/// Between two words to a random other, in steady state, in milliseconds.
-const TELL_MS: f64 = 1_000.0;
-/// Others who are told of news at once.
+/// Between two announcements of the status to a random peer, in steady state, in milliseconds.
+const STATUS_MS: f64 = 1_000.0;
+/// Peers to which an update is announced at once.
 const FANOUT: usize = 3;
-/// Ticks of the voters over which news is told again: of those whom the first words missed nobody waits for a second.
-const AGAIN: u32 = 4;
-/// Between two times that missing texts and commands are asked for, in milliseconds.
-const LACK_MS: f64 = 150.0;
-/// Parts of a text in answer to one question.
-const MOST_PARTS: usize = WINDOW;
-/// Fronts whose words are remembered.
-const MOST_SAID: usize = 4096;
+/// Ticks over which an update is announced again: peers that the first announcements missed need not wait for the next
+/// in steady state.
+const UPDATE_REPEATS: u32 = 4;
+/// Between two requests for missing texts, in milliseconds.
+const FETCH_MS: f64 = 150.0;
+/// Missing texts of versions that are requested at once.
+const MAX_FETCHES: usize = 2;
+/// Parts of a text in answer to one request.
+const MAX_PARTS: usize = PART_WINDOW;
+/// Peers whose status is remembered.
+const MAX_PEER_STATUS: usize = 4096;
+/// Bytes that the item around entries takes in a message, and some to spare.
+const ENTRIES_OVERHEAD_BYTES: usize = 32;
 
 impl Record {
-    fn have(&self, asks: bool) -> Item {
-        let Agreed { birth, index, chain, .. } = self.agreed;
-        Item::Have(Have { birth, index, chain, in_force: self.replication.in_force, asks })
+    fn own_status(&self) -> Item {
+        Item::Status(Status {
+            record_id: self.state.record_id,
+            applied_index: self.state.applied_index,
+            chain_hash: self.state.chain_hash,
+            serving_version: self.replication.serving_version,
+            reply_wanted: false,
+        })
     }
 
-    /// This front serves by that version: others who wait for it are told.
-    pub(crate) fn in_force_now(&mut self, version: u64, actions: &mut Vec<Action>) {
-        if std::mem::replace(&mut self.replication.in_force, version) != version {
-            self.replication.again = self.replication.again.max(1);
-            self.tell(FANOUT, actions);
+    /// This front serves by that version now: others may await it.
+    pub(super) fn set_serving_version(&mut self, version: u64, actions: &mut Vec<Action>) {
+        if std::mem::replace(&mut self.replication.serving_version, version) != version {
+            self.replication.repeats_remaining = self.replication.repeats_remaining.max(1);
+            self.announce_status(FANOUT, actions);
         }
     }
 
-    fn tell(&mut self, many: usize, actions: &mut Vec<Action>) {
-        let to: Vec<String> = self.replication.peers.choose_multiple(&mut self.rng, many).cloned().collect();
+    /// Sends the status to that many random peers.
+    fn announce_status(&mut self, count: usize, actions: &mut Vec<Action>) {
+        let to: Vec<String> = self.replication.peers.choose_multiple(&mut self.rng, count).cloned().collect();
         for to in to {
-            let have = self.have(false);
-            self.send(&to, vec![have], actions);
+            let status = self.own_status();
+            self.send(&to, vec![status], actions);
         }
     }
 
-    /// What is agreed has changed.
-    pub(crate) fn news(&mut self, now: f64, actions: &mut Vec<Action>) {
-        self.replication.again = AGAIN;
-        self.tell(FANOUT, actions);
-        self.replication.next_lack = now;
-        self.lack(now, actions);
+    /// The state has changed.
+    pub(super) fn announce_update(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
+        self.replication.repeats_remaining = UPDATE_REPEATS;
+        self.announce_status(FANOUT, actions);
+        self.replication.next_fetch_ms = now_ms;
+        self.fetch_missing(now_ms, actions);
     }
 
-    pub(crate) fn replication_tick(&mut self, now: f64, actions: &mut Vec<Action>) {
-        if now >= self.replication.next_tell {
-            self.replication.next_tell = now + TELL_MS;
-            self.tell(1, actions);
-            if let Some(v) = &mut self.voter {
-                v.lost_states();
+    pub(super) fn replication_tick(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
+        if now_ms >= self.replication.next_status_ms {
+            self.replication.next_status_ms = now_ms + STATUS_MS;
+            self.announce_status(1, actions);
+            if let Some(voter) = &mut self.voter {
+                voter.resend_snapshots();
             }
         }
-        if self.replication.again > 0 {
-            self.replication.again -= 1;
-            self.tell(FANOUT, actions);
+        if self.replication.repeats_remaining > 0 {
+            self.replication.repeats_remaining -= 1;
+            self.announce_status(FANOUT, actions);
         }
-        self.lack(now, actions);
+        self.fetch_missing(now_ms, actions);
     }
 
-    /// Asks for texts that are lacking: of a state from who has it, of versions from anybody.
-    fn lack(&mut self, now: f64, actions: &mut Vec<Action>) {
-        if now < self.replication.next_lack {
+    /// Requests missing texts: snapshots from the front that has them, those of versions from a peer and a voter.
+    fn fetch_missing(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
+        if now_ms < self.replication.next_fetch_ms {
             return;
         }
-        self.replication.next_lack = now + LACK_MS;
-        let states: Vec<_> = self.replication.states.iter().cloned().collect();
-        for (d, bytes, of) in states {
-            if let Some((_, from)) = of {
-                self.fetch(&from, d, bytes, actions);
+        self.replication.next_fetch_ms = now_ms + FETCH_MS;
+        let snapshots: Vec<_> = self.replication.snapshots.iter().cloned().collect();
+        for snapshot in snapshots {
+            if let Some(source) = snapshot.source {
+                self.fetch(&source.from, snapshot.text, actions);
             }
         }
-        // The current version first, then the latest.
-        let current = self.agreed.rules.version(self.agreed.rules.current());
-        let first = current.map(|v| (v.digest, v.bytes));
-        let all: Vec<(Digest, u32)> = first.into_iter().chain(self.agreed.texts()).collect();
-        let lacking: Vec<(Digest, u32)> =
-            all.into_iter().filter(|(d, _)| self.texts.get(d).is_none()).take(2).collect();
-        for (d, bytes) in lacking {
+        for text in self.missing_version_texts() {
             let mut to: Vec<String> =
                 self.replication.peers.choose_multiple(&mut self.rng, 1).cloned().collect();
-            let voters: Vec<String> = self.agreed.voters.values().cloned().collect();
+            let voters: Vec<String> = self.state.voters.values().cloned().collect();
             to.extend(voters.choose(&mut self.rng).cloned());
             for to in to {
-                self.fetch(&to, d, bytes, actions);
+                self.fetch(&to, text, actions);
             }
         }
     }
 
-    /// Asks one for parts of a text that is not held.
-    pub(crate) fn fetch(&mut self, from: &str, d: Digest, bytes: u32, actions: &mut Vec<Action>) {
-        let parts = self.texts.lacks(d, bytes as usize);
+    /// The first missing texts: of the current version, then of the oldest.
+    fn missing_version_texts(&self) -> Vec<TextRef> {
+        let current = self.state.rules.version(self.state.rules.current());
+        let current = current.map(|v| TextRef { digest: v.digest, bytes: v.bytes });
+        let wanted = current.into_iter().chain(self.state.texts());
+        wanted.filter(|text| self.texts.get(&text.digest).is_none()).take(MAX_FETCHES).collect()
+    }
+
+    /// Requests the next missing parts of a text from a front.
+    pub(super) fn fetch(&mut self, from: &str, text: TextRef, actions: &mut Vec<Action>) {
+        let parts = self.texts.missing_parts(text);
         if !parts.is_empty() {
-            self.send(from, vec![Item::Want(d, parts)], actions);
+            self.send(from, vec![Item::RequestParts { digest: text.digest, parts }], actions);
         }
     }
 
-    /// A state that the leader, or one further on, has.
-    pub(crate) fn fetch_state(&mut self, from: &str, d: Digest, bytes: u32, actions: &mut Vec<Action>) {
-        self.replication.hold(d, bytes, Some((0, from.into())));
-        self.fetch(from, d, bytes, actions);
+    /// Fetches the state of a snapshot that the leader sent: it sends its message again once the state is here.
+    pub(super) fn fetch_leader_snapshot(&mut self, from: &str, text: TextRef, actions: &mut Vec<Action>) {
+        let source = SnapshotSource { record_id: 0, from: from.into() };
+        self.replication.retain_snapshot(text, Some(source));
+        self.fetch(from, text, actions);
     }
 
-    pub(crate) fn heard_have(&mut self, from: &str, h: Have, actions: &mut Vec<Action>) {
-        let (birth, index, asks) = (h.birth, h.index, h.asks);
-        let other = birth != 0 && self.agreed.birth != 0 && birth != self.agreed.birth;
-        if self.replication.said.len() < MOST_SAID || self.replication.said.contains_key(from) {
-            self.replication.said.insert(from.into(), h);
+    pub(super) fn on_status(&mut self, from: &str, status: Status, actions: &mut Vec<Action>) {
+        let Status { record_id, applied_index, reply_wanted, .. } = status;
+        let known = &mut self.replication.peer_status;
+        if known.len() < MAX_PEER_STATUS || known.contains_key(from) {
+            known.insert(from.into(), status);
         }
-        if other {
-            // Of a record that was founded beside this one: neither takes from the other.
+        if record_id != 0 && self.state.record_id != 0 && record_id != self.state.record_id {
+            // A record that was bootstrapped beside this one: neither replicates from the other.
             self.counts.other_record += 1;
             return;
         }
         let mut reply = Vec::new();
-        if birth != 0 && index > self.agreed.index && self.voter.is_none() && self.agreed.unread.is_none() {
-            reply.push(Item::Pull(self.agreed.birth, self.agreed.index));
+        let is_ahead = record_id != 0 && applied_index > self.state.applied_index;
+        if is_ahead && self.voter.is_none() && self.state.unsupported.is_none() {
+            reply.push(Item::Pull { record_id: self.state.record_id, after_index: self.state.applied_index });
         }
-        if asks || (self.agreed.birth != 0 && index < self.agreed.index) {
-            reply.push(self.have(false));
+        let is_behind = self.state.record_id != 0 && applied_index < self.state.applied_index;
+        if reply_wanted || is_behind {
+            reply.push(self.own_status());
         }
         if !reply.is_empty() {
             self.send(from, reply, actions);
         }
     }
 
-    /// One that is behind asks for what comes after a command.
-    pub(crate) fn pulled(&mut self, from: &str, birth: u64, after: u64, actions: &mut Vec<Action>) {
-        if self.agreed.birth == 0 || (birth != 0 && birth != self.agreed.birth) || after >= self.agreed.index
-        {
+    /// A front that is behind requests what comes after an entry.
+    pub(super) fn on_pull(
+        &mut self,
+        from: &str,
+        record_id: u64,
+        after_index: u64,
+        actions: &mut Vec<Action>,
+    ) {
+        let is_other_record = record_id != 0 && record_id != self.state.record_id;
+        if self.state.record_id == 0 || is_other_record || after_index >= self.state.applied_index {
             return;
         }
-        let first = self.recent.front().map_or(u64::MAX, |e| e.index);
-        if birth == 0 || after + 1 < first {
-            let bytes = self.agreed.to_bytes();
-            let (own, len) = (self.agreed.birth, bytes.len() as u32);
-            if let Some(d) = self.texts.put(bytes) {
-                self.replication.hold(d, len, None);
-                self.send(from, vec![Item::Whole(own, d, len)], actions);
-            }
-            return;
+        let first_recent = self.recent_entries.front().map_or(u64::MAX, |e| e.index);
+        if record_id == 0 || after_index + 1 < first_recent {
+            return self.offer_snapshot(from, actions);
+        }
+        // One message at a time; a front that is still behind pulls again.
+        let entries = self.entries_after(after_index);
+        let has_more = entries.last().is_some_and(|e| e.index < self.state.applied_index);
+        let mut items = vec![Item::Entries { record_id: self.state.record_id, entries }];
+        if has_more {
+            items.push(self.own_status());
+        }
+        self.send(from, items, actions);
+    }
+
+    fn offer_snapshot(&mut self, to: &str, actions: &mut Vec<Action>) {
+        let encoded = self.state.to_bytes();
+        let bytes = encoded.len() as u32;
+        if let Some(digest) = self.texts.insert(encoded) {
+            let text = TextRef { digest, bytes };
+            self.replication.retain_snapshot(text, None);
+            self.send(to, vec![Item::TextOffered { record_id: self.state.record_id, text }], actions);
         }
-        // A few datagrams at once; who is still behind asks again.
-        let (mut entries, mut bytes): (Vec<Entry>, usize) = Default::default();
-        let most = room(&self.config.name) - 32;
-        for e in self.recent.iter().filter(|e| e.index > after) {
-            let more = size(&Item::Entries(0, vec![e.clone()]));
-            if bytes + more > most {
+    }
+
+    /// Recent entries after an index, as many as fit into a message.
+    fn entries_after(&self, index: u64) -> Vec<LogEntry> {
+        let capacity = item_capacity(&self.config.name) - ENTRIES_OVERHEAD_BYTES;
+        let (mut entries, mut bytes) = (Vec::new(), 0);
+        for entry in self.recent_entries.iter().filter(|e| e.index > index) {
+            let entry_bytes = encoded_size(&Item::Entries { record_id: 0, entries: vec![entry.clone()] });
+            if bytes + entry_bytes > capacity {
                 break;
             }
-            bytes += more;
-            entries.push(e.clone());
+            bytes += entry_bytes;
+            entries.push(entry.clone());
         }
-        let more = entries.last().is_some_and(|e| e.index < self.agreed.index);
-        let mut items = vec![Item::Entries(self.agreed.birth, entries)];
-        if more {
-            items.push(self.have(false));
-        }
-        self.send(from, items, actions);
+        entries
     }
 
-    pub(crate) fn entries(&mut self, now: f64, birth: u64, entries: Vec<Entry>, actions: &mut Vec<Action>) {
-        // A voter takes what its own log tells it and nothing else.
-        if birth != 0 && birth == self.agreed.birth && self.voter.is_none() {
-            self.take_entries(now, entries, actions);
+    pub(super) fn on_entries(
+        &mut self,
+        now_ms: f64,
+        record_id: u64,
+        entries: Vec<LogEntry>,
+        actions: &mut Vec<Action>,
+    ) {
+        // A voter applies what its own log has committed and nothing else.
+        if record_id != 0 && record_id == self.state.record_id && self.voter.is_none() {
+            self.apply_entries(now_ms, entries, actions);
         }
     }
 
-    /// The whole state of a record, or (of no record) a text that a leader wants to have checked.
-    pub(crate) fn whole(&mut self, from: &str, birth: u64, d: Digest, bytes: u32, actions: &mut Vec<Action>) {
-        if birth == 0 {
-            match self.texts.get(&d).is_some() {
-                true => self.check(d, actions),
-                false => self.fetch(from, d, bytes, actions),
+    /// A front offers the snapshot of a record, or (of no record) the leader a text to be validated.
+    pub(super) fn on_text_offered(
+        &mut self,
+        from: &str,
+        record_id: u64,
+        text: TextRef,
+        actions: &mut Vec<Action>,
+    ) {
+        if record_id == 0 {
+            match self.texts.get(&text.digest).is_some() {
+                true => self.validate(text.digest, actions),
+                false => self.fetch(from, text, actions),
             }
-        } else if self.voter.is_none() && (self.agreed.birth == 0 || self.agreed.birth == birth) {
-            self.replication.hold(d, bytes, Some((birth, from.into())));
-            self.fetch(from, d, bytes, actions);
+        } else if self.voter.is_none() && (self.state.record_id == 0 || self.state.record_id == record_id) {
+            let source = SnapshotSource { record_id, from: from.into() };
+            self.replication.retain_snapshot(text, Some(source));
+            self.fetch(from, text, actions);
         }
     }
 
-    pub(crate) fn wanted(&mut self, from: &str, d: Digest, parts: &[u16], actions: &mut Vec<Action>) {
-        let own = self.agreed.to_bytes();
-        if self.texts.get(&d).is_none() && Digest::of(&own) == d {
-            // The state as the library's messages name it.
-            self.replication.hold(d, own.len() as u32, None);
-            self.texts.put(own);
+    pub(super) fn on_request_parts(
+        &mut self,
+        from: &str,
+        digest: Digest,
+        parts: &[u16],
+        actions: &mut Vec<Action>,
+    ) {
+        let own_state = self.state.to_bytes();
+        if self.texts.get(&digest).is_none() && Digest::of(&own_state) == digest {
+            // The state that the leader's Raft message refers to.
+            let text = TextRef { digest, bytes: own_state.len() as u32 };
+            self.replication.retain_snapshot(text, None);
+            self.texts.insert(own_state);
         }
         let items: Vec<Item> = parts
             .iter()
-            .take(MOST_PARTS)
-            .filter_map(|p| self.texts.part(&d, *p).map(|b| Item::Part(d, *p, b.to_vec())))
+            .take(MAX_PARTS)
+            .filter_map(|part| {
+                let bytes = self.texts.part(&digest, *part)?.to_vec();
+                Some(Item::Part { digest, part: *part, bytes })
+            })
             .collect();
         if !items.is_empty() {
             self.send(from, items, actions);
         }
     }
 
-    pub(crate) fn part(
+    pub(super) fn on_part(
         &mut self,
-        now: f64,
+        now_ms: f64,
         from: &str,
-        d: Digest,
+        digest: Digest,
         part: u16,
         bytes: &[u8],
         actions: &mut Vec<Action>,
     ) {
-        if !self.texts.take(d, part, bytes) {
-            // The last of those asked for together: the next ones, without waiting for the timer.
-            if usize::from(part) % WINDOW == WINDOW - 1 {
-                if let Some(len) = self.texts.length(&d) {
-                    self.fetch(from, d, len, actions);
+        if !self.texts.add_part(digest, part, bytes) {
+            // The last of those requested together: the next ones, without waiting for the timer.
+            if usize::from(part) % PART_WINDOW == PART_WINDOW - 1 {
+                if let Some(text) = self.texts.partial(&digest) {
+                    self.fetch(from, text, actions);
                 }
             }
             return;
         }
-        let state = self.replication.states.iter().find(|s| s.0 == d).and_then(|s| s.2.clone());
-        if let Some((birth, _)) = state {
-            let read = self.texts.get(&d).and_then(Agreed::from_bytes);
-            if let Some(a) = read.filter(|a| birth != 0 && a.birth == birth && self.voter.is_none()) {
-                let newer = self.agreed.birth == 0 || a.index > self.agreed.index;
-                if newer && (self.agreed.birth == 0 || self.agreed.birth == birth) {
-                    self.agreed = a;
-                    self.recent.clear();
-                    actions.push(Action::Changed);
-                    self.news(now, actions);
-                }
-            }
+        let snapshot = self.replication.snapshots.iter().find(|s| s.text.digest == digest);
+        match snapshot.and_then(|s| s.source.as_ref()).map(|source| source.record_id) {
+            Some(record_id) => self.on_snapshot_fetched(now_ms, record_id, digest, actions),
+            None => self.on_text_fetched(now_ms, digest, actions),
+        }
+    }
+
+    /// A follower installs a snapshot that is newer than its state. The snapshot of a voter (of record 0) is installed
+    /// by the leader's next message.
+    fn on_snapshot_fetched(
+        &mut self,
+        now_ms: f64,
+        record_id: u64,
+        digest: Digest,
+        actions: &mut Vec<Action>,
+    ) {
+        if record_id == 0 || self.voter.is_some() {
             return;
         }
-        self.check(d, actions);
-        self.look(actions);
-        if self.agreed.texts().any(|t| t.0 == d) {
-            actions.push(Action::Changed);
+        let Some(state) = self.texts.get(&digest).and_then(RecordState::from_bytes) else { return };
+        let is_first = self.state.record_id == 0;
+        let is_newer = self.state.record_id == record_id && state.applied_index > self.state.applied_index;
+        if state.record_id == record_id && (is_first || is_newer) {
+            self.state = state;
+            self.recent_entries.clear();
+            actions.push(Action::StateChanged);
+            self.announce_update(now_ms, actions);
+        }
+    }
+
+    fn on_text_fetched(&mut self, now_ms: f64, digest: Digest, actions: &mut Vec<Action>) {
+        self.validate(digest, actions);
+        self.advance_pending(actions);
+        if self.state.texts().any(|text| text.digest == digest) {
+            actions.push(Action::StateChanged);
         }
-        self.lack(now, actions);
+        self.fetch_missing(now_ms, actions);
     }
 }
--- a/crates/record/src/events.rs
+++ b/crates/record/src/events.rs
@@ -1,101 +1,103 @@
 //! The inputs and outputs of a [`Record`](crate::Record): what a front is configured with, the events it takes, the
 //! actions it returns, and what it counts.
 
-use crate::agreed::VoterId;
-use crate::rules::{Answer, Command, Digest};
-use crate::voter::Writes;
+use crate::rules::{Answer, Command};
+use crate::state::VoterId;
+use crate::storage::WriteBatch;
+use crate::texts::Digest;
 
-/// What a front is told.
+/// What a front is configured with.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// The front's name.
     pub name: String,
-    /// Its disk's id: another one where the disk is new, or is not believed.
-    pub disk: u64,
-    /// Names of the voters, alike at all fronts; with none there is no record.
+    /// Id of its disk: another one where the disk is new, or is not trusted.
+    pub disk_id: u64,
+    /// Names of the voters' fronts, alike at all fronts; with none there is no record.
     pub voters: Vec<String>,
 }
 
 impl Config {
     /// The voter that this front is with its present disk; never 0.
-    pub fn voter(&self) -> VoterId {
-        let d = Digest::of(format!("{}\0{:016x}", self.name, self.disk).as_bytes()).0;
-        d[..8].iter().fold(0, |n, b| n << 8 | u64::from(*b)).max(1)
+    pub fn voter_id(&self) -> VoterId {
+        Digest::of(format!("{}\0{:016x}", self.name, self.disk_id).as_bytes()).prefix_u64().max(1)
     }
 }
 
-/// What happens.
+/// What happens to a front.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time went by.
     Tick,
-    /// A datagram came.
+    /// A datagram was received.
     Datagram(Vec<u8>),
-    /// The fronts that are there now.
+    /// The names of the fronts that are present now.
     Peers(Vec<String>),
-    /// Somebody at this front asks; an edit brings its text.
-    Ask {
-        /// What.
+    /// A command is proposed at this front.
+    Propose {
+        /// The command.
         command: Command,
         /// The text of an edit.
         text: Option<Vec<u8>>,
     },
-    /// Nobody waits for the answer to that key any more.
-    Forget(String),
-    /// Whether rules can be used by this front: what is wrong with them, if anything.
-    Checked {
-        /// Which.
+    /// The answer to the proposal of that key is no longer awaited.
+    Abandoned(String),
+    /// A text was validated, as [`Action::Validate`] requested.
+    Validated {
+        /// The text.
         digest: Digest,
-        /// Why not.
-        wrong: Option<String>,
+        /// Why this front can't use it; `None`: it can.
+        error: Option<String>,
     },
-    /// This front serves by that version now.
-    InForce(u64),
+    /// This front serves by that version of the rules now.
+    Serving(u64),
     /// A write failed.
     DiskFailed,
 }
 
-/// What is to be done.
+/// What the caller is to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Make this durable, all of it, before what follows.
-    Write(Writes),
+    /// Make this durable, all of it, before any action that follows.
+    Write(WriteBatch),
     /// Send a datagram to a front; it may be lost.
     Send {
-        /// Its name.
+        /// The front's name.
         to: String,
-        /// The bytes.
+        /// The datagram.
         bytes: Vec<u8>,
     },
-    /// Look whether these rules can be used here, and tell by [`Event::Checked`].
-    Check {
-        /// Which.
+    /// Validate rules for use at this front; the result comes as [`Event::Validated`].
+    Validate {
+        /// The text's digest.
         digest: Digest,
-        /// Them.
+        /// The text.
         text: Vec<u8>,
     },
-    /// What became of a command that was asked at this front.
+    /// A command that was proposed at this front has its answer.
     Answered {
-        /// Its key.
+        /// The command's key.
         key: String,
-        /// It.
+        /// The answer.
         answer: Answer,
     },
-    /// What is agreed has changed, or a text of it has come.
-    Changed,
+    /// The replicated state has changed, or a text of it was received.
+    StateChanged,
 }
 
-/// What was done, for the operators.
+/// What a front has sent and dropped, for the operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Datagrams sent.
-    pub sent: u64,
-    /// Their bytes.
-    pub sent_bytes: u64,
-    /// Datagrams dropped: no message of ours.
+    pub datagrams_sent: u64,
+    /// Bytes of the datagrams sent.
+    pub bytes_sent: u64,
+    /// Datagrams dropped as malformed.
     pub malformed: u64,
-    /// Datagrams of another version, and the last one's number.
-    pub other_version: (u64, u8),
-    /// Words of another record than the one held.
+    /// Datagrams dropped for their format version.
+    pub unsupported_version: u64,
+    /// The format version of the last one of these.
+    pub last_unsupported_version: u8,
+    /// Messages on another record than this front's.
     pub other_record: u64,
 }
--- a/crates/record/src/proposals.rs
+++ b/crates/record/src/proposals.rs
@@ -1,81 +1,74 @@
-//! The state of commands on their way to be agreed: those asked at this front, those held by a leader until their
-//! texts are at a majority of voters, and which texts were checked.
+//! Proposals until they are committed: those made at this front, those that await their texts on a majority of voters,
+//! and which texts were validated.
 //!
 //! The steps that use it are in `engine/proposing.rs`.
 
-use crate::agreed::VoterId;
-use crate::rules::{Ask, Command, Digest};
+use crate::rules::Command;
+use crate::state::VoterId;
+use crate::texts::Digest;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Commands held for texts, or asked at this front, at the most.
-pub(crate) const MOST: usize = 1024;
+/// The most proposals made at this front, and the most that await their texts.
+pub(crate) const MAX_PROPOSALS: usize = 1024;
 
+/// A proposal made at this front and not answered yet.
 #[derive(Debug)]
-pub(crate) struct Asked {
+pub(crate) struct LocalProposal {
     pub(crate) command: Command,
-    pub(crate) next_ms: f64,
+    /// When it is sent again, in milliseconds.
+    pub(crate) next_retry_ms: f64,
 }
 
+/// A proposal that awaits its text, here or on a majority of voters.
 #[derive(Debug)]
-pub(crate) struct Offered {
+pub(crate) struct PendingProposal {
     pub(crate) command: Command,
-    /// Who passed it here, to whom its text is asked for and the answer goes.
-    pub(crate) from: Option<String>,
-    pub(crate) looks: u32,
+    /// The front that forwarded it: its text is fetched from there and its answer goes there. `None`: this front.
+    pub(crate) proposer: Option<String>,
+    /// Ticks that it has been pending for.
+    pub(crate) age_ticks: u32,
 }
 
-/// Commands on their way.
+/// Proposals on their way to be committed, by the keys of their commands.
 #[derive(Debug, Default)]
 pub(crate) struct Proposals {
-    pub(crate) asked: BTreeMap<String, Asked>,
-    pub(crate) offered: BTreeMap<String, Offered>,
-    /// Offered to the voters and not taken yet.
+    pub(crate) local: BTreeMap<String, LocalProposal>,
+    pub(crate) pending: BTreeMap<String, PendingProposal>,
+    /// Appended to the log and not applied yet, with the front that forwarded each.
     pub(crate) in_log: BTreeMap<String, Option<String>>,
-    /// Texts that were found good here, and what was wrong with others.
-    pub(crate) checked: BTreeMap<Digest, Option<String>>,
-    pub(crate) holds: BTreeMap<Digest, BTreeSet<VoterId>>,
-    pub(crate) led: bool,
+    /// Texts that were validated here: the error, or `None` for a valid one.
+    pub(crate) validated: BTreeMap<Digest, Option<String>>,
+    /// Voters that have a text durably and found it valid.
+    pub(crate) text_voters: BTreeMap<Digest, BTreeSet<VoterId>>,
+    /// Whether this front led at the last tick.
+    pub(crate) was_leader: bool,
 }
 
 impl Proposals {
-    /// Whether that key was asked here and its answer not yet told.
-    pub fn answered(&mut self, key: &str) -> bool {
-        self.asked.remove(key).is_some()
+    /// Drops a proposal made here; returns whether there was one.
+    pub(crate) fn remove_local(&mut self, key: &str) -> bool {
+        self.local.remove(key).is_some()
     }
 
-    pub fn forget(&mut self, key: &str) {
-        self.asked.remove(key);
+    /// Drops a proposal that was forwarded here; returns the front that forwarded it.
+    pub(crate) fn take_proposer(&mut self, key: &str) -> Option<String> {
+        let pending = self.pending.remove(key).and_then(|p| p.proposer);
+        self.in_log.remove(key).flatten().or(pending)
     }
 
-    /// Who passed that command here.
-    pub fn asker(&mut self, key: &str) -> Option<String> {
-        let offered = self.offered.remove(key).and_then(|o| o.from);
-        self.in_log.remove(key).flatten().or(offered)
-    }
-
-    /// A command was agreed: what was held for its text may go.
-    pub fn taken(&mut self, _key: &str) {
-        if self.checked.len() > MOST {
-            self.checked.clear();
+    /// Bounds what is known of texts.
+    pub(crate) fn prune_texts(&mut self) {
+        if self.validated.len() > MAX_PROPOSALS {
+            self.validated.clear();
         }
-        if self.holds.len() > MOST {
-            self.holds.clear();
+        if self.text_voters.len() > MAX_PROPOSALS {
+            self.text_voters.clear();
         }
     }
 
-    /// Texts of commands that are not agreed yet.
-    pub fn texts(&self) -> impl Iterator<Item = Digest> + '_ {
-        let asked = self.asked.values().map(|a| &a.command);
-        asked.chain(self.offered.values().map(|o| &o.command)).filter_map(|c| match c.ask {
-            Ask::Edit { digest, .. } => Some(digest),
-            Ask::Undo { .. } => None,
-        })
-    }
-}
-
-pub(crate) fn text_of(c: &Command) -> Option<(Digest, u32)> {
-    match c.ask {
-        Ask::Edit { digest, bytes, .. } => Some((digest, bytes)),
-        Ask::Undo { .. } => None,
+    /// Texts of proposals that are not committed yet.
+    pub(crate) fn texts(&self) -> impl Iterator<Item = Digest> + '_ {
+        let local = self.local.values().map(|p| &p.command);
+        local.chain(self.pending.values().map(|p| &p.command)).filter_map(|c| Some(c.text()?.digest))
     }
 }
--- a/crates/record/src/replication.rs
+++ b/crates/record/src/replication.rs
@@ -1,57 +1,71 @@
-//! What a front knows of the others while what is agreed reaches all fronts: their last word, and the states held
-//! for those who fetch them.
+//! What a front knows of the others while committed entries reach all fronts: their last status, and the snapshots
+//! retained for those that fetch them.
 //!
 //! The steps that use it are in `engine/replicating.rs`.
 
-use crate::rules::Digest;
-use crate::wire::Have;
-use rand::seq::IndexedRandom;
-use rand_chacha::ChaCha8Rng;
+use crate::texts::{Digest, TextRef};
+use crate::wire::Status;
 use std::collections::{BTreeMap, VecDeque};
 
-/// States and their texts that are held for those who fetch them.
-pub(crate) const STATES: usize = 3;
+/// Snapshots (as texts) that are retained for those that fetch them, at the most.
+pub(crate) const MAX_SNAPSHOTS: usize = 3;
 
-/// A state's digest and length; of which record and from whom, where it is being fetched.
-pub(crate) type State = (Digest, u32, Option<(u64, String)>);
+/// Where a snapshot is fetched from.
+#[derive(Clone, Debug)]
+pub(crate) struct SnapshotSource {
+    /// The record that it must be of to be installed here; 0: the voter installs it by the leader's message.
+    pub(crate) record_id: u64,
+    /// The front that has it.
+    pub(crate) from: String,
+}
+
+/// A snapshot that was offered to others or is being fetched.
+#[derive(Clone, Debug)]
+pub(crate) struct Snapshot {
+    pub(crate) text: TextRef,
+    /// Where it is being fetched from; `None`: it is this front's own.
+    pub(crate) source: Option<SnapshotSource>,
+}
 
-/// What a front knows of the others, and what it waits for.
+/// What a front knows of the others, and when it sends and fetches next.
 #[derive(Debug)]
 pub(crate) struct Replication {
-    pub peers: Vec<String>,
-    /// The version that this front serves by.
-    pub in_force: u64,
-    pub(crate) said: BTreeMap<String, Have>,
-    pub(crate) next_tell: f64,
-    pub(crate) next_lack: f64,
-    pub(crate) again: u32,
-    /// States that were handed on or are being fetched, by digest, and of which record.
-    pub(crate) states: VecDeque<State>,
+    /// Names of the other fronts that are present.
+    pub(crate) peers: Vec<String>,
+    /// The version of the rules that this front serves by.
+    pub(crate) serving_version: u64,
+    /// The last status of other fronts, by name.
+    pub(crate) peer_status: BTreeMap<String, Status>,
+    pub(crate) next_status_ms: f64,
+    pub(crate) next_fetch_ms: f64,
+    /// Ticks over which an update is still repeated.
+    pub(crate) repeats_remaining: u32,
+    pub(crate) snapshots: VecDeque<Snapshot>,
 }
 
 impl Replication {
-    pub fn new(now: f64) -> Replication {
-        let (peers, said, states) = Default::default();
-        Replication { peers, in_force: 0, said, next_tell: now, next_lack: now, again: 0, states }
-    }
-
-    pub fn said(&self) -> impl Iterator<Item = (&str, u64)> {
-        self.said.iter().map(|(n, h)| (n.as_str(), h.in_force))
-    }
-
-    pub fn states(&self) -> impl Iterator<Item = Digest> + '_ {
-        self.states.iter().map(|s| s.0)
+    pub(crate) fn new(now_ms: f64) -> Replication {
+        Replication {
+            peers: Vec::new(),
+            serving_version: 0,
+            peer_status: BTreeMap::new(),
+            next_status_ms: now_ms,
+            next_fetch_ms: now_ms,
+            repeats_remaining: 0,
+            snapshots: VecDeque::new(),
+        }
     }
 
-    pub fn any_of(&self, names: &[String], rng: &mut ChaCha8Rng) -> Option<String> {
-        names.choose(rng).cloned()
+    pub(crate) fn snapshot_digests(&self) -> impl Iterator<Item = Digest> + '_ {
+        self.snapshots.iter().map(|s| s.text.digest)
     }
 
-    pub(crate) fn hold(&mut self, d: Digest, bytes: u32, of: Option<(u64, String)>) {
-        self.states.retain(|s| s.0 != d);
-        self.states.push_back((d, bytes, of));
-        if self.states.len() > STATES {
-            self.states.pop_front();
+    /// Retains a snapshot, in place of the oldest if there are too many.
+    pub(crate) fn retain_snapshot(&mut self, text: TextRef, source: Option<SnapshotSource>) {
+        self.snapshots.retain(|s| s.text.digest != text.digest);
+        self.snapshots.push_back(Snapshot { text, source });
+        if self.snapshots.len() > MAX_SNAPSHOTS {
+            self.snapshots.pop_front();
         }
     }
 }
--- a/crates/record/src/rules.rs
+++ b/crates/record/src/rules.rs
@@ -1,151 +1,141 @@
 //! Versions of the routing rules: which is current, and what an edit or an undo may do to it. A pure state machine: every
-//! front that has taken the same commands holds the same.
+//! front that has applied the same commands has the same state.
 
+use crate::texts::{Digest, TextRef};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A text, by the first half of its SHA-256.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Digest(pub [u8; 16]);
+/// Versions that are retained; the texts of older ones are dropped with them.
+pub const MAX_VERSIONS: usize = 128;
+/// Commands whose answer is retained for a repeat with the same key.
+pub const MAX_ANSWERS: usize = 512;
+/// The most bytes of an author or a reason.
+pub const MAX_ANNOTATION_BYTES: usize = 160;
+/// The most bytes of a command's key.
+pub const MAX_KEY_BYTES: usize = 64;
 
-impl Digest {
-    /// Of a text.
-    pub fn of(text: &[u8]) -> Digest {
-        use sha2::Digest as _;
-        let mut d = [0; 16];
-        d.copy_from_slice(&sha2::Sha256::digest(text)[..16]);
-        Digest(d)
-    }
-}
-
-impl std::fmt::Display for Digest {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        self.0.iter().try_for_each(|b| write!(f, "{b:02x}"))
-    }
-}
-
-/// Versions whose words are kept. Texts are let go of with them.
-pub const MOST_VERSIONS: usize = 128;
-/// Keys of commands whose answer is kept for one that is repeated.
-pub const MOST_KEYS: usize = 512;
-/// An author or a reason has at most so many bytes.
-pub const MOST_WORDS: usize = 160;
-/// A key has at most so many bytes.
-pub const MOST_KEY: usize = 64;
-
-/// A version of the rules. Its number never means anything else.
+/// A version of the rules. Its number is never used again.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Version {
     /// From 1; version 0 is each front's own site document.
     pub number: u64,
-    /// The one that was current when it was agreed.
+    /// The version that was current when it was committed.
     pub parent: u64,
-    /// The version whose rules it brings back, where it is an undo.
+    /// The version whose rules it restores, where it is an undo.
     pub restores: Option<u64>,
-    /// Its text.
+    /// Digest of its text.
     pub digest: Digest,
-    /// Bytes of it.
+    /// Length of its text in bytes.
     pub bytes: u32,
-    /// Who asked.
+    /// Who proposed it.
     pub author: String,
     /// Why.
     pub reason: String,
-    /// When it was asked, by that front's clock: Unix time in milliseconds; nothing is ordered by it.
+    /// When it was proposed, by that front's clock: Unix time in milliseconds; nothing is ordered by it.
     pub at_unix_ms: u64,
 }
 
-/// What is asked. `base` is the version that the one who asks took for current.
+/// What a command does. `base` is the version that its author took for current (optimistic concurrency).
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Ask {
-    /// Other rules than those of `base`.
+pub enum Operation {
+    /// Replaces the rules of `base`.
     Edit {
-        /// The version it was made from.
+        /// The version that the edit was made from.
         base: u64,
-        /// The new text.
+        /// Digest of the new text.
         digest: Digest,
-        /// Bytes of it.
+        /// Length of the new text in bytes.
         bytes: u32,
     },
-    /// The rules of an earlier version again, as a new version.
+    /// Restores the rules of an earlier version, as a new version.
     Undo {
-        /// The version that was current when it was asked.
+        /// The version that was current for the author.
         base: u64,
-        /// Whose rules come back.
+        /// The version whose rules are restored.
         to: u64,
-        /// The edits that are known to go out of force with it, besides the current version's own.
-        with: Vec<u64>,
+        /// The edits that the author knows to be reverted with it, besides the current version's own.
+        acknowledged: Vec<u64>,
     },
 }
 
-/// A command, as it stands in the record.
+/// A command, as it stands in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Command {
-    /// Makes a repeat harmless: a command whose key was seen gets the answer that the first got.
+    /// Makes the command idempotent: a repeat with the same key gets the answer that the first got.
     pub key: String,
-    /// Who asks.
+    /// Who proposes it.
     pub author: String,
     /// Why.
     pub reason: String,
-    /// When, by the clock of the front that was asked: Unix time in milliseconds.
+    /// When, by the clock of the front where it was proposed: Unix time in milliseconds.
     pub at_unix_ms: u64,
-    /// What.
-    pub ask: Ask,
+    /// What it does.
+    pub operation: Operation,
+}
+
+impl Command {
+    /// The text that an edit needs.
+    pub fn text(&self) -> Option<TextRef> {
+        match self.operation {
+            Operation::Edit { digest, bytes, .. } => Some(TextRef { digest, bytes }),
+            Operation::Undo { .. } => None,
+        }
+    }
+
+    /// Whether key and author are there, and they and the reason are not too long.
+    pub fn has_valid_lengths(&self) -> bool {
+        let valid = |text: &str, max: usize| !text.is_empty() && text.len() <= max;
+        valid(&self.key, MAX_KEY_BYTES)
+            && valid(&self.author, MAX_ANNOTATION_BYTES)
+            && self.reason.len() <= MAX_ANNOTATION_BYTES
+    }
 }
 
 /// Why a command changed nothing.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Refusal {
-    /// Another version is current than the one it was made from: look at it and ask again.
-    Moved {
-        /// The current one.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
+pub enum Rejection {
+    /// Another version is current than the one that the command was made from.
+    #[error("version {current} is current by now: look at it and ask again")]
+    Conflict {
+        /// The current version.
         current: u64,
     },
-    /// That version is not known, or no longer.
-    Unknown {
-        /// It.
+    /// The version is not known, or no longer retained.
+    #[error("version {version} is not known")]
+    UnknownVersion {
+        /// That version.
         version: u64,
     },
-    /// Edits after the version that is to come back would be lost, and were not named.
-    WouldLose {
-        /// Them.
+    /// The undo would revert edits that were not acknowledged.
+    #[error("versions {versions:?} would be undone with it: name them")]
+    Unacknowledged {
+        /// All edits that it would revert, besides the current version's own.
         versions: Vec<u64>,
     },
     /// The rules are those already.
-    Same,
-    /// Texts are too long or empty.
-    Words,
+    #[error("the rules are those already")]
+    Unchanged,
+    /// Key, author or reason is empty or too long, or the text is not the one of the command.
+    #[error(
+        "author, reason or key is empty or too long ({} and {} bytes)",
+        MAX_ANNOTATION_BYTES,
+        MAX_KEY_BYTES
+    )]
+    InvalidLength,
 }
 
-impl std::fmt::Display for Refusal {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            Refusal::Moved { current } => {
-                write!(f, "version {current} is current by now: look at it and ask again")
-            }
-            Refusal::Unknown { version } => write!(f, "version {version} is not known"),
-            Refusal::WouldLose { versions } => {
-                write!(f, "versions {versions:?} would be undone with it: name them")
-            }
-            Refusal::Same => write!(f, "the rules are those already"),
-            Refusal::Words => {
-                write!(f, "author, reason or key is empty or too long ({MOST_WORDS} and {MOST_KEY} bytes)")
-            }
-        }
-    }
-}
-
-/// What became of a command.
-pub type Answer = Result<u64, Refusal>;
+/// The answer to a command: the number of the new version, or why there is none.
+pub type Answer = Result<u64, Rejection>;
 
-/// The versions, as agreed so far.
+/// The versions after the commands applied so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Rules {
     versions: BTreeMap<u64, Version>,
     current: u64,
-    /// Answers by key, and the order in which they came.
+    /// Answers by key, each with the number of its command.
     answers: BTreeMap<String, (u64, Answer)>,
-    /// Commands taken.
-    taken: u64,
+    /// Number of commands applied.
+    applied: u64,
 }
 
 impl Rules {
@@ -154,12 +144,12 @@
         self.current
     }
 
-    /// A version.
+    /// The version of that number, if it is retained.
     pub fn version(&self, number: u64) -> Option<&Version> {
         self.versions.get(&number)
     }
 
-    /// All that are known, the oldest first.
+    /// All retained versions, the oldest first.
     pub fn versions(&self) -> impl DoubleEndedIterator<Item = &Version> {
         self.versions.values()
     }
@@ -169,80 +159,90 @@
         self.answers.get(key).map(|a| &a.1)
     }
 
-    /// Takes a command in the order of the record, and answers.
-    pub fn take(&mut self, c: &Command) -> Answer {
-        if let Some((_, answer)) = self.answers.get(&c.key) {
+    /// Applies a command in the order of the log, and answers it.
+    pub fn apply(&mut self, command: &Command) -> Answer {
+        if let Some((_, answer)) = self.answers.get(&command.key) {
             return answer.clone();
         }
-        self.taken += 1;
-        let answer = self.decide(c);
-        let words = c.key.is_empty() || c.key.len() > MOST_KEY;
-        if !words {
-            self.answers.insert(c.key.clone(), (self.taken, answer.clone()));
+        self.applied += 1;
+        let answer = self.decide(command);
+        if !command.key.is_empty() && command.key.len() <= MAX_KEY_BYTES {
+            self.answers.insert(command.key.clone(), (self.applied, answer.clone()));
         }
-        if self.answers.len() > MOST_KEYS {
-            let oldest = self.answers.iter().min_by_key(|a| a.1 .0).map(|a| a.0.clone());
-            oldest.and_then(|k| self.answers.remove(&k));
+        if self.answers.len() > MAX_ANSWERS {
+            let oldest =
+                self.answers.iter().min_by_key(|(_, (number, _))| *number).map(|(key, _)| key.clone());
+            oldest.and_then(|key| self.answers.remove(&key));
         }
         answer
     }
 
-    fn decide(&mut self, c: &Command) -> Answer {
-        let long = |t: &str, most: usize| t.is_empty() || t.len() > most;
-        if long(&c.key, MOST_KEY) || long(&c.author, MOST_WORDS) || c.reason.len() > MOST_WORDS {
-            return Err(Refusal::Words);
+    fn decide(&mut self, command: &Command) -> Answer {
+        if !command.has_valid_lengths() {
+            return Err(Rejection::InvalidLength);
         }
-        let base = match &c.ask {
-            Ask::Edit { base, .. } | Ask::Undo { base, .. } => *base,
-        };
+        let (Operation::Edit { base, .. } | Operation::Undo { base, .. }) = command.operation;
         // What was made from another version than the current one would lose what came between.
         if base != self.current {
-            return Err(Refusal::Moved { current: self.current });
+            return Err(Rejection::Conflict { current: self.current });
         }
-        let now = self.version(self.current).map(|v| v.digest);
-        let (digest, bytes, restores) = match &c.ask {
-            Ask::Edit { digest, bytes, .. } => (*digest, *bytes, None),
-            Ask::Undo { to, with, .. } => {
-                let held = self.version(*to).ok_or(Refusal::Unknown { version: *to })?;
-                let (digest, bytes) = (held.digest, held.bytes);
-                let lost = self.lost(*to);
-                if let Some(gap) = lost.iter().find(|n| self.version(**n).is_none()) {
-                    return Err(Refusal::Unknown { version: *gap });
-                }
-                if lost.iter().any(|n| !with.contains(n)) {
-                    return Err(Refusal::WouldLose { versions: lost });
-                }
-                (digest, bytes, Some(*to))
-            }
+        let (text, restores) = match &command.operation {
+            Operation::Edit { digest, bytes, .. } => (TextRef { digest: *digest, bytes: *bytes }, None),
+            Operation::Undo { to, acknowledged, .. } => (self.text_to_restore(*to, acknowledged)?, Some(*to)),
         };
-        if now == Some(digest) {
-            return Err(Refusal::Same);
+        if self.version(self.current).is_some_and(|current| current.digest == text.digest) {
+            return Err(Rejection::Unchanged);
         }
+        Ok(self.push_version(command, text, restores))
+    }
+
+    /// The text of the version that an undo restores, if the undo reverts nothing that was not acknowledged.
+    fn text_to_restore(&self, to: u64, acknowledged: &[u64]) -> Result<TextRef, Rejection> {
+        let restored = self.version(to).ok_or(Rejection::UnknownVersion { version: to })?;
+        let lost = self.lost_edits(to);
+        if let Some(unknown) = lost.iter().find(|n| self.version(**n).is_none()) {
+            return Err(Rejection::UnknownVersion { version: *unknown });
+        }
+        if lost.iter().any(|n| !acknowledged.contains(n)) {
+            return Err(Rejection::Unacknowledged { versions: lost });
+        }
+        Ok(TextRef { digest: restored.digest, bytes: restored.bytes })
+    }
+
+    /// Makes a text the current version; returns its number.
+    fn push_version(&mut self, command: &Command, text: TextRef, restores: Option<u64>) -> u64 {
         let number = self.versions.last_key_value().map_or(0, |v| *v.0).max(self.current) + 1;
-        let (author, reason, at_unix_ms) = (c.author.clone(), c.reason.clone(), c.at_unix_ms);
-        let version =
-            Version { number, parent: self.current, restores, digest, bytes, author, reason, at_unix_ms };
+        let version = Version {
+            number,
+            parent: self.current,
+            restores,
+            digest: text.digest,
+            bytes: text.bytes,
+            author: command.author.clone(),
+            reason: command.reason.clone(),
+            at_unix_ms: command.at_unix_ms,
+        };
         self.versions.insert(number, version);
         self.current = number;
-        while self.versions.len() > MOST_VERSIONS {
+        while self.versions.len() > MAX_VERSIONS {
             self.versions.pop_first();
         }
-        Ok(number)
+        number
     }
 
-    /// The edits that are in force under a version: its own and those that it was made on, through undos to what they
-    /// brought back. One that is no longer known stands for all before it.
-    fn in_force(&self, version: u64) -> BTreeSet<u64> {
-        let (mut edits, mut at) = (BTreeSet::new(), version);
-        while at > 0 {
-            at = match self.version(at).map(|v| (v.restores, v.parent)) {
+    /// The edits that are in effect under a version: its own and those that it was made on, through undos to what they
+    /// restored. One that is no longer retained stands for all before it.
+    fn edits_in_effect(&self, version: u64) -> BTreeSet<u64> {
+        let (mut edits, mut number) = (BTreeSet::new(), version);
+        while number > 0 {
+            number = match self.version(number).map(|v| (v.restores, v.parent)) {
                 Some((Some(restored), _)) => restored,
                 Some((None, parent)) => {
-                    edits.insert(at);
+                    edits.insert(number);
                     parent
                 }
                 None => {
-                    edits.insert(at);
+                    edits.insert(number);
                     0
                 }
             };
@@ -250,12 +250,12 @@
         edits
     }
 
-    /// Edits that an undo to that version would take out of force, besides what the current version itself brought: to
-    /// undo that is what is asked. Versions between the two would not do: a later one may have brought back an earlier.
-    pub fn lost(&self, to: u64) -> Vec<u64> {
-        let (now, then) = (self.in_force(self.current), self.in_force(to));
-        let before = self.in_force(self.version(self.current).map_or(0, |v| v.parent));
-        now.into_iter().filter(|e| !then.contains(e) && before.contains(e)).collect()
+    /// Edits that an undo to that version would revert, besides what the current version itself brought: to undo that
+    /// is what the author wants. The versions between the two would not do: a later one may have restored an earlier.
+    pub fn lost_edits(&self, to: u64) -> Vec<u64> {
+        let (now, then) = (self.edits_in_effect(self.current), self.edits_in_effect(to));
+        let before = self.edits_in_effect(self.version(self.current).map_or(0, |v| v.parent));
+        now.into_iter().filter(|edit| !then.contains(edit) && before.contains(edit)).collect()
     }
 }
 
--- a/crates/record/src/texts/tests.rs
+++ b/crates/record/src/texts/tests.rs
@@ -3,26 +3,31 @@
 use super::*;
 
 #[test]
-fn parts_in_any_order_make_the_text_and_wrong_ones_don_t() {
+fn parts_in_any_order_make_up_the_text_and_corrupt_ones_do_not() {
     let text: Vec<u8> = (0..5000u32).map(|n| (n % 251) as u8).collect();
-    let (mut from, mut to) = (Texts::default(), Texts::default());
-    let d = from.put(text.clone()).expect("short");
-    assert!(!to.take(d, 0, &[0; PART]), "not asked for");
-    let asked = to.lacks(d, text.len());
-    assert_eq!(asked.len(), 6);
-    assert!(!to.take(d, 3, &[0; PART]) && !to.take(d, 9, &[0; PART]) && !to.take(d, 5, &[0; PART]));
-    for p in asked.iter().rev().chain(&asked) {
-        let part = from.part(&d, *p).expect("held").to_vec();
+    let (mut from, mut to) = (TextStore::default(), TextStore::default());
+    let d = from.insert(text.clone()).expect("short");
+    let text_ref = TextRef { digest: d, bytes: text.len() as u32 };
+    assert!(!to.add_part(d, 0, &[0; PART_BYTES]), "not requested");
+    let missing = to.missing_parts(text_ref);
+    assert_eq!(missing.len(), 6);
+    assert!(
+        !to.add_part(d, 3, &[0; PART_BYTES])
+            && !to.add_part(d, 9, &[0; PART_BYTES])
+            && !to.add_part(d, 5, &[0; PART_BYTES])
+    );
+    for p in missing.iter().rev().chain(&missing) {
+        let part = from.part(&d, *p).expect("complete").to_vec();
         if *p != 3 {
-            to.take(d, *p, &part);
+            to.add_part(d, *p, &part);
         }
     }
-    assert_eq!(to.get(&d), None, "part 3 was wrong: all begins anew");
-    for p in to.lacks(d, text.len()) {
-        to.take(d, p, from.part(&d, p).expect("held"));
+    assert_eq!(to.get(&d), None, "part 3 was corrupt: all are requested again");
+    for p in to.missing_parts(text_ref) {
+        to.add_part(d, p, from.part(&d, p).expect("complete"));
     }
     assert_eq!(to.get(&d), Some(&text[..]));
-    to.keep(&BTreeSet::new());
+    to.retain(&BTreeSet::new());
     assert_eq!(to.bytes(), 0);
-    assert_eq!(to.put(vec![0; MOST_TEXT + 1]), None);
+    assert_eq!(to.insert(vec![0; MAX_TEXT_BYTES + 1]), None);
 }
--- a/crates/record/src/voter.rs
+++ b/crates/record/src/voter.rs
@@ -1,213 +1,155 @@
-//! A voter: the `raft` crate's state machine with a log that can be cut, and its steps put into what is to be made
-//! durable before what is to be said.
+//! A voter: the `raft` crate's state machine on a log that can be compacted. Each of its steps is turned into what must
+//! be durable before what may be sent.
 
-use crate::agreed::{Agreed, Entry, VoterId, KIND_NONE, KIND_VOTERS};
-use crate::rules::Digest;
+mod log;
+
+use crate::state::{LogEntry, RecordState, VoterId, KIND_NOOP, KIND_VOTERS};
+use crate::storage::{StorageKey, StoredValue, Write, WriteBatch};
+use crate::texts::{Digest, TextRef};
+use log::Log;
 use protobuf::Message as _;
 use raft::eraftpb::{
     ConfChange, ConfChangeType, ConfState, Entry as RaftEntry, EntryType, HardState, Message, Snapshot,
 };
-use raft::storage::MemStorage;
-use raft::{Config, GetEntriesContext, RaftState, RawNode, StateRole, Storage};
-use serde::{Deserialize, Serialize};
+use raft::{Config, RawNode, StateRole, Storage};
 use std::collections::BTreeMap;
 
-/// Ticks without a leader until one offers itself, at the least; each voter has a number of its own above it, so that
-/// two seldom offer themselves at once.
+/// The shortest election timeout, in ticks. Each voter has a number of its own above it, so that two seldom campaign at
+/// once.
 const ELECTION_TICKS: usize = 10;
-/// Ticks between a leader's words.
+/// Ticks between a leader's heartbeats.
 const HEARTBEAT_TICKS: usize = 3;
-/// Bytes of commands in a message of voters: it must fit into a datagram.
-const MOST_SENT: u64 = 600;
-/// Messages to one voter that may be under way.
-const IN_FLIGHT: usize = 16;
-/// Commands that are kept behind the state, for those who are a little behind.
-pub const KEPT: u64 = 256;
+/// Bytes of entries in a message between voters: it must fit into a datagram.
+const MAX_MESSAGE_BYTES: u64 = 600;
+/// Unacknowledged messages to one voter.
+const MAX_IN_FLIGHT: usize = 16;
+/// Entries that are retained below the applied index, for those that are a little behind.
+pub(crate) const RETAINED_ENTRIES: u64 = 256;
 
-/// What is on disk of a voter.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Saved {
-    /// Its term, its vote and what it knows to be agreed, as bytes of the library's.
-    Hard(Vec<u8>),
-    /// A command, as bytes of the library's.
-    Entry(Vec<u8>),
-    /// A text.
-    Text(Vec<u8>),
-    /// The state up to a command, that command's term, and the voters by the library.
-    State {
-        /// [`Agreed::to_bytes`].
-        agreed: Vec<u8>,
-        /// Term of its last command.
-        term: u64,
-        /// Voters.
-        voters: Vec<VoterId>,
-    },
+/// A message to another voter.
+#[derive(Debug)]
+pub(crate) struct OutgoingMessage {
+    pub(crate) to: VoterId,
+    /// The protobuf encoding of the `raft` crate's `Message`.
+    pub(crate) message: Vec<u8>,
 }
 
-/// A place on disk.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Place {
-    /// [`Saved::State`].
-    State,
-    /// [`Saved::Hard`].
-    Hard,
-    /// [`Saved::Entry`] of that index.
-    Entry(u64),
-    /// [`Saved::Text`] of that digest.
-    Text(Digest),
+/// A snapshot that was accepted from the leader.
+#[derive(Debug)]
+pub(crate) struct AcceptedSnapshot {
+    /// The encoded reference to the state, see [`decode_snapshot_ref`].
+    pub(crate) snapshot_ref: Vec<u8>,
+    /// Term of the last entry that it contains.
+    pub(crate) term: u64,
 }
 
-/// What is to be written; `None`: what was there is to go. All of it together or nothing.
-pub type Writes = Vec<(Place, Option<Saved>)>;
-
-/// The log in memory, as the library sees it; a state for one who is far behind is its digest.
-#[derive(Clone)]
-pub(crate) struct Log {
-    mem: MemStorage,
-    state: std::sync::Arc<std::sync::Mutex<Vec<u8>>>,
-}
-
-impl Log {
-    fn state(&self) -> std::sync::MutexGuard<'_, Vec<u8>> {
-        self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
-    }
+/// What a step of a voter results in, in the order in which it is to be carried out.
+#[derive(Debug, Default)]
+pub(crate) struct Step {
+    /// The leader's snapshot replaces the state.
+    pub(crate) snapshot: Option<AcceptedSnapshot>,
+    /// To be durable before any message is sent.
+    pub(crate) writes: WriteBatch,
+    pub(crate) messages: Vec<OutgoingMessage>,
+    /// Committed entries, in order.
+    pub(crate) committed: Vec<LogEntry>,
 }
 
-impl Storage for Log {
-    fn initial_state(&self) -> raft::Result<RaftState> {
-        self.mem.initial_state()
+impl Step {
+    pub(crate) fn is_empty(&self) -> bool {
+        self.writes.is_empty()
+            && self.messages.is_empty()
+            && self.committed.is_empty()
+            && self.snapshot.is_none()
     }
 
-    fn entries(
-        &self,
-        low: u64,
-        high: u64,
-        most: impl Into<Option<u64>>,
-        context: GetEntriesContext,
-    ) -> raft::Result<Vec<RaftEntry>> {
-        self.mem.entries(low, high, most, context)
+    fn push_messages(&mut self, messages: Vec<Message>) {
+        self.messages.extend(
+            messages
+                .into_iter()
+                .map(|m| OutgoingMessage { to: m.get_to(), message: m.write_to_bytes().unwrap_or_default() }),
+        );
     }
 
-    fn term(&self, index: u64) -> raft::Result<u64> {
-        self.mem.term(index)
-    }
-
-    fn first_index(&self) -> raft::Result<u64> {
-        self.mem.first_index()
+    fn write_hard_state(&mut self, hard_state: &HardState) {
+        let bytes = hard_state.write_to_bytes().unwrap_or_default();
+        self.writes.push(Write::put(StorageKey::HardState, StoredValue::HardState(bytes)));
     }
+}
 
-    fn last_index(&self) -> raft::Result<u64> {
-        self.mem.last_index()
-    }
+/// A change of the voters, of which one at a time may be in the log.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum MembershipChange {
+    Add,
+    Remove,
+}
 
-    fn snapshot(&self, index: u64, to: u64) -> raft::Result<Snapshot> {
-        let mut s = self.mem.snapshot(index, to)?;
-        s.set_data(self.state().clone().into());
-        Ok(s)
-    }
+/// A message was dropped since it brings a snapshot whose state is not here: it is to be fetched, and the leader sends
+/// the message again.
+#[derive(Debug)]
+pub(crate) struct SnapshotMissing {
+    /// The encoded reference to the state.
+    pub(crate) snapshot_ref: Vec<u8>,
 }
 
-/// What a step of a voter brings, in the order in which it is to be carried out.
-#[derive(Debug, Default)]
-pub(crate) struct Step {
-    /// Durable first. Nothing of `say` may go out before.
-    pub writes: Writes,
-    /// Messages to other voters.
-    pub say: Vec<(VoterId, Vec<u8>)>,
-    /// Commands agreed, in order.
-    pub agreed: Vec<Entry>,
-    /// A state was taken over from the leader: its digest and length, as the leader words them.
-    pub state: Option<(Vec<u8>, u64)>,
+/// A voter and the state that it starts from.
+pub(crate) struct RestoredVoter {
+    pub(crate) voter: Voter,
+    pub(crate) state: RecordState,
 }
 
-/// A voter's part.
+/// One voter.
 pub(crate) struct Voter {
-    pub id: VoterId,
+    id: VoterId,
     node: RawNode<Log>,
     log: Log,
-    first_kept: u64,
-}
-
-fn to_entry(e: &RaftEntry, voters: impl FnOnce(&RaftEntry) -> Option<Vec<u8>>) -> Entry {
-    let (index, data) = (e.get_index(), e.get_data());
-    match e.get_entry_type() {
-        EntryType::EntryNormal if data.is_empty() => Entry { index, kind: KIND_NONE, body: Vec::new() },
-        EntryType::EntryNormal => Entry { index, kind: data[0], body: data[1..].to_vec() },
-        _ => match voters(e) {
-            Some(body) => Entry { index, kind: KIND_VOTERS, body },
-            None => Entry { index, kind: KIND_NONE, body: Vec::new() },
-        },
-    }
+    /// Index from which entries are retained in memory.
+    first_retained: u64,
 }
 
 impl Voter {
-    /// A voter on what was found on its disk, which nobody knows to be behind; on nothing, one that was just taken in and
-    /// gets its first state from the leader.
-    pub fn new(id: VoterId, spread: usize, saved: &BTreeMap<Place, Saved>) -> Option<(Voter, Agreed)> {
-        let log = Log { mem: MemStorage::new(), state: std::sync::Arc::default() };
-        let (mut state, mut state_term) = (Agreed::default(), 0);
-        {
-            let mut w = log.mem.wl();
-            if let Some(Saved::State { agreed, term, voters }) = saved.get(&Place::State) {
-                (state, state_term) = (Agreed::from_bytes(agreed)?, *term);
-                let mut s = Snapshot::default();
-                s.mut_metadata().index = state.index;
-                s.mut_metadata().term = *term;
-                let conf = ConfState { voters: voters.clone(), ..ConfState::default() };
-                *s.mut_metadata().mut_conf_state() = conf;
-                w.apply_snapshot(s).ok()?;
-            }
-            let mut entries = Vec::new();
-            for (place, e) in saved.range(Place::Entry(state.index + 1)..) {
-                let (Place::Entry(_), Saved::Entry(bytes)) = (place, e) else { continue };
-                entries.push(RaftEntry::parse_from_bytes(bytes).ok()?);
-            }
-            w.append(&entries).ok()?;
-            if let Some(Saved::Hard(bytes)) = saved.get(&Place::Hard) {
-                let mut hard = HardState::parse_from_bytes(bytes).ok()?;
-                // The state may be further on than what was last said of it.
-                hard.commit = hard.commit.max(state.index);
-                hard.term = hard.term.max(state_term);
-                w.set_hardstate(hard);
-            }
-        }
-        *log.state() = state_words(&state);
-        let ticks = ELECTION_TICKS + spread;
+    /// A voter on what was found on its disk, which must not be older than its last vote; on nothing, one that was just
+    /// added and gets its first snapshot from the leader. `None`: what was found can't be decoded.
+    ///
+    /// `extra_election_ticks` is this voter's election timeout above [`ELECTION_TICKS`].
+    pub(crate) fn restore(
+        id: VoterId,
+        extra_election_ticks: usize,
+        stored: &BTreeMap<StorageKey, StoredValue>,
+    ) -> Option<RestoredVoter> {
+        let log = Log::new();
+        let state = restore_log(&log, stored)?;
+        log.set_snapshot_ref(encode_snapshot_ref(&state));
+        let election_ticks = ELECTION_TICKS + extra_election_ticks;
         let config = Config {
             id,
             election_tick: ELECTION_TICKS,
-            // One length, so that equal seeds do the same.
-            min_election_tick: ticks,
-            max_election_tick: ticks + 1,
+            // A range of one, so that equal seeds do the same.
+            min_election_tick: election_ticks,
+            max_election_tick: election_ticks + 1,
             heartbeat_tick: HEARTBEAT_TICKS,
-            applied: state.index,
-            max_size_per_msg: MOST_SENT,
+            applied: state.applied_index,
+            max_size_per_msg: MAX_MESSAGE_BYTES,
             max_committed_size_per_ready: u64::MAX,
-            max_inflight_msgs: IN_FLIGHT,
+            max_inflight_msgs: MAX_IN_FLIGHT,
             check_quorum: true,
             pre_vote: true,
             ..Config::default()
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let node = RawNode::new(&config, log.clone(), &logger).ok()?;
-        let first_kept = state.index + 1;
-        Some((Voter { id, node, log, first_kept }, state))
-    }
-
-    /// What a disk holds of a voter once the record up to that command of that term is on it, and nothing after it.
-    pub fn saved(agreed: &Agreed, term: u64) -> (Place, Option<Saved>) {
-        let voters = agreed.voters.keys().copied().collect();
-        (Place::State, Some(Saved::State { agreed: agreed.to_bytes(), term, voters }))
+        let first_retained = state.applied_index + 1;
+        Some(RestoredVoter { voter: Voter { id, node, log, first_retained }, state })
     }
 
-    /// Others that wait for a state which was sent to them: it may have been lost.
-    pub fn lost_states(&mut self) {
+    /// Voters that wait for a snapshot which was sent to them get it again: it may have been lost.
+    pub(crate) fn resend_snapshots(&mut self) {
         let waiting: Vec<VoterId> = self
             .node
             .raft
             .prs()
             .iter()
-            .filter(|(_, p)| p.state == raft::ProgressState::Snapshot)
+            .filter(|(_, progress)| progress.state == raft::ProgressState::Snapshot)
             .map(|(id, _)| *id)
             .collect();
         for id in waiting {
@@ -215,141 +157,200 @@
         }
     }
 
-    pub fn leads(&self) -> bool {
+    pub(crate) fn is_leader(&self) -> bool {
         self.node.raft.state == StateRole::Leader
     }
 
-    /// Who leads, as far as is known.
-    pub fn leader(&self) -> Option<VoterId> {
-        Some(self.node.raft.leader_id).filter(|l| *l != 0)
+    /// The leader, as far as it is known.
+    pub(crate) fn leader(&self) -> Option<VoterId> {
+        Some(self.node.raft.leader_id).filter(|leader| *leader != 0)
     }
 
-    pub fn tick(&mut self) {
+    pub(crate) fn tick(&mut self) {
         self.node.tick();
     }
 
-    /// Another voter's message. `held`: whether a state that it brings is held here.
-    pub fn hear(&mut self, bytes: &[u8], held: impl FnOnce(&[u8]) -> bool) -> Result<(), Vec<u8>> {
-        let Ok(m) = Message::parse_from_bytes(bytes) else { return Ok(()) };
-        if m.get_to() != self.id {
+    /// Takes another voter's message. `has_state`: whether the state of an encoded snapshot reference is here.
+    pub(crate) fn receive(
+        &mut self,
+        message: &[u8],
+        has_state: impl FnOnce(&[u8]) -> bool,
+    ) -> Result<(), SnapshotMissing> {
+        let Ok(message) = Message::parse_from_bytes(message) else { return Ok(()) };
+        if message.get_to() != self.id {
             return Ok(());
         }
-        // A state comes as its digest: it is fetched first, and the leader says it again.
-        if m.has_snapshot() && !m.get_snapshot().get_data().is_empty() && !held(m.get_snapshot().get_data()) {
-            return Err(m.get_snapshot().get_data().to_vec());
+        let snapshot_ref = message.get_snapshot().get_data();
+        if message.has_snapshot() && !snapshot_ref.is_empty() && !has_state(snapshot_ref) {
+            return Err(SnapshotMissing { snapshot_ref: snapshot_ref.to_vec() });
         }
-        let _ = self.node.step(m);
+        let _ = self.node.step(message);
         Ok(())
     }
 
-    /// Offers a command, if this voter leads.
-    pub fn propose(&mut self, kind: u8, body: &[u8]) -> bool {
-        self.leads() && self.node.propose(Vec::new(), [&[kind], body].concat()).is_ok()
+    /// Proposes a command; `false` if this voter is not the leader or the log does not take it.
+    pub(crate) fn propose(&mut self, kind: u8, body: &[u8]) -> bool {
+        self.is_leader() && self.node.propose(Vec::new(), [&[kind], body].concat()).is_ok()
     }
 
-    /// Offers to take a voter in or out; one change at a time.
-    pub fn change(&mut self, id: VoterId, takes_in: bool, name: &str) -> bool {
-        let how = if takes_in { ConfChangeType::AddNode } else { ConfChangeType::RemoveNode };
-        let mut change = ConfChange::default();
-        change.set_change_type(how);
-        change.node_id = id;
-        self.leads() && self.node.propose_conf_change(name.as_bytes().to_vec(), change).is_ok()
+    /// Proposes to add or remove a voter, the one of the front of that name.
+    pub(crate) fn propose_membership(&mut self, id: VoterId, change: MembershipChange, name: &str) {
+        let change_type = match change {
+            MembershipChange::Add => ConfChangeType::AddNode,
+            MembershipChange::Remove => ConfChangeType::RemoveNode,
+        };
+        let mut conf_change = ConfChange::default();
+        conf_change.set_change_type(change_type);
+        conf_change.node_id = id;
+        if self.is_leader() {
+            // One that is refused since another is in the log is proposed again when the front announces itself again.
+            let _ = self.node.propose_conf_change(name.as_bytes().to_vec(), conf_change);
+        }
     }
 
-    /// All that the last events bring. `voters` is the state's, to which changes apply.
-    pub fn step(&mut self, voters: &mut BTreeMap<VoterId, String>) -> Step {
-        let mut out = Step::default();
+    /// All that the last events result in. `voters` are the state's; committed membership changes are applied to them.
+    pub(crate) fn step(&mut self, voters: &mut BTreeMap<VoterId, String>) -> Step {
+        let mut step = Step::default();
         while self.node.has_ready() {
             let mut ready = self.node.ready();
-            push(&mut out.say, ready.take_messages());
+            step.push_messages(ready.take_messages());
             if !ready.snapshot().is_empty() {
-                let s = ready.snapshot().clone();
-                let index = s.get_metadata().index;
-                out.state = Some((s.get_data().to_vec(), s.get_metadata().term));
-                let _ = self.log.mem.wl().apply_snapshot(s);
-                self.first_kept = index + 1;
+                self.accept_snapshot(ready.snapshot().clone(), &mut step);
             }
             if !ready.entries().is_empty() {
-                let last = self.log.mem.last_index().unwrap_or(0);
-                let from = ready.entries()[0].get_index();
-                // What another leader's commands replace goes.
-                out.writes.extend((from..=last).map(|i| (Place::Entry(i), None)));
-                for e in ready.entries() {
-                    let bytes = e.write_to_bytes().unwrap_or_default();
-                    out.writes.push((Place::Entry(e.get_index()), Some(Saved::Entry(bytes))));
-                }
-                let _ = self.log.mem.wl().append(ready.entries());
+                self.append(ready.entries(), &mut step);
             }
-            if let Some(hard) = ready.hs() {
-                let bytes = hard.write_to_bytes().unwrap_or_default();
-                out.writes.push((Place::Hard, Some(Saved::Hard(bytes))));
-                self.log.mem.wl().set_hardstate(hard.clone());
+            if let Some(hard_state) = ready.hs() {
+                step.write_hard_state(hard_state);
+                self.log.entries.wl().set_hardstate(hard_state.clone());
             }
-            push(&mut out.say, ready.take_persisted_messages());
+            step.push_messages(ready.take_persisted_messages());
             let committed = ready.take_committed_entries();
-            self.commit(committed, voters, &mut out);
-            let mut light = self.node.advance(ready);
-            if let Some(commit) = light.commit_index() {
-                let mut hard = self.log.mem.rl().hard_state().clone();
-                hard.commit = commit;
-                let bytes = hard.write_to_bytes().unwrap_or_default();
-                out.writes.push((Place::Hard, Some(Saved::Hard(bytes))));
-                self.log.mem.wl().mut_hard_state().commit = commit;
+            self.commit(committed, voters, &mut step);
+            let mut light_ready = self.node.advance(ready);
+            if let Some(commit_index) = light_ready.commit_index() {
+                let mut hard_state = self.log.entries.rl().hard_state().clone();
+                hard_state.commit = commit_index;
+                step.write_hard_state(&hard_state);
+                self.log.entries.wl().mut_hard_state().commit = commit_index;
             }
-            push(&mut out.say, light.take_messages());
-            let committed = light.take_committed_entries();
-            self.commit(committed, voters, &mut out);
+            step.push_messages(light_ready.take_messages());
+            let committed = light_ready.take_committed_entries();
+            self.commit(committed, voters, &mut step);
             self.node.advance_apply();
         }
-        out
+        step
     }
 
-    fn commit(&mut self, all: Vec<RaftEntry>, voters: &mut BTreeMap<VoterId, String>, out: &mut Step) {
-        for e in all {
-            let entry = to_entry(&e, |e| {
-                let change = ConfChange::parse_from_bytes(e.get_data()).ok()?;
-                let conf = self.node.apply_conf_change(&change).ok()?;
-                self.log.mem.wl().set_conf_state(conf);
-                match change.get_change_type() {
-                    ConfChangeType::AddNode => {
-                        let name = String::from_utf8_lossy(e.get_context()).into_owned();
-                        voters.insert(change.node_id, name);
-                    }
-                    _ => drop(voters.remove(&change.node_id)),
-                }
-                postcard::to_stdvec(voters).ok()
-            });
-            out.agreed.push(entry);
+    fn accept_snapshot(&mut self, snapshot: Snapshot, step: &mut Step) {
+        let metadata = snapshot.get_metadata();
+        step.snapshot =
+            Some(AcceptedSnapshot { snapshot_ref: snapshot.get_data().to_vec(), term: metadata.term });
+        self.first_retained = metadata.index + 1;
+        let _ = self.log.entries.wl().apply_snapshot(snapshot);
+    }
+
+    fn append(&mut self, entries: &[RaftEntry], step: &mut Step) {
+        let first = entries[0].get_index();
+        let last_stored = self.log.entries.last_index().unwrap_or(0);
+        // Entries of an earlier leader that these replace are deleted.
+        step.writes.extend((first..=last_stored).map(|index| Write::delete(StorageKey::Entry(index))));
+        for entry in entries {
+            let bytes = entry.write_to_bytes().unwrap_or_default();
+            step.writes.push(Write::put(StorageKey::Entry(entry.get_index()), StoredValue::Entry(bytes)));
         }
+        let _ = self.log.entries.wl().append(entries);
     }
 
-    /// After commands were taken: the state as it is to be handed on, and, now and then, a shorter log.
-    pub fn took(&mut self, agreed: &Agreed) -> Writes {
-        *self.log.state() = state_words(agreed);
-        if agreed.index < self.first_kept + 2 * KEPT {
+    fn commit(&mut self, entries: Vec<RaftEntry>, voters: &mut BTreeMap<VoterId, String>, step: &mut Step) {
+        for entry in entries {
+            let (index, data) = (entry.get_index(), entry.get_data());
+            let (kind, body) = match entry.get_entry_type() {
+                EntryType::EntryNormal if data.is_empty() => (KIND_NOOP, Vec::new()),
+                EntryType::EntryNormal => (data[0], data[1..].to_vec()),
+                _ => match self.apply_membership(&entry, voters) {
+                    Some(body) => (KIND_VOTERS, body),
+                    None => (KIND_NOOP, Vec::new()),
+                },
+            };
+            step.committed.push(LogEntry { index, kind, body });
+        }
+    }
+
+    /// Applies a committed membership change; the resulting voters, encoded.
+    fn apply_membership(
+        &mut self,
+        entry: &RaftEntry,
+        voters: &mut BTreeMap<VoterId, String>,
+    ) -> Option<Vec<u8>> {
+        let change = ConfChange::parse_from_bytes(entry.get_data()).ok()?;
+        let conf_state = self.node.apply_conf_change(&change).ok()?;
+        self.log.entries.wl().set_conf_state(conf_state);
+        match change.get_change_type() {
+            ConfChangeType::AddNode => {
+                let name = String::from_utf8_lossy(entry.get_context()).into_owned();
+                voters.insert(change.node_id, name);
+            }
+            _ => drop(voters.remove(&change.node_id)),
+        }
+        postcard::to_stdvec(voters).ok()
+    }
+
+    /// Entries were applied: the snapshot for others is the new state, and now and then the log is compacted.
+    pub(crate) fn on_applied(&mut self, state: &RecordState) -> WriteBatch {
+        self.log.set_snapshot_ref(encode_snapshot_ref(state));
+        let applied = state.applied_index;
+        if applied < self.first_retained + 2 * RETAINED_ENTRIES {
             return Vec::new();
         }
-        let cut = agreed.index - KEPT;
-        let Ok(term) = self.log.mem.term(agreed.index) else { return Vec::new() };
-        let mut writes: Writes = (self.first_kept..=agreed.index).map(|i| (Place::Entry(i), None)).collect();
-        writes.push(Voter::saved(agreed, term));
-        let _ = self.log.mem.wl().compact(cut);
-        self.first_kept = cut;
+        let compact_to = applied - RETAINED_ENTRIES;
+        let Ok(term) = self.log.entries.term(applied) else { return Vec::new() };
+        let mut writes: WriteBatch =
+            (self.first_retained..=applied).map(|index| Write::delete(StorageKey::Entry(index))).collect();
+        writes.push(Write::put(StorageKey::Snapshot, StoredValue::snapshot(state, term)));
+        let _ = self.log.entries.wl().compact(compact_to);
+        self.first_retained = compact_to;
         writes
     }
 }
 
-/// A state in the words of a leader to one who is far behind: its digest and its length.
-fn state_words(agreed: &Agreed) -> Vec<u8> {
-    let bytes = agreed.to_bytes();
-    postcard::to_stdvec(&(Digest::of(&bytes), bytes.len() as u32)).unwrap_or_default()
+/// Fills an empty log with what was found on disk; the state of its snapshot.
+fn restore_log(log: &Log, stored: &BTreeMap<StorageKey, StoredValue>) -> Option<RecordState> {
+    let (mut state, mut state_term) = (RecordState::default(), 0);
+    let mut memory = log.entries.wl();
+    if let Some(StoredValue::Snapshot { state: encoded, term, voters }) = stored.get(&StorageKey::Snapshot) {
+        (state, state_term) = (RecordState::from_bytes(encoded)?, *term);
+        let mut snapshot = Snapshot::default();
+        snapshot.mut_metadata().index = state.applied_index;
+        snapshot.mut_metadata().term = *term;
+        let conf_state = ConfState { voters: voters.clone(), ..ConfState::default() };
+        *snapshot.mut_metadata().mut_conf_state() = conf_state;
+        memory.apply_snapshot(snapshot).ok()?;
+    }
+    let mut entries = Vec::new();
+    for (key, value) in stored.range(StorageKey::Entry(state.applied_index + 1)..) {
+        let (StorageKey::Entry(_), StoredValue::Entry(bytes)) = (key, value) else { continue };
+        entries.push(RaftEntry::parse_from_bytes(bytes).ok()?);
+    }
+    memory.append(&entries).ok()?;
+    if let Some(StoredValue::HardState(bytes)) = stored.get(&StorageKey::HardState) {
+        let mut hard_state = HardState::parse_from_bytes(bytes).ok()?;
+        // The snapshot may be ahead of the hard state that was last written.
+        hard_state.commit = hard_state.commit.max(state.applied_index);
+        hard_state.term = hard_state.term.max(state_term);
+        memory.set_hardstate(hard_state);
+    }
+    Some(state)
 }
 
-/// Reads them.
-pub(crate) fn read_state_words(words: &[u8]) -> Option<(Digest, u32)> {
-    postcard::from_bytes(words).ok()
+/// A snapshot as the leader's message has it: the reference to the state's encoding.
+fn encode_snapshot_ref(state: &RecordState) -> Vec<u8> {
+    let bytes = state.to_bytes();
+    let text = TextRef { digest: Digest::of(&bytes), bytes: bytes.len() as u32 };
+    postcard::to_stdvec(&text).unwrap_or_default()
 }
 
-fn push(say: &mut Vec<(VoterId, Vec<u8>)>, messages: Vec<Message>) {
-    say.extend(messages.into_iter().map(|m| (m.get_to(), m.write_to_bytes().unwrap_or_default())));
+/// The reference in a snapshot of the leader's message; `None` if it is malformed.
+pub(crate) fn decode_snapshot_ref(encoded: &[u8]) -> Option<TextRef> {
+    postcard::from_bytes(encoded).ok()
 }
--- a/crates/record/src/wire.rs
+++ b/crates/record/src/wire.rs
@@ -1,98 +1,174 @@
-//! What fronts send each other on the record: one message a datagram, signed, beside the view's.
+//! The datagrams that fronts exchange on the record: one signed message each, on the socket of the view's gossip.
 //!
-//! Bytes: version, key, then by `postcard` the sender's name and a list of items, each with its kind and its bytes. A kind
-//! that this program does not know is passed over, so that a later program may say more; another version is refused.
+//! Format: version, key number, then by `postcard` the sender's name and a list of items, each with its kind and its
+//! bytes, then the tag. An item of a kind that this program does not know is ignored, and so is what follows an item's
+//! known fields, so that a later program may add to both; another version is dropped. The encoding goes by the order of
+//! variants and fields.
 
-use crate::agreed::{Entry, VoterId};
-use crate::rules::{Answer, Command, Digest};
+use crate::rules::{Answer, Command};
+use crate::state::{LogEntry, VoterId};
+use crate::texts::{Digest, TextRef};
 use fernslip_gossip::Keyring;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// No datagram is longer.
-pub const MOST_BYTES: usize = 1200;
-/// The first byte: not the view's, whose program before this one drops what it does not know.
+/// The most bytes of a datagram.
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
+/// The first byte. It is not one of the view's, whose earlier programs drop what they don't know.
 pub const VERSION: u8 = 0x81;
 const TAG_BYTES: usize = 16;
-/// Items in a message, at the most.
-const MOST_ITEMS: usize = 64;
+/// The most items in a message.
+const MAX_ITEMS: usize = 64;
+/// Bytes that the frame of an item (its kind and length) takes at the most.
+const ITEM_FRAME_BYTES: usize = 4;
+/// Bytes that version, key number and the length prefixes of name and list take at the most.
+const HEADER_BYTES: usize = 8;
 
-/// Where a front is in the record.
+/// How far a front has replicated the record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Have {
+pub struct Status {
     /// Which record; 0: none yet.
-    pub birth: u64,
-    /// The last command that it has taken.
-    pub index: u64,
-    /// The chain up to there.
-    pub chain: u64,
-    /// The version of the rules that it serves by.
-    pub in_force: u64,
-    /// Whether an answer is wanted.
-    pub asks: bool,
+    pub record_id: u64,
+    /// Index of the last applied entry.
+    pub applied_index: u64,
+    /// The chain hash up to there.
+    pub chain_hash: u64,
+    /// The version of the rules that the front serves by.
+    pub serving_version: u64,
+    /// Whether the receiver's status is wanted in reply.
+    pub reply_wanted: bool,
 }
 
-/// A piece of a message.
+/// An item of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Item {
-    /// Where the sender is.
-    Have(Have),
-    /// Commands after that one, please.
-    Pull(u64, u64),
-    /// Commands of that record, in order.
-    Entries(u64, Vec<Entry>),
-    /// The commands asked for are not kept: the whole state instead, as a text of that digest and length.
-    Whole(u64, Digest, u32),
-    /// These parts of a text, please.
-    Want(Digest, Vec<u16>),
+    /// The sender's status.
+    Status(Status),
+    /// Requests entries from a front that is ahead.
+    Pull {
+        /// The sender's record; 0: none yet.
+        record_id: u64,
+        /// The last entry that it has.
+        after_index: u64,
+    },
+    /// Entries in reply to a pull.
+    Entries {
+        /// Their record.
+        record_id: u64,
+        /// Consecutive entries.
+        entries: Vec<LogEntry>,
+    },
+    /// A text that the receiver is to fetch: a snapshot, in reply to a pull of entries that are no longer retained, or
+    /// a proposed text that a voter is to validate.
+    TextOffered {
+        /// The snapshot's record; 0: a proposed text.
+        record_id: u64,
+        /// The text.
+        text: TextRef,
+    },
+    /// Requests parts of a text.
+    RequestParts {
+        /// The text.
+        digest: Digest,
+        /// Indices of the parts.
+        parts: Vec<u16>,
+    },
     /// A part of a text.
-    Part(Digest, u16, Vec<u8>),
-    /// A command, for whoever leads; passed on by voters so many times more.
-    Propose(Command, u8),
-    /// What became of the command of that key.
-    Answered(String, Answer),
-    /// A voter has that text durably.
-    Holds(Digest, VoterId),
-    /// A front that is named as voter, with its id; whether it has no record yet and gave no vote.
-    Ready(VoterId, bool),
-    /// The record was founded: its birth and its voters.
-    Found(u64, BTreeMap<VoterId, String>),
-    /// A voter's message to that voter.
-    Raft(VoterId, Vec<u8>),
+    Part {
+        /// The text.
+        digest: Digest,
+        /// Index of the part.
+        part: u16,
+        /// Its bytes.
+        bytes: Vec<u8>,
+    },
+    /// A proposal for the leader.
+    Propose {
+        /// The command.
+        command: Command,
+        /// How many more times a voter that is not the leader may forward it.
+        hops: u8,
+    },
+    /// The answer to a proposal.
+    Answered {
+        /// The command's key.
+        key: String,
+        /// The answer.
+        answer: Answer,
+    },
+    /// A voter has a text durably, and found it valid.
+    TextStored {
+        /// The text.
+        digest: Digest,
+        /// The voter.
+        voter: VoterId,
+    },
+    /// A front that is configured as voter is present, and is none with its present disk.
+    VoterPresent {
+        /// The voter that it would be.
+        voter: VoterId,
+        /// Whether it has no record yet.
+        without_record: bool,
+    },
+    /// The record was bootstrapped.
+    Bootstrapped {
+        /// Its id.
+        record_id: u64,
+        /// Its first voters.
+        voters: BTreeMap<VoterId, String>,
+    },
+    /// A Raft message.
+    Raft {
+        /// The voter that it is for.
+        to: VoterId,
+        /// The protobuf encoding of the `raft` crate's `Message`.
+        message: Vec<u8>,
+    },
 }
 
 impl Item {
     fn kind(&self) -> u8 {
         match self {
-            Item::Have(_) => 1,
-            Item::Pull(..) => 2,
-            Item::Entries(..) => 3,
-            Item::Whole(..) => 4,
-            Item::Want(..) => 5,
-            Item::Part(..) => 6,
-            Item::Propose(..) => 7,
-            Item::Answered(..) => 8,
-            Item::Holds(..) => 9,
-            Item::Ready(..) => 10,
-            Item::Found(..) => 11,
-            Item::Raft(..) => 12,
+            Item::Status(_) => 1,
+            Item::Pull { .. } => 2,
+            Item::Entries { .. } => 3,
+            Item::TextOffered { .. } => 4,
+            Item::RequestParts { .. } => 5,
+            Item::Part { .. } => 6,
+            Item::Propose { .. } => 7,
+            Item::Answered { .. } => 8,
+            Item::TextStored { .. } => 9,
+            Item::VoterPresent { .. } => 10,
+            Item::Bootstrapped { .. } => 11,
+            Item::Raft { .. } => 12,
         }
     }
 }
 
 /// The highest kind that this program knows.
-const KINDS: u8 = 12;
+const HIGHEST_KIND: u8 = 12;
 
 /// Why a datagram is no message.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    /// Of another version: its number.
-    Version(u8),
-    /// Too long, cut, with a wrong tag, or it can't be read.
+    /// Of another format version: its number.
+    #[error("the format version {0:#04x} is not supported")]
+    UnsupportedVersion(u8),
+    /// Too long, truncated, with a wrong tag, or it can't be decoded.
+    #[error("the datagram is malformed")]
     Malformed,
 }
 
-/// A message's bytes, signed. Items that don't fit are for the caller to send in another.
+/// A message and its sender.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Received {
+    /// The sender's name.
+    pub from: String,
+    /// What it sent, without items of unknown kinds.
+    pub items: Vec<Item>,
+}
+
+/// Encodes and signs a message. Whether the items fit is the caller's to see to.
 pub fn seal(keys: &Keyring, from: &str, items: &[Item]) -> Vec<u8> {
     let framed: Vec<(u8, Vec<u8>)> =
         items.iter().map(|i| (i.kind(), postcard::to_stdvec(i).unwrap_or_default())).collect();
@@ -102,44 +178,44 @@
     bytes
 }
 
-/// Reads one: the sender's name and what it says.
+/// Verifies and decodes a datagram.
 ///
 /// # Errors
-/// It is no message, or of another version.
-pub fn open(keys: &Keyring, bytes: &[u8]) -> Result<(String, Vec<Item>), WireError> {
+/// [`WireError`]: it is malformed, not signed by a key of the ring, or of another version.
+pub fn open(keys: &Keyring, bytes: &[u8]) -> Result<Received, WireError> {
     let [version, key, ..] = bytes else { return Err(WireError::Malformed) };
     if *version != VERSION {
-        return Err(WireError::Version(*version));
+        return Err(WireError::UnsupportedVersion(*version));
     }
-    if bytes.len() > MOST_BYTES || bytes.len() < TAG_BYTES + 4 || !keys.is_good(*key, bytes) {
+    if bytes.len() > MAX_DATAGRAM_BYTES || bytes.len() < TAG_BYTES + 4 || !keys.is_good(*key, bytes) {
         return Err(WireError::Malformed);
     }
     let body = &bytes[2..bytes.len() - TAG_BYTES];
-    let read = postcard::take_from_bytes::<(String, Vec<(u8, Vec<u8>)>)>(body);
-    let ((from, framed), rest) = read.map_err(|_| WireError::Malformed)?;
-    if !rest.is_empty() || framed.len() > MOST_ITEMS {
+    let decoded = postcard::take_from_bytes::<(String, Vec<(u8, Vec<u8>)>)>(body);
+    let ((from, framed), rest) = decoded.map_err(|_| WireError::Malformed)?;
+    if !rest.is_empty() || framed.len() > MAX_ITEMS {
         return Err(WireError::Malformed);
     }
     let mut items = Vec::new();
-    for (kind, bytes) in framed.iter().filter(|f| f.0 <= KINDS) {
-        // What follows an item's known fields is of a later program.
+    for (kind, bytes) in framed.iter().filter(|f| f.0 <= HIGHEST_KIND) {
+        // What follows an item's known fields was added by a later program.
         let (item, _) = postcard::take_from_bytes::<Item>(bytes).map_err(|_| WireError::Malformed)?;
         if item.kind() != *kind {
             return Err(WireError::Malformed);
         }
         items.push(item);
     }
-    Ok((from, items))
+    Ok(Received { from, items })
 }
 
-/// Bytes that an item takes in a message.
-pub fn size(item: &Item) -> usize {
-    postcard::experimental::serialized_size(item).unwrap_or(MOST_BYTES) + 4
+/// The most bytes that an item takes in a message.
+pub fn encoded_size(item: &Item) -> usize {
+    postcard::experimental::serialized_size(item).unwrap_or(MAX_DATAGRAM_BYTES) + ITEM_FRAME_BYTES
 }
 
 /// Bytes for items in a message from a front of that name.
-pub fn room(from: &str) -> usize {
-    MOST_BYTES - TAG_BYTES - 8 - from.len()
+pub fn item_capacity(from: &str) -> usize {
+    MAX_DATAGRAM_BYTES - TAG_BYTES - HEADER_BYTES - from.len()
 }
 
 #[cfg(test)]
--- a/crates/record/tests/model.rs
+++ b/crates/record/tests/model.rs
@@ -1,164 +1,169 @@
-//! Every order of edits, undos and repeats by two who see the rules late, within bounds, over the real state machine; and
-//! variants of it that are broken on purpose and must be caught.
+//! A model check of every order of edits, undos and repeats by two authors who see the rules late, within bounds, over the
+//! real state machine; and of variants that are broken on purpose and must be caught.
 
-use fernslip_record::rules::{Answer, Ask, Command, Digest, Rules};
+use fernslip_record::rules::{Answer, Command, Operation, Rules};
+use fernslip_record::texts::Digest;
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Commands in a run.
-const MOST: usize = 5;
+const MAX_COMMANDS: usize = 5;
 /// The bounds stay far under this; a model that grows beyond them must not fill the machine.
-const MOST_STATES: usize = 400_000;
+const MAX_STATES: usize = 400_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Broken {
-    Nothing,
-    /// An undo takes whatever lies between with it, named or not.
-    LosesUnsaid,
-    /// A repeat is taken for another command.
+enum Defect {
+    None,
+    /// An undo reverts whatever lies between, acknowledged or not.
+    LosesUnacknowledged,
+    /// A repeat is applied as another command.
     ForgetsKeys,
-    /// An edit is taken whatever version it was made from.
+    /// An edit is applied whatever version it was made from.
     IgnoresBase,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     rules: Rules,
-    /// What each of the two saw last as current.
-    saw: [u64; 2],
-    /// Commands taken so far, with what they were answered first.
-    taken: Vec<(Command, Answer)>,
-    /// By version: the edits that are in force under it.
-    force: BTreeMap<u64, BTreeSet<u64>>,
-    wrong: Option<&'static str>,
+    /// The version that each author last saw as current.
+    seen: [u64; 2],
+    /// Commands applied so far, with their first answers.
+    applied: Vec<(Command, Answer)>,
+    /// By version: the edits that are in effect under it.
+    in_effect: BTreeMap<u64, BTreeSet<u64>>,
+    violation: Option<&'static str>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Act {
-    Look(usize),
+enum Step {
+    Refresh(usize),
     Edit(usize),
-    /// Back to that version, naming what is known to go with it, or nothing.
+    /// Back to that version, acknowledging what is known to be reverted with it, or nothing.
     Undo(usize, u64, bool),
     /// An answer was lost: the same again.
-    Again(usize),
+    Repeat(usize),
 }
 
-struct Play(Broken);
+struct RulesModel(Defect);
 
-impl Play {
-    fn take(&self, s: &mut State, mut c: Command, again: Option<usize>) {
-        let (before, first) = (s.rules.clone(), again.map(|n| s.taken[n].1.clone()));
-        match (self.0, &mut c.ask) {
-            (Broken::LosesUnsaid, Ask::Undo { to, with, .. }) => *with = before.lost(*to),
-            (Broken::IgnoresBase, Ask::Edit { base, .. }) => *base = before.current(),
-            (Broken::ForgetsKeys, _) => c.key = format!("{}-{}", c.key, s.taken.len()),
+impl RulesModel {
+    fn apply(&self, s: &mut State, mut c: Command, repeat_of: Option<usize>) {
+        let (before, first) = (s.rules.clone(), repeat_of.map(|n| s.applied[n].1.clone()));
+        match (self.0, &mut c.operation) {
+            (Defect::LosesUnacknowledged, Operation::Undo { to, acknowledged, .. }) => {
+                *acknowledged = before.lost_edits(*to);
+            }
+            (Defect::IgnoresBase, Operation::Edit { base, .. }) => *base = before.current(),
+            (Defect::ForgetsKeys, _) => c.key = format!("{}-{}", c.key, s.applied.len()),
             _ => {}
         }
-        let answer = s.rules.take(&c);
-        if let (Ok(n), None) = (&answer, again) {
+        let answer = s.rules.apply(&c);
+        if let (Ok(n), None) = (&answer, repeat_of) {
             if s.rules.current() != *n || *n <= before.current() {
-                s.wrong = Some("a number that is not the next");
+                s.violation = Some("a number that is not the next");
             }
         }
         if let Some(first) = &first {
             if *first != answer || s.rules != before {
-                s.wrong = Some("a repeat that did something");
+                s.violation = Some("a repeat that did something");
             }
         }
         if let (Ok(n), None) = (&answer, &first) {
             let none = BTreeSet::new();
-            let was = s.force.get(&before.current()).unwrap_or(&none);
-            let force = match &c.ask {
-                Ask::Edit { .. } => was.iter().copied().chain([*n]).collect(),
-                Ask::Undo { to, .. } => s.force.get(to).unwrap_or(&none).clone(),
+            let was = s.in_effect.get(&before.current()).unwrap_or(&none);
+            let force = match &c.operation {
+                Operation::Edit { .. } => was.iter().copied().chain([*n]).collect(),
+                Operation::Undo { to, .. } => s.in_effect.get(to).unwrap_or(&none).clone(),
             };
-            // What was said: the version that was current when it was asked, and those named by who asked.
-            let (asked, base) = match &s.taken_ask(&c) {
-                Ask::Undo { with, base, .. } => (with.clone(), *base),
-                Ask::Edit { base, .. } => (Vec::new(), *base),
+            // What its author proposed: the version that was current then, and the edits acknowledged.
+            let (acknowledged, base) = match &s.proposed_operation(&c) {
+                Operation::Undo { acknowledged, base, .. } => (acknowledged.clone(), *base),
+                Operation::Edit { base, .. } => (Vec::new(), *base),
             };
-            // What the current version itself brought is what is asked to go.
+            // What the current version itself brought is what the author wants to undo.
             let parent = before.version(base).map_or(0, |v| v.parent);
-            let own = |e: &u64| !s.force.get(&parent).is_some_and(|f| f.contains(e));
-            if was.iter().any(|e| !force.contains(e) && !own(e) && !asked.contains(e)) {
-                s.wrong = Some("an edit is lost unsaid");
+            let own = |e: &u64| !s.in_effect.get(&parent).is_some_and(|f| f.contains(e));
+            if was.iter().any(|e| !force.contains(e) && !own(e) && !acknowledged.contains(e)) {
+                s.violation = Some("an edit is lost unacknowledged");
             }
-            if matches!(c.ask, Ask::Edit { .. }) && base != before.current() {
-                s.wrong = Some("an edit made from another version");
+            if matches!(c.operation, Operation::Edit { .. }) && base != before.current() {
+                s.violation = Some("an edit made from another version");
             }
-            s.force.insert(*n, force);
+            s.in_effect.insert(*n, force);
         }
-        if again.is_none() {
-            s.taken.push((c, answer));
+        if repeat_of.is_none() {
+            s.applied.push((c, answer));
         }
     }
 }
 
 thread_local! {
-    /// What was really asked, before a broken variant changed it.
-    static ASKED: std::cell::RefCell<Option<Ask>> = const { std::cell::RefCell::new(None) };
+    /// What was really proposed, before a defect changed it.
+    static PROPOSED: std::cell::RefCell<Option<Operation>> = const { std::cell::RefCell::new(None) };
 }
 
 impl State {
-    fn taken_ask(&self, c: &Command) -> Ask {
-        ASKED.with(|a| a.borrow().clone()).unwrap_or_else(|| c.ask.clone())
+    fn proposed_operation(&self, c: &Command) -> Operation {
+        PROPOSED.with(|a| a.borrow().clone()).unwrap_or_else(|| c.operation.clone())
     }
 }
 
-impl Model for Play {
+impl Model for RulesModel {
     type State = State;
-    type Action = Act;
+    type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let (rules, taken, force) = Default::default();
-        vec![State { rules, saw: [0; 2], taken, force, wrong: None }]
+        let (rules, applied, in_effect) = Default::default();
+        vec![State { rules, seen: [0; 2], applied, in_effect, violation: None }]
     }
 
-    fn actions(&self, s: &State, out: &mut Vec<Act>) {
+    fn actions(&self, s: &State, out: &mut Vec<Step>) {
         for who in 0..2 {
-            if s.saw[who] != s.rules.current() {
-                out.push(Act::Look(who));
+            if s.seen[who] != s.rules.current() {
+                out.push(Step::Refresh(who));
             }
-            if s.taken.len() < MOST {
-                out.push(Act::Edit(who));
+            if s.applied.len() < MAX_COMMANDS {
+                out.push(Step::Edit(who));
                 for v in s.rules.versions() {
-                    out.extend([true, false].map(|named| Act::Undo(who, v.number, named)));
+                    out.extend([true, false].map(|named| Step::Undo(who, v.number, named)));
                 }
             }
         }
-        out.extend((0..s.taken.len()).map(Act::Again));
+        out.extend((0..s.applied.len()).map(Step::Repeat));
     }
 
-    fn next_state(&self, last: &State, act: Act) -> Option<State> {
+    fn next_state(&self, last: &State, step: Step) -> Option<State> {
         let mut s = last.clone();
-        let command = |s: &State, ask: Ask| {
+        let command = |s: &State, operation: Operation| {
             let (author, reason) = ("ops".to_string(), String::new());
-            Command { key: format!("k{}", s.taken.len()), author, reason, at_unix_ms: 0, ask }
+            Command { key: format!("k{}", s.applied.len()), author, reason, at_unix_ms: 0, operation }
         };
-        let (c, again) = match act {
-            Act::Look(who) => {
-                s.saw[who] = s.rules.current();
+        let (c, repeat_of) = match step {
+            Step::Refresh(who) => {
+                s.seen[who] = s.rules.current();
                 return Some(s);
             }
-            Act::Edit(who) => {
-                let text = format!("text {}", s.taken.len());
+            Step::Edit(who) => {
+                let text = format!("text {}", s.applied.len());
                 let (digest, bytes) = (Digest::of(text.as_bytes()), text.len() as u32);
-                (command(&s, Ask::Edit { base: s.saw[who], digest, bytes }), None)
+                (command(&s, Operation::Edit { base: s.seen[who], digest, bytes }), None)
             }
-            Act::Undo(who, to, named) => {
-                let with = if named { s.rules.lost(to) } else { Vec::new() };
-                (command(&s, Ask::Undo { base: s.saw[who], to, with }), None)
+            Step::Undo(who, to, named) => {
+                let acknowledged = if named { s.rules.lost_edits(to) } else { Vec::new() };
+                (command(&s, Operation::Undo { base: s.seen[who], to, acknowledged }), None)
             }
-            Act::Again(n) => (s.taken[n].0.clone(), Some(n)),
+            Step::Repeat(n) => (s.applied[n].0.clone(), Some(n)),
         };
-        ASKED.with(|a| *a.borrow_mut() = Some(c.ask.clone()));
-        self.take(&mut s, c, again);
+        PROPOSED.with(|a| *a.borrow_mut() = Some(c.operation.clone()));
+        self.apply(&mut s, c, repeat_of);
         Some(s)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nothing is lost, repeated or out of order", |_, s: &State| s.wrong.is_none()),
+            Property::always("nothing is lost, repeated or out of order", |_, s: &State| {
+                s.violation.is_none()
+            }),
             Property::always("the current version is known", |_, s: &State| {
                 s.rules.current() == 0 || s.rules.version(s.rules.current()).is_some()
             }),
@@ -172,27 +177,27 @@
     }
 }
 
-fn play(broken: Broken) -> (usize, Option<&'static str>) {
-    let checked = Play(broken).checker().target_state_count(MOST_STATES).spawn_bfs().join();
-    let wrong = checked.discovery("nothing is lost, repeated or out of order");
-    let what = wrong.and_then(|path| path.last_state().wrong);
-    if broken == Broken::Nothing {
-        assert!(checked.discovery("an undo is undone").is_some(), "the model plays what it is for");
+fn check(defect: Defect) -> (usize, Option<&'static str>) {
+    let checked = RulesModel(defect).checker().target_state_count(MAX_STATES).spawn_bfs().join();
+    let violated = checked.discovery("nothing is lost, repeated or out of order");
+    let violation = violated.and_then(|path| path.last_state().violation);
+    if defect == Defect::None {
+        assert!(checked.discovery("an undo is undone").is_some(), "the model reaches what it is for");
         assert!(checked.discovery("the current version is known").is_none());
     }
-    (checked.unique_state_count(), what)
+    (checked.unique_state_count(), violation)
 }
 
 #[test]
-fn no_order_of_edits_undos_and_repeats_loses_or_doubles_anything() {
-    let (states, wrong) = play(Broken::Nothing);
-    assert_eq!(wrong, None);
-    assert!((1_000..MOST_STATES).contains(&states), "{states} states");
+fn no_order_of_edits_undos_and_repeats_loses_or_duplicates_an_edit() {
+    let (states, violation) = check(Defect::None);
+    assert_eq!(violation, None);
+    assert!((1_000..MAX_STATES).contains(&states), "{states} states");
 }
 
 #[test]
-fn broken_variants_are_caught() {
-    assert_eq!(play(Broken::LosesUnsaid).1, Some("an edit is lost unsaid"));
-    assert_eq!(play(Broken::ForgetsKeys).1, Some("a repeat that did something"));
-    assert_eq!(play(Broken::IgnoresBase).1, Some("an edit made from another version"));
+fn the_model_catches_each_deliberate_defect() {
+    assert_eq!(check(Defect::LosesUnacknowledged).1, Some("an edit is lost unacknowledged"));
+    assert_eq!(check(Defect::ForgetsKeys).1, Some("a repeat that did something"));
+    assert_eq!(check(Defect::IgnoresBase).1, Some("an edit made from another version"));
 }
