--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -110,8 +110,8 @@
         self.wake();
     }
 
-    /// Ends the connection gracefully: what is owed goes out, however long the other side takes, and what comes meanwhile is
-    /// taken; then the sending half is shut, and the remainder is read and dropped within a bound. Guards the last answer: a
+    /// Ends the connection gracefully: what is queued goes out, however long the other side takes, and what comes meanwhile is
+    /// received; then the sending half is shut, and the remainder is read and dropped within a bound. Guards the last answer: a
     /// close over unread bytes resets the connection, and what the other side has not read yet is lost with it.
     pub fn close_gracefully(&self, reason: Reason) {
         lock(&self.queue).request_close(Close { reason, graceful: true });
@@ -180,7 +180,7 @@
     }
 
     /// Reads and writes until the connection ends; `receive` is given the buffer whenever something came, and
-    /// consumes what it can. Before a graceful close, and after all that had come by then, `keeps_open` is asked whether there is
+    /// consumes what it can. Before a graceful close, and after all that had come by then, `keeps_open` says whether there is
     /// reason to go on after all. Only after [`Link::attach`]; the owner calls [`Link::terminate`] afterwards. Yields.
     pub fn run(
         &self,
@@ -207,18 +207,18 @@
                     self.linger(&socket);
                     return reason;
                 }
-                // What is owed goes out first, and what comes meanwhile is still taken.
+                // What is queued goes out first, and what comes meanwhile is still received.
                 Some(_) | None => socket.stream.wait_io(),
             }
         }
     }
 
-    /// Takes nothing more if nothing is owed; whether that is so.
+    /// Queues nothing more if nothing is queued; whether that is so.
     fn close_if_drained(&self) -> bool {
         lock(&self.queue).close_if_drained()
     }
 
-    /// Shuts the sending half, nothing being owed, and reads on without taking anything, within bounds. Yields.
+    /// Shuts the sending half, nothing being queued, and reads and drops what comes, within bounds. Yields.
     fn linger(&self, socket: &Socket) {
         lock(&self.queue).linger_until = Some(Instant::now() + LINGER);
         let _ = socket.stream.inner().shutdown(Shutdown::Write);
@@ -242,7 +242,7 @@
         queue.linger_until.is_some_and(|at| Instant::now() >= at) || queue.is_broken()
     }
 
-    /// The connection has ended: nothing is taken any more, and its descriptor and what is queued are given back. The tags
+    /// The connection has ended: nothing is queued any more, and its descriptor and what is queued are released. The tags
     /// of the messages that were not written to their last byte.
     pub fn terminate(&self) -> Vec<u64> {
         let unwritten = lock(&self.queue).terminate();
--- a/crates/front/src/link/write_queue.rs
+++ b/crates/front/src/link/write_queue.rs
@@ -278,3 +278,6 @@
         self.total_bytes.fetch_sub(n, Ordering::Relaxed);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/front/src/upstream/dialer.rs
+++ b/crates/front/src/upstream/dialer.rs
@@ -45,8 +45,8 @@
         spawn(move || self.run());
     }
 
-    /// Dials and serves the connection. A defect costs this connection alone: its attempts end, and its place is given
-    /// back.
+    /// Dials and serves the connection. A defect costs this connection alone: its attempts end, and it no longer
+    /// counts.
     fn run(&self) {
         let end = catch_unwind(AssertUnwindSafe(|| self.serve()));
         let defect = ConnectionEnd { reason: Reason::Defect, unwritten_ending: Ending::Retracted };
