--- a/crates/fernslip/src/json.rs
+++ b/crates/fernslip/src/json.rs
@@ -3,39 +3,29 @@
 
 use crate::api::*;
 use serde_json::Value;
-use std::fmt;
 
 /// Why a JSON value could not be used.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JsonError {
     /// A field is missing or of another type.
+    #[error("{key} is missing or {wanted}")]
     Field {
         /// Which field.
         key: String,
         /// What it is not.
         wanted: &'static str,
     },
-    /// A word that stands for nothing known.
+    /// A keyword that stands for nothing known.
+    #[error("{key} {value:?} is unknown")]
     Unknown {
         /// Which field.
         key: String,
-        /// The word.
+        /// The keyword.
         value: String,
     },
 }
 
-impl fmt::Display for JsonError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            JsonError::Field { key, wanted } => write!(f, "{key} is missing or {wanted}"),
-            JsonError::Unknown { key, value } => write!(f, "{key} {value:?} is unknown"),
-        }
-    }
-}
-
-impl std::error::Error for JsonError {}
-
-/// The error for a word that stands for nothing known.
+/// The error for a keyword that stands for nothing known.
 pub fn unknown(key: &str, value: &str) -> JsonError {
     JsonError::Unknown { key: key.into(), value: value.into() }
 }
@@ -48,7 +38,7 @@
 pub struct Names {
     /// Zones, in the order of their numbers.
     pub zones: Vec<String>,
-    /// Kinds of machine.
+    /// Kinds of nodes.
     pub kinds: Vec<String>,
     /// Classes of requests.
     pub classes: Vec<String>,
@@ -56,7 +46,7 @@
     pub reports: Vec<String>,
 }
 
-/// The requests that a machine holds, as reports name them: in the settings, and on a front's sockets.
+/// Names of the load report's count of requests in flight at a node: in the settings, and on a front's sockets.
 pub const IN_FLIGHT_NAMES: [&str; 2] = ["rif", "inflight"];
 
 /// A value read, or why not.
@@ -90,7 +80,7 @@
     field(u64::from_str_radix(text(v, key)?, 16).ok(), key, "not 16 hex digits")
 }
 
-fn words(v: &Value, key: &str) -> Got<Vec<String>> {
+fn strings(v: &Value, key: &str) -> Got<Vec<String>> {
     list(v, key)?.iter().map(|n| field(n.as_str().map(String::from), key, "no text")).collect()
 }
 
@@ -99,72 +89,44 @@
     Ok(usize::try_from(n).ok())
 }
 
-/// Settings from the first message.
+fn flag(v: &Value, key: &str) -> bool {
+    v[key].as_bool().unwrap_or(false)
+}
+
+/// The number at a position of a list; 0 where there is none.
+fn number_at(v: &Value, key: &str, index: usize) -> f64 {
+    v[key].get(index).and_then(Value::as_f64).unwrap_or(0.0)
+}
+
+/// Settings from the first message, and the names that later messages use.
 pub fn settings(info: &Value) -> Got<(Settings, Names)> {
-    let (fam, per, rules) = (&info["family_info"], &info["permissions"], &info["rules"]);
-    let zones = words(info, "areas")?;
-    let kinds = words(info, "kinds")?;
-    let flag = |v: &Value, key: &str| v[key].as_bool().unwrap_or(false);
-    let per_class = |key: &str, i: usize| fam[key].get(i).and_then(Value::as_f64).unwrap_or(0.0);
-    let mut classes = Vec::new();
-    for (i, c) in list(info, "classes")?.iter().enumerate() {
-        classes.push(Class {
-            name: text(c, "name")?.to_string(),
-            objective_ms: num(c, "objective_ms")?,
-            objective_stretch: opt(c, "aim_stretch")?,
-            deadline_ms: num(c, "deadline_ms")?,
-            priority_weight: num(c, "importance")?,
-            late_weight: opt(c, "late_worth")?,
-            effect: match text(c, "semantics")? {
-                "idempotent" => Effect::Idempotent,
-                "deduplicated" => Effect::Deduplicated,
-                "at_most_once" => Effect::AtMostOnce,
-                other => return Err(unknown(&format!("classes[{i}].semantics"), other)),
-            },
-            scope: match c["dedup_scope"].as_str().unwrap_or("cell") {
-                "all" => DedupScope::All,
-                "zone" => DedupScope::Zone,
-                _ => DedupScope::Cell,
-            },
-            repeat_window_ms: opt(c, "repeat_window_ms")?,
-            write: fam["class_write"].get(i).and_then(Value::as_bool).unwrap_or(false),
-            fresh_ms: per_class("good_for_ms", i),
-            grace_ms: per_class("grace_for_ms", i),
-        });
-    }
-    let by_zone = |key: &str| -> Vec<f64> {
-        (0..zones.len()).map(|z| fam[key].get(z).and_then(Value::as_f64).unwrap_or(0.0)).collect()
-    };
+    let (family, permissions, rules) = (&info["family_info"], &info["permissions"], &info["rules"]);
+    let zones = strings(info, "areas")?;
+    let kinds = strings(info, "kinds")?;
+    let classes = classes(info, family)?;
+    let by_zone = |key: &str| -> Vec<f64> { (0..zones.len()).map(|z| number_at(family, key, z)).collect() };
     let zone = text(info, "zone")?;
-    let s = Settings {
+    let settings = Settings {
         zone: zones.iter().position(|z| z == zone).ok_or_else(|| unknown("zone", zone))?,
         zone_routers: by_zone("zone_balancers").into_iter().map(|n| n as u32).collect(),
         link_in_kb_per_s: by_zone("link_in_kb_per_s"),
         kinds: kinds.len(),
-        parent_kind: index(fam, "mid_kind")?,
-        origin_kind: index(fam, "origin_kind")?,
+        parent_kind: index(family, "mid_kind")?,
+        origin_kind: index(family, "origin_kind")?,
         slot: num(info, "slot_no")? as u32,
         routers: num(info, "group_size")? as u32,
-        straight: flag(fam, "straight"),
-        joins: flag(fam, "collapses"),
-        neighbours: match fam["neighbours"].as_str() {
-            Some("location") => Neighbours::Location,
-            Some("any") => Neighbours::Any,
-            _ => Neighbours::None,
-        },
-        notes: match fam["note_level"].as_str() {
-            Some("all") => NoteLevel::All,
-            Some("hit") => NoteLevel::Hit,
-            _ => NoteLevel::None,
-        },
-        stream_kb_per_s: num(fam, "stream_kb_per_s")?,
-        max_attempts: num(per, "max_attempts")? as u32,
-        max_in_flight: num(per, "max_open")? as u32,
-        parallel: flag(per, "parallel_tries"),
-        cancel: flag(per, "cancelling"),
-        peers: flag(per, "peers"),
-        // Also where the platform says that its clients pay no heed: who is refused is told when to come back.
-        max_retry_after_ms: opt(per, "max_retry_after_ms")?,
+        straight: flag(family, "straight"),
+        joins: flag(family, "collapses"),
+        neighbours: neighbours(family),
+        notes: note_level(family),
+        stream_kb_per_s: num(family, "stream_kb_per_s")?,
+        max_attempts: num(permissions, "max_attempts")? as u32,
+        max_in_flight: num(permissions, "max_open")? as u32,
+        parallel: flag(permissions, "parallel_tries"),
+        cancel: flag(permissions, "cancelling"),
+        peers: flag(permissions, "peers"),
+        // Also where the platform says that its clients pay no heed: who is rejected gets a hint when to come back.
+        max_retry_after_ms: opt(permissions, "max_retry_after_ms")?,
         lists_on_request: info["discovery"].as_str() == Some("on_request"),
         tick_ms: opt(info, "tick_ms")?,
         drain_grace_ms: num(rules, "drain_grace_ms")?,
@@ -172,16 +134,63 @@
         slow_start_ms: num(rules, "warm_up_ms")?,
         slow_start_multiple: num(rules, "tip_multiple")?,
         slow_start_window_ms: num(rules, "overload_for_ms")?,
-        parent_slow_start_from: opt(fam, "parent_starts_at")?,
-        parent_slow_start_ms: opt(fam, "upper_cold_ms")?,
-        parent_slow_start_multiple: opt(fam, "parent_breaks_at")?,
-        purge_slack_ms: opt(fam, "purge_slack_ms")?,
-        purge_done_ms: opt(fam, "purge_done_ms")?,
+        parent_slow_start_from: opt(family, "parent_starts_at")?,
+        parent_slow_start_ms: opt(family, "upper_cold_ms")?,
+        parent_slow_start_multiple: opt(family, "parent_breaks_at")?,
+        purge_slack_ms: opt(family, "purge_slack_ms")?,
+        purge_done_ms: opt(family, "purge_done_ms")?,
         zones: zones.clone(),
         classes,
     };
-    let classes = s.classes.iter().map(|c| c.name.clone()).collect();
-    let reports =
-        if info["report"]["fields"].is_array() { words(&info["report"], "fields")? } else { vec![] };
-    Ok((s, Names { zones, kinds, classes, reports }))
+    let classes = settings.classes.iter().map(|c| c.name.clone()).collect();
+    let report = &info["report"];
+    let reports = if report["fields"].is_array() { strings(report, "fields")? } else { vec![] };
+    Ok((settings, Names { zones, kinds, classes, reports }))
+}
+
+fn classes(info: &Value, family: &Value) -> Got<Vec<Class>> {
+    list(info, "classes")?.iter().enumerate().map(|(index, c)| class(c, index, family)).collect()
+}
+
+/// The class at `index`; some of its fields are in lists of the family, in the classes' order.
+fn class(c: &Value, index: usize, family: &Value) -> Got<Class> {
+    Ok(Class {
+        name: text(c, "name")?.to_string(),
+        objective_ms: num(c, "objective_ms")?,
+        objective_stretch: opt(c, "aim_stretch")?,
+        deadline_ms: num(c, "deadline_ms")?,
+        priority_weight: num(c, "importance")?,
+        late_weight: opt(c, "late_worth")?,
+        effect: match text(c, "semantics")? {
+            "idempotent" => Effect::Idempotent,
+            "deduplicated" => Effect::Deduplicated,
+            "at_most_once" => Effect::AtMostOnce,
+            other => return Err(unknown(&format!("classes[{index}].semantics"), other)),
+        },
+        scope: match c["dedup_scope"].as_str().unwrap_or("cell") {
+            "all" => DedupScope::All,
+            "zone" => DedupScope::Zone,
+            _ => DedupScope::Cell,
+        },
+        repeat_window_ms: opt(c, "repeat_window_ms")?,
+        write: family["class_write"].get(index).and_then(Value::as_bool).unwrap_or(false),
+        fresh_ms: number_at(family, "good_for_ms", index),
+        grace_ms: number_at(family, "grace_for_ms", index),
+    })
+}
+
+fn neighbours(family: &Value) -> Neighbours {
+    match family["neighbours"].as_str() {
+        Some("location") => Neighbours::Location,
+        Some("any") => Neighbours::Any,
+        _ => Neighbours::None,
+    }
+}
+
+fn note_level(family: &Value) -> NoteLevel {
+    match family["note_level"].as_str() {
+        Some("all") => NoteLevel::All,
+        Some("hit") => NoteLevel::Hit,
+        _ => NoteLevel::None,
+    }
 }
--- a/crates/front/src/control/admin/answer.rs
+++ b/crates/front/src/control/admin/answer.rs
@@ -4,6 +4,7 @@
 use super::exclusions::{self, Membership};
 use crate::reason_counts::figure;
 use crate::shared::Shared;
+use fernslip::facade::EndpointCounts;
 use std::collections::BTreeMap;
 
 /// Executes a command; returns the lines of its answer.
@@ -33,7 +34,8 @@
 /// The answer to `telemetry`: the front's metrics as `name=value` lines.
 fn telemetry(front: &Shared) -> String {
     let queues = front.queues.all();
-    let (listed, avoided) = queues.first().map_or((0, 0), |queue| queue.dispatcher.listed());
+    let EndpointCounts { listed, avoided } =
+        queues.first().map(|queue| queue.dispatcher.endpoint_counts()).unwrap_or_default();
     let view = front.fleet.as_ref().map_or(String::new(), |f| f.lines());
     let figures = front.metrics.lines(listed, avoided);
     let (violations, reasons) = (front.invariants.lines(), front.reason_counts.lines());
