--- a/crates/front/src/control/gossip.rs
+++ b/crates/front/src/control/gossip.rs
@@ -230,7 +230,7 @@
                 let digest = Some(fleet.digest());
                 if held != digest {
                     held = digest;
-                    self.feed(queues, Event::Peers(fleet.gossips()));
+                    self.feed(queues, Event::Peers(fleet.gossip_peers()));
                 }
             }
             let told = std::mem::take(&mut *lock(&self.evidence.0));
--- a/crates/front/src/main_loop.rs
+++ b/crates/front/src/main_loop.rs
@@ -6,7 +6,7 @@
 use crate::shared::Shared;
 use crate::shutdown::ShutdownPlan;
 use crate::{log, reconfigure, sleep};
-use fernslip_view::Stand;
+use fernslip_view::FrontState;
 use may::io::WaitIoWaker;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -102,10 +102,10 @@
     /// Publishes in the fleet's view whether this front is ready. From SIGTERM on its state is published there once.
     fn publish_state(&self) {
         if let Some(fleet) = self.front.fleet.as_ref().filter(|_| self.shutdown_began.is_none()) {
-            fleet.stands(match (self.front.is_ready(), self.front.server.is_evacuated()) {
-                (true, _) => Stand::Ready,
-                (false, true) => Stand::Emptying,
-                (false, false) => Stand::Joining,
+            fleet.set_state(match (self.front.is_ready(), self.front.server.is_evacuated()) {
+                (true, _) => FrontState::Ready,
+                (false, true) => FrontState::Draining,
+                (false, false) => FrontState::Joining,
             });
         }
     }
@@ -118,7 +118,7 @@
             gossip.leave(front.queues.all());
         }
         if let Some(fleet) = &front.fleet {
-            fleet.stands(Stand::Emptying);
+            fleet.set_state(FrontState::Draining);
         }
         let now = Instant::now();
         front.server.end_by(now + self.plan.answered_by);
--- a/crates/front/src/reconfigure.rs
+++ b/crates/front/src/reconfigure.rs
@@ -13,8 +13,8 @@
         gossip.rekey(plan.keys);
     }
     if let (Some(fleet), Some(plan)) = (&front.fleet, new.view) {
-        fleet.rekey(plan.keys);
-        fleet.configured(plan.config.configuration);
+        fleet.set_keys(plan.keys);
+        fleet.set_configuration(plan.config.configuration);
     }
     if let Some(plan) = new.plan {
         match front.queues.apply_plan(&front.clock, &front.upstream, plan) {
--- a/crates/front/src/startup.rs
+++ b/crates/front/src/startup.rs
@@ -169,7 +169,7 @@
         spawn_thread("store", move || snapshot.run(fleet))?;
     }
     if let Some(path) = &plan.control {
-        fleet.answer_at(path).map_err(|e| StartError::Control(path.clone(), e))?;
+        fleet.serve_control_socket(path).map_err(|e| StartError::Control(path.clone(), e))?;
     }
     tracing::info!("view at {}", fleet.addr());
     Ok(fleet)
--- a/crates/rig/src/run/garbage.rs
+++ b/crates/rig/src/run/garbage.rs
@@ -45,17 +45,17 @@
         Message::new(keys.signs(), Id(rng.random()), rng.random(), rng.random(), rng.random(), vec![255; 13]);
     message.items = vec![
         Item::Ack(rng.random()),
-        Item::Want((0..20).map(|_| Id(rng.random())).collect()),
-        Item::Differ(rng.random()),
-        Item::Ask(Id(rng.random()), rng.random(), rng.random()),
-        Item::Alert {
+        Item::FactRequest((0..20).map(|_| Id(rng.random())).collect()),
+        Item::DifferingBuckets(rng.random()),
+        Item::PingRequest(Id(rng.random()), rng.random(), rng.random()),
+        Item::Suspicion {
             of: Id::of(&format!("f{}", rng.random_range(0..100))),
-            birth: rng.random(),
+            process_id: rng.random(),
             incarnation: rng.random(),
-            word: u32::MAX,
+            number: u32::MAX,
             ping: rng.random(),
-            stands: true,
-            alone: true,
+            is_active: true,
+            is_only_silent: true,
         },
     ];
     message.seal(keys)
--- a/crates/view/examples/compare.rs
+++ b/crates/view/examples/compare.rs
@@ -1,6 +1,6 @@
-//! Views by several watchers beside SWIM with Lifeguard's suspicions (the membership of `fernslip-gossip`), on the same
-//! scenarios, seeds and network in memory: `cargo run --release -p fernslip-view --example compare -- [fronts] [seeds]`.
-//! Prints JSON, a row a scenario and way.
+//! Views by several watchers compared with SWIM with Lifeguard's suspicions (the membership of `fernslip-gossip`), on the
+//! same scenarios, seeds and in-memory network: `cargo run --release -p fernslip-view --example compare -- [fronts] [seeds]`.
+//! Prints JSON, a row for each scenario and protocol.
 
 #[path = "../tests/common/net.rs"]
 #[allow(dead_code)]
@@ -9,46 +9,46 @@
 use net::{Faults, Front, Net, Swim, Viewed};
 use serde_json::{json, Value};
 
-const MOST_MS: f64 = 120_000.0;
+const MAX_MS: f64 = 120_000.0;
 
-struct Got {
+struct Outcome {
     settle_ms: Option<f64>,
-    false_gone: usize,
+    false_failures: usize,
     bytes: f64,
 }
 
 /// Until all are even after what was done, and what it cost.
-fn after<F: Front>(net: &mut Net<F>) -> Got {
+fn after<F: Front>(net: &mut Net<F>) -> Outcome {
     let (bytes, from) = (net.sent_bytes(), net.now_ms);
-    let settle_ms = net.until(MOST_MS, Net::is_even);
+    let settle_ms = net.until(MAX_MS, Net::is_consistent);
     let seconds = (net.now_ms - from) / 1000.0;
-    let a_front = (net.sent_bytes() - bytes) as f64 / seconds.max(0.02) / net.places.len() as f64;
-    Got { settle_ms, false_gone: net.false_gone.len(), bytes: a_front }
+    let a_front = (net.sent_bytes() - bytes) as f64 / seconds.max(0.02) / net.hosts.len() as f64;
+    Outcome { settle_ms, false_failures: net.false_failures.len(), bytes: a_front }
 }
 
 /// For so long, with faults; and then until all are even.
-fn during<F: Front>(net: &mut Net<F>, faults: Faults, ms: f64) -> Got {
+fn during<F: Front>(net: &mut Net<F>, faults: Faults, ms: f64) -> Outcome {
     net.faults = faults;
     net.run(ms);
     net.heal();
     after(net)
 }
 
-fn scenario<F: Front>(name: &str, n: usize, seed: u64) -> Option<Got> {
+fn scenario<F: Front>(name: &str, n: usize, seed: u64) -> Option<Outcome> {
     let mut net: Net<F> = Net::of(n, seed);
     if name == "all start" {
         return Some(after(&mut net));
     }
-    net.until(MOST_MS, Net::is_even)?;
+    net.until(MAX_MS, Net::is_consistent)?;
     net.run(3_000.0);
-    net.false_gone.clear();
+    net.false_failures.clear();
     let third = || n / 2..n / 2 + n / 3;
     Some(match name {
         "steady" => {
             let (bytes, from) = (net.sent_bytes(), net.now_ms);
             net.run(30_000.0);
             let a_front = (net.sent_bytes() - bytes) as f64 / (net.now_ms - from) * 1000.0 / n as f64;
-            Got { settle_ms: Some(0.0), false_gone: net.false_gone.len(), bytes: a_front }
+            Outcome { settle_ms: Some(0.0), false_failures: net.false_failures.len(), bytes: a_front }
         }
         "one crashes" => {
             net.kill(n / 2);
@@ -74,7 +74,7 @@
         }
         "30 % lost, 60 s" => during(&mut net, Faults { loss: 0.3, ..Faults::default() }, 60_000.0),
         "one loses half, 60 s" => {
-            during(&mut net, Faults { loses: [(3, 0.5)].into(), ..Faults::default() }, 60_000.0)
+            during(&mut net, Faults { host_loss: [(3, 0.5)].into(), ..Faults::default() }, 60_000.0)
         }
         "a third 400 ms away, 30 s" => {
             let delays = third().map(|i| (i, (400.0, 100.0))).collect();
@@ -86,9 +86,9 @@
         }
         "a fifth stops for 1 s, 4 times" => {
             for _ in 0..4 {
-                (0..n / 5).for_each(|i| net.stop(i));
+                (0..n / 5).for_each(|i| net.pause(i));
                 net.run(1_000.0);
-                (0..n / 5).for_each(|i| net.go_on(i));
+                (0..n / 5).for_each(|i| net.resume(i));
                 net.run(3_000.0);
             }
             after(&mut net)
@@ -113,7 +113,7 @@
 ];
 
 fn row<F: Front>(way: &str, name: &str, n: usize, seeds: u64) -> Value {
-    let got: Vec<Option<Got>> = (1..=seeds).map(|s| scenario::<F>(name, n, s)).collect();
+    let got: Vec<Option<Outcome>> = (1..=seeds).map(|s| scenario::<F>(name, n, s)).collect();
     let mut settle: Vec<f64> =
         got.iter().map(|g| g.as_ref().and_then(|g| g.settle_ms).unwrap_or(f64::MAX)).collect();
     settle.sort_by(f64::total_cmp);
@@ -122,7 +122,7 @@
     json!({
         "scenario": name, "way": way, "fronts": n, "seeds": seeds,
         "settle_ms": { "p50": ms(settle[settle.len() / 2]), "max": ms(settle[settle.len() - 1]) },
-        "false_gone": got.iter().flatten().map(|g| g.false_gone).sum::<usize>(),
+        "false_gone": got.iter().flatten().map(|g| g.false_failures).sum::<usize>(),
         "bytes_per_s_max": most.round(),
     })
 }
--- a/crates/view/src/engine/budget.rs
+++ b/crates/view/src/engine/budget.rs
@@ -1,60 +1,72 @@
-//! The send budget: packing items into datagrams and keeping all that is sent under the byte rate.
+//! The send budget: packs items into datagrams and keeps everything sent under the byte rate.
 
 use super::*;
 
 impl View {
-    /// Sends items, in as many datagrams as they take, up to [`MOST_AT_ONCE`].
+    /// Sends items in as many datagrams as they take, up to [`MAX_DATAGRAMS_PER_SEND`]; returns whether the budget
+    /// sufficed.
     pub(super) fn send(
         &mut self,
-        at: f64,
+        now_ms: f64,
         to: SocketAddr,
         items: Vec<Item>,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let room = MOST_BYTES.saturating_sub(TAG_BYTES + HEAD_BYTES + self.settle.bits().len());
+        for items in self.pack(items).into_iter().take(MAX_DATAGRAMS_PER_SEND) {
+            let (digest, holders) = (self.table.digest(), self.settlement.holders().to_vec());
+            let (key, sequence) = (self.keys.signs(), self.sequence + 1);
+            let mut message = Message::new(key, self.id(), self.own.process_id, sequence, digest, holders);
+            message.items = items;
+            let bytes = message.seal(&self.keys);
+            if bytes.len() > MAX_DATAGRAM_BYTES || !self.send_budget.take(now_ms, bytes.len()) {
+                self.counters.over_budget += 1;
+                return false;
+            }
+            self.sequence += 1;
+            self.counters.sent += 1;
+            self.counters.sent_bytes += bytes.len() as u64;
+            actions.push(Action::Send { to, bytes });
+        }
+        true
+    }
+
+    /// Splits items into the parts that fit into one datagram each; one part at least.
+    fn pack(&self, items: Vec<Item>) -> Vec<Vec<Item>> {
+        let capacity = self.item_capacity();
         let mut parts: Vec<Vec<Item>> = vec![Vec::new()];
         let mut used = 0;
         for item in items {
-            let size = size(&item);
-            if used + size > room && used > 0 {
+            let len = encoded_len(&item);
+            if used + len > capacity && used > 0 {
                 parts.push(Vec::new());
                 used = 0;
             }
-            used += size;
+            used += len;
             if let Some(part) = parts.last_mut() {
                 part.push(item);
             }
         }
-        for items in parts.into_iter().take(MOST_AT_ONCE) {
-            let (digest, held) = (self.table.digest(), self.settle.bits().to_vec());
-            let (key, sequence) = (self.keys.signs(), self.sequence + 1);
-            let mut message = Message::new(key, self.id(), self.own.birth, sequence, digest, held);
-            message.items = items;
-            let bytes = message.seal(&self.keys);
-            if bytes.len() > MOST_BYTES || !self.bucket.take(at, bytes.len()) {
-                self.counts.held_back += 1;
-                return false;
-            }
-            self.sequence += 1;
-            self.counts.sent += 1;
-            self.counts.sent_bytes += bytes.len() as u64;
-            actions.push(Action::Send { to, bytes });
-        }
-        true
+        parts
+    }
+
+    /// Bytes of items that fit into one datagram.
+    pub(super) fn item_capacity(&self) -> usize {
+        MAX_DATAGRAM_BYTES.saturating_sub(TAG_BYTES + HEADER_BYTES + self.settlement.holders().len())
     }
 
-    /// Whether there is room for what can wait: pings, answers and words against a front go before it.
-    pub(super) fn budget_has_room(&mut self, at: f64) -> bool {
-        self.bucket.left(at) as u64 > self.config.burst_bytes / 8
+    /// Whether there is budget for what can wait: pings, answers and suspicions take precedence.
+    pub(super) fn has_spare_budget(&mut self, now_ms: f64) -> bool {
+        self.send_budget.left(now_ms) as u64 > self.config.burst_bytes / 8
     }
 
-    pub(super) fn next_probe_number(&mut self) -> u32 {
-        self.number = self.number.wrapping_add(1);
-        self.number
+    pub(super) fn next_ping_number(&mut self) -> u32 {
+        self.ping_number = self.ping_number.wrapping_add(1);
+        self.ping_number
     }
 
-    pub(super) fn random_peers(&mut self, many: usize) -> Vec<SocketAddr> {
-        let all: Vec<SocketAddr> = self.counted_peers().map(|(_, h)| h.fact.addr).collect();
-        all.choose_multiple(&mut self.rng, many).copied().collect()
+    /// The addresses of up to `count` other live members, drawn at random.
+    pub(super) fn random_peers(&mut self, count: usize) -> Vec<SocketAddr> {
+        let all = self.peers();
+        all.choose_multiple(&mut self.rng, count).copied().collect()
     }
 }
--- /dev/null
+++ b/crates/view/src/engine/comparison.rs
@@ -0,0 +1,31 @@
+//! Comparing two views bucket by bucket, once their digests differ.
+
+use super::*;
+
+impl View {
+    /// Answers another front's bucket sums with the ranks in the buckets that differ, each bucket announced by an
+    /// [`Item::DifferingBuckets`].
+    pub(super) fn answer_sums(&mut self, theirs: &[u32], reply: &mut Vec<Item>) {
+        let own = self.table.sums();
+        // Starting at another bucket each time: where all differ, only a few fit into an answer.
+        let first = self.rng.random_range(0..own.len());
+        let buckets = (0..own.len()).map(|b| (b + first) % own.len());
+        for bucket in buckets.filter(|b| theirs.get(*b).is_some_and(|t| *t != own[*b])) {
+            reply.push(Item::DifferingBuckets(1 << bucket));
+            let members = self.table.iter().filter(|(id, _)| MemberTable::bucket(*id) == bucket);
+            reply.extend(members.map(|(id, m)| Item::FactRank(id, m.rank)));
+        }
+    }
+
+    /// Answers the ranks that another front has in those buckets (a bit each), which are the first items of `following`,
+    /// with the ranks that it lacks or has lower.
+    pub(super) fn answer_differing_buckets(&self, buckets: u32, following: &[Item], reply: &mut Vec<Item>) {
+        let theirs: BTreeMap<Id, Rank> = following
+            .iter()
+            .map_while(|item| if let Item::FactRank(id, rank) = item { Some((*id, *rank)) } else { None })
+            .collect();
+        let members = self.table.iter().filter(|(id, _)| buckets & (1 << MemberTable::bucket(*id)) != 0);
+        let higher = members.filter(|(id, m)| theirs.get(id).is_none_or(|their| *their < m.rank));
+        reply.extend(higher.map(|(id, m)| Item::FactRank(id, m.rank)));
+    }
+}
--- a/crates/view/src/engine/dissemination.rs
+++ b/crates/view/src/engine/dissemination.rs
@@ -1,72 +1,84 @@
-//! Dissemination: rounds in which news of members is spread to a few random peers.
+//! Dissemination: gossip rounds in which updates on members are sent to a few random peers.
 
 use super::*;
 
 impl View {
-    /// How often a piece of news is told. Of many at once each is told a few times only: who misses some asks for them,
-    /// as views are compared, and what all tell each other grows with their number and not faster.
+    /// How often an update is sent. Each of many is sent a few times only: whoever misses some requests them when views are
+    /// compared, and the traffic grows with the number of updates and not faster.
     pub(super) fn retransmit_count(&self) -> u32 {
-        if self.news.len() > MANY {
-            return TIMES_OF_MANY;
+        if self.updates.len() > MANY_UPDATES {
+            return RETRANSMITS_OF_MANY;
         }
-        (TIMES * (self.table.count().max(2) as f64).log2()).ceil() as u32 + 1
+        (RETRANSMIT_FACTOR * (self.table.live_count().max(2) as f64).log2()).ceil() as u32 + 1
     }
 
-    /// Between two rounds of news; `None` while there is nothing to tell.
+    /// The interval of gossip rounds in milliseconds; `None` while there is nothing to send.
     pub(super) fn gossip_interval_ms(&self) -> Option<f64> {
-        if self.table.count() < 2 || !self.admitted {
+        if self.table.live_count() < 2 || !self.is_admitted {
             return None;
         }
-        if !self.news.is_empty() || self.waiting.values().any(|w| w.told < self.retransmit_count()) {
-            return Some(ROUND_MS);
+        if !self.updates.is_empty() || self.deferred.values().any(|d| d.sent < self.retransmit_count()) {
+            return Some(GOSSIP_INTERVAL_MS);
         }
-        // Somebody who is cut off keeps a view unsettled for as long as it lasts.
-        let fresh = self.heard_ms - self.settle.begun() < PATIENT_MS;
-        let open = self.settle.since().is_none();
-        open.then_some(if fresh { ROUND_MS } else { SLOW_ROUND_MS })
+        // A member that is cut off keeps a view unsettled for as long as that lasts.
+        let is_recent = self.last_received_ms - self.settlement.view_since() < SLOW_GOSSIP_AFTER_MS;
+        let is_unsettled = self.settlement.settled_since().is_none();
+        is_unsettled.then_some(if is_recent { GOSSIP_INTERVAL_MS } else { SLOW_GOSSIP_INTERVAL_MS })
     }
 
-    /// Tells some others what is new, and who holds this view.
-    pub(super) fn gossip_round(&mut self, at: f64, actions: &mut Vec<Action>) {
-        let times = self.retransmit_count();
+    /// Sends pending updates, and who holds this view, to a few random peers.
+    pub(super) fn gossip_round(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
+        let retransmits = self.retransmit_count();
         for to in self.random_peers(FANOUT) {
-            if !self.budget_has_room(at) {
+            if !self.has_spare_budget(now_ms) {
                 return;
             }
-            let mut room = MOST_BYTES.saturating_sub(TAG_BYTES + HEAD_BYTES + self.settle.bits().len());
-            let mut order: Vec<(u32, Id, bool)> = self.news.iter().map(|(id, n)| (n.0, *id, n.1)).collect();
-            order.sort_unstable();
             let mut items = Vec::new();
-            for (told, id, whole) in order {
-                let Some(h) = self.table.get(id) else {
-                    self.news.remove(&id);
-                    continue;
-                };
-                let item = if whole { Item::Whole(h.fact.clone()) } else { Item::Short(id, h.rank) };
-                let size = size(&item);
-                if size > room {
-                    break;
-                }
-                room -= size;
-                items.push(item);
-                if told + 1 >= times {
-                    self.news.remove(&id);
-                } else {
-                    self.news.insert(id, (told + 1, whole));
-                }
+            let remaining = self.take_updates(retransmits, self.item_capacity(), &mut items);
+            self.take_deferred(retransmits, remaining, &mut items);
+            self.send(now_ms, to, items, actions);
+        }
+    }
+
+    /// Adds the least sent updates that fit into `capacity` bytes; returns the remaining capacity.
+    fn take_updates(&mut self, retransmits: u32, mut capacity: usize, items: &mut Vec<Item>) -> usize {
+        let mut order: Vec<(u32, Id, bool)> =
+            self.updates.iter().map(|(id, update)| (update.sent, *id, update.full)).collect();
+        order.sort_unstable();
+        for (sent, id, full) in order {
+            let Some(member) = self.table.get(id) else {
+                self.updates.remove(&id);
+                continue;
+            };
+            let item =
+                if full { Item::FullFact(member.fact.clone()) } else { Item::FactRank(id, member.rank) };
+            let len = encoded_len(&item);
+            if len > capacity {
+                break;
+            }
+            capacity -= len;
+            items.push(item);
+            if sent + 1 >= retransmits {
+                self.updates.remove(&id);
+            } else {
+                self.updates.insert(id, PendingUpdate { sent: sent + 1, full });
             }
-            // A word that waits here is passed on meanwhile, so that it waits everywhere at the same time.
-            for (id, w) in self.waiting.iter_mut().filter(|(_, w)| w.told < times) {
-                let item = Item::Short(*id, w.rank);
-                let size = size(&item);
-                if size > room {
-                    break;
-                }
-                room -= size;
-                items.push(item);
-                w.told += 1;
+        }
+        capacity
+    }
+
+    /// Adds the deferred failures that fit into `capacity` bytes: forwarded meanwhile, they are deferred everywhere at the
+    /// same time.
+    fn take_deferred(&mut self, retransmits: u32, mut capacity: usize, items: &mut Vec<Item>) {
+        for (id, deferred) in self.deferred.iter_mut().filter(|(_, d)| d.sent < retransmits) {
+            let item = Item::FactRank(*id, deferred.rank);
+            let len = encoded_len(&item);
+            if len > capacity {
+                break;
             }
-            self.send(at, to, items, actions);
+            capacity -= len;
+            items.push(item);
+            deferred.sent += 1;
         }
     }
 }
--- a/crates/view/src/engine/duplicate_name.rs
+++ b/crates/view/src/engine/duplicate_name.rs
@@ -1,64 +1,73 @@
-//! The duplicate-name case: another process that runs under this front's own name, and this front's own fact.
+//! This front's own fact, and the duplicate-name case: another process that runs under this front's name.
 
 use super::*;
 
 impl View {
-    /// This front says something new of itself.
-    pub(super) fn bump_incarnation(&mut self, at: f64, actions: &mut Vec<Action>) {
+    /// Raises this front's incarnation and publishes what changed of it.
+    pub(super) fn bump_incarnation(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         self.own.incarnation += 1;
-        self.publish_own_fact(at, actions);
+        self.publish_own_fact(now_ms, actions);
     }
 
-    pub(super) fn publish_own_fact(&mut self, at: f64, actions: &mut Vec<Action>) {
+    pub(super) fn publish_own_fact(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         let (id, fact) = (self.id(), self.own.clone());
-        let merged = self.table.merge(&fact, at);
-        self.apply_merged(at, id, merged, None, true, actions);
+        let merged = self.table.merge(&fact, now_ms);
+        self.apply_merged(now_ms, id, merged, None, true, actions);
     }
 
-    /// Another word on this front's own name.
-    pub(super) fn resolve_own_name(&mut self, at: f64, other: &Fact, actions: &mut Vec<Action>) {
-        if other.birth == self.own.birth {
-            if other.rank() > self.own.rank() && !self.left {
-                // Others took this process for gone: it answers with a higher incarnation.
-                self.own.incarnation = other.incarnation + 1;
-                self.counts.refuted += 1;
-                self.publish_own_fact(at, actions);
-                // At once, and from what the budget keeps for answers: others wait for it.
-                for to in self.random_peers(2 * FANOUT) {
-                    self.send(at, to, vec![Item::Whole(self.own.clone())], actions);
-                }
+    /// Handles a fact on this front's own name.
+    pub(super) fn resolve_own_name(&mut self, now_ms: f64, other: &Fact, actions: &mut Vec<Action>) {
+        if other.process_id == self.own.process_id {
+            if other.rank() > self.own.rank() && !self.has_left {
+                self.refute(now_ms, other.incarnation, actions);
             }
             return;
         }
-        if !other.stand.counts() || other.addr == self.own.addr {
-            // A process before this one, that has ended; its clock may have been ahead. The address is ours now.
+        if !other.state.is_live() || other.addr == self.own.addr {
+            // An earlier process that has ended; its clock may have been ahead. The address is this process's now.
             if other.rank() >= self.own.rank() {
                 self.own.generation = other.generation + 1;
             }
-            if self.twin.take().is_some() || !self.admitted {
-                self.next_call = at;
+            if self.duplicate.take().is_some() || !self.is_admitted {
+                self.next_poll_ms = now_ms;
             }
-            self.publish_own_fact(at, actions);
+            self.publish_own_fact(now_ms, actions);
             return;
         }
-        // A lower fact may be of a process that has ended since; that it runs is told by its own messages alone.
-        if other.rank() > self.own.rank() || !self.admitted {
-            self.note_duplicate(at, other.addr, true, actions);
+        // A lower fact may be of a process that has ended since; only its own messages show that it runs.
+        if other.rank() > self.own.rank() || !self.is_admitted {
+            self.note_duplicate(now_ms, other.addr, true, actions);
         }
     }
 
+    /// Refutes this process's failure, which others reported at that incarnation, by a higher one.
+    fn refute(&mut self, now_ms: f64, incarnation: u32, actions: &mut Vec<Action>) {
+        self.own.incarnation = incarnation + 1;
+        self.counters.refuted += 1;
+        self.publish_own_fact(now_ms, actions);
+        // At once, and from the budget reserved for answers: others wait for it.
+        for to in self.random_peers(2 * FANOUT) {
+            self.send(now_ms, to, vec![Item::FullFact(self.own.clone())], actions);
+        }
+    }
+
+    /// Notes another process of this front's name, and reports it now and then.
     pub(super) fn note_duplicate(
         &mut self,
-        at: f64,
+        now_ms: f64,
         addr: SocketAddr,
         other_is_held: bool,
         actions: &mut Vec<Action>,
     ) {
-        match &mut self.twin {
-            Some((known, told, seen)) if *known == addr && at - *told < TWIN_MS => *seen = at,
-            twin => {
-                *twin = Some((addr, at, at));
-                actions.push(Action::Twin { addr, other_is_held });
+        match &mut self.duplicate {
+            Some(known)
+                if known.addr == addr && now_ms - known.reported_ms < DUPLICATE_REPORT_INTERVAL_MS =>
+            {
+                known.last_seen_ms = now_ms;
+            }
+            duplicate => {
+                *duplicate = Some(DuplicateProcess { addr, reported_ms: now_ms, last_seen_ms: now_ms });
+                actions.push(Action::DuplicateName { addr, other_is_held });
             }
         }
     }
--- a/crates/view/src/engine/facts.rs
+++ b/crates/view/src/engine/facts.rs
@@ -1,121 +1,134 @@
-//! Taking in facts on members: merging them into the table, and holding back a report of an end until the member
-//! concerned could answer.
+//! Facts on members: merging them into the table, and deferring a reported failure until the member concerned could
+//! refute it.
 
 use super::*;
 
 impl View {
     pub(super) fn record_history(&mut self, id: Id, at_ms: f64, what: String, by: String) {
-        let tales = self.tales.entry(id).or_default();
-        if tales.len() >= TALES {
-            tales.pop_front();
+        let entries = self.history.entry(id).or_default();
+        if entries.len() >= HISTORY_LENGTH {
+            entries.pop_front();
         }
-        tales.push_back(Tale { at_ms, what, by });
+        entries.push_back(HistoryEntry { at_ms, what, by });
     }
 
+    /// Follows up on a merge into the table: schedules the update for gossip, records it, and reports a changed state.
+    /// `by`: the front whose message brought it, if any; `full`: whether the complete fact is to be sent on.
     pub(super) fn apply_merged(
         &mut self,
-        at: f64,
+        now_ms: f64,
         id: Id,
-        merged: Merged,
+        merged: MergeOutcome,
         by: Option<Id>,
-        whole: bool,
+        full: bool,
         actions: &mut Vec<Action>,
     ) {
-        let Merged::New(was) = merged else { return };
-        let Some(h) = self.table.get(id) else { return };
-        let (is, name, rank) = (h.fact.stand, h.fact.name.clone(), h.rank);
-        let whole = whole || self.news.get(&id).is_some_and(|n| n.1);
-        self.news.insert(id, (0, whole));
-        self.waiting.remove(&id);
-        self.stale = true;
+        let MergeOutcome::Updated(before) = merged else { return };
+        let Some(member) = self.table.get(id) else { return };
+        let (after, name, rank) = (member.fact.state, member.fact.name.clone(), member.rank);
+        let full = full || self.updates.get(&id).is_some_and(|update| update.full);
+        self.updates.insert(id, PendingUpdate { sent: 0, full });
+        self.deferred.remove(&id);
+        self.members_changed = true;
         let by = by.map(|b| self.name(b));
         let mut what =
-            format!("{} (generation {}, incarnation {})", is.name(), rank.generation, rank.incarnation);
-        if is == Stand::Gone {
-            what = format!("{what}, found by {}", self.name(rank.by));
+            format!("{} (generation {}, incarnation {})", after.name(), rank.generation, rank.incarnation);
+        if after == FrontState::Failed {
+            what = format!("{what}, found by {}", self.name(rank.detected_by));
         }
-        self.record_history(id, at, what, by.clone().unwrap_or_default());
-        if is == Stand::Gone && !rank.sure {
-            self.unsure_ms = at;
+        self.record_history(id, now_ms, what, by.clone().unwrap_or_default());
+        if after == FrontState::Failed && !rank.confirmed {
+            self.last_unconfirmed_ms = now_ms;
         }
-        // Who had ended before it was ever counted on here is no news.
-        if was != Some(is) && (was.is_some() || is.counts()) {
-            self.counts.changes += 1;
-            actions.push(Action::Changed { name, was, is, by });
+        // A front that departed before it was ever live in this view is no change.
+        if before != Some(after) && (before.is_some() || after.is_live()) {
+            self.counters.changes += 1;
+            actions.push(Action::Changed { name, before, after, by });
         }
     }
 
-    /// Whether a word that a front is gone is to wait for that front's own answer: some who watch it were out of reach
-    /// too, so that it may be of another side of a partition; or it comes from one that this front itself did not
-    /// count on until lately, as after one.
-    pub(super) fn defer_until_answered(&mut self, at: f64, id: Id, rank: &Rank, from: Id) -> bool {
-        let held = self.table.get(id).filter(|h| h.fact.stand.counts() && h.rank < *rank);
-        if !held.is_some_and(|h| rank.stand == Stand::Gone && h.rank.birth == rank.birth) {
+    /// Defers a reported failure until the member concerned could refute it, where some of its watchers were out of reach
+    /// too, so that it may be on another side of a partition, or where the report comes from a front that returned
+    /// recently, as after one. Returns whether the report is deferred.
+    pub(super) fn defer_until_answered(&mut self, now_ms: f64, id: Id, rank: &Rank, from: Id) -> bool {
+        let member = self.table.get(id).filter(|m| m.fact.state.is_live() && m.rank < *rank);
+        let is_failure =
+            |m: &Member| rank.state == FrontState::Failed && m.rank.process_id == rank.process_id;
+        if !member.is_some_and(is_failure) {
             return false;
         }
-        let lately = |h: &Held| !h.fact.stand.counts() || h.back_ms.is_some_and(|b| at - b < LATELY_MS);
-        if rank.sure && (rank.by == self.id() || !self.table.get(rank.by).is_none_or(lately)) {
+        let returned_recently = |m: &Member| {
+            !m.fact.state.is_live() || m.returned_ms.is_some_and(|at| now_ms - at < RECENTLY_RETURNED_MS)
+        };
+        let by_own = rank.detected_by == self.id();
+        if rank.confirmed && (by_own || !self.table.get(rank.detected_by).is_none_or(returned_recently)) {
             return false;
         }
-        let until_ms = at + self.answer_wait_ms();
-        self.waiting.entry(id).or_insert(Waiting { rank: *rank, from, until_ms, told: 0, warned_ms: at });
+        let until_ms = now_ms + self.answer_wait_ms();
+        self.deferred.entry(id).or_insert(DeferredFailure {
+            rank: *rank,
+            from,
+            until_ms,
+            sent: 0,
+            notified_ms: now_ms,
+        });
         true
     }
 
-    /// A fact came: what is to be told the one it concerns, where it is taken for gone.
-    pub(super) fn receive_fact(&mut self, at: f64, fact: &Fact, from: Id, actions: &mut Vec<Action>) {
+    /// Takes a fact; notifies the member concerned where its failure is deferred.
+    pub(super) fn receive_fact(&mut self, now_ms: f64, fact: &Fact, from: Id, actions: &mut Vec<Action>) {
         let id = fact.id();
-        if !fact.is_sound() {
+        if !fact.is_valid() {
             return;
         }
         if id == self.id() {
-            self.resolve_own_name(at, fact, actions);
-        } else if self.defer_until_answered(at, id, &fact.rank(), from) {
-            return self.notify_suspected(at, id, fact.rank(), actions);
+            self.resolve_own_name(now_ms, fact, actions);
+        } else if self.defer_until_answered(now_ms, id, &fact.rank(), from) {
+            return self.notify_suspected(now_ms, id, fact.rank(), actions);
         }
-        let merged = self.table.merge(fact, at);
-        self.apply_merged(at, id, merged, Some(from), true, actions);
+        let merged = self.table.merge(fact, now_ms);
+        self.apply_merged(now_ms, id, merged, Some(from), true, actions);
     }
 
-    /// The same for a rank alone; whether the texts are lacking.
+    /// Takes the rank of a fact; returns whether the complete fact is to be requested.
     pub(super) fn receive_rank(
         &mut self,
-        at: f64,
+        now_ms: f64,
         id: Id,
         rank: Rank,
         from: Id,
         actions: &mut Vec<Action>,
     ) -> bool {
-        if id == self.id() && rank.birth == self.own.birth {
-            let Rank { generation, incarnation, stand, sure, by, .. } = rank;
-            let fact = Fact { generation, incarnation, stand, sure, by, ..self.own.clone() };
-            if fact.is_sound() {
-                self.resolve_own_name(at, &fact, actions);
+        if id == self.id() && rank.process_id == self.own.process_id {
+            let Rank { generation, incarnation, state, confirmed, detected_by, .. } = rank;
+            let fact = Fact { generation, incarnation, state, confirmed, detected_by, ..self.own.clone() };
+            if fact.is_valid() {
+                self.resolve_own_name(now_ms, &fact, actions);
             }
             return false;
         }
         if id == self.id() {
-            // Another process's texts come with a whole fact.
+            // Another process's texts come with a complete fact.
             return rank > self.own.rank();
         }
-        if self.defer_until_answered(at, id, &rank, from) {
-            self.notify_suspected(at, id, rank, actions);
+        if self.defer_until_answered(now_ms, id, &rank, from) {
+            self.notify_suspected(now_ms, id, rank, actions);
             return false;
         }
-        let merged = self.table.merge_rank(id, rank, at);
-        self.apply_merged(at, id, merged, Some(from), false, actions);
-        merged == Merged::Lacks
+        let merged = self.table.merge_rank(id, rank, now_ms);
+        self.apply_merged(now_ms, id, merged, Some(from), false, actions);
+        merged == MergeOutcome::MissingTexts
     }
 
-    /// How long a word of an end waits for an answer: longer where answers usually take long.
+    /// How long a reported failure is deferred, in milliseconds: longer where answers usually take long.
     pub(super) fn answer_wait_ms(&self) -> f64 {
-        HEAR_OUT_MS + 2.0 * self.watch.usual_ms()
+        ANSWER_WAIT_MS + 2.0 * self.detector.typical_round_trip_ms()
     }
 
-    /// Tells a front that it is taken for gone, so that it can answer.
-    pub(super) fn notify_suspected(&mut self, at: f64, id: Id, rank: Rank, actions: &mut Vec<Action>) {
-        if let Some(to) = self.table.get(id).map(|h| h.fact.addr) {
-            self.send(at, to, vec![Item::Short(id, rank)], actions);
+    /// Notifies a member that its failure was reported, so that it can refute that.
+    pub(super) fn notify_suspected(&mut self, now_ms: f64, id: Id, rank: Rank, actions: &mut Vec<Action>) {
+        if let Some(to) = self.table.get(id).map(|m| m.fact.addr) {
+            self.send(now_ms, to, vec![Item::FactRank(id, rank)], actions);
         }
     }
 }
--- a/crates/view/src/engine/failure_detection.rs
+++ b/crates/view/src/engine/failure_detection.rs
@@ -1,127 +1,141 @@
-//! Failure detection: pinging the members this front watches, the watchers' suspicions, and the verdict on a member.
+//! Failure detection: pinging the members this front watches, exchanging suspicions with the other watchers, and the
+//! verdict on a member.
 
 use super::*;
 
-/// A suspicion raised or withdrawn by another watcher of a member, as it came in an [`Item::Alert`].
+/// A suspicion, or its withdrawal, received from another watcher in an [`Item::Suspicion`].
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ReceivedAlert {
-    /// The member that the alert is about.
+pub(super) struct ReceivedSuspicion {
+    /// The member that it is about.
     pub(super) of: Id,
-    /// The member's incarnation as the watcher held it.
+    /// The member's incarnation as the watcher has it.
     pub(super) incarnation: u32,
-    /// The watcher's word: its count, the member's birth, and whether the suspicion stands.
-    pub(super) word: Word,
-    /// The number of the watcher's ping that waits for an answer; 0 where none does.
+    /// The suspicion itself.
+    pub(super) suspicion: Suspicion,
+    /// The number of the watcher's outstanding ping; 0 where there is none.
     pub(super) ping: u32,
 }
 
 impl View {
-    /// Looks whether one that does not answer is gone.
-    pub(super) fn judge_member(&mut self, at: f64, id: Id, actions: &mut Vec<Action>) {
-        let Some(h) = self.table.get(id).filter(|h| h.fact.stand.counts()) else { return };
-        let own = self.id();
+    /// Decides whether a suspected member has failed; a verdict that is not confirmed is deferred, as the member's side of
+    /// a partition may join this one at any moment.
+    pub(super) fn judge_member(&mut self, now_ms: f64, id: Id, actions: &mut Vec<Action>) {
+        let Some(member) = self.table.get(id).filter(|m| m.fact.state.is_live()) else { return };
+        let (own, process_id) = (self.id(), member.fact.process_id);
         let watchers = self.rings.watchers(id);
-        let Some(sure) = self.watch.verdict(id, h.fact.birth, own, watchers, self.table.count(), at) else {
-            return;
-        };
-        // Once some were out of reach, the rings are drawn without them: those left agree, and may all be of one side.
-        let sure = sure && at - self.unsure_ms > UNSURE_MS;
-        let rank = Rank { stand: Stand::Gone, sure, by: own, ..h.rank };
-        let against = self.watch.against(id, h.fact.birth, at);
-        let names: Vec<String> = against.iter().map(|by| self.name(*by)).collect();
-        if !sure && !self.waiting.contains_key(&id) {
-            // Its side of a partition may join ours in this moment; its own answer comes first then.
-            self.record_history(
-                id,
-                at,
-                format!("no answer to {}; others who watch it are out of reach", names.join(", ")),
-                String::new(),
-            );
-            let from = own;
-            let until_ms = at + self.answer_wait_ms();
-            self.waiting.insert(id, Waiting { rank, from, until_ms, told: 0, warned_ms: at });
-            return self.notify_suspected(at, id, rank, actions);
-        }
-        if sure {
-            self.record_history(id, at, format!("no answer to {}", names.join(", ")), String::new());
-            let merged = self.table.merge_rank(id, rank, at);
-            self.apply_merged(at, id, merged, None, false, actions);
+        let member_count = self.table.live_count();
+        let verdict = self.detector.verdict(id, process_id, own, watchers, member_count, now_ms);
+        let Some(Verdict { is_confirmed }) = verdict else { return };
+        // Rings redrawn after an unconfirmed failure lack the unreachable watchers: the others agree, and may all be on one
+        // side.
+        let confirmed = is_confirmed && now_ms - self.last_unconfirmed_ms > UNCONFIRMED_PERIOD_MS;
+        let rank = Rank { state: FrontState::Failed, confirmed, detected_by: own, ..member.rank };
+        let suspecting = self.detector.suspected_by(id, process_id, now_ms);
+        let names: Vec<String> = suspecting.iter().map(|by| self.name(*by)).collect();
+        if confirmed {
+            self.record_history(id, now_ms, format!("no answer to {}", names.join(", ")), String::new());
+            let merged = self.table.merge_rank(id, rank, now_ms);
+            self.apply_merged(now_ms, id, merged, None, false, actions);
+        } else if !self.deferred.contains_key(&id) {
+            let what = format!("no answer to {}; others who watch it are out of reach", names.join(", "));
+            self.record_history(id, now_ms, what, String::new());
+            let until_ms = now_ms + self.answer_wait_ms();
+            let deferred = DeferredFailure { rank, from: own, until_ms, sent: 0, notified_ms: now_ms };
+            self.deferred.insert(id, deferred);
+            self.notify_suspected(now_ms, id, rank, actions);
         }
     }
 
-    pub(super) fn probe_member(&mut self, at: f64, id: Id, again: bool, actions: &mut Vec<Action>) {
-        let Some((to, birth)) = self.table.get(id).map(|h| (h.fact.addr, h.fact.birth)) else { return };
-        let number = self.next_probe_number();
-        self.send(at, to, vec![Item::Ping(number)], actions);
-        self.watch.pinged(id, number, at);
-        if again {
+    /// Pings a member; `indirect`: also asks a few others to.
+    pub(super) fn ping_member(&mut self, now_ms: f64, id: Id, indirect: bool, actions: &mut Vec<Action>) {
+        let Some((to, process_id)) = self.table.get(id).map(|m| (m.fact.addr, m.fact.process_id)) else {
+            return;
+        };
+        let number = self.next_ping_number();
+        self.send(now_ms, to, vec![Item::Ping(number)], actions);
+        self.detector.ping_sent(id, number, now_ms);
+        if indirect {
             let others: Vec<SocketAddr> =
-                self.counted_peers().filter(|(o, _)| *o != id).map(|(_, h)| h.fact.addr).collect();
-            for to in others.choose_multiple(&mut self.rng, ASKED).copied().collect::<Vec<_>>() {
-                self.send(at, to, vec![Item::Ask(id, birth, number)], actions);
+                self.live_peers().filter(|(other, _)| *other != id).map(|(_, m)| m.fact.addr).collect();
+            let helpers: Vec<SocketAddr> =
+                others.choose_multiple(&mut self.rng, INDIRECT_PINGS).copied().collect();
+            for to in helpers {
+                self.send(now_ms, to, vec![Item::PingRequest(id, process_id, number)], actions);
             }
         }
     }
 
-    /// Another watcher's word.
-    pub(super) fn receive_alert(
+    /// Takes another watcher's suspicion, or its withdrawal.
+    pub(super) fn receive_suspicion(
         &mut self,
-        at: f64,
-        alert: ReceivedAlert,
+        now_ms: f64,
+        received: ReceivedSuspicion,
         m: &Message,
         reply: &mut Vec<Item>,
         actions: &mut Vec<Action>,
     ) {
-        let ReceivedAlert { of, incarnation, word, ping } = alert;
+        let ReceivedSuspicion { of, incarnation, suspicion, ping } = received;
         if of == self.id() {
-            if word.birth == self.own.birth {
+            if suspicion.process_id == self.own.process_id {
                 reply.push(Item::Ack(ping));
             }
             return;
         }
-        let Some(h) = self.table.get(of) else { return };
-        if !h.fact.stand.counts() || h.fact.birth != word.birth || h.fact.incarnation > incarnation {
-            reply.push(Item::Short(of, h.rank));
+        let Some(member) = self.table.get(of) else { return };
+        let fact = &member.fact;
+        if !fact.state.is_live() || fact.process_id != suspicion.process_id || fact.incarnation > incarnation
+        {
+            reply.push(Item::FactRank(of, member.rank));
             return;
         }
         if !self.rings.watchers(of).contains(&m.from) {
             return;
         }
-        // The answer tells the watcher that we are in reach, where no word of our own does.
-        if word.stands && reply.is_empty() && !self.watch.speaks_against(of) {
+        // Shows the watcher that this front is in reach, where no suspicion of its own does.
+        if suspicion.is_active && reply.is_empty() && !self.detector.suspects(of) {
             reply.push(Item::Ack(0));
         }
-        if self.watch.word(of, m.from, word) {
-            let (by, what) =
-                (self.name(m.from), if word.stands { "suspected" } else { "no longer suspected" });
-            self.record_history(of, at, what.into(), by);
+        if self.detector.record(of, m.from, suspicion) {
+            let by = self.name(m.from);
+            self.record_history(of, now_ms, describe(suspicion.is_active).into(), by);
         }
-        self.judge_member(at, of, actions);
+        self.judge_member(now_ms, of, actions);
     }
 
-    /// This front's own word on one that it watches, to all who watch it too and to itself.
-    pub(super) fn broadcast_suspicion(&mut self, at: f64, of: Id, stands: bool, actions: &mut Vec<Action>) {
-        let Some(h) = self.table.get(of).filter(|h| h.fact.stand.counts()) else { return };
-        let (birth, incarnation, itself) = (h.fact.birth, h.fact.incarnation, h.fact.addr);
-        self.word += 1;
-        let own = self.id();
-        let alone = self.watch.is_alone(of, at);
-        if self.watch.word(of, own, Word { number: self.word, at_ms: at, birth, stands, alone }) {
-            self.record_history(
-                of,
-                at,
-                if stands { "suspected" } else { "no longer suspected" }.into(),
-                String::new(),
-            );
+    /// Sends this front's own suspicion of a member, or its withdrawal, to all who watch it too and to the member itself.
+    pub(super) fn broadcast_suspicion(
+        &mut self,
+        now_ms: f64,
+        of: Id,
+        is_active: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(member) = self.table.get(of).filter(|m| m.fact.state.is_live()) else { return };
+        let Fact { process_id, incarnation, addr: member_addr, .. } = member.fact;
+        self.suspicion_number += 1;
+        let (own, number) = (self.id(), self.suspicion_number);
+        let is_only_silent = self.detector.is_only_silent(of, now_ms);
+        let suspicion = Suspicion { number, at_ms: now_ms, process_id, is_active, is_only_silent };
+        if self.detector.record(of, own, suspicion) {
+            self.record_history(of, now_ms, describe(is_active).into(), String::new());
         }
-        let ping = self.watch.waits_for(of).unwrap_or(0);
-        let item = Item::Alert { of, birth, incarnation, word: self.word, ping, stands, alone };
+        let ping = self.detector.outstanding_ping(of).unwrap_or(0);
+        let item = Item::Suspicion { of, process_id, incarnation, number, ping, is_active, is_only_silent };
         let watchers = self.rings.watchers(of).iter().filter(|w| **w != own);
         let mut to: Vec<SocketAddr> =
-            watchers.filter_map(|w| self.table.get(*w)).map(|h| h.fact.addr).collect();
-        to.extend(stands.then_some(itself));
+            watchers.filter_map(|w| self.table.get(*w)).map(|m| m.fact.addr).collect();
+        to.extend(is_active.then_some(member_addr));
         for to in to {
-            self.send(at, to, vec![item.clone()], actions);
+            self.send(now_ms, to, vec![item.clone()], actions);
         }
     }
 }
+
+/// A suspicion, or its withdrawal, as it is shown in a front's history.
+fn describe(is_active: bool) -> &'static str {
+    if is_active {
+        "suspected"
+    } else {
+        "no longer suspected"
+    }
+}
--- a/crates/view/src/engine/receive.rs
+++ b/crates/view/src/engine/receive.rs
@@ -1,191 +1,215 @@
-//! Receiving datagrams: opening and checking them, dispatching their items, and trimming the reply to the budget.
+//! Receiving datagrams: opening and checking them, handling their items, and trimming the reply to the budget.
 
-use super::failure_detection::ReceivedAlert;
+use super::failure_detection::ReceivedSuspicion;
 use super::*;
 
 impl View {
-    /// Takes one datagram: checks it, notes its sender, takes in its items, and answers within the budget.
+    /// Handles one datagram: checks it, notes its sender, handles its items, and replies within the budget.
     pub(super) fn receive_datagram(
         &mut self,
-        at: f64,
+        now_ms: f64,
         from: SocketAddr,
         bytes: &[u8],
         actions: &mut Vec<Action>,
     ) {
-        let Some(m) = self.open_datagram(at, bytes) else { return };
-        self.counts.taken += 1;
-        self.heard_ms = at;
-        let mut reply = self.answer_sender(at, from, &m, actions);
-        let place = self.place(m.from, m.birth);
-        self.settle.heard(m.digest, &m.held, place, at);
-        let hello = m.items.iter().any(|i| matches!(i, Item::Hello(_)));
-        if hello || m.items.iter().any(|i| matches!(i, Item::Whole(f) if f.id() == m.from)) {
-            reply.retain(|i| !matches!(i, Item::Want(_)));
+        let Some(m) = self.open_datagram(now_ms, bytes) else { return };
+        self.counters.accepted += 1;
+        self.last_received_ms = now_ms;
+        let mut reply = self.answer_sender(now_ms, from, &m, actions);
+        let sender = self.position(m.from, m.process_id);
+        self.settlement.merge(m.digest, &m.holders, sender, now_ms);
+        let has_hello = m.items.iter().any(|i| matches!(i, Item::Hello(_)));
+        if has_hello || m.items.iter().any(|i| matches!(i, Item::FullFact(f) if f.id() == m.from)) {
+            reply.retain(|i| !matches!(i, Item::FactRequest(_)));
         }
-        let wanted = self.receive_items(at, from, &m, &mut reply, actions);
-        self.finish_reply(at, &m, wanted, &mut reply);
+        let missing = self.receive_items(now_ms, from, &m, &mut reply, actions);
+        self.complete_reply(now_ms, &m, missing, &mut reply);
+        self.trim_reply(now_ms, m.from, &mut reply);
         if !reply.is_empty() {
-            self.send(at, from, reply, actions);
+            self.send(now_ms, from, reply, actions);
         }
     }
 
-    /// The datagram's message, where it is one of ours under a known key and not a replay; else counts it and drops it.
-    fn open_datagram(&mut self, at: f64, bytes: &[u8]) -> Option<Message> {
+    /// The datagram's message, where it is valid under a known key and no replay; else counts it and drops it.
+    fn open_datagram(&mut self, now_ms: f64, bytes: &[u8]) -> Option<Message> {
         let Some(m) = Message::open(bytes, &self.keys) else {
-            self.counts.malformed += 1;
+            self.counters.malformed += 1;
             return None;
         };
-        if m.birth == self.own.birth || !self.replays.is_new(m.birth, 0, m.sequence, at) {
-            self.counts.replayed += 1;
+        if m.process_id == self.own.process_id || !self.replays.is_new(m.process_id, 0, m.sequence, now_ms) {
+            self.counters.replayed += 1;
             return None;
         }
         Some(m)
     }
 
-    /// What the sender is to hear of itself first, by what the view holds of its name.
+    /// The reply's first items, by what the view holds of the sender's name.
     fn answer_sender(
         &mut self,
-        at: f64,
+        now_ms: f64,
         from: SocketAddr,
         m: &Message,
         actions: &mut Vec<Action>,
     ) -> Vec<Item> {
-        let sender = self.table.get(m.from).map(|h| (h.fact.birth, h.fact.stand, h.rank));
+        let known = self.table.get(m.from).map(|k| (k.fact.process_id, k.fact.state, k.rank));
         let mut reply = Vec::new();
-        match sender {
-            Some((birth, stand, _)) if birth == m.birth && stand.counts() => self.watch.heard(m.from, at),
-            // It is taken for gone, and is not: it is told, and answers with a higher incarnation.
-            Some((birth, Stand::Gone, rank)) if birth == m.birth => reply.push(Item::Short(m.from, rank)),
-            Some((_, stand, _)) if m.from != self.id() && stand.counts() => {
-                // Another process of that name: it hears whom we hold, and we ask whom it tells of.
-                reply.extend(self.table.get(m.from).map(|h| Item::Whole(h.fact.clone())));
+        match known {
+            Some((process_id, state, _)) if process_id == m.process_id && state.is_live() => {
+                self.detector.received_from(m.from, now_ms)
             }
-            _ if m.from != self.id() => reply.push(Item::Want(vec![m.from])),
+            // The view holds it for failed: it is notified, and refutes that with a higher incarnation.
+            Some((process_id, FrontState::Failed, rank)) if process_id == m.process_id => {
+                reply.push(Item::FactRank(m.from, rank))
+            }
+            Some((_, state, _)) if m.from != self.id() && state.is_live() => {
+                // Another process of that name: it learns which one the view holds.
+                reply.extend(self.full_fact(m.from));
+            }
+            _ if m.from != self.id() => reply.push(Item::FactRequest(vec![m.from])),
             _ => {
-                let held = self.table.get(m.from).is_some_and(|h| h.fact.birth == m.birth);
-                self.note_duplicate(at, from, held || !self.admitted, actions);
-                reply.push(Item::Whole(self.own.clone()));
+                let is_held = self.table.get(m.from).is_some_and(|k| k.fact.process_id == m.process_id);
+                self.note_duplicate(now_ms, from, is_held || !self.is_admitted, actions);
+                reply.push(Item::FullFact(self.own.clone()));
             }
         }
         reply
     }
 
-    /// Takes in each item of the message, adding answers to `reply`; returns the members whose texts are lacking.
+    /// Handles each item of the message, adding answers to `reply`; returns the members whose complete facts are missing.
     fn receive_items(
         &mut self,
-        at: f64,
+        now_ms: f64,
         from: SocketAddr,
         m: &Message,
         reply: &mut Vec<Item>,
         actions: &mut Vec<Action>,
     ) -> Vec<Id> {
-        let mut wanted = Vec::new();
+        let mut missing = Vec::new();
         for (i, item) in m.items.iter().enumerate() {
             match item {
-                Item::Ping(n) => reply.push(Item::Ack(*n)),
-                Item::Ack(n) => self.receive_ack(at, *n, m, actions),
-                Item::Ask(id, birth, n) => self.forward_ping(at, *id, *birth, *n, from, actions),
-                Item::Hello(fact) => self.answer_greeting(at, fact, m, reply, actions),
-                Item::Namesake(addr) if *addr != self.own.addr => {
-                    self.note_duplicate(at, *addr, false, actions)
+                Item::Ping(number) => reply.push(Item::Ack(*number)),
+                Item::Ack(number) => self.receive_ack(now_ms, *number, m, actions),
+                Item::PingRequest(id, process_id, number) => {
+                    self.forward_ping(now_ms, *id, *process_id, *number, from, actions)
+                }
+                Item::Hello(fact) => self.receive_hello(now_ms, fact, m, reply, actions),
+                Item::DuplicateName(addr) if *addr != self.own.addr => {
+                    self.note_duplicate(now_ms, *addr, false, actions)
                 }
-                Item::Namesake(_) => {}
-                Item::Whole(fact) => {
-                    // Told by others, this process has been taken up.
-                    self.admitted |= fact.birth == self.own.birth && fact.stand.counts();
-                    self.receive_fact(at, fact, m.from, actions);
+                Item::DuplicateName(_) => {}
+                Item::FullFact(fact) => {
+                    // Others announce this process: it has been admitted.
+                    self.is_admitted |= fact.process_id == self.own.process_id && fact.state.is_live();
+                    self.receive_fact(now_ms, fact, m.from, actions);
                 }
-                Item::Short(id, rank) => {
-                    let confirms = *id == self.id() && rank.birth == self.own.birth && rank.stand.counts();
-                    self.admitted |= confirms;
-                    if self.receive_rank(at, *id, *rank, m.from, actions) && wanted.len() < MOST_WANTED {
-                        wanted.push(*id);
+                Item::FactRank(id, rank) => {
+                    let is_own = *id == self.id() && rank.process_id == self.own.process_id;
+                    self.is_admitted |= is_own && rank.state.is_live();
+                    let is_missing = self.receive_rank(now_ms, *id, *rank, m.from, actions);
+                    if is_missing && missing.len() < MAX_REQUESTED_FACTS {
+                        missing.push(*id);
                     }
                 }
-                Item::Want(ids) => {
-                    let whole = |id: &Id| self.table.get(*id).map(|h| Item::Whole(h.fact.clone()));
-                    let own = ids.contains(&self.id()).then(|| Item::Whole(self.own.clone()));
-                    let known = ids.iter().filter(|id| **id != self.id()).filter_map(whole);
-                    reply.extend(own.into_iter().chain(known.take(MOST_WANTED)));
+                Item::FactRequest(ids) => {
+                    let own = ids.contains(&self.id()).then(|| Item::FullFact(self.own.clone()));
+                    let others = ids.iter().filter(|id| **id != self.id());
+                    let known = others.filter_map(|id| self.full_fact(*id));
+                    reply.extend(own.into_iter().chain(known.take(MAX_REQUESTED_FACTS)));
                 }
-                Item::Sums(theirs) => {
-                    if self.budget_has_room(at) {
-                        self.digest_difference(theirs, reply);
+                Item::BucketSums(theirs) => {
+                    if self.has_spare_budget(now_ms) {
+                        self.answer_sums(theirs, reply);
                     }
                 }
-                Item::Differ(bits) => self.fill_difference(*bits, &m.items[i + 1..], reply),
-                Item::Alert { of, birth, incarnation, word, ping, stands, alone } => {
-                    let word =
-                        Word { number: *word, at_ms: at, birth: *birth, stands: *stands, alone: *alone };
-                    let alert = ReceivedAlert { of: *of, incarnation: *incarnation, word, ping: *ping };
-                    self.receive_alert(at, alert, m, reply, actions);
+                Item::DifferingBuckets(buckets) => {
+                    self.answer_differing_buckets(*buckets, &m.items[i + 1..], reply)
+                }
+                &Item::Suspicion { of, process_id, incarnation, number, ping, is_active, is_only_silent } => {
+                    let suspicion =
+                        Suspicion { number, at_ms: now_ms, process_id, is_active, is_only_silent };
+                    let received = ReceivedSuspicion { of, incarnation, suspicion, ping };
+                    self.receive_suspicion(now_ms, received, m, reply, actions);
                 }
             }
         }
-        wanted
+        missing
     }
 
-    /// Asks for lacking texts and compares digests, then trims the reply to what may be sent now.
-    fn finish_reply(&mut self, at: f64, m: &Message, wanted: Vec<Id>, reply: &mut Vec<Item>) {
-        if !wanted.is_empty() && self.budget_has_room(at) {
-            reply.push(Item::Want(wanted));
+    /// A member's complete fact, as an item.
+    fn full_fact(&self, id: Id) -> Option<Item> {
+        self.table.get(id).map(|m| Item::FullFact(m.fact.clone()))
+    }
+
+    /// Adds a request for the missing facts and, where the digests differ, the start of a comparison of the views.
+    fn complete_reply(&mut self, now_ms: f64, m: &Message, missing: Vec<Id>, reply: &mut Vec<Item>) {
+        if !missing.is_empty() && self.has_spare_budget(now_ms) {
+            reply.push(Item::FactRequest(missing));
         }
-        let differs = m.digest != self.table.digest() && at - self.compared_ms >= COMPARE_MS;
-        if differs
-            && self.admitted
-            && !m.items.iter().any(|i| matches!(i, Item::Sums(_)))
-            && self.budget_has_room(at)
+        let is_comparison_due =
+            m.digest != self.table.digest() && now_ms - self.last_comparison_ms >= COMPARISON_INTERVAL_MS;
+        if is_comparison_due
+            && self.is_admitted
+            && !m.items.iter().any(|i| matches!(i, Item::BucketSums(_)))
+            && self.has_spare_budget(now_ms)
         {
-            self.compared_ms = at;
-            reply.push(Item::Sums(self.table.sums()));
+            self.last_comparison_ms = now_ms;
+            reply.push(Item::BucketSums(self.table.sums()));
         }
-        if !self.admitted {
-            // This front's own fact reaches the others by its call alone, until it is taken up: another process of its
-            // name may be there.
+    }
+
+    /// Removes from a reply to `sender` what may not be sent now: before this front is admitted, and without spare budget.
+    fn trim_reply(&mut self, now_ms: f64, sender: Id, reply: &mut Vec<Item>) {
+        if !self.is_admitted {
+            // Until it is admitted, this front's own fact reaches the others by its hello alone: another process of its name
+            // may be live.
             let own = self.id();
             reply.retain(|i| match i {
-                Item::Whole(f) => f.id() != own,
-                Item::Short(id, _) => *id != own,
-                Item::Sums(_) | Item::Differ(_) => false,
+                Item::FullFact(f) => f.id() != own,
+                Item::FactRank(id, _) => *id != own,
+                Item::BucketSums(_) | Item::DifferingBuckets(_) => false,
                 _ => true,
             });
         }
-        if !self.budget_has_room(at) {
-            // What is left of the budget is for answers: a seed that spends all on newcomers would be taken for gone.
-            // A newcomer that gets no answer calls again; one that got half of one would know nobody and call no more.
-            let about = m.from;
+        if !self.has_spare_budget(now_ms) {
+            // The remaining budget is for acknowledgements: a seed that spends all on newcomers would seem to have failed. A
+            // newcomer that gets no answer polls again; one that got half of an answer would know no other and poll no more.
             reply.retain(|i| match i {
                 Item::Ack(_) => true,
-                Item::Short(id, rank) => *id == about && !rank.stand.counts(),
+                Item::FactRank(id, rank) => *id == sender && !rank.state.is_live(),
                 _ => false,
             });
         }
     }
 
-    pub(super) fn receive_ack(&mut self, at: f64, number: u32, m: &Message, actions: &mut Vec<Action>) {
-        if let Some((to, theirs, _)) = self.forwards.remove(&number) {
-            self.send(at, to, vec![Item::Ack(theirs)], actions);
+    /// Takes the answer to a ping of this front, or forwards it where the ping was made for another.
+    fn receive_ack(&mut self, now_ms: f64, number: u32, m: &Message, actions: &mut Vec<Action>) {
+        if let Some(forwarded) = self.forwarded_pings.remove(&number) {
+            self.send(now_ms, forwarded.origin, vec![Item::Ack(forwarded.number)], actions);
             return;
         }
-        if let Some((id, true)) = self.watch.answered(number, Some((m.from, m.birth)), at) {
-            self.broadcast_suspicion(at, id, false, actions);
+        let answered = self.detector.ping_answered(number, Some((m.from, m.process_id)), now_ms);
+        if let Some(Answered { id, ends_suspicion: true }) = answered {
+            self.broadcast_suspicion(now_ms, id, false, actions);
         }
     }
 
-    pub(super) fn forward_ping(
+    /// Pings a member's process on behalf of the front at `from`, which expects the answer under `number`.
+    fn forward_ping(
         &mut self,
-        at: f64,
+        now_ms: f64,
         id: Id,
-        birth: u64,
+        process_id: u64,
         number: u32,
         from: SocketAddr,
         actions: &mut Vec<Action>,
     ) {
-        let to = self.table.get(id).filter(|h| h.fact.birth == birth && id != self.id()).map(|h| h.fact.addr);
-        if let Some(to) = to.filter(|_| self.forwards.len() < MOST_FORWARDS) {
-            let own = self.next_probe_number();
-            self.forwards.insert(own, (from, number, at));
-            self.send(at, to, vec![Item::Ping(own)], actions);
+        let member = self.table.get(id).filter(|m| m.fact.process_id == process_id && id != self.id());
+        if let Some(to) =
+            member.map(|m| m.fact.addr).filter(|_| self.forwarded_pings.len() < MAX_FORWARDED_PINGS)
+        {
+            let own_number = self.next_ping_number();
+            self.forwarded_pings.insert(own_number, ForwardedPing { origin: from, number, sent_ms: now_ms });
+            self.send(now_ms, to, vec![Item::Ping(own_number)], actions);
         }
     }
 }
--- a/crates/view/src/engine/rejoin.rs
+++ b/crates/view/src/engine/rejoin.rs
@@ -1,63 +1,66 @@
-//! Polling remembered peers and seeds, rejoining after a long time out of touch, and forgetting old entries.
+//! Polling fronts that the view does not hold, rejoining after a long isolation, and expiring old entries.
 
 use super::*;
 
 impl View {
-    /// Calls those that may be there though the view does not hold them.
-    pub(super) fn poll_unreached(&mut self, at: f64, actions: &mut Vec<Action>) {
+    /// Sends a hello to fronts that may run though the view does not hold them: while this front joins, to seeds and
+    /// remembered addresses; later to unknown seeds and failed members, at a bounded rate.
+    pub(super) fn poll_unreached(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         let hello = Item::Hello(self.own.clone());
-        if self.twin.is_some() || !self.admitted {
-            let mut to = self.random_peers(1);
+        if self.duplicate.is_some() || !self.is_admitted {
+            let mut targets = self.random_peers(1);
             let seeds: Vec<SocketAddr> =
                 self.config.seeds.iter().copied().filter(|s| *s != self.own.addr).collect();
-            to.extend(seeds.choose_multiple(&mut self.rng, 2));
-            let before = self.config.remembered.iter().map(|r| r.1);
-            let before: Vec<SocketAddr> = before.filter(|a| *a != self.own.addr).collect();
-            to.extend(before.choose_multiple(&mut self.rng, 2));
-            for to in to {
-                self.send(at, to, vec![hello.clone()], actions);
+            targets.extend(seeds.choose_multiple(&mut self.rng, 2));
+            let remembered = self.config.remembered.iter().map(|r| r.1);
+            let remembered: Vec<SocketAddr> = remembered.filter(|a| *a != self.own.addr).collect();
+            targets.extend(remembered.choose_multiple(&mut self.rng, 2));
+            for to in targets {
+                self.send(now_ms, to, vec![hello.clone()], actions);
             }
             return;
         }
-        let known: Vec<SocketAddr> = self.table.counted().map(|(_, h)| h.fact.addr).collect();
-        let seeds = self.config.begin_with().filter(|a| *a != self.own.addr);
-        let gone = self.table.iter().filter(|(_, h)| h.fact.stand == Stand::Gone).map(|(_, h)| h.fact.addr);
-        let lost: Vec<SocketAddr> = seeds.chain(gone).filter(|a| !known.contains(a)).collect();
-        let part = (lost.len() as f64 * CALLS_A_SECOND / known.len().max(1) as f64).min(1.0);
-        if !lost.is_empty() && self.rng.random::<f64>() < part {
-            if let Some(to) = lost.choose(&mut self.rng).copied() {
-                self.send(at, to, vec![hello], actions);
+        let live: Vec<SocketAddr> = self.table.live().map(|(_, m)| m.fact.addr).collect();
+        let seeds = self.config.initial_contacts().filter(|a| *a != self.own.addr);
+        let failed = self.table.iter().filter(|(_, m)| m.fact.state == FrontState::Failed);
+        let failed = failed.map(|(_, m)| m.fact.addr);
+        let unreached: Vec<SocketAddr> = seeds.chain(failed).filter(|a| !live.contains(a)).collect();
+        let share = (unreached.len() as f64 * FLEET_POLLS_PER_S / live.len().max(1) as f64).min(1.0);
+        if !unreached.is_empty() && self.rng.random::<f64>() < share {
+            if let Some(to) = unreached.choose(&mut self.rng).copied() {
+                self.send(now_ms, to, vec![hello], actions);
             }
         }
     }
 
-    /// This front was out of touch for so long that others may have forgotten what it missed.
-    pub(super) fn rejoin(&mut self, at: f64) {
-        let known: Vec<SocketAddr> = self.peers().into_iter().take(64).collect();
+    /// Joins anew: this front was isolated for so long that others may no longer remember what it missed.
+    pub(super) fn rejoin(&mut self, now_ms: f64) {
+        let known: Vec<SocketAddr> = self.peers().into_iter().take(MAX_REJOIN_PEERS).collect();
         self.config
             .seeds
             .extend(known.iter().filter(|a| !self.config.seeds.contains(a)).copied().collect::<Vec<_>>());
-        self.config.seeds.truncate(256);
-        self.table.keep_only(self.own.id());
-        self.news.clear();
-        self.waiting.clear();
-        self.admitted = false;
-        self.stale = true;
-        self.heard_ms = at;
+        self.config.seeds.truncate(MAX_REJOIN_SEEDS);
+        self.table.retain_only(self.own.id());
+        self.updates.clear();
+        self.deferred.clear();
+        self.is_admitted = false;
+        self.members_changed = true;
+        self.last_received_ms = now_ms;
     }
 
-    pub(super) fn expire_old_entries(&mut self, at: f64) {
-        self.table.forget(FORGET_MS, at);
-        if self.admitted && at > self.remembered_until {
+    /// Drops what is out of date.
+    pub(super) fn expire_old_entries(&mut self, now_ms: f64) {
+        self.table.expire(RETENTION_MS, now_ms);
+        if self.is_admitted && now_ms > self.remembered_until_ms {
             self.config.remembered.clear();
         }
         let table = &self.table;
-        self.watch.fade(|id| table.get(id).is_some_and(|h| h.fact.stand.counts()), at);
-        self.tales.retain(|id, _| table.get(*id).is_some());
-        self.forwards.retain(|_, f| at - f.2 < 5_000.0);
-        if self.twin.is_some_and(|t| at - t.2 > TWIN_LASTS_MS) {
-            self.twin = None;
+        self.detector.expire(|id| table.get(id).is_some_and(|m| m.fact.state.is_live()), now_ms);
+        self.history.retain(|id, _| table.get(*id).is_some());
+        self.forwarded_pings.retain(|_, ping| now_ms - ping.sent_ms < FORWARDED_PING_LIFETIME_MS);
+        if self.duplicate.is_some_and(|d| now_ms - d.last_seen_ms > DUPLICATE_LIFETIME_MS) {
+            self.duplicate = None;
         }
-        self.number = self.number.wrapping_add(u32::from(self.rng.random::<u8>()));
+        self.ping_number = self.ping_number.wrapping_add(u32::from(self.rng.random::<u8>()));
     }
 }
--- a/crates/view/src/engine/tests.rs
+++ b/crates/view/src/engine/tests.rs
@@ -4,17 +4,17 @@
 use fernslip_gossip::Key;
 
 #[test]
-fn a_front_whom_many_newcomers_call_still_answers_pings() {
+fn a_front_that_many_newcomers_poll_still_answers_pings() {
     let keys = Keyring::new(Key::new(1, [7; 32]));
     let now = Now { mono_ms: 0.0, unix_ms: 1.8e12 };
     let config = Config { bytes_per_s: 4096, burst_bytes: 65_536, ..Config::default() };
     let mut view = View::new(config, keys.clone(), 1, now);
     let from = SocketAddr::from(([127, 0, 0, 2], 9));
-    let call = Item::Hello(view.own.clone());
-    let mut gets = |birth: u64, sequence: u32, item: Item| {
-        let fact = Fact { name: format!("n{birth}"), addr: from, birth, ..view.own.clone() };
+    let hello = Item::Hello(view.own.clone());
+    let mut replies = |process_id: u64, sequence: u32, item: Item| {
+        let fact = Fact { name: format!("n{process_id}"), addr: from, process_id, ..view.own.clone() };
         let item = if let Item::Hello(_) = item { Item::Hello(fact.clone()) } else { item };
-        let mut m = Message::new(1, fact.id(), birth, sequence, 0, Vec::new());
+        let mut m = Message::new(1, fact.id(), process_id, sequence, 0, Vec::new());
         m.items = vec![item];
         let mut actions = Vec::new();
         view.handle(now, Event::Datagram { from, bytes: m.seal(&keys) }, &mut actions);
@@ -24,11 +24,11 @@
         });
         sent.flat_map(|m| m.items).collect::<Vec<Item>>()
     };
-    for birth in 1..=400 {
-        gets(birth, 1, call.clone());
+    for process_id in 1..=400 {
+        replies(process_id, 1, hello.clone());
     }
-    // Many, as a few small ones pass where a large one does not.
+    // Many, as a few small datagrams pass where a large one does not.
     for n in 2..32 {
-        assert!(gets(7, n, Item::Ping(n)).contains(&Item::Ack(n)), "ping {n}");
+        assert!(replies(7, n, Item::Ping(n)).contains(&Item::Ack(n)), "ping {n}");
     }
 }
--- a/crates/view/src/lib.rs
+++ b/crates/view/src/lib.rs
@@ -1,23 +1,25 @@
-//! A view of the fleet that the fronts keep by themselves: which fronts there are, where, and what they are doing; and
-//! whether all of them hold the same view.
+//! A view of the fleet that the fronts keep among themselves: which fronts there are, where, and in what state; and whether
+//! all of them hold the same view.
 //!
 //! [`View`] is one front's part: it takes [`Event`]s and the time and returns [`Action`]s. It has no sockets, threads or
 //! clocks; equal inputs and seeds give equal outputs.
 //!
 //! # The contract
 //!
-//! - *Facts* are ordered ([`Rank`]): of two facts on one front the higher holds, whoever hears them in whatever order.
-//!   Only a front itself raises its incarnation; at the same one the others can only say that it is gone.
-//! - *Gone* takes several: a front is watched by [`Config::watchers`] others ([`ring`]); it is gone once most of those of
-//!   them that are in reach had no answer, themselves or through others, and in a fleet of four and more at least two.
-//! - *Settled*: each message tells its sender's digest and which fronts it knows to have held the same. A front whose bits
-//!   are all set is settled ([`View::settled_since`]); doubts of one that it watches, or silence all around, unsettle it.
-//! - *Healing*: fronts that are gone are called at a bounded rate. What one half of a partition says of the other waits
-//!   until those have answered for themselves, so that views are not torn down before they are joined.
-//! - *One name, two processes*: the second is not taken up while the first answers; both are told ([`Action::Twin`]).
-//! - [`Action::Send`] may be lost, late, doubled or out of order. All that is sent stays under [`Config::bytes_per_s`].
-//! - [`View::wake_at`] tells when the next [`Event::Tick`] is due. One that comes late tells that this front did not run:
-//!   it then speaks against nobody for what it missed meanwhile.
+//! - *Facts* are ordered ([`Rank`]): of two facts on one front the higher holds, in whatever order they are received. Only
+//!   a front itself raises its incarnation; at the same one the others can only report its failure.
+//! - *Failed* takes several: a front is watched by [`Config::watchers`] others; it has failed once most of those of them
+//!   that are in reach had no answer, directly or through others, and in a fleet of four and more at least two.
+//! - *Settled*: each message carries its sender's digest and which fronts it knows to have held the same view. A front
+//!   whose bits are all set is settled ([`View::settled_since`]); a suspicion of a front that it watches, or receiving
+//!   nothing at all, unsettles it.
+//! - *Healing*: failed fronts are polled at a bounded rate. What one half of a partition reports of the other is deferred
+//!   until those could refute it, so that views are not torn down before they are joined.
+//! - *One name, two processes*: the second is not admitted while the first answers; both report it
+//!   ([`Action::DuplicateName`]).
+//! - [`Action::Send`] may be lost, late, duplicated or out of order. All that is sent stays under [`Config::bytes_per_s`].
+//! - [`View::wake_at`] is when the next [`Event::Tick`] is due. A late one shows that this front did not run: it then
+//!   suspects nobody for what it missed meanwhile.
 //!
 //! ```
 //! use fernslip_view::*;
@@ -50,13 +52,17 @@
 //! assert!(fronts.iter().all(|f| f.settled_since(2000.0).is_some()));
 //! ```
 
+mod config;
 mod engine;
 mod fact;
-pub mod ring;
-pub mod settle;
-pub mod watch;
+mod failure_detector;
+mod interface;
+mod ring;
+mod settlement;
 mod wire;
 
-pub use engine::{Action, Config, Counts, Event, Now, Seen, Tale, View};
-pub use fact::{Fact, Held, Id, Merged, Rank, Stand, Table, MOST_MEMBERS, MOST_TEXT};
-pub use wire::{size, Item, Message, MOST_BYTES};
+pub use config::Config;
+pub use engine::View;
+pub use fact::{Fact, FrontState, Id, Member, MemberTable, MergeOutcome, Rank, MAX_MEMBERS, MAX_TEXT_BYTES};
+pub use interface::{Action, Counters, Event, HistoryEntry, MemberStatus, Now};
+pub use wire::{encoded_len, Item, Message, MAX_DATAGRAM_BYTES};
--- a/crates/view/src/wire.rs
+++ b/crates/view/src/wire.rs
@@ -1,94 +1,95 @@
-//! What fronts send each other: one message a datagram, by `postcard`, with a tag behind it.
+//! The messages between fronts: one in each datagram, encoded by `postcard`, followed by an authentication tag.
 
 use crate::fact::{Fact, Id, Rank, BUCKETS};
 use fernslip_gossip::Keyring;
 use serde::{Deserialize, Serialize};
 
-/// No datagram is longer: it passes any network in one piece.
-pub const MOST_BYTES: usize = 1200;
-/// Of the tag.
+/// Longest datagram, in bytes: it passes any network unfragmented.
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
+/// Length of the tag, in bytes.
 pub(crate) const TAG_BYTES: usize = 16;
+/// The version of the message format.
 const VERSION: u8 = 1;
 
-/// A piece of a message.
+/// A part of a message. The order of the variants and of their fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Item {
-    /// Are you there?
+    /// Asks for an [`Item::Ack`] of that number.
     Ping(u32),
-    /// I am; or the one that you asked me about is.
+    /// Answers a ping of that number, or forwards the answer to a [`Item::PingRequest`].
     Ack(u32),
-    /// Ask that front's process for me and tell me under this number.
-    Ask(Id, u64, u32),
-    /// A newcomer shows itself: it is to be taken up unless another process of its name is there.
+    /// Asks for an indirect ping of that front's process, to be answered under this number.
+    PingRequest(Id, u64, u32),
+    /// A newcomer announces itself: it is admitted unless another process of its name is live.
     Hello(Fact),
-    /// Another process of your name calls from there.
-    Namesake(std::net::SocketAddr),
-    /// All that is told of a front.
-    Whole(Fact),
+    /// Another process of the recipient's name polls from that address.
+    DuplicateName(std::net::SocketAddr),
+    /// A complete fact.
+    FullFact(Fact),
     /// The rank of a fact whose texts are known already.
-    Short(Id, Rank),
-    /// The texts of these are not known here.
-    Want(Vec<Id>),
-    /// Hashes of my view, by bucket.
-    Sums([u32; BUCKETS]),
-    /// In these buckets (bits) our views differ; what follows is what I hold there: what do you?
-    Differ(u32),
-    /// I watch that front, and it does not answer (or does again, where it does not stand): word number so many of
-    /// mine; the number is one of my pings that it may answer still.
-    Alert {
-        /// Whom.
+    FactRank(Id, Rank),
+    /// Requests the complete facts of these fronts.
+    FactRequest(Vec<Id>),
+    /// The sender's [`MemberTable::sums`](crate::MemberTable::sums).
+    BucketSums([u32; BUCKETS]),
+    /// In these buckets (a bit each) the views differ. The ranks that the sender has there follow; the recipient answers
+    /// with those that it has higher.
+    DifferingBuckets(u32),
+    /// The sender's suspicion of a front that it watches, or its withdrawal.
+    Suspicion {
+        /// The front.
         of: Id,
-        /// Which of its processes.
-        birth: u64,
-        /// As of that incarnation.
+        /// Its process.
+        process_id: u64,
+        /// Its incarnation as the sender has it.
         incarnation: u32,
-        /// Higher with each word.
-        word: u32,
-        /// A ping that waits.
+        /// The sender's count of such items.
+        number: u32,
+        /// An outstanding ping that the front may still answer; 0 where there is none.
         ping: u32,
-        /// It does not answer; else it does.
-        stands: bool,
-        /// No other that I watch keeps me waiting.
-        alone: bool,
+        /// Whether the front is suspected; else the suspicion is withdrawn.
+        is_active: bool,
+        /// Whether no other front that the sender watches is silent.
+        is_only_silent: bool,
     },
 }
 
-/// A message.
+/// A message. The order of its fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
     version: u8,
-    /// The key that it is signed with.
+    /// The number of the key that it is signed with.
     pub key: u8,
     /// The sender.
     pub from: Id,
-    /// Its process.
-    pub birth: u64,
-    /// Its count of messages.
+    /// The sender's process.
+    pub process_id: u64,
+    /// The sender's count of messages.
     pub sequence: u32,
-    /// The sender's view.
+    /// The digest of the sender's view.
     pub digest: u64,
-    /// Who has held this view, as far as the sender knows: a bit for each that counts in it, by id.
-    pub held: Vec<u8>,
-    /// The rest.
+    /// Which members are known to have held this view: a bit for each live member, in the order of ids.
+    pub holders: Vec<u8>,
+    /// What it says.
     pub items: Vec<Item>,
 }
 
 impl Message {
     /// A message without items.
-    pub fn new(key: u8, from: Id, birth: u64, sequence: u32, digest: u64, held: Vec<u8>) -> Message {
-        Message { version: VERSION, key, from, birth, sequence, digest, held, items: Vec::new() }
+    pub fn new(key: u8, from: Id, process_id: u64, sequence: u32, digest: u64, holders: Vec<u8>) -> Message {
+        Message { version: VERSION, key, from, process_id, sequence, digest, holders, items: Vec::new() }
     }
 
-    /// Its bytes, signed.
+    /// Encodes and signs it.
     pub fn seal(&self, keys: &Keyring) -> Vec<u8> {
         let mut bytes = postcard::to_stdvec(self).unwrap_or_default();
         keys.sign(&mut bytes);
         bytes
     }
 
-    /// Reads one; `None` where the tag is wrong or the bytes are no message.
+    /// Verifies and decodes a datagram; `None` where the tag is wrong or the bytes are no message.
     pub fn open(bytes: &[u8], keys: &Keyring) -> Option<Message> {
-        if bytes.len() > MOST_BYTES || bytes.len() < TAG_BYTES + 2 {
+        if bytes.len() > MAX_DATAGRAM_BYTES || bytes.len() < TAG_BYTES + 2 {
             return None;
         }
         // The version and the key's number come first, a byte each.
@@ -101,7 +102,7 @@
     }
 }
 
-/// An item's length in bytes.
-pub fn size(item: &Item) -> usize {
-    postcard::experimental::serialized_size(item).unwrap_or(MOST_BYTES)
+/// The encoded length of an item, in bytes.
+pub fn encoded_len(item: &Item) -> usize {
+    postcard::experimental::serialized_size(item).unwrap_or(MAX_DATAGRAM_BYTES)
 }
--- a/crates/view/tests/common/net.rs
+++ b/crates/view/tests/common/net.rs
@@ -1,14 +1,15 @@
-//! Fronts in a network in memory: lossy, slow, cut; fronts that crash, stop and come back. Equal seeds play equally.
+//! Fronts in an in-memory network: lossy, slow, partitioned; fronts that crash, pause and come back. Equal seeds give equal
+//! runs.
 
 use fernslip_gossip::{Gossip, Key, Keyring, MemberState};
-use fernslip_view::{Action, Config, Event, Now, Stand, View};
+use fernslip_view::{Action, Config, Event, FrontState, Now, View};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::net::SocketAddr;
 
-/// As the host does: it looks at the time so often.
+/// Length of a step, in milliseconds: the host checks the time this often.
 pub const STEP_MS: f64 = 20.0;
 
 pub fn keys() -> Keyring {
@@ -22,43 +23,43 @@
 
 /// What a front is started with.
 #[derive(Clone, Debug)]
-pub struct Birth {
+pub struct Start {
     pub name: String,
     pub addr: SocketAddr,
     pub seeds: Vec<SocketAddr>,
     pub seed: u64,
 }
 
-/// One membership among those that are compared.
+/// One membership protocol among those that are compared.
 pub trait Front: Sized {
-    fn start(birth: &Birth, now: Now) -> Self;
+    fn start(start: &Start, now: Now) -> Self;
     fn tick(&mut self, now: Now) -> Vec<(SocketAddr, Vec<u8>)>;
     fn datagram(&mut self, now: Now, from: SocketAddr, bytes: Vec<u8>) -> Vec<(SocketAddr, Vec<u8>)>;
     fn wake_at(&self) -> f64;
-    /// The names of those that it counts on, itself included.
+    /// The names of the live members, itself included.
     fn live(&self) -> BTreeSet<String>;
-    /// The names that it found gone since it was asked last.
-    fn found_gone(&mut self) -> Vec<String>;
+    /// The names that it reported failed since the last call.
+    fn take_failed(&mut self) -> Vec<String>;
     fn settled(&self, now_ms: f64) -> bool;
 }
 
 /// The view of this crate.
 pub struct Viewed {
     pub view: View,
-    gone: Vec<String>,
-    pub twins: usize,
+    failed: Vec<String>,
+    pub duplicates_reported: usize,
 }
 
 impl Viewed {
-    fn go(&mut self, now: Now, event: Event) -> Vec<(SocketAddr, Vec<u8>)> {
+    fn handle(&mut self, now: Now, event: Event) -> Vec<(SocketAddr, Vec<u8>)> {
         let mut actions = Vec::new();
         self.view.handle(now, event, &mut actions);
         let mut out = Vec::new();
         for a in actions {
             match a {
                 Action::Send { to, bytes } => out.push((to, bytes)),
-                Action::Changed { name, is: Stand::Gone, .. } => self.gone.push(name),
-                Action::Twin { .. } => self.twins += 1,
+                Action::Changed { name, after: FrontState::Failed, .. } => self.failed.push(name),
+                Action::DuplicateName { .. } => self.duplicates_reported += 1,
                 _ => {}
             }
         }
@@ -67,42 +68,42 @@
 }
 
 impl Front for Viewed {
-    fn start(b: &Birth, now: Now) -> Viewed {
+    fn start(b: &Start, now: Now) -> Viewed {
         let config =
             Config { name: b.name.clone(), addr: b.addr, seeds: b.seeds.clone(), ..Config::default() };
         let mut view = View::new(config, keys(), b.seed, now);
-        view.handle(now, Event::Stands(Stand::Ready), &mut Vec::new());
-        Viewed { view, gone: Vec::new(), twins: 0 }
+        view.handle(now, Event::State(FrontState::Ready), &mut Vec::new());
+        Viewed { view, failed: Vec::new(), duplicates_reported: 0 }
     }
     fn tick(&mut self, now: Now) -> Vec<(SocketAddr, Vec<u8>)> {
-        self.go(now, Event::Tick)
+        self.handle(now, Event::Tick)
     }
     fn datagram(&mut self, now: Now, from: SocketAddr, bytes: Vec<u8>) -> Vec<(SocketAddr, Vec<u8>)> {
-        self.go(now, Event::Datagram { from, bytes })
+        self.handle(now, Event::Datagram { from, bytes })
     }
     fn wake_at(&self) -> f64 {
         self.view.wake_at()
     }
     fn live(&self) -> BTreeSet<String> {
         let all = self.view.members(0.0).into_iter();
-        all.filter(|m| m.fact.stand.counts()).map(|m| m.fact.name).collect()
+        all.filter(|m| m.fact.state.is_live()).map(|m| m.fact.name).collect()
     }
-    fn found_gone(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.gone)
+    fn take_failed(&mut self) -> Vec<String> {
+        std::mem::take(&mut self.failed)
     }
     fn settled(&self, now_ms: f64) -> bool {
         self.view.settled_since(now_ms).is_some()
     }
 }
 
-/// The membership that gossip on suspicions has: SWIM with Lifeguard's stretched suspicions.
+/// The membership of the gossip crate: SWIM with Lifeguard's extended suspicions.
 pub struct Swim {
     gossip: Gossip,
-    gone: Vec<String>,
+    failed: Vec<String>,
 }
 
 impl Swim {
-    fn go(&mut self, now: Now, event: fernslip_gossip::Event) -> Vec<(SocketAddr, Vec<u8>)> {
+    fn handle(&mut self, now: Now, event: fernslip_gossip::Event) -> Vec<(SocketAddr, Vec<u8>)> {
         let now = fernslip_gossip::Now { mono_ms: now.mono_ms, unix_ms: now.unix_ms };
         let mut actions = Vec::new();
         self.gossip.handle(now, event, &mut actions);
@@ -111,7 +112,7 @@
             match a {
                 fernslip_gossip::Action::Send { to, bytes } => out.push((to, bytes)),
                 fernslip_gossip::Action::Member { id, change: fernslip_gossip::Change::Gone } => {
-                    self.gone.extend(self.gossip.members().find(|m| m.id == id).map(|m| m.name));
+                    self.failed.extend(self.gossip.members().find(|m| m.id == id).map(|m| m.name));
                 }
                 _ => {}
             }
@@ -121,7 +122,7 @@
 }
 
 impl Front for Swim {
-    fn start(b: &Birth, now: Now) -> Swim {
+    fn start(b: &Start, now: Now) -> Swim {
         let config = fernslip_gossip::Config {
             name: b.name.clone(),
             addr: b.addr,
@@ -129,13 +130,13 @@
             ..Default::default()
         };
         let at = fernslip_gossip::Now { mono_ms: now.mono_ms, unix_ms: now.unix_ms };
-        Swim { gossip: Gossip::new(config, keys(), b.seed, at), gone: Vec::new() }
+        Swim { gossip: Gossip::new(config, keys(), b.seed, at), failed: Vec::new() }
     }
     fn tick(&mut self, now: Now) -> Vec<(SocketAddr, Vec<u8>)> {
-        self.go(now, fernslip_gossip::Event::Tick)
+        self.handle(now, fernslip_gossip::Event::Tick)
     }
     fn datagram(&mut self, now: Now, from: SocketAddr, bytes: Vec<u8>) -> Vec<(SocketAddr, Vec<u8>)> {
-        self.go(now, fernslip_gossip::Event::Datagram { from, bytes })
+        self.handle(now, fernslip_gossip::Event::Datagram { from, bytes })
     }
     fn wake_at(&self) -> f64 {
         self.gossip.wake_at()
@@ -144,8 +145,8 @@
         let here = |s: MemberState| matches!(s, MemberState::Alive | MemberState::Suspect);
         self.gossip.members().filter(|m| here(m.state)).map(|m| m.name).collect()
     }
-    fn found_gone(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.gone)
+    fn take_failed(&mut self) -> Vec<String> {
+        std::mem::take(&mut self.failed)
     }
     fn settled(&self, _: f64) -> bool {
         true
@@ -153,30 +154,30 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Runs {
-    Yes,
-    /// Stopped: what comes waits for it, up to a socket's worth.
-    Stopped,
+pub enum Process {
+    Running,
+    /// Paused: datagrams queue for it, up to a socket's buffer.
+    Paused,
     Dead,
 }
 
-pub struct Place<F> {
-    pub birth: Birth,
+pub struct Host<F> {
+    pub start: Start,
     pub front: F,
-    pub runs: Runs,
-    waits: VecDeque<(SocketAddr, Vec<u8>)>,
-    /// Unix time there, off by so much.
-    pub off_ms: f64,
+    pub process: Process,
+    inbox: VecDeque<(SocketAddr, Vec<u8>)>,
+    /// Error of its Unix time, in milliseconds.
+    pub clock_error_ms: f64,
     pub sent_bytes: u64,
 }
 
 /// Faults between the fronts.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Part of all datagrams lost.
+    /// Share of all datagrams lost.
     pub loss: f64,
-    /// Part of a front's datagrams lost, both ways.
-    pub loses: BTreeMap<usize, f64>,
+    /// Share of a front's datagrams lost, both ways.
+    pub host_loss: BTreeMap<usize, f64>,
     /// Delay and jitter of all that comes from or goes to a front, milliseconds.
     pub delays: BTreeMap<usize, (f64, f64)>,
     /// Sides of a partition: fronts of different numbers don't reach each other.
@@ -185,49 +186,49 @@
     pub one_way: BTreeSet<(usize, usize)>,
     /// Nothing reaches these.
     pub deaf: BTreeSet<usize>,
-    /// Part of datagrams that come twice.
-    pub doubled: f64,
+    /// Share of datagrams delivered twice.
+    pub duplicated: f64,
 }
 
-type Flight = Reverse<(u64, u64, usize, SocketAddr, Vec<u8>)>;
+type InFlight = Reverse<(u64, u64, usize, SocketAddr, Vec<u8>)>;
 
 pub struct Net<F> {
-    pub places: Vec<Place<F>>,
+    pub hosts: Vec<Host<F>>,
     pub faults: Faults,
     pub now_ms: f64,
     pub seed: u64,
     rng: ChaCha8Rng,
     by_addr: std::collections::HashMap<SocketAddr, usize>,
-    flights: BinaryHeap<Flight>,
+    in_flight: BinaryHeap<InFlight>,
     count: u64,
-    births: u64,
-    /// Live fronts that others found gone: whom, by whom, when.
-    pub false_gone: Vec<(String, String, f64)>,
-    /// Sides until that time: words on the other side are still on their way for a moment after it.
-    were: (BTreeMap<usize, u8>, f64),
-    /// All that was ever sent, for replays, where it is wanted.
+    starts: u64,
+    /// Live fronts that others reported failed: whom, by whom, when.
+    pub false_failures: Vec<(String, String, f64)>,
+    /// Sides until that time: reports on the other side are still in flight for a moment after it.
+    healed: (BTreeMap<usize, u8>, f64),
+    /// Everything sent since it was set, for replays.
     pub recorded: Option<Vec<(SocketAddr, SocketAddr, Vec<u8>)>>,
 }
 
 impl<F: Front> Net<F> {
     pub fn new(seed: u64) -> Net<F> {
         Net {
-            places: Vec::new(),
+            hosts: Vec::new(),
             faults: Faults::default(),
             now_ms: 0.0,
             seed,
             rng: ChaCha8Rng::seed_from_u64(seed),
             by_addr: Default::default(),
-            flights: BinaryHeap::new(),
+            in_flight: BinaryHeap::new(),
             count: 0,
-            births: 0,
-            false_gone: Vec::new(),
-            were: (BTreeMap::new(), 0.0),
+            starts: 0,
+            false_failures: Vec::new(),
+            healed: (BTreeMap::new(), 0.0),
             recorded: None,
         }
     }
 
-    /// So many fronts started in the same moment, the first two being seeds.
+    /// That many fronts started in the same moment, the first two of them seeds.
     pub fn of(n: usize, seed: u64) -> Net<F> {
         let mut net = Net::new(seed);
         for i in 0..n {
@@ -239,75 +240,82 @@
     pub fn now(&self, i: usize) -> Now {
         Now {
             mono_ms: self.now_ms,
-            unix_ms: 1.8e12 + self.now_ms + self.places.get(i).map_or(0.0, |p| p.off_ms),
+            unix_ms: 1.8e12 + self.now_ms + self.hosts.get(i).map_or(0.0, |p| p.clock_error_ms),
         }
     }
 
-    fn born(&mut self, name: &str, at: SocketAddr) -> Birth {
-        self.births += 1;
+    fn next_start(&mut self, name: &str, at: SocketAddr) -> Start {
+        self.starts += 1;
         let seeds = vec![addr(0), addr(1)];
-        Birth { name: name.into(), addr: at, seeds, seed: self.seed.wrapping_mul(1_000_003) + self.births }
+        Start { name: name.into(), addr: at, seeds, seed: self.seed.wrapping_mul(1_000_003) + self.starts }
     }
 
-    /// One more front; its place.
+    /// Adds a front; returns its index.
     pub fn add(&mut self, name: &str) -> usize {
-        let i = self.places.len();
-        let birth = self.born(name, addr(i));
-        let front = F::start(&birth, self.now(i));
-        self.by_addr.insert(birth.addr, i);
-        let (waits, off_ms) = (VecDeque::new(), 0.0);
-        self.places.push(Place { birth, front, runs: Runs::Yes, waits, off_ms, sent_bytes: 0 });
+        let i = self.hosts.len();
+        let start = self.next_start(name, addr(i));
+        let front = F::start(&start, self.now(i));
+        self.by_addr.insert(start.addr, i);
+        let (inbox, clock_error_ms) = (VecDeque::new(), 0.0);
+        self.hosts.push(Host {
+            start,
+            front,
+            process: Process::Running,
+            inbox,
+            clock_error_ms,
+            sent_bytes: 0,
+        });
         i
     }
 
-    /// Starts a dead one anew under its name and address.
+    /// Restarts a dead front under its name and address.
     pub fn restart(&mut self, i: usize) {
-        let name = self.places[i].birth.name.clone();
-        self.places[i].birth = self.born(&name, addr(i));
-        self.places[i].front = F::start(&self.places[i].birth.clone(), self.now(i));
-        self.places[i].runs = Runs::Yes;
-        self.places[i].waits.clear();
+        let name = self.hosts[i].start.name.clone();
+        self.hosts[i].start = self.next_start(&name, addr(i));
+        self.hosts[i].front = F::start(&self.hosts[i].start.clone(), self.now(i));
+        self.hosts[i].process = Process::Running;
+        self.hosts[i].inbox.clear();
     }
 
     /// All links work again.
     pub fn heal(&mut self) {
-        self.were = (std::mem::take(&mut self.faults).sides, self.now_ms);
+        self.healed = (std::mem::take(&mut self.faults).sides, self.now_ms);
     }
 
     pub fn kill(&mut self, i: usize) {
-        self.places[i].runs = Runs::Dead;
+        self.hosts[i].process = Process::Dead;
     }
 
-    pub fn stop(&mut self, i: usize) {
-        self.places[i].runs = Runs::Stopped;
+    pub fn pause(&mut self, i: usize) {
+        self.hosts[i].process = Process::Paused;
     }
 
-    pub fn go_on(&mut self, i: usize) {
-        self.places[i].runs = Runs::Yes;
+    pub fn resume(&mut self, i: usize) {
+        self.hosts[i].process = Process::Running;
     }
 
     fn send(&mut self, from: usize, sent: Vec<(SocketAddr, Vec<u8>)>) {
         for (to, bytes) in sent {
-            self.places[from].sent_bytes += bytes.len() as u64;
-            let source = self.places[from].birth.addr;
+            self.hosts[from].sent_bytes += bytes.len() as u64;
+            let source = self.hosts[from].start.addr;
             if let Some(r) = &mut self.recorded {
                 r.push((source, to, bytes.clone()));
             }
             let Some(i) = self.by_addr.get(&to).copied() else { continue };
-            let copies = if self.rng.random::<f64>() < self.faults.doubled { 2 } else { 1 };
+            let copies = if self.rng.random::<f64>() < self.faults.duplicated { 2 } else { 1 };
             for _ in 0..copies {
-                self.fly(from, i, source, bytes.clone());
+                self.transmit(from, i, source, bytes.clone());
             }
         }
     }
 
-    fn fly(&mut self, from: usize, to: usize, source: SocketAddr, bytes: Vec<u8>) {
+    fn transmit(&mut self, from: usize, to: usize, source: SocketAddr, bytes: Vec<u8>) {
         let f = &self.faults;
         let side = |i: &usize| f.sides.get(i).copied().unwrap_or(0);
         if side(&from) != side(&to) || f.one_way.contains(&(from, to)) || f.deaf.contains(&to) {
             return;
         }
-        let losses = [f.loss, *f.loses.get(&from).unwrap_or(&0.0), *f.loses.get(&to).unwrap_or(&0.0)];
+        let losses = [f.loss, *f.host_loss.get(&from).unwrap_or(&0.0), *f.host_loss.get(&to).unwrap_or(&0.0)];
         let mut delay = 0.3;
         for (base, jitter) in [f.delays.get(&from), f.delays.get(&to)].into_iter().flatten() {
             delay += base + jitter * self.rng.random::<f64>();
@@ -317,66 +325,67 @@
         }
         self.count += 1;
         let due = ((self.now_ms + delay) * 1000.0) as u64;
-        self.flights.push(Reverse((due, self.count, to, source, bytes)));
+        self.in_flight.push(Reverse((due, self.count, to, source, bytes)));
     }
 
-    /// Gives a front a datagram as if it came from there.
+    /// Delivers a datagram to a front as if it came from `source`.
     pub fn inject(&mut self, to: usize, source: SocketAddr, bytes: Vec<u8>) {
         self.count += 1;
-        self.flights.push(Reverse(((self.now_ms * 1000.0) as u64, self.count, to, source, bytes)));
+        self.in_flight.push(Reverse(((self.now_ms * 1000.0) as u64, self.count, to, source, bytes)));
     }
 
-    fn look(&mut self, i: usize) {
-        for name in self.places[i].front.found_gone() {
+    fn check_failures(&mut self, i: usize) {
+        for name in self.hosts[i].front.take_failed() {
             let side = |i: usize| self.faults.sides.get(&i).copied().unwrap_or(0);
-            let of = self.places.iter().position(|p| p.birth.name == name && p.runs == Runs::Yes);
+            let of = self.hosts.iter().position(|p| p.start.name == name && p.process == Process::Running);
             let reachable = of.is_some_and(|o| side(o) == side(i) && !self.faults.deaf.contains(&o));
-            let were = |i: usize| self.were.0.get(&i).copied().unwrap_or(0);
-            let was_cut = of.is_some_and(|o| were(o) != were(i)) && self.now_ms - self.were.1 < 1_500.0;
-            if reachable && !was_cut {
-                let by = self.places[i].birth.name.clone();
-                self.false_gone.push((name, by, self.now_ms));
+            let was_side = |i: usize| self.healed.0.get(&i).copied().unwrap_or(0);
+            let was_partitioned =
+                of.is_some_and(|o| was_side(o) != was_side(i)) && self.now_ms - self.healed.1 < 1_500.0;
+            if reachable && !was_partitioned {
+                let by = self.hosts[i].start.name.clone();
+                self.false_failures.push((name, by, self.now_ms));
             }
         }
     }
 
     fn deliver(&mut self, i: usize, source: SocketAddr, bytes: Vec<u8>) {
         let now = self.now(i);
-        let sent = self.places[i].front.datagram(now, source, bytes);
-        self.look(i);
+        let sent = self.hosts[i].front.datagram(now, source, bytes);
+        self.check_failures(i);
         self.send(i, sent);
     }
 
-    /// Lets a step of time pass.
+    /// Lets one step of time pass.
     pub fn step(&mut self) {
         let end = self.now_ms + STEP_MS;
-        while let Some(Reverse((due, ..))) = self.flights.peek() {
+        while let Some(Reverse((due, ..))) = self.in_flight.peek() {
             let due = *due as f64 / 1000.0;
             if due > end {
                 break;
             }
-            let Some(Reverse((_, _, to, source, bytes))) = self.flights.pop() else { break };
+            let Some(Reverse((_, _, to, source, bytes))) = self.in_flight.pop() else { break };
             self.now_ms = self.now_ms.max(due);
-            match self.places[to].runs {
-                Runs::Yes => self.deliver(to, source, bytes),
-                Runs::Stopped if self.places[to].waits.len() < 256 => {
-                    self.places[to].waits.push_back((source, bytes));
+            match self.hosts[to].process {
+                Process::Running => self.deliver(to, source, bytes),
+                Process::Paused if self.hosts[to].inbox.len() < 256 => {
+                    self.hosts[to].inbox.push_back((source, bytes));
                 }
                 _ => {}
             }
         }
         self.now_ms = end;
-        for i in 0..self.places.len() {
-            if self.places[i].runs != Runs::Yes {
+        for i in 0..self.hosts.len() {
+            if self.hosts[i].process != Process::Running {
                 continue;
             }
-            while let Some((source, bytes)) = self.places[i].waits.pop_front() {
+            while let Some((source, bytes)) = self.hosts[i].inbox.pop_front() {
                 self.deliver(i, source, bytes);
             }
-            if self.places[i].front.wake_at() <= self.now_ms {
+            if self.hosts[i].front.wake_at() <= self.now_ms {
                 let now = self.now(i);
-                let sent = self.places[i].front.tick(now);
-                self.look(i);
+                let sent = self.hosts[i].front.tick(now);
+                self.check_failures(i);
                 self.send(i, sent);
             }
         }
@@ -389,29 +398,29 @@
         }
     }
 
-    /// Whether all that run and can reach each other list exactly themselves.
-    pub fn is_even(&self) -> bool {
+    /// Whether all running fronts that can reach each other list exactly themselves.
+    pub fn is_consistent(&self) -> bool {
         let mut sides: BTreeMap<u8, BTreeSet<String>> = BTreeMap::new();
         let side = |i: usize| self.faults.sides.get(&i).copied().unwrap_or(0);
-        let running = || self.places.iter().enumerate().filter(|(_, p)| p.runs == Runs::Yes);
+        let running = || self.hosts.iter().enumerate().filter(|(_, p)| p.process == Process::Running);
         for (i, p) in running() {
-            sides.entry(side(i)).or_default().insert(p.birth.name.clone());
+            sides.entry(side(i)).or_default().insert(p.start.name.clone());
         }
         let mut all = running();
         all.all(|(i, p)| p.front.live() == sides[&side(i)])
     }
 
     pub fn is_settled(&self) -> bool {
-        let running = self.places.iter().filter(|p| p.runs == Runs::Yes);
-        self.is_even() && running.into_iter().all(|p| p.front.settled(self.now_ms))
+        let running = self.hosts.iter().filter(|p| p.process == Process::Running);
+        self.is_consistent() && running.into_iter().all(|p| p.front.settled(self.now_ms))
     }
 
-    /// Runs until that holds; how long it took, or `None` after `most_ms`.
-    pub fn until(&mut self, most_ms: f64, holds: impl Fn(&Net<F>) -> bool) -> Option<f64> {
+    /// Process until that holds; returns how long it took, or `None` after `max_ms`.
+    pub fn until(&mut self, max_ms: f64, holds: impl Fn(&Net<F>) -> bool) -> Option<f64> {
         let begun = self.now_ms;
-        while self.now_ms - begun < most_ms {
+        while self.now_ms - begun < max_ms {
             self.step();
-            // What is asked costs more than a step.
+            // The condition costs more than a step.
             if (self.now_ms / STEP_MS) as u64 % 5 == 0 && holds(self) {
                 return Some(self.now_ms - begun);
             }
@@ -419,13 +428,13 @@
         None
     }
 
-    /// How many of the fronts that run hold that one to be there.
-    pub fn holding(&self, name: &str) -> usize {
-        let running = self.places.iter().filter(|p| p.runs == Runs::Yes);
+    /// How many running fronts hold that front for live.
+    pub fn count_holding(&self, name: &str) -> usize {
+        let running = self.hosts.iter().filter(|p| p.process == Process::Running);
         running.filter(|p| p.front.live().contains(name)).count()
     }
 
     pub fn sent_bytes(&self) -> u64 {
-        self.places.iter().map(|p| p.sent_bytes).sum()
+        self.hosts.iter().map(|p| p.sent_bytes).sum()
     }
 }
--- a/crates/view/tests/facts.rs
+++ b/crates/view/tests/facts.rs
@@ -1,36 +1,36 @@
 //! The table of facts, by properties; and messages of any bytes.
 
 use fernslip_gossip::{Key, Keyring};
-use fernslip_view::{Fact, Id, Merged, Message, Stand, Table};
+use fernslip_view::{Fact, FrontState, Id, MemberTable, MergeOutcome, Message};
 use proptest::prelude::*;
 
 fn fact() -> impl Strategy<Value = Fact> {
-    let stand = prop_oneof![
-        Just(Stand::Joining),
-        Just(Stand::Ready),
-        Just(Stand::Emptying),
-        Just(Stand::Left),
-        Just(Stand::Gone)
+    let state = prop_oneof![
+        Just(FrontState::Joining),
+        Just(FrontState::Ready),
+        Just(FrontState::Draining),
+        Just(FrontState::Left),
+        Just(FrontState::Failed)
     ];
-    (0..4u8, 0..3u64, 0..3u32, stand, 0..2u64, 0..2u16).prop_map(
-        |(n, generation, incarnation, stand, birth, port)| Fact {
+    (0..4u8, 0..3u64, 0..3u32, state, 0..2u64, 0..2u16).prop_map(
+        |(n, generation, incarnation, state, process_id, port)| Fact {
             name: format!("f{n}"),
             addr: ([127, 0, 0, 1], 7000 + port).into(),
             gossip: None,
             location: String::new(),
             program: "1".into(),
             configuration: 0,
-            birth,
+            process_id,
             generation,
             incarnation,
-            stand,
-            sure: true,
-            by: Id(u64::from(stand == Stand::Gone)),
+            state,
+            confirmed: true,
+            detected_by: Id(u64::from(state == FrontState::Failed)),
         },
     )
 }
 
-fn held(t: &Table) -> Vec<(Id, Fact)> {
+fn facts_of(t: &MemberTable) -> Vec<(Id, Fact)> {
     t.iter().map(|(id, h)| (id, h.fact.clone())).collect()
 }
 
@@ -40,7 +40,7 @@
         facts in prop::collection::vec(fact(), 0..40),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..80),
     ) {
-        let (mut a, mut b) = (Table::default(), Table::default());
+        let (mut a, mut b) = (MemberTable::default(), MemberTable::default());
         for f in &facts {
             a.merge(f, 0.0);
         }
@@ -52,31 +52,31 @@
         for f in facts.iter().rev() {
             b.merge(f, 0.0);
         }
-        prop_assert_eq!(held(&a), held(&b));
-        prop_assert_eq!((a.digest(), a.sums(), a.count()), (b.digest(), b.sums(), b.count()));
+        prop_assert_eq!(facts_of(&a), facts_of(&b));
+        prop_assert_eq!((a.digest(), a.sums(), a.live_count()), (b.digest(), b.sums(), b.live_count()));
         // By ranks where the texts are known, the same.
         let mut c = a.clone();
         for f in &facts {
             c.merge_rank(f.id(), f.rank(), 0.0);
         }
-        prop_assert_eq!(held(&a), held(&c));
-        let mut counted = Table::default();
-        for (_, f) in held(&a).iter().filter(|(_, f)| f.stand.counts()) {
+        prop_assert_eq!(facts_of(&a), facts_of(&c));
+        let mut counted = MemberTable::default();
+        for (_, f) in facts_of(&a).iter().filter(|(_, f)| f.state.is_live()) {
             counted.merge(f, 0.0);
         }
         prop_assert_eq!(counted.digest(), a.digest(), "kept up with each change, and as if made anew");
     }
 
     #[test]
-    fn what_ended_comes_back_by_its_own_higher_word_alone(
+    fn a_departed_front_returns_only_by_its_own_higher_fact(
         facts in prop::collection::vec(fact(), 1..40),
     ) {
-        let mut t = Table::default();
+        let mut t = MemberTable::default();
         for f in &facts {
             let before = t.get(f.id()).map(|h| h.rank);
-            if let Merged::New(Some(was)) = t.merge(f, 0.0) {
+            if let MergeOutcome::Updated(Some(was)) = t.merge(f, 0.0) {
                 let before = before.expect("there was one");
-                if !was.counts() && f.stand.counts() {
+                if !was.is_live() && f.state.is_live() {
                     prop_assert!((f.generation, f.incarnation) > (before.generation, before.incarnation));
                 }
             }
@@ -84,7 +84,7 @@
     }
 
     #[test]
-    fn bytes_of_any_kind_are_no_message(bytes in prop::collection::vec(any::<u8>(), 0..1300)) {
+    fn arbitrary_bytes_are_rejected_or_decode_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..1300)) {
         let keys = Keyring::new(Key::new(1, [7; 32]));
         prop_assert_eq!(Message::open(&bytes, &keys), None);
         // Signed, they may be one; reading them ends either way.
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn digests_differ_where_one_fact_does() {
+fn digests_differ_where_any_part_of_a_fact_differs() {
     let base = Fact {
         name: "a".into(),
         addr: ([127, 0, 0, 1], 1).into(),
@@ -107,12 +107,12 @@
         location: "east".into(),
         program: "1".into(),
         configuration: 1,
-        birth: 1,
+        process_id: 1,
         generation: 1,
         incarnation: 1,
-        stand: Stand::Ready,
-        sure: true,
-        by: Id(0),
+        state: FrontState::Ready,
+        confirmed: true,
+        detected_by: Id(0),
     };
     let variants = [
         base.clone(),
@@ -122,15 +122,15 @@
         Fact { gossip: Some(([127, 0, 0, 1], 3).into()), ..base.clone() },
         Fact { program: "2".into(), ..base.clone() },
         Fact { configuration: 2, ..base.clone() },
-        Fact { birth: 2, ..base.clone() },
+        Fact { process_id: 2, ..base.clone() },
         Fact { generation: 2, ..base.clone() },
         Fact { incarnation: 2, ..base.clone() },
-        Fact { stand: Stand::Emptying, ..base.clone() },
+        Fact { state: FrontState::Draining, ..base.clone() },
     ];
     let digests: Vec<u64> = variants
         .iter()
         .map(|f| {
-            let mut t = Table::default();
+            let mut t = MemberTable::default();
             t.merge(f, 0.0);
             t.digest()
         })
@@ -138,13 +138,13 @@
     for (i, d) in digests.iter().enumerate() {
         assert_eq!(digests.iter().position(|x| x == d), Some(i), "variant {i}");
     }
-    let unsound = [
+    let invalid = [
         Fact { generation: u64::MAX, ..base.clone() },
         Fact { incarnation: u32::MAX, ..base.clone() },
         Fact { name: String::new(), ..base.clone() },
         Fact { location: "x".repeat(65), ..base },
     ];
-    for f in unsound {
-        assert_eq!(Table::default().merge(&f, 0.0), Merged::Known);
+    for f in invalid {
+        assert_eq!(MemberTable::default().merge(&f, 0.0), MergeOutcome::Stale);
     }
 }
--- a/crates/view/tests/model.rs
+++ b/crates/view/tests/model.rs
@@ -1,23 +1,23 @@
-//! Every order of crashes, right and wrong words of an end, answers to them, and deliveries, within bounds, over the real
-//! table of facts.
+//! Every order of crashes, right and wrong failure reports, refutations, and deliveries, within bounds, over the real member
+//! table.
 
-use fernslip_view::{Fact, Id, Merged, Stand, Table};
+use fernslip_view::{Fact, FrontState, Id, MemberTable, MergeOutcome};
 use stateright::{Checker, Model, Property};
 
 const FRONTS: usize = 3;
 /// The bounds below stay far under this; a model that grows beyond them must not fill the machine.
-const MOST_STATES: usize = 300_000;
+const MAX_STATES: usize = 300_000;
 
-/// A fact in short: on which front, of which incarnation, gone or there.
+/// A fact in short: on which front, of which incarnation, failed or live.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Word {
+struct Report {
     of: usize,
     incarnation: u32,
-    gone: bool,
+    failed: bool,
     by: usize,
 }
 
-impl Word {
+impl Report {
     fn fact(self) -> Fact {
         Fact {
             name: format!("f{}", self.of),
@@ -26,76 +26,81 @@
             location: String::new(),
             program: String::new(),
             configuration: 0,
-            birth: self.of as u64,
+            process_id: self.of as u64,
             generation: 1,
             incarnation: self.incarnation,
-            stand: if self.gone { Stand::Gone } else { Stand::Ready },
-            sure: true,
-            by: Id(if self.gone { 1 + self.by as u64 } else { 0 }),
+            state: if self.failed { FrontState::Failed } else { FrontState::Ready },
+            confirmed: true,
+            detected_by: Id(if self.failed { 1 + self.by as u64 } else { 0 }),
         }
     }
 
-    fn of_fact(f: &Fact) -> Word {
-        let by = f.by.0.saturating_sub(1) as usize;
-        Word { of: f.birth as usize, incarnation: f.incarnation, gone: f.stand == Stand::Gone, by }
+    fn of_fact(f: &Fact) -> Report {
+        let by = f.detected_by.0.saturating_sub(1) as usize;
+        Report {
+            of: f.process_id as usize,
+            incarnation: f.incarnation,
+            failed: f.state == FrontState::Failed,
+            by,
+        }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     dead: Vec<bool>,
-    /// Each front's view: a word for each front, as the table holds them.
-    views: Vec<Vec<Word>>,
-    /// Words that were ever said, and to whom each has come.
-    said: Vec<(Word, u8)>,
-    words_of_ends: usize,
-    /// A front that was held for gone came back in some view without a higher incarnation of its own.
+    /// Each front's view: a report for each front, as the table holds them.
+    views: Vec<Vec<Report>>,
+    /// All reports ever sent, and whom each has reached (a bit each).
+    sent: Vec<(Report, u8)>,
+    failure_reports: usize,
+    /// A front that was held for failed was live again in some view without a higher incarnation of its own.
     revived: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Act {
     Crash(usize),
-    /// One says that another is gone: rightly or not.
-    End {
+    /// One reports another's failure: rightly or not.
+    ReportFailure {
         by: usize,
         of: usize,
     },
-    /// A word comes to a front, for the first time or again.
+    /// A report reaches a front, for the first time or again.
     Deliver {
-        word: usize,
+        report: usize,
         to: usize,
     },
 }
 
 struct Fleet {
-    ends: usize,
-    /// The mutant: whoever comes last is believed.
+    max_failure_reports: usize,
+    /// The mutant: the report that comes last is believed.
     believes_the_last: bool,
 }
 
 impl Fleet {
-    fn take(&self, s: &mut State, to: usize, w: Word) {
-        let mut table = Table::default();
+    fn receive(&self, s: &mut State, to: usize, report: Report) {
+        let mut table = MemberTable::default();
         for held in &s.views[to] {
             table.merge(&held.fact(), 0.0);
         }
-        let before = s.views[to][w.of];
+        let before = s.views[to][report.of];
         if self.believes_the_last {
-            s.views[to][w.of] = w;
-        } else if let Merged::New(_) = table.merge(&w.fact(), 0.0) {
-            let held = table.get(w.fact().id()).expect("merged");
-            s.views[to][w.of] = Word::of_fact(&held.fact);
+            s.views[to][report.of] = report;
+        } else if let MergeOutcome::Updated(_) = table.merge(&report.fact(), 0.0) {
+            let member = table.get(report.fact().id()).expect("merged");
+            s.views[to][report.of] = Report::of_fact(&member.fact);
         }
-        let now = s.views[to][w.of];
-        if before.gone && !now.gone && now.incarnation <= before.incarnation {
+        let now = s.views[to][report.of];
+        if before.failed && !now.failed && now.incarnation <= before.incarnation {
             s.revived = true;
         }
-        // A front that hears of its own end answers with a higher incarnation.
-        if w.of == to && now.gone {
-            let answer = Word { of: to, incarnation: now.incarnation + 1, gone: false, by: 0 };
-            s.views[to][to] = answer;
-            s.said.push((answer, 1 << to));
+        // A front that learns of its own failure refutes it with a higher incarnation.
+        if report.of == to && now.failed {
+            let refutation = Report { of: to, incarnation: now.incarnation + 1, failed: false, by: 0 };
+            s.views[to][to] = refutation;
+            s.sent.push((refutation, 1 << to));
         }
     }
 }
@@ -105,13 +110,14 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<State> {
-        let all: Vec<Word> = (0..FRONTS).map(|of| Word { of, incarnation: 0, gone: false, by: 0 }).collect();
-        let said = all.iter().map(|w| (*w, 0b111)).collect();
+        let all: Vec<Report> =
+            (0..FRONTS).map(|of| Report { of, incarnation: 0, failed: false, by: 0 }).collect();
+        let sent = all.iter().map(|report| (*report, 0b111)).collect();
         vec![State {
             dead: vec![false; FRONTS],
             views: vec![all; FRONTS],
-            said,
-            words_of_ends: 0,
+            sent,
+            failure_reports: 0,
             revived: false,
         }]
     }
@@ -122,13 +128,13 @@
             out.extend((0..FRONTS).map(Act::Crash));
         }
         for by in (0..FRONTS).filter(live) {
-            for of in (0..FRONTS).filter(|of| *of != by && !s.views[by][*of].gone) {
-                if s.words_of_ends < self.ends {
-                    out.push(Act::End { by, of });
+            for of in (0..FRONTS).filter(|of| *of != by && !s.views[by][*of].failed) {
+                if s.failure_reports < self.max_failure_reports {
+                    out.push(Act::ReportFailure { by, of });
                 }
             }
-            // What came once may come again: a copy that is late must not undo what came after it.
-            out.extend((0..s.said.len()).map(|word| Act::Deliver { word, to: by }));
+            // A report may be duplicated: a late copy must not undo what came after it.
+            out.extend((0..s.sent.len()).map(|report| Act::Deliver { report, to: by }));
         }
     }
 
@@ -136,16 +142,16 @@
         let mut s = s.clone();
         match act {
             Act::Crash(i) => s.dead[i] = true,
-            Act::End { by, of } => {
-                let word = Word { gone: true, by, ..s.views[by][of] };
-                s.words_of_ends += 1;
-                s.said.push((word, 1 << by));
-                self.take(&mut s, by, word);
+            Act::ReportFailure { by, of } => {
+                let report = Report { failed: true, by, ..s.views[by][of] };
+                s.failure_reports += 1;
+                s.sent.push((report, 1 << by));
+                self.receive(&mut s, by, report);
             }
-            Act::Deliver { word, to } => {
+            Act::Deliver { report, to } => {
                 let before = s.clone();
-                s.said[word].1 |= 1 << to;
-                self.take(&mut s, to, before.said[word].0);
+                s.sent[report].1 |= 1 << to;
+                self.receive(&mut s, to, before.sent[report].0);
                 if s == before {
                     return None;
                 }
@@ -156,51 +162,52 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("fronts that heard the same hold the same", |_, s: &State| {
-                let heard = |i: usize| s.said.iter().map(|(_, to)| to & (1 << i) != 0).collect::<Vec<_>>();
-                (0..FRONTS).all(|a| (0..a).all(|b| heard(a) != heard(b) || s.views[a] == s.views[b]))
-            }),
-            Property::always("no end is undone but by the front's own higher word", |_, s: &State| {
-                !s.revived
+            Property::always("fronts that received the same hold the same", |_, s: &State| {
+                let received = |i: usize| s.sent.iter().map(|(_, to)| to & (1 << i) != 0).collect::<Vec<_>>();
+                (0..FRONTS).all(|a| (0..a).all(|b| received(a) != received(b) || s.views[a] == s.views[b]))
             }),
             Property::always(
-                "once all has come to all who live, they hold the same, and each other",
+                "no failure is undone but by the front's own higher incarnation",
+                |_, s: &State| !s.revived,
+            ),
+            Property::always(
+                "once all has reached all live fronts, they hold the same, and each other",
                 |_, s: &State| {
                     let live: Vec<usize> = (0..FRONTS).filter(|i| !s.dead[*i]).collect();
-                    let all = s.said.iter().all(|(_, to)| live.iter().all(|i| to & (1 << i) != 0));
+                    let all = s.sent.iter().all(|(_, to)| live.iter().all(|i| to & (1 << i) != 0));
                     !all || live.iter().all(|a| {
-                        s.views[*a] == s.views[live[0]] && live.iter().all(|b| !s.views[*a][*b].gone)
+                        s.views[*a] == s.views[live[0]] && live.iter().all(|b| !s.views[*a][*b].failed)
                     })
                 },
             ),
-            Property::sometimes("an end is undone by a higher word", |_, s: &State| {
-                s.views.iter().flatten().any(|w| w.incarnation > 0 && !w.gone)
+            Property::sometimes("a failure is undone by a higher incarnation", |_, s: &State| {
+                s.views.iter().flatten().any(|report| report.incarnation > 0 && !report.failed)
             }),
         ]
     }
 }
 
 #[test]
-fn every_order_within_the_bounds_holds() {
-    let done = Fleet { ends: 1, believes_the_last: false }
+fn every_order_within_the_bounds_keeps_the_properties() {
+    let done = Fleet { max_failure_reports: 1, believes_the_last: false }
         .checker()
         .threads(2)
-        .target_state_count(MOST_STATES)
+        .target_state_count(MAX_STATES)
         .spawn_bfs()
         .join();
     done.assert_properties();
     let states = done.unique_state_count();
-    assert!((100..MOST_STATES).contains(&states), "{states}: all of them were looked at");
+    assert!((100..MAX_STATES).contains(&states), "{states}: all of them were checked");
 }
 
 #[test]
-fn a_front_that_believes_the_last_word_is_caught() {
-    let done = Fleet { ends: 1, believes_the_last: true }
+fn a_front_that_believes_the_last_report_is_caught() {
+    let done = Fleet { max_failure_reports: 1, believes_the_last: true }
         .checker()
         .threads(2)
-        .target_state_count(MOST_STATES)
+        .target_state_count(MAX_STATES)
         .spawn_bfs()
         .join();
-    assert!(done.discovery("no end is undone but by the front's own higher word").is_some());
-    assert!(done.discovery("fronts that heard the same hold the same").is_some());
+    assert!(done.discovery("no failure is undone but by the front's own higher incarnation").is_some());
+    assert!(done.discovery("fronts that received the same hold the same").is_some());
 }
--- a/crates/view/tests/remembers.rs
+++ b/crates/view/tests/remembers.rs
@@ -1,7 +1,7 @@
-//! A front that comes back: what it remembers, whom it calls, and that it says `settled` of nothing before it was answered.
+//! A front that comes back: what it remembers, whom it polls, and that nothing is settled before it was answered.
 
 use fernslip_gossip::{Key, Keyring};
-use fernslip_view::{Action, Config, Event, Now, Stand, View};
+use fernslip_view::{Action, Config, Event, FrontState, Now, View};
 use std::net::SocketAddr;
 
 fn addr(n: u16) -> SocketAddr {
@@ -21,7 +21,7 @@
         ..Config::default()
     };
     let mut v = View::new(config, Keyring::new(Key::new(1, [7; 32])), u64::from(n) + 1, now(ms));
-    v.handle(now(ms), Event::Stands(Stand::Ready), &mut Vec::new());
+    v.handle(now(ms), Event::State(FrontState::Ready), &mut Vec::new());
     v
 }
 
@@ -31,15 +31,15 @@
     while ms < from_ms + for_ms {
         ms += 20.0;
         for i in 0..fronts.len() {
-            let mut todo = vec![(i, Event::Tick)];
-            while let Some((i, event)) = todo.pop() {
+            let mut pending = vec![(i, Event::Tick)];
+            while let Some((i, event)) = pending.pop() {
                 let mut actions = Vec::new();
                 fronts[i].handle(now(ms), event, &mut actions);
                 let from = fronts[i].own().addr;
                 for a in actions {
                     let Action::Send { to, bytes } = a else { continue };
                     let to = fronts.iter().position(|f| f.own().addr == to);
-                    todo.extend(to.map(|to| (to, Event::Datagram { from, bytes })));
+                    pending.extend(to.map(|to| (to, Event::Datagram { from, bytes })));
                 }
             }
         }
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_seed_that_comes_back_and_finds_nobody_is_not_settled() {
+fn a_seed_that_returns_and_reaches_nobody_is_not_settled() {
     // The other seed is gone, and all others are elsewhere.
     let mut alone = [front(0, 0, &[0, 1], &[], 0.0)];
     let ms = run(&mut alone, 0.0, 40_000.0);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn one_address_that_still_holds_brings_all_together() {
+fn one_remembered_address_that_is_still_valid_brings_all_together() {
     // Six were there; all but f5 come back at other addresses, the seeds among them.
     let names: Vec<(String, u16)> = (0..6).map(|n| (format!("f{n}"), n)).collect();
     let memory: Vec<(&str, u16)> = names.iter().map(|(n, a)| (n.as_str(), *a)).collect();
