--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -60,20 +60,20 @@
     // Installed before any file is read: the default action of either signal would end the process.
     let signals = match Signals::catch() {
         Ok(signals) => signals,
-        Err(why) => return fail(why),
+        Err(error) => return fail(error),
     };
     let start = match reload::read(options.config, options.site) {
         Ok(start) => start,
-        Err(why) => return fail(why),
+        Err(error) => return fail(error),
     };
     // The guard flushes buffered log lines when it is dropped, so it must live until the front has stopped.
     let _guard = match install(format, max_level) {
         Ok(guard) => guard,
-        Err(why) => return fail(why),
+        Err(error) => return fail(error),
     };
     match fernslip_front::start(start, signals) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => fail(why),
+        Err(error) => fail(error),
     }
 }
 
@@ -87,7 +87,7 @@
                 ShowFormat::Json => site.to_json() + "\n",
             })
         }
-        Err(why) => fail(why),
+        Err(error) => fail(error),
     }
 }
 
@@ -102,7 +102,7 @@
 fn gossip_status(socket: &Path) -> ExitCode {
     match read_gossip_status(socket) {
         Ok(text) => print(&text),
-        Err(why) => fail(format!("{}: {why}", socket.display())),
+        Err(error) => fail(format!("{}: {error}", socket.display())),
     }
 }
 
@@ -134,7 +134,7 @@
             let accepted: Vec<String> = ring.accepts().iter().map(u8::to_string).collect();
             print(&format!("signs {}, accepts {}\n", ring.signs(), accepted.join(" and ")))
         }
-        Err(why) => fail(format!("{}: {why}", file.display())),
+        Err(error) => fail(format!("{}: {error}", file.display())),
     }
 }
 
@@ -151,8 +151,8 @@
     for file in files {
         match read(file) {
             Ok(read) => report_checked(file, &read),
-            Err(why) => {
-                eprintln!("{why}");
+            Err(error) => {
+                eprintln!("{error}");
                 code = ExitCode::FAILURE;
             }
         }
@@ -189,20 +189,20 @@
     };
     let Imported { site, report } = match imported {
         Ok(imported) => imported,
-        Err(why) => return fail(why),
+        Err(error) => return fail(error),
     };
     let text = site.to_kdl();
     // Parsed back before it is written: a document that can't be read would otherwise be noticed only by the operators.
-    if let Err(why) = Site::parse("the imported document", &text) {
-        return fail(format!("this is a mistake of the importer, please report it: {why}"));
+    if let Err(error) = Site::parse("the imported document", &text) {
+        return fail(format!("this is a mistake of the importer, please report it: {error}"));
     }
     let json = report.to_json();
     let files: Vec<(&Path, &str)> = [(&out.output, &text), (&out.report, &json)]
         .into_iter()
         .filter_map(|(path, text)| Some((path.as_deref()?, text.as_str())))
         .collect();
-    if let Err(why) = write_all(&files) {
-        return fail(why);
+    if let Err(error) = write_all(&files) {
+        return fail(error);
     }
     if !out.quiet {
         eprint!("{}", report.to_table());
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -32,7 +32,7 @@
     let text = call(socket, command).map_err(|e| format!("{}: {e}", socket.display()))?;
     let v: Value = serde_json::from_str(&text).map_err(|e| format!("{}: {e}", socket.display()))?;
     match v["error"].as_str() {
-        Some(why) => Err(format!("{}: {why}", socket.display())),
+        Some(error) => Err(format!("{}: {error}", socket.display())),
         None => Ok(v),
     }
 }
@@ -48,16 +48,16 @@
                     false => ExitCode::from(EXIT_UNSETTLED),
                 }
             }
-            Err(why) => fail(why),
+            Err(error) => fail(error),
         },
         FleetCommand::Watch { socket, json } => watch(socket, *json),
         FleetCommand::Explain { socket, name, json } => match query(socket, &format!("explain {name}")) {
             Ok(v) => print(&if *json { format!("{v}\n") } else { render_explanation(&v) }),
-            Err(why) => fail(why),
+            Err(error) => fail(error),
         },
         FleetCommand::Metrics { socket } => match call(socket, "metrics") {
             Ok(text) => print(&text),
-            Err(why) => fail(format!("{}: {why}", socket.display())),
+            Err(error) => fail(format!("{}: {error}", socket.display())),
         },
     }
 }
@@ -68,7 +68,7 @@
     loop {
         let v = match query(socket, "members") {
             Ok(v) => v,
-            Err(why) => return fail(why),
+            Err(error) => return fail(error),
         };
         let states: Vec<String> =
             v["members"].as_array().into_iter().flatten().map(|m| m["state"].to_string()).collect();
@@ -95,7 +95,7 @@
     v.as_array().into_iter().flatten().map(scalar).collect::<Vec<_>>().join(", ")
 }
 
-/// A duration of so many milliseconds, in the unit that suits it.
+/// A duration given in milliseconds, in the unit that suits its size.
 fn duration(v: &Value) -> String {
     match v.as_u64().unwrap_or(0) {
         ms if ms < 10_000 => format!("{:.1} s", ms as f64 / 1000.0),
@@ -128,12 +128,12 @@
         }
         false => {
             let missing = list(&v["missing"]);
-            let why = if missing.is_empty() {
+            let reason = if missing.is_empty() {
                 "in doubt".into()
             } else {
                 format!("not heard to hold it: {missing}")
             };
-            let _ = writeln!(out, "not settled; {why}");
+            let _ = writeln!(out, "not settled; {reason}");
         }
     }
     if let Some(other) = v["other_process"].as_str() {
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -5,8 +5,8 @@
 use std::process::ExitCode;
 
 /// Reports a failure on standard error; the exit code to return with.
-pub fn fail(why: impl Display) -> ExitCode {
-    eprintln!("fernslip: {why}");
+pub fn fail(error: impl Display) -> ExitCode {
+    eprintln!("fernslip: {error}");
     ExitCode::FAILURE
 }
 
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -98,7 +98,7 @@
     let p = run(&s, &options(5, 5));
     assert_eq!(p.breaches.len(), 1);
     let b = &p.breaches[0];
-    assert!(b.what.contains("Known") && b.evidence.iter().any(|t| t.contains("digest")), "{b:?}");
+    assert!(b.description.contains("Known") && b.evidence.iter().any(|t| t.contains("digest")), "{b:?}");
 }
 
 fn of_folder(dir: &Path) -> Vec<u32> {
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -1,6 +1,7 @@
 //! A short soak with few fronts, so that the rig's own keeps working; `fernslip-rig soak` plays dozens of fronts and many seeds.
 
-use fernslip_rig::soak::run::{run_soak, Options};
+use fernslip_rig::soak::options::Options;
+use fernslip_rig::soak::run::run_soak;
 use std::time::Duration;
 
 fn soak(seed: u64, without_faults: bool) {
--- a/crates/rig/src/args.rs
+++ b/crates/rig/src/args.rs
@@ -104,8 +104,8 @@
     #[arg(long, default_value_t = 15.0)]
     pub load: f64,
     /// No trouble at all.
-    #[arg(long)]
-    pub calm: bool,
+    #[arg(long = "calm")]
+    pub without_faults: bool,
     /// A folder for the fronts' logs.
     #[arg(long)]
     pub logs: Option<PathBuf>,
@@ -124,8 +124,8 @@
     #[arg(long)]
     pub program: Option<PathBuf>,
     /// Stand-in boxes, the origin among them.
-    #[arg(long, default_value_t = 4)]
-    pub boxes: usize,
+    #[arg(long = "boxes", value_name = "BOXES", default_value_t = 4)]
+    pub cache_nodes: usize,
     /// Fronts keep no view: for comparing cost.
     #[arg(long)]
     pub without_view: bool,
--- a/crates/rig/src/fronts.rs
+++ b/crates/rig/src/fronts.rs
@@ -1,7 +1,9 @@
 //! The front processes: started with site documents of their own, stopped, killed, queried, and their logs read.
 
+mod site_document;
+
 use crate::addresses::LoopbackAddresses;
-use crate::cache_nodes::{CacheNodes, WRITE_CLASS};
+use crate::cache_nodes::CacheNodes;
 use crate::links::Links;
 use crate::programs::{Build, Programs};
 use crate::sync::lock;
@@ -27,7 +29,7 @@
 /// A front that was stopped for no longer than this must not be taken for gone.
 const MAX_TOLERATED_STOP: Duration = Duration::from_millis(1_300);
 /// A report that a front is gone may still spread for so long after the front is back.
-const GONE_REPORT_SPREAD: Duration = Duration::from_secs(8);
+const FAILURE_REPORT_SPREAD: Duration = Duration::from_secs(8);
 
 /// The state of a front's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -68,7 +70,7 @@
 
 /// A front's log line that another front is gone.
 #[derive(Clone, Debug)]
-pub struct GoneReport {
+pub struct FailureReport {
     /// The front that is reported gone.
     pub subject: String,
     /// The front that logged it.
@@ -102,7 +104,7 @@
     key_file: PathBuf,
     started: Instant,
     /// Reports that were not looked at yet.
-    gone_reports: Arc<Mutex<Vec<GoneReport>>>,
+    failure_reports: Arc<Mutex<Vec<FailureReport>>>,
     with_view: bool,
 }
 
@@ -130,7 +132,7 @@
             programs,
             key_file,
             started: Instant::now(),
-            gone_reports: Arc::default(),
+            failure_reports: Arc::default(),
             with_view,
         })
     }
@@ -149,50 +151,6 @@
         self.dir.join(format!("{endpoint}.sock"))
     }
 
-    /// The site document of a front: three zones, two classes, its cache nodes and, where it keeps one, its view.
-    fn site_document(&self, name: &str, endpoint: usize, with_store: bool) -> String {
-        let mut text = format!(
-            "site \"rig\" members-from=\"file\"\nfront {name:?} listen=\"{}\" zone=\"z{}\"\n",
-            self.addresses.client_listen(endpoint),
-            endpoint % 3
-        );
-        for zone in 0..3 {
-            text += &format!("zone \"z{zone}\"\n");
-        }
-        text += "class \"docs\" aim-ms=600 deadline-ms=5000\n";
-        text += &format!(
-            "class {WRITE_CLASS:?} aim-ms=600 deadline-ms=5000 effect=\"at-most-once\" write=#true\n"
-        );
-        for node in 0..self.cache_nodes.count {
-            let kind = if node + 1 == self.cache_nodes.count { " kind=\"origin\"" } else { "" };
-            text += &format!(
-                "member \"box-{node}\" address=\"{}\" zone=\"z{}\"{kind}\n",
-                self.addresses.cache_node(endpoint, node),
-                node % 3
-            );
-        }
-        if self.with_view {
-            text += &self.view_document(name, endpoint, with_store);
-        }
-        text
-    }
-
-    /// The `view` node of a site document.
-    fn view_document(&self, name: &str, endpoint: usize, with_store: bool) -> String {
-        let key_file = self.key_file.display().to_string();
-        let control = self.control_socket(endpoint).display().to_string();
-        let listen = self.addresses.gossip_listen(endpoint);
-        let advertised = self.addresses.gossip_advertised(endpoint);
-        let store = self.dir.join(format!("{name}.store")).display().to_string();
-        let store = if with_store { format!(" store={store:?}") } else { String::new() };
-        format!(
-            "view listen=\"{listen}\" advertise=\"{advertised}\" key-file={key_file:?} control={control:?}{store} {{\n    \
-             seed \"{}\" \"{}\"\n}}\n",
-            self.addresses.gossip_advertised(0),
-            self.addresses.gossip_advertised(1)
-        )
-    }
-
     /// Starts one more front; its index.
     ///
     /// # Errors
@@ -245,13 +203,13 @@
 
     /// Reads a front's log until its process ends, and collects its reports that others are gone.
     fn follow_log(&self, i: usize, stderr: ChildStderr) {
-        let (log, reports, started) = (self.all[i].log.clone(), self.gone_reports.clone(), self.started);
+        let (log, reports, started) = (self.all[i].log.clone(), self.failure_reports.clone(), self.started);
         let reporter = self.all[i].name.clone();
         tokio::spawn(async move {
             let mut lines = BufReader::new(stderr).lines();
             while let Ok(Some(text)) = lines.next_line().await {
-                if let Some(subject) = gone_subject(&text) {
-                    let report = GoneReport { subject, reporter: reporter.clone(), at: Instant::now() };
+                if let Some(subject) = reported_failure(&text) {
+                    let report = FailureReport { subject, reporter: reporter.clone(), at: Instant::now() };
                     lock(&reports).push(report);
                 }
                 let mut log = lock(&log);
@@ -358,14 +316,14 @@
     /// Takes the reports since the last call, and returns those that nothing explains: the front ran, had not been stopped
     /// for long, and was reachable for the reporter. `is_cut(reporter, subject)` tells, for two endpoints, whether their
     /// links were cut now or within the last seconds.
-    pub fn take_false_gone_reports(&self, is_cut: impl Fn(usize, usize) -> bool) -> Vec<GoneReport> {
-        let reports = std::mem::take(&mut *lock(&self.gone_reports));
-        let is_false = |report: &GoneReport| {
+    pub fn take_false_positives(&self, is_cut: impl Fn(usize, usize) -> bool) -> Vec<FailureReport> {
+        let reports = std::mem::take(&mut *lock(&self.failure_reports));
+        let is_false = |report: &FailureReport| {
             let Some(subject) = self.all.iter().find(|f| f.name == report.subject) else { return false };
             let Some(reporter) = self.all.iter().find(|f| f.name == report.reporter) else { return false };
             let was_unreachable = |front: &Front| {
                 let since = |at| report.at.saturating_duration_since(at);
-                front.last_unreachable.is_some_and(|at| since(at) < GONE_REPORT_SPREAD)
+                front.last_unreachable.is_some_and(|at| since(at) < FAILURE_REPORT_SPREAD)
             };
             let stopped_long = subject
                 .stopped_at
@@ -403,7 +361,7 @@
 }
 
 /// The front that a log line reports gone, if it is such a line.
-fn gone_subject(line: &str) -> Option<String> {
+fn reported_failure(line: &str) -> Option<String> {
     if !line.contains("\"gone\"") {
         return None;
     }
--- /dev/null
+++ b/crates/rig/src/fronts/site_document.rs
@@ -0,0 +1,50 @@
+//! The site document that a front is started with.
+
+use super::Fronts;
+use crate::cache_nodes::WRITE_CLASS;
+
+impl Fronts {
+    /// The site document of a front: three zones, two classes, its cache nodes and, where it keeps one, its view.
+    pub(super) fn site_document(&self, name: &str, endpoint: usize, with_store: bool) -> String {
+        let mut text = format!(
+            "site \"rig\" members-from=\"file\"\nfront {name:?} listen=\"{}\" zone=\"z{}\"\n",
+            self.addresses.client_listen(endpoint),
+            endpoint % 3
+        );
+        for zone in 0..3 {
+            text += &format!("zone \"z{zone}\"\n");
+        }
+        text += "class \"docs\" aim-ms=600 deadline-ms=5000\n";
+        text += &format!(
+            "class {WRITE_CLASS:?} aim-ms=600 deadline-ms=5000 effect=\"at-most-once\" write=#true\n"
+        );
+        for node in 0..self.cache_nodes.count {
+            let kind = if node + 1 == self.cache_nodes.count { " kind=\"origin\"" } else { "" };
+            text += &format!(
+                "member \"box-{node}\" address=\"{}\" zone=\"z{}\"{kind}\n",
+                self.addresses.cache_node(endpoint, node),
+                node % 3
+            );
+        }
+        if self.with_view {
+            text += &self.view_document(name, endpoint, with_store);
+        }
+        text
+    }
+
+    /// The `view` node of a site document.
+    fn view_document(&self, name: &str, endpoint: usize, with_store: bool) -> String {
+        let key_file = self.key_file.display().to_string();
+        let control = self.control_socket(endpoint).display().to_string();
+        let listen = self.addresses.gossip_listen(endpoint);
+        let advertised = self.addresses.gossip_advertised(endpoint);
+        let store = self.dir.join(format!("{name}.store")).display().to_string();
+        let store = if with_store { format!(" store={store:?}") } else { String::new() };
+        format!(
+            "view listen=\"{listen}\" advertise=\"{advertised}\" key-file={key_file:?} control={control:?}{store} {{\n    \
+             seed \"{}\" \"{}\"\n}}\n",
+            self.addresses.gossip_advertised(0),
+            self.addresses.gossip_advertised(1)
+        )
+    }
+}
--- a/crates/rig/src/links.rs
+++ b/crates/rig/src/links.rs
@@ -13,7 +13,7 @@
 
 /// Datagrams that are recorded for replay.
 const MAX_RECORDED: usize = 4096;
-/// Once as many are recorded, one datagram in so many replaces a recorded one.
+/// Once that number is recorded, one datagram in this number replaces a recorded one.
 const RECORD_EVERY: u64 = 16;
 /// A reordered datagram is delayed by up to this, in milliseconds.
 const MAX_REORDERING_MS: f64 = 250.0;
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -7,7 +7,8 @@
 use fernslip_rig::programs::Programs;
 use fernslip_rig::run::{run_scenario, Options, RunReport};
 use fernslip_rig::scenario::Scenario;
-use fernslip_rig::soak::run::{run_soak as run_soak_seed, Options as SoakOptions};
+use fernslip_rig::soak::options::Options as SoakOptions;
+use fernslip_rig::soak::run::run_soak as run_soak_seed;
 use fernslip_rig::{chart, pairs, suite};
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
@@ -52,7 +53,7 @@
             fronts,
             seed,
             tmp: std::env::temp_dir(),
-            cache_nodes: self.boxes.max(MIN_CACHE_NODES),
+            cache_nodes: self.cache_nodes.max(MIN_CACHE_NODES),
             with_view: !self.without_view,
         })
     }
@@ -72,15 +73,15 @@
         report.seed,
         report.start_ms,
         awaited.join(", "),
-        report.false_gone.len(),
+        report.false_positives.len(),
         report.stale_members,
         report.rule_violations
     );
-    for gone in report.false_gone.iter().take(5) {
-        eprintln!("  {} was found gone by {}, and ran", gone.subject, gone.reporter);
+    for false_positive in report.false_positives.iter().take(5) {
+        eprintln!("  {} was found gone by {}, and ran", false_positive.subject, false_positive.reporter);
     }
     for breach in &report.breaches {
-        eprintln!("  BREACH at {:.0} ms, seed {}: {}", breach.at_ms, report.seed, breach.what);
+        eprintln!("  BREACH at {:.0} ms, seed {}: {}", breach.at_ms, report.seed, breach.description);
         breach.evidence.iter().for_each(|line| eprintln!("    {line}"));
     }
 }
@@ -182,7 +183,7 @@
             fault_period: Duration::from_secs(args.seconds),
             requests_per_second: args.load,
             logs: args.logs.clone(),
-            without_faults: args.calm,
+            without_faults: args.without_faults,
         };
         let report = run_soak_seed(&options).await.map_err(|e| e.to_string())?;
         eprintln!(
@@ -227,8 +228,8 @@
     match result {
         Ok(Verdict::Holds) => ExitCode::SUCCESS,
         Ok(Verdict::Breached) => ExitCode::from(EXIT_BREACH),
-        Err(why) => {
-            eprintln!("fernslip-rig: {why}");
+        Err(error) => {
+            eprintln!("fernslip-rig: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/rig/src/pairs.rs
+++ b/crates/rig/src/pairs.rs
@@ -35,12 +35,12 @@
     pub program: Program,
 }
 
-/// Runs a command to its end; its standard output, or its standard error as the error after `what`.
-fn run_command(command: &mut Command, what: &str) -> Result<String, String> {
-    let output = command.stdin(Stdio::null()).output().map_err(|e| format!("{what}: {e}"))?;
+/// Runs a command to its end; its standard output, or its standard error as the error after `context`.
+fn run_command(command: &mut Command, context: &str) -> Result<String, String> {
+    let output = command.stdin(Stdio::null()).output().map_err(|e| format!("{context}: {e}"))?;
     match output.status.success() {
         true => Ok(String::from_utf8_lossy(&output.stdout).trim().to_string()),
-        false => Err(format!("{what}: {}", String::from_utf8_lossy(&output.stderr).trim())),
+        false => Err(format!("{context}: {}", String::from_utf8_lossy(&output.stderr).trim())),
     }
 }
 
--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -169,7 +169,7 @@
     }
 
     /// Records a breach, with the reports and log lines of the front concerned and of the first one that runs.
-    async fn breach(&mut self, what: String, front: Option<usize>) {
+    async fn breach(&mut self, description: String, front: Option<usize>) {
         let at_ms = self.elapsed_ms();
         let mut evidence = Vec::new();
         let first_running = self.fronts.in_state(ProcessState::Running).first().copied();
@@ -179,13 +179,13 @@
             }
             evidence.extend(self.fronts.last_log_lines(i, 12));
         }
-        self.report.breaches.push(Breach { what, at_ms, evidence });
+        self.report.breaches.push(Breach { description, at_ms, evidence });
     }
 
     /// Ends the load and makes the checks that concern the whole run.
     async fn finish(&mut self) {
         self.load.stop();
-        self.collect_false_gone_reports();
+        self.collect_false_positives();
         if self.options.with_view && self.report.breaches.is_empty() {
             self.count_stale_members().await;
         }
@@ -196,8 +196,8 @@
         self.report.rule_violations = violations.count;
         if violations.count > 0 {
             let at_ms = self.elapsed_ms();
-            let what = "rules broken at the boxes".into();
-            self.report.breaches.push(Breach { what, at_ms, evidence: violations.texts });
+            let description = "rules broken at the boxes".into();
+            self.report.breaches.push(Breach { description, at_ms, evidence: violations.texts });
         }
     }
 
@@ -208,9 +208,9 @@
         self.report.load = outcomes.to_json();
         let not_served = outcomes.errors + outcomes.unanswered + outcomes.unexpected;
         if self.scenario.serves_all && not_served > 0 {
-            let what =
+            let description =
                 format!("{not_served} requests were not served, though only links between fronts were bad");
-            self.breach(what, None).await;
+            self.breach(description, None).await;
         }
         if outcomes.served == 0 {
             self.breach("no request was served: the load is no load".into(), None).await;
--- a/crates/rig/src/run/observe.rs
+++ b/crates/rig/src/run/observe.rs
@@ -112,7 +112,7 @@
     }
 
     /// Collects reports of live fronts that are gone, unless a fault explains them.
-    pub(super) fn collect_false_gone_reports(&mut self) {
+    pub(super) fn collect_false_positives(&mut self) {
         self.past_faults.retain(|past| past.until.elapsed() < CUT_REPORT_SPREAD);
         let current = self.fronts.links.faults();
         let is_cut = |reporter: usize, subject: usize| {
@@ -123,8 +123,8 @@
             };
             cuts(&current) || self.past_faults.iter().any(|past| cuts(&past.faults))
         };
-        let reports = self.fronts.take_false_gone_reports(is_cut);
-        self.report.false_gone.extend(reports);
+        let reports = self.fronts.take_false_positives(is_cut);
+        self.report.false_positives.extend(reports);
     }
 
     /// Measures bytes, CPU and memory of each front while nothing happens and nobody polls.
--- a/crates/rig/src/run/report.rs
+++ b/crates/rig/src/run/report.rs
@@ -1,6 +1,6 @@
 //! The result of a run.
 
-use crate::fronts::GoneReport;
+use crate::fronts::FailureReport;
 use crate::scenario::Goal;
 use serde_json::{json, Value};
 
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub struct Breach {
     /// What.
-    pub what: String,
+    pub description: String,
     /// Milliseconds since the run began.
     pub at_ms: f64,
     /// Reports and log lines of the fronts concerned.
@@ -62,7 +62,7 @@
     /// How long each awaited goal took.
     pub awaited: Vec<Awaited>,
     /// Reports that a live front is gone, without a fault that explains them.
-    pub false_gone: Vec<GoneReport>,
+    pub false_positives: Vec<FailureReport>,
     /// Ended fronts that a front still counts on at the end.
     pub stale_members: usize,
     /// Gossip bytes a second in steady state.
@@ -87,7 +87,7 @@
     /// Whether everything held.
     pub fn holds(&self) -> bool {
         self.breaches.is_empty()
-            && self.false_gone.is_empty()
+            && self.false_positives.is_empty()
             && self.stale_members == 0
             && self.rule_violations == 0
     }
@@ -96,12 +96,13 @@
     pub fn to_json(&self) -> Value {
         let awaited =
             |a: &Awaited| json!({ "goal": format!("{:?}", a.goal).to_lowercase(), "ms": a.ms.round() });
-        let breach = |b: &Breach| json!({ "what": b.what, "at_ms": b.at_ms.round(), "told": b.evidence });
-        let false_gone = |r: &GoneReport| format!("{} by {}", r.subject, r.reporter);
+        let breach =
+            |b: &Breach| json!({ "what": b.description, "at_ms": b.at_ms.round(), "told": b.evidence });
+        let false_positive = |r: &FailureReport| format!("{} by {}", r.subject, r.reporter);
         json!({
             "scenario": self.name, "fronts": self.fronts, "seed": self.seed, "start_ms": self.start_ms.round(),
             "awaited": self.awaited.iter().map(awaited).collect::<Vec<_>>(),
-            "false_gone": self.false_gone.iter().map(false_gone).collect::<Vec<_>>(),
+            "false_gone": self.false_positives.iter().map(false_positive).collect::<Vec<_>>(),
             "stale_members": self.stale_members,
             "bytes_per_s": median_and_max(&self.bytes_per_s),
             "cpu": median_and_max(&self.cpu),
--- a/crates/rig/src/run/steps.rs
+++ b/crates/rig/src/run/steps.rs
@@ -30,7 +30,7 @@
                     }
                 }
             }
-            self.collect_false_gone_reports();
+            self.collect_false_positives();
         }
         Ok(())
     }
--- a/crates/rig/src/scenario.rs
+++ b/crates/rig/src/scenario.rs
@@ -177,15 +177,5 @@
     pub message: String,
 }
 
-impl Scenario {
-    /// Parses a document; `file` is its name in errors.
-    ///
-    /// # Errors
-    /// The first mistake, with its location.
-    pub fn parse(file: &str, text: &str) -> Result<Scenario, ScenarioError> {
-        parse::parse(file, text)
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/rig/src/scenario/parse.rs
+++ b/crates/rig/src/scenario/parse.rs
@@ -5,31 +5,36 @@
 use kdl::{KdlDocument, KdlNode, KdlValue};
 use std::time::Duration;
 
-/// Parses a document; `file` is its name in errors.
-pub(super) fn parse(file: &str, text: &str) -> Result<Scenario, ScenarioError> {
-    let document = Document { file, text };
-    let kdl: KdlDocument = text.parse().map_err(|e: kdl::KdlError| {
-        let first = e.diagnostics.first();
-        let message = first.and_then(|p| p.message.clone()).unwrap_or_else(|| "no KDL".into());
-        document.error(first.map_or(0, |p| p.span.offset()), message)
-    })?;
-    let [node] = kdl.nodes() else {
-        return Err(document.error(0, "a document holds one `scenario`"));
-    };
-    if node.name().value() != "scenario" {
-        return Err(document.error_at(node, "a document holds one `scenario`"));
+impl Scenario {
+    /// Parses a document; `file` is its name in errors.
+    ///
+    /// # Errors
+    /// The first mistake, with its location.
+    pub fn parse(file: &str, text: &str) -> Result<Scenario, ScenarioError> {
+        let document = Document { file, text };
+        let kdl: KdlDocument = text.parse().map_err(|e: kdl::KdlError| {
+            let first = e.diagnostics.first();
+            let message = first.and_then(|p| p.message.clone()).unwrap_or_else(|| "no KDL".into());
+            document.error(first.map_or(0, |p| p.span.offset()), message)
+        })?;
+        let [node] = kdl.nodes() else {
+            return Err(document.error(0, "a document holds one `scenario`"));
+        };
+        if node.name().value() != "scenario" {
+            return Err(document.error_at(node, "a document holds one `scenario`"));
+        }
+        document.check_entries(node, &["fronts", "load", "serves-all"], 1)?;
+        let name = node.get(0).and_then(|v| v.as_string());
+        let name = name.ok_or_else(|| document.error_at(node, "`scenario` needs a name"))?;
+        let steps = node.children().ok_or_else(|| document.error_at(node, "`scenario` needs steps"))?;
+        Ok(Scenario {
+            name: name.into(),
+            fronts: document.number(node, "fronts", 2.0, 5_000.0)?.map_or(9, |n| n as usize),
+            load: document.number(node, "load", 0.0, 1e6)?.unwrap_or(0.0),
+            serves_all: node.get("serves-all").is_none_or(|v| v != &KdlValue::Bool(false)),
+            steps: document.steps(steps)?,
+        })
     }
-    document.check_entries(node, &["fronts", "load", "serves-all"], 1)?;
-    let name = node.get(0).and_then(|v| v.as_string());
-    let name = name.ok_or_else(|| document.error_at(node, "`scenario` needs a name"))?;
-    let steps = node.children().ok_or_else(|| document.error_at(node, "`scenario` needs steps"))?;
-    Ok(Scenario {
-        name: name.into(),
-        fronts: document.number(node, "fronts", 2.0, 5_000.0)?.map_or(9, |n| n as usize),
-        load: document.number(node, "load", 0.0, 1e6)?.unwrap_or(0.0),
-        serves_all: node.get("serves-all").is_none_or(|v| v != &KdlValue::Bool(false)),
-        steps: document.steps(steps)?,
-    })
 }
 
 /// A document that is being parsed.
--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -2,7 +2,7 @@
 //! seed. What happens is checked against the rules from outside, at clients, cache nodes and the discovery bus, and from
 //! inside by the violations that the fronts count themselves.
 //!
-//! - [`run`]: one seed from beginning to end.
+//! - [`run`]: one seed from beginning to end; [`options`]: its options.
 //! - [`plan`]: which fault is injected when, by the seed; `inject`: injects it.
 //! - [`environment`]: the fronts and the stand-ins around them.
 //! - [`bus`], [`nodes`], [`clients`], [`faulty_clients`], [`peers`]: the stand-ins.
@@ -18,6 +18,7 @@
 pub mod faulty_clients;
 mod inject;
 pub mod nodes;
+pub mod options;
 pub mod peers;
 pub mod plan;
 pub mod process;
--- a/crates/rig/src/soak/checker.rs
+++ b/crates/rig/src/soak/checker.rs
@@ -5,8 +5,6 @@
 
 mod attempts;
 
-pub use attempts::Attempt;
-
 use crate::sync::lock;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -75,6 +73,17 @@
     pub patience: Duration,
 }
 
+/// An attempt of a request at a node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Attempt {
+    /// The node.
+    pub node: usize,
+    /// The connection, unique among those of all nodes.
+    pub connection: u64,
+    /// The request's trace.
+    pub trace: u64,
+}
+
 /// What is known of a request.
 struct RequestState {
     request: ClientRequest,
@@ -160,19 +169,19 @@
     }
 
     /// Records that a rule was broken, and what was seen.
-    pub fn breach(&self, rule: Rule, what: String) {
+    pub fn breach(&self, rule: Rule, text: String) {
         let at = self.started.elapsed().as_millis();
         let mut observed = lock(&self.observed);
         let verdict = &mut observed.verdict;
         *verdict.breaches.entry(rule).or_default() += 1;
         if verdict.texts.len() < MAX_BREACH_TEXTS {
-            verdict.texts.push(format!("{at} ms {rule:?}: {what}"));
+            verdict.texts.push(format!("{at} ms {rule:?}: {text}"));
         }
     }
 
     /// Counts something that is no breach.
-    pub fn count(&self, what: &'static str) {
-        *lock(&self.observed).verdict.counts.entry(what).or_default() += 1;
+    pub fn count(&self, name: &'static str) {
+        *lock(&self.observed).verdict.counts.entry(name).or_default() += 1;
     }
 
     /// What the run came to so far.
@@ -209,22 +218,22 @@
 
     /// A final answer was received.
     pub fn request_answered(&self, trace: u64) {
-        let (late, request) = {
+        let (lateness, request) = {
             let mut observed = lock(&self.observed);
             let Some(state) = observed.requests.get_mut(&trace) else { return };
             state.ended_at = Some(Instant::now());
             let request = &state.request;
             (request.sent_at.elapsed().saturating_sub(request.patience), request.clone())
         };
-        if late > ANSWER_LATENESS + self.slack() {
-            let text = format!("{trace:016x} answered {late:?} after its time, {request:?}");
+        if lateness > ANSWER_LATENESS + self.slack() {
+            let text = format!("{trace:016x} answered {lateness:?} after its time, {request:?}");
             self.breach(Rule::Lost, text);
         }
     }
 
     /// The connection ended without an answer, or none came. With an `excuse` that does not count against the front, but
     /// under that name.
-    pub fn request_unanswered(&self, trace: u64, excuse: Option<&'static str>, why: &str) {
+    pub fn request_unanswered(&self, trace: u64, excuse: Option<&'static str>, reason: &str) {
         let request = {
             let mut observed = lock(&self.observed);
             let Some(state) = observed.requests.get_mut(&trace) else { return };
@@ -236,7 +245,7 @@
             Some(name) => self.count(name),
             None => {
                 let elapsed = request.sent_at.elapsed();
-                let text = format!("{trace:016x} {why}, {elapsed:?} after it was asked, {request:?}");
+                let text = format!("{trace:016x} {reason}, {elapsed:?} after it was asked, {request:?}");
                 self.breach(Rule::Lost, text);
             }
         }
--- a/crates/rig/src/soak/checker/attempts.rs
+++ b/crates/rig/src/soak/checker/attempts.rs
@@ -1,6 +1,8 @@
-//! The rules about attempts at nodes: who may be tried, for whom, for how long, and how many at once.
+//! The rules about attempts at nodes: which node may receive one, for which client, with what time limit, and how many at once.
 
-use super::{ClientRequest, Effect, Graces, Observed, Purge, Rule, RuleChecker, ASSUMED_KNOWN_AFTER};
+use super::{
+    Attempt, ClientRequest, Effect, Graces, Observed, Purge, Rule, RuleChecker, ASSUMED_KNOWN_AFTER,
+};
 use crate::sync::lock;
 use std::time::{Duration, Instant};
 
@@ -11,17 +13,6 @@
 /// An attempt is compared with the one before after this time, since their connections are read in any order.
 const CONCURRENCY_CHECK_DELAY: Duration = Duration::from_millis(50);
 
-/// An attempt of a request at a node.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Attempt {
-    /// The node.
-    pub node: usize,
-    /// The connection, unique among those of all nodes.
-    pub connection: u64,
-    /// The request's trace.
-    pub trace: u64,
-}
-
 /// A rule that an attempt breaks.
 struct Finding {
     rule: Rule,
@@ -49,13 +40,13 @@
 
     /// The time since then, if it is more than the limit and the slack.
     fn overdue(&self, since: Instant, limit: Duration) -> Option<Duration> {
-        let late = self.now.saturating_duration_since(since);
-        (late > limit + self.slack).then_some(late)
+        let lateness = self.now.saturating_duration_since(since);
+        (lateness > limit + self.slack).then_some(lateness)
     }
 
     fn check_abandoned(&self, abandoned_at: Instant) -> Option<Finding> {
-        let late = self.overdue(abandoned_at, ABANDONED_GRACE)?;
-        Some(Finding { rule: Rule::Nobody, text: format!("{late:?} after its client had left") })
+        let lateness = self.overdue(abandoned_at, ABANDONED_GRACE)?;
+        Some(Finding { rule: Rule::Nobody, text: format!("{lateness:?} after its client had left") })
     }
 
     fn check_limit(&self) -> Option<Finding> {
@@ -67,8 +58,8 @@
     }
 
     fn check_out_of_service(&self, since: Instant, grace: Duration) -> Option<Finding> {
-        let late = self.overdue(since, grace)?;
-        Some(Finding { rule: Rule::Drain, text: format!("{late:?} after the front was told") })
+        let lateness = self.overdue(since, grace)?;
+        Some(Finding { rule: Rule::Drain, text: format!("{lateness:?} after the front was told") })
     }
 
     fn check_purge(&self, purge: Purge, graces: Graces) -> Option<Finding> {
--- a/crates/rig/src/soak/clients.rs
+++ b/crates/rig/src/soak/clients.rs
@@ -105,7 +105,7 @@
         self.stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Keeps so many connections to a front in use, with `requests_per_second` on all of them together.
+    /// Keeps `connections` connections to a front in use, with `requests_per_second` on all of them together.
     pub fn add(
         self: &Arc<Clients>,
         front: usize,
@@ -272,10 +272,10 @@
         let unanswered: Vec<PendingCall> = lock(&pending).drain().map(|(_, call)| call).collect();
         let crossing = closed_by_front
             && unanswered.iter().all(|call| ended.saturating_duration_since(call.sent_at) < CROSSING);
-        let why = if closed_by_front { "connection closed without its answer" } else { "no answer" };
+        let reason = if closed_by_front { "connection closed without its answer" } else { "no answer" };
         for call in unanswered {
             let excuse = availability.excuse(generation, call.sent_at).or(crossing.then_some("crossings"));
-            clients.checker.request_unanswered(call.trace, excuse, why);
+            clients.checker.request_unanswered(call.trace, excuse, reason);
         }
     }
 }
--- a/crates/rig/src/soak/environment.rs
+++ b/crates/rig/src/soak/environment.rs
@@ -4,9 +4,9 @@
 use super::checker::{Effect, RuleChecker};
 use super::clients::{Class, Clients};
 use super::nodes::{Node, NodeRole};
+use super::options::Options;
 use super::peers::start_relay;
 use super::process::{Process, ProcessSettings};
-use super::run::Options;
 use super::seeded_rng::SeededRng;
 use crate::addresses::LoopbackAddresses;
 use crate::shim::Shim;
@@ -31,7 +31,7 @@
 pub const SOURCES: usize = PARENTS + 1;
 /// All nodes, sources among them.
 pub const NODES: usize = LOCATIONS * NODES_PER_LOCATION + SOURCES;
-/// A front that starts is told again of purges that are no older than this.
+/// A front that starts receives the purges again that are no older than this.
 const PURGE_REPLAY: Duration = Duration::from_secs(6);
 
 /// How the bus lists a node.
@@ -39,7 +39,7 @@
 pub(super) enum NodeState {
     Ready,
     Terminating,
-    Gone,
+    Removed,
 }
 
 impl NodeState {
@@ -48,7 +48,7 @@
         match self {
             NodeState::Ready => "Ready",
             NodeState::Terminating => "Terminating",
-            NodeState::Gone => "Gone",
+            NodeState::Removed => "Gone",
         }
     }
 }
@@ -176,7 +176,7 @@
     fn configuration(&self, front: usize) -> Value {
         let mut config: Value = serde_json::from_str(CONFIGURATION).unwrap_or_default();
         let servers: Vec<Value> = (0..self.nodes.len())
-            .filter(|node| lock(&self.listed)[*node].state != NodeState::Gone)
+            .filter(|node| lock(&self.listed)[*node].state != NodeState::Removed)
             .map(|node| self.listing(front, node))
             .collect();
         let list = json!({"topology": {"version": 1, "full": true, "servers": servers}});
@@ -231,7 +231,7 @@
 
     /// Publishes to all fronts that a node has departed.
     pub fn remove_node(&self, node: usize) {
-        let listed = ListedNode { state: NodeState::Gone, started_ms: 0 };
+        let listed = ListedNode { state: NodeState::Removed, started_ms: 0 };
         self.list_node(node, listed, Obligation::Drain { node });
     }
 
--- a/crates/rig/src/soak/plan.rs
+++ b/crates/rig/src/soak/plan.rs
@@ -110,7 +110,7 @@
         /// Which, and how often.
         rates: Vec<SystemFaultRate>,
     },
-    /// A front gets so many faulty clients.
+    /// A front gets faulty clients.
     FaultyClients {
         /// The front.
         front: usize,
--- a/crates/rig/src/soak/run.rs
+++ b/crates/rig/src/soak/run.rs
@@ -3,12 +3,12 @@
 
 use super::checker::{Graces, Rule, RuleChecker, Verdict};
 use super::environment::{Environment, CONFIGURATION, NODES, SOURCES};
+use super::options::Options;
 use super::plan::{draw_plan, Fleet, PlannedFault};
 use crate::shim::Shim;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io;
-use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
@@ -21,28 +21,9 @@
 const SETTLING_PERIOD: Duration = Duration::from_secs(3);
 /// How often the rig's own lateness is measured.
 const MONITOR_INTERVAL: Duration = Duration::from_millis(50);
-/// Once in so many intervals, lost requests and crashed fronts are looked for.
+/// Lost requests and crashed fronts are looked for once in this number of intervals.
 const MONITOR_SWEEP_EVERY: u64 = 10;
 
-/// How the soak is run.
-#[derive(Clone, Debug)]
-pub struct Options {
-    /// The program.
-    pub program: PathBuf,
-    /// How many fronts.
-    pub fronts: usize,
-    /// Decides everything that is random.
-    pub seed: u64,
-    /// For how long faults are injected.
-    pub fault_period: Duration,
-    /// Requests a second at each front.
-    pub requests_per_second: f64,
-    /// A folder for the fronts' logs; without one they are not written.
-    pub logs: Option<PathBuf>,
-    /// Injects no fault at all: what the soak itself costs.
-    pub without_faults: bool,
-}
-
 /// The result of a run.
 #[derive(Clone, Debug)]
 pub struct Report {
@@ -70,7 +51,7 @@
     }
 }
 
-/// The fleet of a soak with so many fronts.
+/// The fleet of a soak with that number of fronts.
 pub fn fleet(fronts: usize) -> Fleet {
     Fleet { fronts, nodes: NODES, sources: SOURCES }
 }
--- a/crates/rig/src/suite.rs
+++ b/crates/rig/src/suite.rs
@@ -87,7 +87,7 @@
         "settle_ms": summary(awaited(Goal::Settled)),
         "even_ms": summary(awaited(Goal::Even)),
         "known_ms": summary(awaited(Goal::Known)),
-        "false_gone": sum(&|r| r.false_gone.len()),
+        "false_gone": sum(&|r| r.false_positives.len()),
         "stale_members": sum(&|r| r.stale_members),
         "bytes_per_s": summary(all(&|r| &r.bytes_per_s)),
         "cpu": summary(all(&|r| &r.cpu)),
