--- a/crates/front/src/upstream/connection_pool.rs
+++ b/crates/front/src/upstream/connection_pool.rs
@@ -126,6 +126,7 @@
         departed.iter().for_each(|id| self.remove_node(id));
     }
 
+    /// Takes a node's connections out of use: each is closed once nothing is in flight on it.
     fn retire(&self, node: Option<NodeConnections>) {
         let connections: Vec<Arc<Connection>> = node.into_iter().flat_map(|n| n.connections).collect();
         // What waits there for its connection would come to whoever has the address by then.
@@ -190,6 +191,7 @@
         }
     }
 
+    /// Sends the attempt over a connection, if it may still begin, and waits for its result. Yields.
     fn send_and_wait(
         &self,
         attempt: &Attempt,
--- a/crates/front/src/upstream/dispatch_queue.rs
+++ b/crates/front/src/upstream/dispatch_queue.rs
@@ -200,6 +200,7 @@
     }
 }
 
+/// The mean weight of a pool's members; 0: it has none.
 fn mean_weight(spec: &Spec) -> f64 {
     let n = spec.members.len().max(1) as f64;
     spec.members.iter().map(|m| m.weight).sum::<f64>() / n
