--- a/crates/cli/tests/cli.rs
+++ b/crates/cli/tests/cli.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn codes_tell_done_failed_and_usage_apart() {
+fn exit_codes_distinguish_success_failure_and_usage() {
     let dir = folder("codes");
     let path = |name: &str| dir.join(name).display().to_string();
     let (good, bad) = (path("good.kdl"), path("bad.kdl"));
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn run_names_each_member_that_it_can_not_speak_with() {
+fn run_reports_each_member_whose_protocol_it_does_not_speak() {
     let dir = folder("run");
     let file = dir.join("site.kdl").display().to_string();
     let text_of = "site \"x\" members-from=\"file\"\nfront \"n\" listen=\"127.0.0.1:0\"\nclass \"c\" aim-ms=1 deadline-ms=2\n\
@@ -115,10 +115,10 @@
     std::fs::write(&file, text_of).expect("a file");
     let out = fernslip(&["run", "--site", &file]);
     assert_eq!(out.status.code(), Some(1));
-    let told = text(&out.stderr);
+    let stderr = text(&out.stderr);
     assert!(
-        told.contains("member \"h\" speaks http") && told.contains("member \"j\" speaks ajp13"),
-        "{told}"
+        stderr.contains("member \"h\" speaks http") && stderr.contains("member \"j\" speaks ajp13"),
+        "{stderr}"
     );
     let _ = std::fs::remove_dir_all(dir);
 }
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Stand-ins on loopback for tests of a front with a site document: cache nodes, a client, and the program itself.
 #![allow(dead_code)] // each test file uses a part
 
-pub mod play;
+pub mod scripted;
 
 use rmpv::Value;
 use std::collections::HashMap;
@@ -14,32 +14,32 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Far longer than any step takes on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// The longest wait of any step; far longer than one takes on a busy machine.
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One request that a node was sent.
+/// A request that a node received.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct ReceivedRequest {
     pub at: Instant,
     pub fields: HashMap<String, String>,
 }
 
-/// What a node does and has seen.
+/// How a node behaves, and what it has received.
 #[derive(Default)]
 pub struct NodeState {
-    pub asked: Mutex<Vec<Asked>>,
+    pub requests: Mutex<Vec<ReceivedRequest>>,
     pub connections: AtomicUsize,
-    pub ended: AtomicUsize,
-    pub inside: AtomicUsize,
-    pub most_inside: AtomicUsize,
+    pub connections_ended: AtomicUsize,
+    pub in_flight: AtomicUsize,
+    pub max_in_flight: AtomicUsize,
     /// Milliseconds that an answer takes.
     pub delay_ms: AtomicU64,
-    /// It resets what is open and refuses what comes, as a machine whose process has died.
-    pub dead: AtomicBool,
+    /// It resets open connections and refuses new ones, as a host whose process has crashed.
+    pub refuses_connections: AtomicBool,
     /// It answers with an error.
-    pub fails: AtomicBool,
+    pub answers_with_error: AtomicBool,
     /// It writes its answers a byte at a time, with a pause after each.
-    pub pieces: AtomicBool,
+    pub answers_bytewise: AtomicBool,
 }
 
 /// A cache node that serves everything as filled.
@@ -57,64 +57,65 @@
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let s = s.clone();
-                if s.dead.load(Ordering::SeqCst) {
+                if s.refuses_connections.load(Ordering::SeqCst) {
                     continue; // dropped: the front's connection breaks
                 }
                 s.connections.fetch_add(1, Ordering::SeqCst);
                 std::thread::spawn(move || {
                     let _ = serve(&stream, &s);
-                    s.ended.fetch_add(1, Ordering::SeqCst);
+                    s.connections_ended.fetch_add(1, Ordering::SeqCst);
                 });
             }
         });
         Node { addr, state }
     }
 
-    pub fn count(&self) -> usize {
-        self.state.asked.lock().expect("sound").len()
+    pub fn request_count(&self) -> usize {
+        self.state.requests.lock().expect("sound").len()
     }
 
-    /// What came after that instant, and what of it.
-    pub fn after(&self, at: Instant) -> Vec<Asked> {
-        self.state.asked.lock().expect("sound").iter().filter(|a| a.at > at).cloned().collect()
+    /// The requests that it received after that instant.
+    pub fn requests_after(&self, at: Instant) -> Vec<ReceivedRequest> {
+        self.state.requests.lock().expect("sound").iter().filter(|a| a.at > at).cloned().collect()
     }
 }
 
 fn serve(stream: &TcpStream, s: &Arc<NodeState>) -> std::io::Result<()> {
-    let mut held = Vec::new();
+    let mut buffer = Vec::new();
     let out = Arc::new(Mutex::new(stream.try_clone()?));
     stream.set_read_timeout(Some(Duration::from_millis(20)))?;
     loop {
-        let mut more = [0; 65536];
-        match (&*stream).read(&mut more) {
+        let mut chunk = [0; 65536];
+        match (&*stream).read(&mut chunk) {
             Ok(0) => return Ok(()),
-            Ok(n) => held.extend_from_slice(&more[..n]),
+            Ok(n) => buffer.extend_from_slice(&chunk[..n]),
             Err(e) if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) => {}
             Err(e) => return Err(e),
         }
-        if s.dead.load(Ordering::SeqCst) {
+        if s.refuses_connections.load(Ordering::SeqCst) {
             return stream.shutdown(std::net::Shutdown::Both);
         }
-        while let Ok(Some((len, parts))) = fernslip_front::resp::parts(&held) {
-            let words: Vec<String> = parts.iter().map(|p| String::from_utf8_lossy(p).into_owned()).collect();
-            held.drain(..len);
-            let [command, id, fields, _] = &words[..] else { continue };
+        while let Ok(Some((len, parts))) = fernslip_front::resp::parts(&buffer) {
+            let texts: Vec<String> = parts.iter().map(|p| String::from_utf8_lossy(p).into_owned()).collect();
+            buffer.drain(..len);
+            let [command, id, fields, _] = &texts[..] else { continue };
             if command != "ASK" {
                 continue;
             }
             let fields = fields.split(',').filter_map(|f| f.split_once('='));
             let fields = fields.map(|(k, v)| (k.to_string(), v.to_string())).collect();
-            s.asked.lock().expect("sound").push(Asked { at: Instant::now(), fields });
-            let inside = s.inside.fetch_add(1, Ordering::SeqCst) + 1;
-            s.most_inside.fetch_max(inside, Ordering::SeqCst);
+            s.requests.lock().expect("sound").push(ReceivedRequest { at: Instant::now(), fields });
+            let in_flight = s.in_flight.fetch_add(1, Ordering::SeqCst) + 1;
+            s.max_in_flight.fetch_max(in_flight, Ordering::SeqCst);
             let delay = s.delay_ms.load(Ordering::SeqCst);
             let (id, out, s) = (id.clone(), out.clone(), s.clone());
             let answer = move || {
-                s.inside.fetch_sub(1, Ordering::SeqCst);
-                let word: &[u8] = if s.fails.load(Ordering::SeqCst) { b"crashed" } else { b"served" };
-                let bytes = fernslip_front::resp::array(&[id.as_bytes(), word, b"tell=fill", b"body"]);
+                s.in_flight.fetch_sub(1, Ordering::SeqCst);
+                let outcome: &[u8] =
+                    if s.answers_with_error.load(Ordering::SeqCst) { b"crashed" } else { b"served" };
+                let bytes = fernslip_front::resp::array(&[id.as_bytes(), outcome, b"tell=fill", b"body"]);
                 let mut out = out.lock().expect("sound");
-                if s.pieces.load(Ordering::SeqCst) {
+                if s.answers_bytewise.load(Ordering::SeqCst) {
                     for b in bytes {
                         let _ = out.write_all(&[b]);
                         std::thread::sleep(Duration::from_millis(1));
@@ -140,18 +141,18 @@
     pub addr: String,
     pub file: PathBuf,
     lines: Receiver<String>,
-    /// Lines that were passed over.
-    pub seen: Vec<String>,
+    /// Log lines that were read so far.
+    pub log_lines: Vec<String>,
 }
 
 impl Front {
     /// Starts it and waits until it listens.
     pub fn start(name: &str, site: &str, args: &[&str]) -> Front {
-        Front::start_with(name, site, args, &[])
+        Front::start_with_env(name, site, args, &[])
     }
 
     /// Starts it with more in its environment, and waits until it listens.
-    pub fn start_with(name: &str, site: &str, args: &[&str], env: &[(&str, &str)]) -> Front {
+    pub fn start_with_env(name: &str, site: &str, args: &[&str], env: &[(&str, &str)]) -> Front {
         Front::start_prepared(name, site, args, env, |_| {})
     }
 
@@ -180,35 +181,35 @@
         let (to, lines) = channel();
         let err = BufReader::new(child.stderr.take().expect("piped"));
         std::thread::spawn(move || err.lines().map_while(Result::ok).try_for_each(|l| to.send(l)));
-        let mut front = Front { child, addr: String::new(), file, lines, seen: Vec::new() };
-        let line = front.log("listens on ");
+        let mut front = Front { child, addr: String::new(), file, lines, log_lines: Vec::new() };
+        let line = front.wait_for_log("listens on ");
         let at = line.find("listens on ").expect("there") + "listens on ".len();
         front.addr = line[at..].split([' ', '"']).next().expect("an address").to_string();
         front
     }
 
-    /// Waits for a line with that text.
-    pub fn log(&mut self, text: &str) -> String {
-        let by = Instant::now() + PATIENCE;
+    /// Waits for a log line with that text.
+    pub fn wait_for_log(&mut self, text: &str) -> String {
+        let deadline = Instant::now() + STEP_TIMEOUT;
         loop {
-            let left = by.saturating_duration_since(Instant::now());
+            let remaining = deadline.saturating_duration_since(Instant::now());
             let line = self
                 .lines
-                .recv_timeout(left)
+                .recv_timeout(remaining)
                 .unwrap_or_else(|e| panic!("no line {text:?}: {e}; {:?}", self.reloads()));
-            self.seen.push(line.clone());
+            self.log_lines.push(line.clone());
             if line.contains(text) {
                 return line;
             }
         }
     }
 
-    /// Lines on reloads that were passed over, for a test that fails.
+    /// Lines on reloads that were passed over, for a test that answers_with_error.
     fn reloads(&self) -> Vec<&String> {
-        self.seen.iter().filter(|l| l.contains("reload")).collect()
+        self.log_lines.iter().filter(|l| l.contains("reload")).collect()
     }
 
-    /// Another document, and the signal to take it up; when that was.
+    /// Writes another document and sends SIGHUP; when that was.
     pub fn reload(&self, site: &str) -> Instant {
         std::fs::write(&self.file, site).expect("a temporary file");
         self.signal("HUP")
@@ -223,7 +224,7 @@
 
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(&self.addr).expect("the front listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket option");
+        stream.set_read_timeout(Some(STEP_TIMEOUT)).expect("a socket option");
         stream.set_nodelay(true).expect("a socket option");
         Client { stream, next: 0 }
     }
@@ -237,11 +238,11 @@
     }
 }
 
-/// How a call ended.
+/// How a call connections_ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     Served,
-    /// An error: its word and its fields.
+    /// An error: its code and its fields.
     Error(String, Vec<(String, String)>),
 }
 
@@ -259,7 +260,7 @@
         self.try_send(class, object).expect("the front reads")
     }
 
-    /// Sends a call; its number, or `None` where the connection has ended.
+    /// Sends a call; its number, or `None` where the connection has connections_ended.
     pub fn try_send(&mut self, class: &str, object: u64) -> Option<u32> {
         let (number, bytes) = self.encode(class, object);
         self.stream.write_all(&bytes).ok()?;
@@ -288,12 +289,12 @@
     }
 
     /// The next answer, of whichever call.
-    pub fn answer(&mut self) -> (u32, Answer) {
-        self.try_answer().expect("an answer")
+    pub fn next_answer(&mut self) -> (u32, Answer) {
+        self.try_next_answer().expect("an answer")
     }
 
-    /// The next answer; `None` where the connection ended first.
-    pub fn try_answer(&mut self) -> Option<(u32, Answer)> {
+    /// The next answer; `None` where the connection connections_ended first.
+    pub fn try_next_answer(&mut self) -> Option<(u32, Answer)> {
         let v = rmpv::decode::read_value(&mut self.stream).ok()?;
         let number = v[1].as_u64().expect("a number") as u32;
         let text = |v: &Value| v.as_str().unwrap_or("?").to_string();
@@ -317,9 +318,9 @@
         number
     }
 
-    pub fn ask(&mut self, class: &str, object: u64) -> Answer {
+    pub fn call(&mut self, class: &str, object: u64) -> Answer {
         self.send(class, object);
-        self.answer().1
+        self.next_answer().1
     }
 }
 
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn crashes_and_returns_are_settled_on() {
+fn all_fronts_agree_after_crashes_and_restarts() {
     let s = patient(
         "scenario \"crash\" load=40 serves-all=#false { kill part=0.33; await \"known\" within-ms=1; \
          await \"settled\" within-ms=1; restart; await \"settled\" within-ms=1; }",
@@ -62,13 +62,13 @@
 }
 
 #[test]
-fn newcomers_are_settled_on() {
+fn all_fronts_agree_on_newcomers() {
     let s = patient("scenario \"join\" { join count=3; await \"settled\" within-ms=1; }");
     holds(&run(&s, &options(5, 2)));
 }
 
 #[test]
-fn halves_settle_apart_and_together_again() {
+fn partitioned_halves_agree_apart_and_together_again() {
     let s = patient(
         "scenario \"halves\" load=40 { partition sides=2; await \"settled\" within-ms=1; heal; \
          await \"settled\" within-ms=1; }",
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn one_that_moved_and_one_that_was_stopped_come_back() {
+fn a_front_that_moved_and_one_that_was_paused_come_back() {
     let s = patient(
         "scenario \"moved\" serves-all=#false { kill count=1; restart moved=#true; await \"settled\" within-ms=1; \
          stop count=1; wait ms=4000; go-on; await \"settled\" within-ms=1; }",
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn what_does_not_hold_is_told_with_what_the_fronts_say() {
+fn a_breach_is_reported_with_evidence_from_the_fronts() {
     // Too short a time for a crash to be known: the checker must find that, or it would find nothing.
     let text = "scenario \"short\" serves-all=#false { kill count=2; await \"known\" within-ms=5; }";
     let s = Scenario::parse("short.kdl", text).expect("a scenario");
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_run_that_is_broken_off_leaves_no_process_behind() {
+fn an_aborted_run_leaves_no_process_behind() {
     let dir = std::env::temp_dir().join(format!("rig-off-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     let s = bundled("steady").expect("it comes with the rig");
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn operators_are_shown_the_view_and_why() {
+fn operators_are_shown_the_view_and_its_reasons() {
     let dir = std::env::temp_dir().join(format!("fleet-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     let name = |file: &str| dir.join(file).display().to_string();
--- a/crates/cli/tests/gossip.rs
+++ b/crates/cli/tests/gossip.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Answer, Front, Node, PATIENCE};
+use common::{Answer, Front, Node, STEP_TIMEOUT};
 use fernslip_gossip::{Action, BoxKey, Config, Event, Gossip, Keyring, Kind, Now};
 use std::net::{SocketAddr, UdpSocket};
 use std::os::unix::fs::PermissionsExt;
@@ -25,7 +25,7 @@
 }
 
 fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
-    let by = Instant::now() + PATIENCE;
+    let by = Instant::now() + STEP_TIMEOUT;
     while !done() {
         assert!(Instant::now() < by, "never: {what}");
         std::thread::sleep(Duration::from_millis(20));
@@ -59,7 +59,8 @@
         }
         let name = format!("{}-{n}", dir.file_name().and_then(|n| n.to_str()).expect("a name"));
         let front = Front::start(&name, &site, &[]);
-        let line = front.seen.iter().find(|l| l.contains("gossip at ")).expect("it tells where it gossips");
+        let line =
+            front.log_lines.iter().find(|l| l.contains("gossip at ")).expect("it tells where it gossips");
         let at = line.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address");
         Peer { front, at, socket, keys }
     }
@@ -100,14 +101,14 @@
     let mut peers = vec![first];
     peers.extend((1..4).map(|n| Peer::start(&dir, n, &boxes, seed)));
     wait_for("four fronts that know each other", || peers.iter().all(|p| p.knows(4)));
-    nodes[1].state.dead.store(true, Ordering::SeqCst);
+    nodes[1].state.refuses_connections.store(true, Ordering::SeqCst);
     let mut object = 0;
     wait_for("hearsay at the front that saw nothing", || {
         for p in &peers[..3] {
             let mut client = p.front.client();
             for _ in 0..20 {
                 object += 1;
-                client.ask("docs", object);
+                client.call("docs", object);
             }
         }
         peers[3].hearsay("box-1") > 0.2
@@ -115,14 +116,14 @@
     assert!(["box-0", "box-2", "box-3"].iter().all(|b| peers[3].hearsay(b) <= 0.0), "{}", peers[3].status());
     // Hearsay alone refuses nothing.
     let mut client = peers[3].front.client();
-    let served = (0..40).filter(|n| client.ask("docs", 1_000_000 + n) == Answer::Served).count();
+    let served = (0..40).filter(|n| client.call("docs", 1_000_000 + n) == Answer::Served).count();
     assert_eq!(served, 40);
     for p in &peers {
         let status = p.status();
         let bytes = status.lines().find_map(|l| l.strip_prefix("sent ")?.split("bytes=").nth(1));
         let bytes: u64 = bytes.and_then(|b| b.split(' ').next()?.parse().ok()).expect("a count");
         // The bucket: what was saved up, and its rate for as long as this test can have run.
-        assert!(bytes <= 4096 + 4096 * 2 * PATIENCE.as_secs(), "{status}");
+        assert!(bytes <= 4096 + 4096 * 2 * STEP_TIMEOUT.as_secs(), "{status}");
     }
     let _ = std::fs::remove_dir_all(dir);
 }
@@ -154,7 +155,7 @@
     let mut client = peers[1].front.client();
     let (mut object, mut accused) = (0, 0);
     while accused < 40 || !peers.iter().all(|p| p.status().contains("word box-0 failing")) {
-        assert!(start.elapsed() < PATIENCE, "its words never came: {}", peers[0].status());
+        assert!(start.elapsed() < STEP_TIMEOUT, "its words never came: {}", peers[0].status());
         liar.handle(
             now(),
             Event::Evidence { of: all[0], kind: Kind::Failing, strength: 1.0, count: 255 },
@@ -171,13 +172,13 @@
             }
         }
         object += 1;
-        assert_eq!(client.ask("docs", object), Answer::Served);
+        assert_eq!(client.call("docs", object), Answer::Served);
         accused += 1;
         assert!(peers.iter().all(|p| p.hearsay("box-0") <= 0.0));
     }
-    let before = nodes[0].count();
-    (0..60).for_each(|n| assert_eq!(client.ask("docs", 5_000 + n), Answer::Served));
-    assert!(nodes[0].count() > before + 5, "the accused box has its homes still");
+    let before = nodes[0].request_count();
+    (0..60).for_each(|n| assert_eq!(client.call("docs", 5_000 + n), Answer::Served));
+    assert!(nodes[0].request_count() > before + 5, "the accused box has its homes still");
     let _ = std::fs::remove_dir_all(dir);
 }
 
@@ -205,7 +206,7 @@
         for p in &mut peers {
             std::fs::copy(&keys, &p.keys).expect("a copy");
             p.front.signal("HUP");
-            p.front.log(told);
+            p.front.wait_for_log(told);
         }
     }
     let taken = |p: &Peer| {
@@ -273,7 +274,8 @@
             socket(n)
         );
         let front = Front::start(&format!("view-{n}"), &site, &[]);
-        let line = front.seen.iter().find(|l| l.contains("view at ")).expect("it tells where its view is");
+        let line =
+            front.log_lines.iter().find(|l| l.contains("view at ")).expect("it tells where its view is");
         let at = line.rsplit(' ').next().expect("an address").to_string();
         (front, at)
     };
--- a/crates/cli/tests/handover.rs
+++ b/crates/cli/tests/handover.rs
@@ -12,7 +12,7 @@
 const SITE: &str = "site \"hand\" members-from=\"file\"\nfront \"h0\" listen=\"127.0.0.1:0\" zone=\"here\"\n\
     zone \"here\"\nclass \"docs\" aim-ms=600 deadline-ms=3000\n";
 
-fn handed(name: &str, site: &str, listener: &TcpListener) -> Front {
+fn start_with_socket(name: &str, site: &str, listener: &TcpListener) -> Front {
     let fd = OwnedFd::from(listener.try_clone().expect("a copy of the socket"));
     Front::start_prepared(name, site, &[], &[("RELAY_PASSED_SOCKET", "3")], |command| {
         command.fd_mappings(vec![FdMapping { parent_fd: fd, child_fd: 3 }]).expect("descriptor 3");
@@ -20,68 +20,76 @@
 }
 
 #[test]
-fn two_processes_serve_from_one_handed_socket_and_the_old_one_leaves() {
+fn two_processes_serve_from_one_inherited_socket_and_the_old_one_shuts_down() {
     let (a, origin) = (Node::start(), Node::start());
     let site = format!("{SITE}{}", members(&[("a", &a)], &origin));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("bound").to_string();
 
-    let mut old = handed("old", &site, &listener);
-    assert!(old.seen.iter().any(|l| l.contains("handed over in RELAY_PASSED_SOCKET")), "{:?}", old.seen);
+    let mut old = start_with_socket("old", &site, &listener);
+    assert!(
+        old.log_lines.iter().any(|l| l.contains("handed over in RELAY_PASSED_SOCKET")),
+        "{:?}",
+        old.log_lines
+    );
     assert_eq!(old.addr, at, "it listens where the platform does, not on a port of its own");
-    let mut kept = old.client();
-    assert_eq!(kept.ask("docs", 1), Answer::Served);
+    let mut persistent = old.client();
+    assert_eq!(persistent.call("docs", 1), Answer::Served);
 
-    let mut new = handed("new", &site, &listener);
+    let mut new = start_with_socket("new", &site, &listener);
     assert_eq!(new.addr, at);
     old.signal("TERM");
-    old.log("left");
+    old.wait_for_log("left");
     assert!(old.child.wait().expect("its end").success(), "the old process ends well");
     // The kept connection was closed by the old process; a new one is the new process's.
     for n in 0..20 {
-        assert_eq!(new.client().ask("docs", 100 + n), Answer::Served);
+        assert_eq!(new.client().call("docs", 100 + n), Answer::Served);
     }
-    let _ = kept.try_answer();
+    let _ = persistent.try_next_answer();
     new.signal("TERM");
-    new.log("left");
+    new.wait_for_log("left");
 }
 
 /// While the old process still answers what it holds, all that connects is the new one's: nothing is accepted only to be
 /// turned away.
 #[test]
-fn who_connects_while_the_old_process_ends_is_served_by_the_new() {
+fn clients_that_connect_while_the_old_process_shuts_down_are_served_by_the_new() {
     let (a, origin) = (Node::start(), Node::start());
     let site = format!("{SITE}{}", members(&[("a", &a)], &origin));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut old = handed("old-busy", &site, &listener);
-    let mut kept = old.client();
+    let mut old = start_with_socket("old-busy", &site, &listener);
+    let mut persistent = old.client();
     a.state.delay_ms.store(600, std::sync::atomic::Ordering::SeqCst);
-    kept.send("docs", 1);
-    while a.count() == 0 {
+    persistent.send("docs", 1);
+    while a.request_count() == 0 {
         std::thread::yield_now();
     }
     a.state.delay_ms.store(0, std::sync::atomic::Ordering::SeqCst);
-    let new = handed("new-busy", &site, &listener);
+    let new = start_with_socket("new-busy", &site, &listener);
     old.signal("TERM");
-    old.log("leaving");
+    old.wait_for_log("leaving");
     for n in 0..40 {
-        assert_eq!(new.client().ask("docs", 100 + n), Answer::Served);
+        assert_eq!(new.client().call("docs", 100 + n), Answer::Served);
     }
-    assert_eq!(kept.answer().1, Answer::Served);
-    old.log("left");
+    assert_eq!(persistent.next_answer().1, Answer::Served);
+    old.wait_for_log("left");
 }
 
 #[test]
-fn a_descriptor_that_is_no_listener_is_told_and_the_front_binds_its_own() {
+fn an_invalid_descriptor_is_reported_and_the_front_binds_its_own() {
     let (a, origin) = (Node::start(), Node::start());
     let site = format!("{SITE}{}", members(&[("a", &a)], &origin));
-    let front = Front::start_with("nodesc", &site, &[], &[("RELAY_PASSED_SOCKET", "fd3")]);
-    assert!(front.seen.iter().any(|l| l.contains("is no descriptor of 3 or more")), "{:?}", front.seen);
-    assert_eq!(front.client().ask("docs", 1), Answer::Served);
+    let front = Front::start_with_env("nodesc", &site, &[], &[("RELAY_PASSED_SOCKET", "fd3")]);
+    assert!(
+        front.log_lines.iter().any(|l| l.contains("is no descriptor of 3 or more")),
+        "{:?}",
+        front.log_lines
+    );
+    assert_eq!(front.client().call("docs", 1), Answer::Served);
 }
 
 #[test]
-fn a_handed_socket_that_is_not_a_tcp_listener_is_told_and_the_front_binds_its_own() {
+fn an_inherited_socket_that_is_no_tcp_listener_is_reported_and_the_front_binds_its_own() {
     let (a, origin) = (Node::start(), Node::start());
     let site = format!("{SITE}{}", members(&[("a", &a)], &origin));
     let datagrams = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
@@ -89,6 +97,10 @@
     let front = Front::start_prepared("udp", &site, &[], &[("RELAY_PASSED_SOCKET", "3")], |command| {
         command.fd_mappings(vec![FdMapping { parent_fd: fd, child_fd: 3 }]).expect("descriptor 3");
     });
-    assert!(front.seen.iter().any(|l| l.contains("RELAY_PASSED_SOCKET: descriptor 3")), "{:?}", front.seen);
-    assert_eq!(front.client().ask("docs", 1), Answer::Served);
+    assert!(
+        front.log_lines.iter().any(|l| l.contains("RELAY_PASSED_SOCKET: descriptor 3")),
+        "{:?}",
+        front.log_lines
+    );
+    assert_eq!(front.client().call("docs", 1), Answer::Served);
 }
--- a/crates/cli/tests/live.rs
+++ b/crates/cli/tests/live.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{Answer, Front, Node, PATIENCE};
+use common::{Answer, Front, Node, STEP_TIMEOUT};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -22,14 +22,14 @@
 }
 
 fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
-    let by = Instant::now() + PATIENCE;
+    let by = Instant::now() + STEP_TIMEOUT;
     while !done() {
         assert!(Instant::now() < by, "never: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Clients that ask without pause until they are stopped; how many answers were served, and how many not.
+/// Clients that call without pause until they are stopped; how many answers were served, and how many not.
 struct Load {
     stop: Arc<AtomicBool>,
     clients: Vec<std::thread::JoinHandle<(usize, usize)>>,
@@ -46,7 +46,7 @@
                     if stop.load(Ordering::SeqCst) {
                         break;
                     }
-                    match client.ask("docs", c * 1_000_000 + n % 500) {
+                    match client.call("docs", c * 1_000_000 + n % 500) {
                         Answer::Served => served += 1,
                         Answer::Error(..) => other += 1,
                     }
@@ -68,7 +68,7 @@
 /// The rule on drains, in the path that is new here: the operators' word comes by SIGHUP, and from 500 ms after it
 /// on nothing new comes to the node, as target or as the source of a fill, while clients ask without pause.
 #[test]
-fn nothing_new_comes_to_a_member_that_drains_by_sighup() {
+fn a_member_set_to_draining_by_sighup_gets_nothing_new() {
     let nodes = [Node::start(), Node::start(), Node::start(), Node::start()];
     let [a, b, c, origin] = &nodes;
     let site = |state: &str, weight: &str| {
@@ -79,32 +79,33 @@
     };
     let mut front = Front::start("drain", &site("", ""), &[]);
     let load = Load::start(&front, 8);
-    wait_for("load on every member", || nodes[..3].iter().all(|n| n.count() > 50));
+    wait_for("load on every member", || nodes[..3].iter().all(|n| n.request_count() > 50));
     let mut delays = Vec::new();
     for state in ["draining", "stopped"] {
         let signal = front.reload(&site(&format!("state=\"{state}\""), ""));
-        front.log("reload: site: members added=0 gone=0 moved=0 changed=1");
-        let told = Instant::now();
+        front.wait_for_log("reload: site: members added=0 gone=0 moved=0 changed=1");
+        let reloaded = Instant::now();
         std::thread::sleep(GRACE + Duration::from_millis(500));
-        let last = b.after(signal).last().map_or(Duration::ZERO, |l| l.at - signal);
+        let last = b.requests_after(signal).last().map_or(Duration::ZERO, |l| l.at - signal);
         delays.push(last);
-        let late = b.after(told + GRACE).len();
+        let late = b.requests_after(reloaded + GRACE).len();
         assert_eq!(late, 0, "{state}: late arrivals; the last {last:?} after the signal");
-        let others: Vec<_> = [a, c].iter().flat_map(|n| n.after(told + GRACE)).collect();
+        let others: Vec<_> = [a, c].iter().flat_map(|n| n.requests_after(reloaded + GRACE)).collect();
         let as_source = others.iter().filter(|r| r.fields.get("via").is_some_and(|v| v == "b"));
         assert_eq!(as_source.count(), 0, "{state}: named as a source");
         // Back, as ready: it is used again.
         let back = front.reload(&site("", ""));
-        front.log("reload: site: members");
-        wait_for("use of a member that is ready again", || !b.after(back + GRACE).is_empty());
+        front.wait_for_log("reload: site: members");
+        wait_for("use of a member that is ready again", || !b.requests_after(back + GRACE).is_empty());
     }
     // What changes at one member leaves the connections of the others alone.
-    let before: Vec<usize> = [a, c].iter().map(|n| n.state.ended.load(Ordering::SeqCst)).collect();
-    let asked = a.count();
+    let before: Vec<usize> =
+        [a, c].iter().map(|n| n.state.connections_ended.load(Ordering::SeqCst)).collect();
+    let requests_before = a.request_count();
     front.reload(&site("state=\"draining\"", "weight=3"));
-    front.log("reload: site: members added=0 gone=0 moved=0 changed=2");
-    wait_for("load on the others", || a.count() > asked + 50);
-    let after: Vec<usize> = [a, c].iter().map(|n| n.state.ended.load(Ordering::SeqCst)).collect();
+    front.wait_for_log("reload: site: members added=0 gone=0 moved=0 changed=2");
+    wait_for("load on the others", || a.request_count() > requests_before + 50);
+    let after: Vec<usize> = [a, c].iter().map(|n| n.state.connections_ended.load(Ordering::SeqCst)).collect();
     assert_eq!(before, after, "connections of members that stay");
     let (served, other) = load.stop();
     println!("drain delays {delays:?}; {served} served, {other} not");
@@ -112,13 +113,13 @@
 }
 
 #[test]
-fn a_bad_document_leaves_the_old_one() {
+fn an_invalid_document_leaves_the_old_one_in_effect() {
     let (a, origin) = (Node::start(), Node::start());
     let good = HEAD.to_string() + &member("a", &a, "") + &member("o", &origin, "kind=\"origin\"");
     let mut front = Front::start("bad", &good, &[]);
     let mut client = front.client();
-    assert_eq!(client.ask("docs", 1), Answer::Served);
-    for (bad, told) in [
+    assert_eq!(client.call("docs", 1), Answer::Served);
+    for (bad, error) in [
         (good.replace("zone \"here\"\nclass", "zone \"her\"\nclass"), "no zone is called `here`"),
         (good.replace("member \"a\" address", "member \"a\" adress"), "did you mean `address`?"),
         ("member \"a".to_string(), "reload: the old one stays"),
@@ -130,20 +131,20 @@
         ),
     ] {
         front.reload(&bad);
-        let mut seen = front.log("reload: the old ");
-        if !seen.contains(told) {
+        let mut log = front.wait_for_log("reload: the old ");
+        if !log.contains(error) {
             // One line a mistake.
-            seen += &front.log(told);
+            log += &front.wait_for_log(error);
         }
-        assert!(seen.contains(told), "{seen}");
-        assert_eq!(client.ask("docs", 2), Answer::Served);
+        assert!(log.contains(error), "{log}");
+        assert_eq!(client.call("docs", 2), Answer::Served);
     }
     front.reload(&good);
-    front.log("reload: site: members added=0 gone=0 moved=0 changed=0");
-    assert_eq!(client.ask("docs", 3), Answer::Served);
+    front.wait_for_log("reload: site: members added=0 gone=0 moved=0 changed=0");
+    assert_eq!(client.call("docs", 3), Answer::Served);
 }
 
-/// The first tier dies, the second serves, and the first comes back by trials, one at a time.
+/// The first tier dies, the second serves, and the first comes back by half-open probes, one at a time.
 #[test]
 fn a_lost_tier_falls_back_and_comes_back() {
     let (near, far, origin) = (Node::start(), Node::start(), Node::start());
@@ -156,25 +157,30 @@
         + pool;
     let front = Front::start("tiers", &site, &[]);
     let mut client = front.client();
-    (0..20).for_each(|n| assert_eq!(client.ask("docs", n), Answer::Served));
-    assert_eq!((near.count(), far.count()), (20, 0), "the first tier alone");
-    near.state.dead.store(true, Ordering::SeqCst);
+    (0..20).for_each(|n| assert_eq!(client.call("docs", n), Answer::Served));
+    assert_eq!((near.request_count(), far.request_count()), (20, 0), "the first tier alone");
+    near.state.refuses_connections.store(true, Ordering::SeqCst);
     let mut object = 100;
     wait_for("the second tier", || {
         object += 1;
-        client.ask("docs", object);
-        far.count() > 20
+        client.call("docs", object);
+        far.request_count() > 20
     });
-    near.state.dead.store(false, Ordering::SeqCst);
-    let (before, back) = (near.count(), Instant::now());
+    near.state.refuses_connections.store(false, Ordering::SeqCst);
+    let (before, back) = (near.request_count(), Instant::now());
     wait_for("the first tier's return", || {
         object += 1;
-        client.ask("docs", object);
-        near.count() > before + 20
+        client.call("docs", object);
+        near.request_count() > before + 20
     });
-    let far_before = far.count();
-    (0..20).for_each(|n| assert_eq!(client.ask("docs", object + n), Answer::Served));
-    assert_eq!(far.count(), far_before, "back in the first tier, {:?} after its return", back.elapsed());
+    let far_before = far.request_count();
+    (0..20).for_each(|n| assert_eq!(client.call("docs", object + n), Answer::Served));
+    assert_eq!(
+        far.request_count(),
+        far_before,
+        "back in the first tier, {:?} after its return",
+        back.elapsed()
+    );
 }
 
 #[test]
@@ -190,12 +196,12 @@
     let mut front = Front::start("limits", &pool("in-flight=2 wait-ms=100 waiting=3"), &[]);
     let mut client = front.client();
     (0..9).for_each(|n| assert!(client.send("docs", n) > 0));
-    let answers: Vec<Answer> = (0..9).map(|_| client.answer().1).collect();
-    assert_eq!(a.state.most_inside.load(Ordering::SeqCst), 2, "the pool's limit");
+    let answers: Vec<Answer> = (0..9).map(|_| client.next_answer().1).collect();
+    assert_eq!(a.state.max_in_flight.load(Ordering::SeqCst), 2, "the pool's limit");
     assert_eq!(answers.iter().filter(|a| **a == Answer::Served).count(), 2, "{answers:?}");
-    for refused in answers.iter().filter(|a| **a != Answer::Served) {
-        let Answer::Error(word, fields) = refused else { unreachable!() };
-        assert_eq!(word, "Shed");
+    for rejected in answers.iter().filter(|a| **a != Answer::Served) {
+        let Answer::Error(code, fields) = rejected else { unreachable!() };
+        assert_eq!(code, "Shed");
         assert!(
             fields.iter().any(|(k, v)| k == "pause" && v.parse::<u64>().is_ok_and(|ms| ms > 0)),
             "{fields:?}"
@@ -203,14 +209,14 @@
     }
     // Without a limit of the pool its member's holds; who waits longer is let in.
     front.reload(&pool("wait-ms=2000 waiting=100"));
-    front.log("reload: site:");
+    front.wait_for_log("reload: site:");
     (0..9).for_each(|n| assert!(client.send("docs", 100 + n) > 0));
-    let served = (0..9).filter(|_| client.answer().1 == Answer::Served).count();
-    assert_eq!((served, a.state.most_inside.load(Ordering::SeqCst)), (9, 3), "the member's limit");
+    let served = (0..9).filter(|_| client.next_answer().1 == Answer::Served).count();
+    assert_eq!((served, a.state.max_in_flight.load(Ordering::SeqCst)), (9, 3), "the member's limit");
 }
 
 #[test]
-fn classes_go_to_their_pools_and_what_has_no_route_is_told() {
+fn classes_go_to_their_pools_and_requests_without_a_route_fail() {
     let (a, b, origin) = (Node::start(), Node::start(), Node::start());
     let site = |pages: &str| {
         HEAD.to_string()
@@ -225,16 +231,16 @@
     };
     let mut front = Front::start("routes", &site("two"), &[]);
     let mut client = front.client();
-    assert_eq!(client.ask("docs", 1), Answer::Served);
-    assert_eq!(client.ask("pages", 1), Answer::Served);
-    assert_eq!((a.count(), b.count()), (1, 1));
+    assert_eq!(client.call("docs", 1), Answer::Served);
+    assert_eq!(client.call("pages", 1), Answer::Served);
+    assert_eq!((a.request_count(), b.request_count()), (1, 1));
     let none = Answer::Error("Fault".into(), vec![("route".into(), "none".into())]);
-    assert_eq!(client.ask("change", 1), none);
-    assert_eq!(client.ask("docs", 255), none);
+    assert_eq!(client.call("change", 1), none);
+    assert_eq!(client.call("docs", 255), none);
     front.reload(&site("one"));
-    front.log("reload: site:");
-    assert_eq!(client.ask("pages", 2), Answer::Served);
-    assert_eq!((a.count(), b.count()), (2, 1), "another route for the same class");
+    front.wait_for_log("reload: site:");
+    assert_eq!(client.call("pages", 2), Answer::Served);
+    assert_eq!((a.request_count(), b.request_count()), (2, 1), "another route for the same class");
 }
 
 /// A write whose connection broke may have run: neither the module nor a pool's retries send it again.
@@ -250,15 +256,15 @@
     let mut client = front.client();
     [&a, &b].iter().for_each(|n| n.state.delay_ms.store(10_000, Ordering::SeqCst));
     client.send("change", 7);
-    wait_for("the write", || a.count() + b.count() == 1);
-    [&a, &b].iter().for_each(|n| n.state.dead.store(true, Ordering::SeqCst));
-    assert!(matches!(client.answer().1, Answer::Error(word, _) if word == "Fault"));
-    assert_eq!(a.count() + b.count(), 1);
+    wait_for("the write", || a.request_count() + b.request_count() == 1);
+    [&a, &b].iter().for_each(|n| n.state.refuses_connections.store(true, Ordering::SeqCst));
+    assert!(matches!(client.next_answer().1, Answer::Error(code, _) if code == "Fault"));
+    assert_eq!(a.request_count() + b.request_count(), 1);
 }
 
 /// A pool that allows one attempt answers at once after it, as a refusal, where the class may be repeated.
 #[test]
-fn a_pool_without_further_attempts_answers_at_once() {
+fn a_pool_without_retries_answers_at_once() {
     let (a, b, origin) = (Node::start(), Node::start(), Node::start());
     let site = HEAD.to_string()
         + &member("a", &a, "")
@@ -267,20 +273,20 @@
         + "pool \"all\" { use \"a\"; use \"b\"; retry attempts=1; }\nroutes { route \"/\" pool=\"all\"; }\n";
     let front = Front::start("once", &site, &[]);
     let mut client = front.client();
-    [&a, &b].iter().for_each(|n| n.state.fails.store(true, Ordering::SeqCst));
+    [&a, &b].iter().for_each(|n| n.state.answers_with_error.store(true, Ordering::SeqCst));
     for n in 0..10 {
-        let answer = client.ask("docs", n);
+        let answer = client.call("docs", n);
         assert!(
-            matches!(&answer, Answer::Error(word, f) if word == "Shed" && f[0].0 == "pause"),
+            matches!(&answer, Answer::Error(code, f) if code == "Shed" && f[0].0 == "pause"),
             "{answer:?}"
         );
     }
-    assert_eq!(a.count() + b.count(), 10, "one attempt each");
+    assert_eq!(a.request_count() + b.request_count(), 10, "one attempt each");
 }
 
 /// A member's own time for an answer, shorter than the request's: the attempt ends, and another is made elsewhere.
 #[test]
-fn an_answer_takes_no_longer_than_its_member_may() {
+fn an_attempt_takes_no_longer_than_its_members_limit() {
     let (a, b, origin) = (Node::start(), Node::start(), Node::start());
     let site = HEAD.to_string()
         + &member("a", &a, "{ limits answer-ms=150; }")
@@ -291,62 +297,65 @@
     let mut client = front.client();
     [&a, &b].iter().for_each(|n| n.state.delay_ms.store(20_000, Ordering::SeqCst));
     // The client would wait 4 s, the request's class 5 s, the answer 20 s.
-    assert!(matches!(client.ask("docs", 1), Answer::Error(word, _) if word == "Shed"));
-    let all: Vec<_> = [&a, &b].iter().flat_map(|n| n.after(Instant::now() - PATIENCE)).collect();
+    assert!(matches!(client.call("docs", 1), Answer::Error(code, _) if code == "Shed"));
+    let all: Vec<_> = [&a, &b].iter().flat_map(|n| n.requests_after(Instant::now() - STEP_TIMEOUT)).collect();
     let limits: Vec<u64> = all.iter().filter_map(|r| r.fields.get("limit")?.parse().ok()).collect();
     assert!(!limits.is_empty() && limits.iter().all(|ms| *ms <= 150), "{limits:?}");
 }
 
 /// The example that a newcomer starts from; nobody plays its members here, so requests are answered and not served.
 #[test]
-fn the_example_starts_and_ends() {
+fn the_example_document_starts_and_shuts_down() {
     let text = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/site.kdl"));
     let text = text.expect("the example").replace("127.0.0.1:4100", "127.0.0.1:0");
     let mut front = Front::start("example", &text, &[]);
-    assert!(matches!(front.client().ask("statement-docs", 1), Answer::Error(..)));
+    assert!(matches!(front.client().call("statement-docs", 1), Answer::Error(..)));
     front.signal("TERM");
     assert!(front.child.wait().expect("it ends").success());
 }
 
 #[test]
-fn json_lines_hold_the_reason_of_each_end() {
+fn json_log_lines_have_the_reason_of_each_closed_connection() {
     let (a, origin) = (Node::start(), Node::start());
     let site = HEAD.to_string() + &member("a", &a, "") + &member("o", &origin, "kind=\"origin\"");
     let mut front = Front::start("json", &site, &["--log-format", "json"]);
     let mut client = front.client();
-    assert_eq!(client.ask("docs", 1), Answer::Served);
+    assert_eq!(client.call("docs", 1), Answer::Served);
     drop(client);
-    front.log("\"kind\":\"client\"");
+    front.wait_for_log("\"kind\":\"client\"");
     front.signal("TERM");
-    front.log("\"message\":\"left\"");
+    front.wait_for_log("\"message\":\"left\"");
     assert!(front.child.wait().expect("it ends").success());
-    let lines: Vec<serde_json::Value> =
-        front.seen.iter().map(|l| serde_json::from_str(l).unwrap_or_else(|e| panic!("{l}: {e}"))).collect();
+    let lines: Vec<serde_json::Value> = front
+        .log_lines
+        .iter()
+        .map(|l| serde_json::from_str(l).unwrap_or_else(|e| panic!("{l}: {e}")))
+        .collect();
     let end = lines.iter().find(|l| l["kind"] == "client").expect("a line for each end");
     assert_eq!((end["message"].as_str(), end["reason"].as_str()), (Some("end"), Some("peer_closed")));
     assert_eq!((end["taken"].as_u64(), end["unanswered"].as_u64()), (Some(1), Some(0)));
 }
 
-/// A client that leaves while it waits for a place in a pool gives its place in the queue to others at once.
+/// A client that disconnects while it is queued in a pool leaves its slot in the queue to others at once.
 #[test]
-fn who_leaves_the_queue_makes_room_in_it() {
+fn a_client_that_disconnects_leaves_its_slot_in_the_queue_to_others() {
     let (a, origin) = (Node::start(), Node::start());
     a.state.delay_ms.store(600, Ordering::SeqCst);
     let pool = "pool \"docs\" { use \"a\"; limits in-flight=1 wait-ms=3000 waiting=1; }\n\
         routes { route \"/docs\" pool=\"docs\"; }\n";
     let site = HEAD.to_string() + &member("a", &a, "") + &member("o", &origin, "kind=\"origin\"") + pool;
     let mut front = Front::start("queue", &site, &[]);
-    let (mut first, mut leaves, mut third) = (front.client(), front.client(), front.client());
+    let (mut first, mut leaving, mut third) = (front.client(), front.client(), front.client());
     first.send("docs", 1);
-    wait_for("the first inside", || a.count() == 1);
-    leaves.send("docs", 2);
-    assert_eq!(leaves.ask("isWell", 0), Answer::Served, "read after its call: that waits by now");
-    assert!(matches!(third.ask("docs", 3), Answer::Error(..)), "the queue is full");
-    drop(leaves);
-    front.log("kind=client");
-    assert_eq!(third.ask("docs", 4), Answer::Served, "the place in the queue is free");
-    assert_eq!(first.answer().1, Answer::Served);
-    let objects = a.state.asked.lock().expect("sound");
+    wait_for("the first inside", || a.request_count() == 1);
+    leaving.send("docs", 2);
+    assert_eq!(leaving.call("isWell", 0), Answer::Served, "read after its call: that waits by now");
+    assert!(matches!(third.call("docs", 3), Answer::Error(..)), "the queue is full");
+    drop(leaving);
+    front.wait_for_log("kind=client");
+    assert_eq!(third.call("docs", 4), Answer::Served, "the place in the queue is free");
+    assert_eq!(first.next_answer().1, Answer::Served);
+    let objects = a.state.requests.lock().expect("sound");
     let object = |n: u64| format!("{n:016x}");
     assert!(objects.iter().all(|r| r.fields["item"] != object(2)), "nothing began for who left");
 }
--- a/crates/cli/tests/talk.rs
+++ b/crates/cli/tests/transcripts.rs
@@ -1,6 +1,6 @@
-//! Recorded exchanges, played against the program over sockets.
+//! Recorded transcripts, replayed against the program over sockets.
 //!
-//! A talk in `talks/` is a text file, a step a line:
+//! A transcript in `talks/` is a text file, a step a line:
 //!
 //! | step | meaning |
 //! | --- | --- |
@@ -17,66 +17,69 @@
 //! | `reload BUS` | writes the configuration anew, with that bus (one that is none: no JSON), and sends SIGHUP |
 //! | `term`, `exit` | sends SIGTERM; waits for the program's end |
 //!
-//! What the front says is put behind its step, and the whole is compared with a snapshot. What differs from run
-//! to run (time left, addresses) is masked.
+//! What the front sends is put behind its step, and all of it is compared with a snapshot. What differs from run
+//! to run (remaining times, addresses) is masked.
 
 mod common;
 
-use common::play::{Play, PATIENCE};
+use common::scripted::{ScriptedFront, STEP_TIMEOUT};
 use serde_json::{json, Value as Json};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::process::Command;
 
-fn talk(name: &str) {
+fn replay(name: &str) {
     let file = format!("{}/tests/talks/{name}.txt", env!("CARGO_MANIFEST_DIR"));
-    let script = std::fs::read_to_string(&file).expect("the talk");
-    let mut play = Play::start(name);
-    let mut seen = String::new();
+    let script = std::fs::read_to_string(&file).expect("the transcript");
+    let mut front = ScriptedFront::start(name);
+    let mut replayed = String::new();
     for line in script.lines() {
         println!("{line}"); // shown where a step fails
-        seen += line;
+        replayed += line;
         if let Some(head) = line.split(' ').next().filter(|h| !h.is_empty() && !h.starts_with('#')) {
             let who = head.trim_end_matches(['>', '<', '!']);
-            let said = play.step(who, &head[who.len()..], line[head.len()..].trim_start());
-            if !said.is_empty() {
-                seen += &format!(" {said}");
+            let received = front.step(who, &head[who.len()..], line[head.len()..].trim_start());
+            if !received.is_empty() {
+                replayed += &format!(" {received}");
             }
         }
-        seen += "\n";
+        replayed += "\n";
     }
-    insta::assert_snapshot!(name, seen);
+    insta::assert_snapshot!(name, replayed);
 }
 
-macro_rules! talks {
-    ($($name:ident)*) => { $(#[test] fn $name() { talk(stringify!($name)); })* };
+/// A test for each transcript: what the front sends in it is as in its snapshot.
+macro_rules! transcripts {
+    ($($name:ident)*) => {
+        mod the_front_reproduces_the_transcript { $(#[test] fn $name() { super::replay(stringify!($name)); })* }
+    };
 }
 
-talks! { read write trouble silent spoilt forget malformed bus peers reload term }
+transcripts! { read write trouble silent spoilt forget malformed bus peers reload term }
 
-/// Guards the writes that a full socket cuts short: they go on as it drains, and nobody else waits for them.
+/// Guards the writes that a full socket cuts short: they go on as it drains, and no other client waits for them.
 #[test]
-fn a_client_that_does_not_read_stops_nobody() {
-    let mut play = Play::start("slow");
+fn a_client_that_does_not_read_blocks_no_other() {
+    let mut front = ScriptedFront::start("slow");
     let body = "x".repeat(240_000);
-    let serve = |play: &mut Play, call: u32, body: &str| {
+    let serve = |front: &mut ScriptedFront, call: u32, body: &str| {
         let trace = format!("{call:016x}");
         let fields = json!({"trace": trace, "patience": "60000", "entity": "00000000000000a1", "slice": "0",
                              "set": "1", "size": "40"});
-        play.step("client", ">", &json!([0, call, "statement-docs", [fields, "b:"]]).to_string());
-        assert!(play.step("a", "<", "").starts_with(&format!("ASK {trace}")));
-        play.step("a", ">", &format!("{trace} served tell=fill {body}"));
+        front.step("client", ">", &json!([0, call, "statement-docs", [fields, "b:"]]).to_string());
+        assert!(front.step("a", "<", "").starts_with(&format!("ASK {trace}")));
+        front.step("a", ">", &format!("{trace} served tell=fill {body}"));
     };
     // More than the sockets on the way hold, so that most of it waits in the front.
-    (1..=32).for_each(|call| serve(&mut play, call, &body));
-    let slow = play.client.take();
-    serve(&mut play, 33, "quick");
-    assert_eq!(play.step("client", "<", ""), r#"[1,33,null,["b:quick",{}]]"#);
-    play.client = slow;
+    (1..=32).for_each(|call| serve(&mut front, call, &body));
+    let slow = front.client.take();
+    serve(&mut front, 33, "quick");
+    assert_eq!(front.step("client", "<", ""), r#"[1,33,null,["b:quick",{}]]"#);
+    front.client = slow;
     let mut calls: Vec<u64> = (1..=32)
         .map(|_| {
-            let answer: Json = serde_json::from_str(&play.step("client", "<", "")).expect("an answer");
-            assert_eq!(answer[3][0].as_str().map(str::len), Some(body.len() + 2), "whole");
+            let answer: Json = serde_json::from_str(&front.step("client", "<", "")).expect("an answer");
+            assert_eq!(answer[3][0].as_str().map(str::len), Some(body.len() + 2), "complete");
             answer[1].as_u64().expect("a number")
         })
         .collect();
@@ -84,24 +87,24 @@
     assert!(calls.into_iter().eq(1..=32), "each once");
 }
 
-/// Guards the places for clients: those that say nothing, or half of it, give theirs to others, and are closed
-/// soon; one that is served keeps its own.
+/// Guards the connection slots for clients: connections that send nothing, or half a call, are closed soon and leave theirs
+/// to others; one that is served keeps its own.
 #[test]
-fn connections_that_say_nothing_give_way() {
-    let mut play = Play::start_with("places", |c| c["limits"]["sockets"] = 24.into());
+fn silent_connections_give_way_to_others() {
+    let mut front = ScriptedFront::start_with("places", |c| c["limits"]["sockets"] = 24.into());
     let connect = |addr: &str| {
         let s = TcpStream::connect(addr).expect("the front listens");
-        s.set_read_timeout(Some(PATIENCE)).expect("a socket option");
+        s.set_read_timeout(Some(STEP_TIMEOUT)).expect("a socket option");
         s
     };
-    play.step("client", ">", r#"[0,1,"isWell",[{}]]"#);
-    play.step("client", "<", "");
+    front.step("client", ">", r#"[0,1,"isWell",[{}]]"#);
+    front.step("client", "<", "");
     let fields = json!({"trace": "0000000000000001", "patience": "60000", "entity": "00000000000000a1",
                         "slice": "0", "set": "1", "size": "40"});
     // A write is never tried elsewhere, however long its cache is silent.
-    play.step("client", ">", &json!([0, 2, "contribution-change", [fields, "b:"]]).to_string());
-    play.step("a", "<", "");
-    let addr = play.addr.clone();
+    front.step("client", ">", &json!([0, 2, "contribution-change", [fields, "b:"]]).to_string());
+    front.step("a", "<", "");
+    let addr = front.addr.clone();
     let mut silent: Vec<TcpStream> = (0..40).map(|_| connect(&addr)).collect();
     silent.extend((0..10).map(|_| {
         let mut s = connect(&addr);
@@ -111,9 +114,9 @@
     for mut s in silent {
         assert!(matches!(s.read(&mut [0]), Ok(0) | Err(_)), "closed");
     }
-    play.step("a", ">", "0000000000000001 served tell=fill still there");
-    assert_eq!(play.step("client", "<", ""), r#"[1,2,null,["b:still there",{}]]"#);
-    assert!(play.log("reason=no_request").contains("kind=client"));
+    front.step("a", ">", "0000000000000001 served tell=fill still there");
+    assert_eq!(front.step("client", "<", ""), r#"[1,2,null,["b:still there",{}]]"#);
+    assert!(front.wait_for_log("reason=no_request").contains("kind=client"));
 }
 
 #[test]
