--- a/crates/fernslip/src/api/actions.rs
+++ b/crates/fernslip/src/api/actions.rs
@@ -35,7 +35,7 @@
         rank: u8,
         /// Age of the oldest copy that will do, in milliseconds; 0: the class's fresh time.
         age_ms: f64,
-        /// Join a fill under way, if what it brings is young enough for `age_ms`.
+        /// Join a fill in flight, if what it brings is young enough for `age_ms`.
         join: bool,
         /// Renew an ageing copy behind the answer.
         renew: bool,
--- a/crates/fernslip/src/api/events.rs
+++ b/crates/fernslip/src/api/events.rs
@@ -1,4 +1,4 @@
-//! Events: what a router tells the decision crate.
+//! Events: what the decision crate is notified of.
 
 use super::{CacheId, Entry, ListKind, ObjectId, RequestId};
 use std::fmt;
--- a/crates/fernslip/src/bandwidth.rs
+++ b/crates/fernslip/src/bandwidth.rs
@@ -1,7 +1,7 @@
-//! How many transfers at full pace a machine's link carries, learned from what its answers took.
+//! How many transfers at full pace a node's link carries, learned from what its answers took.
 //!
 //! A link that is shared evenly by more transfers than fit at full pace serves each slower by just that much. An answer
-//! that took `stretch` times its sending time, while on average `open` were under way there, thus shows a link that
+//! that took `stretch` times its sending time, while on average `open` were in flight there, thus shows a link that
 //! carries `open / stretch` of them: exactly so when it was full, and that at the least when it was not. This is the
 //! measure of BBR (delivery rate, with what is limited by its sender marked as such) put into transfers.
 
@@ -11,15 +11,15 @@
 const ANSWER_WEIGHT: f64 = 0.1;
 /// Time besides its sending at which an answer counts by half, in milliseconds.
 const HALF_WEIGHT_MS: f64 = 50.0;
-/// Part of the width from which a link counts as used: answers in time under it may raise the width.
+/// Part of the bandwidth from which a link counts as used: answers in time above it may raise the bandwidth.
 const USED: f64 = 0.8;
-/// What an answer in time on a used link raises the width by, as a part of it: a link that was slow for a while, or
+/// What an answer in time on a used link raises the bandwidth by, as a part of it: a link that was slow for a while, or
 /// was taken to be, is found to be wider in some ten answers.
 const RISE: f64 = 0.02;
 
 impl crate::api::Settings {
-    /// By role, the least that told links let expect of a machine's width, in a location of so many caches; 0: none are
-    /// told. Caches that keep anything send more than their link brings in; a parent feeds a location or more.
+    /// By role, the least that known links let expect of a node's bandwidth, in a location of so many caches; 0: none
+    /// are known. Caches that keep anything send more than their link brings in; a parent feeds a location or more.
     pub(crate) fn expected_bandwidth(&self, caches: usize) -> [f64; 3] {
         let links = self.link_in_kb_per_s.iter().map(|kb| kb / self.stream_kb_per_s);
         let listed: Vec<f64> = links.clone().filter(|l| *l > 0.0).collect();
@@ -28,31 +28,32 @@
     }
 }
 
-/// What is known of a link's width, in transfers at full pace.
+/// What is known of a link's bandwidth, in transfers at full pace.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Bandwidth {
     /// What it was seen to carry; 0: nothing was seen yet.
     pub capacity: f64,
-    /// It was seen full: `carries` is what it can do, not only what it had to.
+    /// It was seen full: `capacity` is what it can do, not only what it had to.
     pub saturated: bool,
 }
 
 impl Bandwidth {
-    /// Begins with what a list tells, which is a figure where it is not 1: lists that know none tell 1 of all.
+    /// Begins with the listed weight, which is a figure where it is not 1: lists that know none give 1 for all.
     pub fn set_initial(&mut self, listed: f64) {
         if self.capacity == 0.0 && listed != 1.0 {
             *self = Bandwidth { capacity: listed, saturated: true };
         }
     }
 
-    /// Takes an answer in: its sending time, what it took in all, and how many were under way on average while it was.
+    /// Takes an answer in: its sending time, what it took in all, and how many were in flight on average while it was.
     /// Times are in milliseconds; `base_ms` is what any answer takes besides its sending.
     pub fn record_answer(&mut self, work_ms: f64, took_ms: f64, base_ms: f64, open: f64) {
         if !(work_ms > 0.0 && took_ms.is_finite() && open.is_finite()) {
             return;
         }
         let stretch = ((took_ms - base_ms) / work_ms).max(1.0);
-        let (shown, weight) = (open.max(1.0) / stretch, ANSWER_WEIGHT * work_ms / (work_ms + HALF_WEIGHT_MS));
+        let shown = open.max(1.0) / stretch;
+        let weight = ANSWER_WEIGHT * work_ms / (work_ms + HALF_WEIGHT_MS);
         let crowded = stretch > SATURATED_STRETCH;
         if self.capacity == 0.0 {
             self.capacity = shown;
@@ -65,52 +66,53 @@
     }
 }
 
-/// Deliveries are averaged over so long, in milliseconds: some answers of a machine in light use.
+/// Deliveries are averaged over so long, in milliseconds: some answers of a node in light use.
 const DELIVERY_WINDOW_MS: f64 = 500.0;
 
-/// Work that a machine was seen to send of late, a moving average: what it can do at the least.
+/// Work that a node was seen to send of late, a moving average: what it can do at the least.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DeliveryRate {
+    /// The moving average at the time `updated_ms`.
     rate: f64,
-    at: f64,
+    updated_ms: f64,
 }
 
 impl DeliveryRate {
-    /// An answer of `work_ms` of sending has come whole at the time `now`, `took_ms` after it was asked for: of one that
-    /// took long, only the last part came of late.
+    /// An answer of `work_ms` of sending has come complete at the time `now`, `took_ms` after it was requested: of one
+    /// that took long, only the last part came of late.
     pub fn record(&mut self, now: f64, work_ms: f64, took_ms: f64) {
         if work_ms > 0.0 && took_ms >= 0.0 {
-            *self =
-                DeliveryRate { rate: self.rate(now) + work_ms / took_ms.max(DELIVERY_WINDOW_MS), at: now };
+            let rate = self.rate(now) + work_ms / took_ms.max(DELIVERY_WINDOW_MS);
+            *self = DeliveryRate { rate, updated_ms: now };
         }
     }
 
     /// In transfers at full pace at the time `now`, this router's own alone.
     pub fn rate(&self, now: f64) -> f64 {
-        self.rate * (-(now - self.at).max(0.0) / DELIVERY_WINDOW_MS).exp()
+        self.rate * (-(now - self.updated_ms).max(0.0) / DELIVERY_WINDOW_MS).exp()
     }
 }
 
-/// A machine's link, as its answers show it.
+/// A node's link, as its answers show it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Link {
-    /// What it carries of all that is under way there. Transfers that wait for their source count too, so that it is
+    /// What it carries of all that is in flight there. Transfers that wait for their source count too, so that it is
     /// what the load there is to be compared with.
     pub bandwidth: Bandwidth,
-    /// What it was seen to send, counted by what came whole: what a cold machine's budget may go by.
+    /// What it was seen to send, counted by what came complete: what the budget of a node in slow start may go by.
     pub proven: Bandwidth,
     /// What this router saw it send lately.
     pub delivery: DeliveryRate,
 }
 
 impl Link {
-    /// Begins with what a list tells.
+    /// Begins with the listed weight.
     pub fn set_initial(&mut self, listed: f64) {
         self.bandwidth.set_initial(listed);
         self.proven.set_initial(listed);
     }
 
-    /// Takes an answer in as [`Bandwidth::answered`] does; `routers` send to it, each taken to see as much as this one.
+    /// Takes an answer in as [`Bandwidth::record_answer`] does; `routers` send to it, each taken to see as much as this one.
     pub fn record_answer(&mut self, now: f64, answer: Answer, routers: f64) {
         let Answer { work_ms, took_ms, base_ms, open } = answer;
         self.bandwidth.record_answer(work_ms, took_ms, base_ms, open);
@@ -120,7 +122,7 @@
     }
 }
 
-/// An answer, as [`Bandwidth::answered`] takes it.
+/// An answer, as [`Bandwidth::record_answer`] takes it.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer {
     /// Its sending time, in milliseconds.
@@ -129,7 +131,7 @@
     pub took_ms: f64,
     /// What any answer takes besides its sending, in milliseconds.
     pub base_ms: f64,
-    /// How many were under way on average.
+    /// How many were in flight on average.
     pub open: f64,
 }
 
--- a/crates/fernslip/src/bootstrap.rs
+++ b/crates/fernslip/src/bootstrap.rs
@@ -1,18 +1,18 @@
-//! What a router tells one of its location that has just started: what it has learned of the location's machines. One
-//! message, rough and bounded; the keys that caches hold follow as ordinary changes.
+//! What a router sends to one of its location that has just started: what it has learned of the location's nodes. One
+//! message, rough and bounded; the keys that caches have follow as ordinary filter changes.
 //!
-//! A router that starts knows no width, no pace and no failure. It takes its location's link for as wide as told links
-//! let expect, sends to machines that others know to fail, and asks for fills without a limit until its own are late.
+//! A router that starts knows no bandwidth, no pace and no failure. It takes its location's link for as wide as known
+//! links let expect, sends to nodes that others know to fail, and fills without a limit until its own fills are late.
 
 use crate::bandwidth::Bandwidth;
 use crate::state::Node;
 
-/// Bytes of a message's head, and of a machine in it.
+/// Bytes of a message's header, and of a node in it.
 const HEADER_BYTES: usize = 5;
 const NODE_BYTES: usize = 3 + 6;
 const VERSION: u8 = 3;
 
-/// What is told of a machine.
+/// What a message says of a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeState {
     /// The first bytes of its tag.
@@ -25,31 +25,33 @@
     pub pace: f64,
     /// The pace of its quicker answers.
     pub quick_pace: f64,
-    /// Its moving share of failures.
+    /// Its failure rate, from 0 to 1.
     pub failure_rate: f64,
 }
 
 impl NodeState {
-    /// What is known of a machine.
-    pub fn of(c: &Node, now: f64) -> NodeState {
-        let tag = c.tag.to_be_bytes();
-        let (pace, quick_pace) = (c.pace_at(now), c.quick_pace_at(now));
-        let (bandwidth, proven) = (c.link.bandwidth, c.link.proven);
+    /// What is known of a node.
+    pub fn of(node: &Node, now: f64) -> NodeState {
+        let tag = node.tag.to_be_bytes();
         NodeState {
             tag: [tag[0], tag[1], tag[2]],
-            bandwidth,
-            proven,
-            pace,
-            quick_pace,
-            failure_rate: c.failure_rate,
+            bandwidth: node.link.bandwidth,
+            proven: node.link.proven,
+            pace: node.pace_at(now),
+            quick_pace: node.quick_pace_at(now),
+            failure_rate: node.failure_rate,
         }
     }
 
-    /// Takes it for what this router has seen itself. Whether it fails too often is for its own failures to say: one
+    /// Adopts it as what this router has seen itself. Whether it fails too often is for its own failures to say: one
     /// more is then enough.
-    pub fn apply(&self, c: &mut Node, now: f64) {
-        (c.link.bandwidth, c.link.proven, c.failure_rate) = (self.bandwidth, self.proven, self.failure_rate);
-        (c.pace, c.quick_pace, c.pace_updated) = (self.pace, self.quick_pace, now);
+    pub fn apply(&self, node: &mut Node, now: f64) {
+        node.link.bandwidth = self.bandwidth;
+        node.link.proven = self.proven;
+        node.failure_rate = self.failure_rate;
+        node.pace = self.pace;
+        node.quick_pace = self.quick_pace;
+        node.pace_updated = now;
     }
 }
 
@@ -58,13 +60,13 @@
 pub struct Bootstrap {
     /// Over how long, in milliseconds.
     pub known_ms: f64,
-    /// How many fills the location may have under way; infinite: no limit was found yet.
+    /// How many fills the location may have in flight; infinite: no limit was found yet.
     pub fill_limit: f64,
-    /// Machines, the most useful first; those that find no room are left out.
+    /// Nodes, the most useful first; those for which there is no space are omitted.
     pub nodes: Vec<NodeState>,
 }
 
-/// Steps in which a figure is told: a twelfth of an octave, from 2^-10 to 2^11; 0 stands for none.
+/// Quantises a figure: steps of a twelfth of an octave, from 2^-10 to 2^11; 0 stands for none.
 fn code(v: f64) -> u8 {
     if v.is_finite() && v > 0.0 {
         (v.log2() * 12.0 + 128.0).round().clamp(1.0, 255.0) as u8
@@ -82,7 +84,7 @@
 }
 
 impl Bootstrap {
-    /// What is known of machines: boxes first, then parents, then the origin.
+    /// What is known of nodes: caches first, then parents, then the origin.
     pub fn of<'a>(
         all: impl Iterator<Item = &'a Node>,
         now: f64,
@@ -90,21 +92,25 @@
         fill_limit: f64,
     ) -> Bootstrap {
         let mut all: Vec<&Node> = all.collect();
-        all.sort_by_key(|c| c.role as u8);
-        Bootstrap { known_ms, fill_limit, nodes: all.into_iter().map(|c| NodeState::of(c, now)).collect() }
+        all.sort_by_key(|node| node.role as u8);
+        Bootstrap {
+            known_ms,
+            fill_limit,
+            nodes: all.into_iter().map(|node| NodeState::of(node, now)).collect(),
+        }
     }
 
-    /// Takes over what is told of machines that were there then. One that has started since, and since `began`, is not
-    /// the one that was seen.
+    /// Adopts what is said of nodes that were there then. One that has started since, and since `first_event_ms`, is
+    /// not the one that was seen.
     pub fn apply<'a>(&self, all: impl Iterator<Item = &'a mut Node>, now: f64, first_event_ms: f64) {
-        for c in all.filter(|c| c.started_ms <= (now - self.known_ms).max(first_event_ms)) {
-            if let Some(m) = self.nodes.iter().find(|m| c.tag.to_be_bytes().starts_with(&m.tag)) {
-                m.apply(c, now);
+        for node in all.filter(|node| node.started_ms <= (now - self.known_ms).max(first_event_ms)) {
+            if let Some(m) = self.nodes.iter().find(|m| node.tag.to_be_bytes().starts_with(&m.tag)) {
+                m.apply(node, now);
             }
         }
     }
 
-    /// Its bytes, `most` at the most.
+    /// Its bytes, at most `max_bytes`.
     pub fn encode(&self, zone: u8, max_bytes: usize) -> Vec<u8> {
         let mut out = vec![VERSION, zone, 1, code(self.known_ms / 1000.0), code(self.fill_limit)];
         for m in self.nodes.iter().take(max_bytes.saturating_sub(HEADER_BYTES) / NODE_BYTES) {
@@ -117,7 +123,7 @@
         out
     }
 
-    /// Reads one and its sender's location; `None`: it makes no sense.
+    /// Decodes one and its sender's location; `None`: it is malformed.
     pub fn read(data: &[u8]) -> Option<(u8, Bootstrap)> {
         let [VERSION, zone, 1, known, fill_limit, rest @ ..] = data else { return None };
         if rest.len() % NODE_BYTES != 0 {
--- a/crates/fernslip/src/facade.rs
+++ b/crates/fernslip/src/facade.rs
@@ -71,6 +71,7 @@
 pub use host::{Host, Waiter};
 
 use crate::api::*;
+use crate::manual_exclusion::Inclusion;
 use crate::policy::Router;
 use state::{HostCall, NextTimer, OpenRequest, State};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -102,7 +103,7 @@
         let id = request.id;
         let calls = {
             let mut state = self.lock();
-            // An id that is open already names another request: this one can't be told from it. Guards against
+            // An id that is open already names another request: this one can't be distinguished from it. Guards against
             // a client that reuses ids; without it the first would lose its answer.
             if state.open.contains_key(&id) {
                 return Decision::Reject { retry_after_ms: 0.0 };
@@ -256,9 +257,9 @@
         let calls = {
             let mut state = self.lock();
             match state.exclusions.include(cache) {
-                None => return false,
-                Some(None) => Vec::new(),
-                Some(Some(entry)) => {
+                Inclusion::Unknown => return false,
+                Inclusion::NotListed => Vec::new(),
+                Inclusion::Listed(entry) => {
                     state.handle(now_ms, Event::Endpoints { kind: ListKind::Delta, entries: vec![entry] })
                 }
             }
--- a/crates/fernslip/src/facade/answers.rs
+++ b/crates/fernslip/src/facade/answers.rs
@@ -1,4 +1,4 @@
-//! What a front is told to do with a request, and what it reports back.
+//! What a front is to do with a request, and what it reports back.
 
 use crate::api::*;
 use std::sync::atomic::AtomicBool;
--- a/crates/fernslip/src/facade/state.rs
+++ b/crates/fernslip/src/facade/state.rs
@@ -15,7 +15,7 @@
     pub(super) group: u64,
     pub(super) sent: u32,
     pub(super) over: bool,
-    /// What it asks for was purged since its attempt was decided on.
+    /// Its object was purged since its attempt was decided on.
     pub(super) outdated: bool,
     pub(super) decided: Option<Decision>,
     pub(super) waiter: Option<Arc<dyn Waiter>>,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Feeds an event to the module under the lock that the caller holds, so that nothing comes between what the caller
+    /// Feeds an event to the router under the lock that the caller holds, so that nothing comes between what the caller
     /// noted and what the router decides. Returns what is to be done without the lock.
     pub(super) fn handle(&mut self, now_ms: f64, event: Event) -> Vec<HostCall> {
         let (mut actions, mut calls) = (Vec::new(), Vec::new());
--- a/crates/fernslip/src/filter.rs
+++ b/crates/fernslip/src/filter.rs
@@ -26,8 +26,8 @@
 /// Two generations of 4-bit counters.
 #[derive(Clone, Debug)]
 pub struct Filter {
-    now: Vec<u8>,
-    old: Vec<u8>,
+    current: Vec<u8>,
+    previous: Vec<u8>,
     hashes: usize,
 }
 
@@ -42,12 +42,12 @@
     /// A filter of `counters` counters (at least two) and up to four `hashes`.
     pub fn new(counters: usize, hashes: usize) -> Self {
         let n = counters.max(2).div_ceil(2);
-        Filter { now: vec![0; n], old: vec![0; n], hashes: hashes.clamp(1, 4) }
+        Filter { current: vec![0; n], previous: vec![0; n], hashes: hashes.clamp(1, 4) }
     }
 
     /// Number of counters in a generation.
     pub fn counters(&self) -> usize {
-        self.now.len() * 2
+        self.current.len() * 2
     }
 
     /// The counters of a key, each once, in ascending order.
@@ -59,14 +59,14 @@
         p
     }
 
-    fn get(gen: &[u8], at: u32) -> u8 {
+    fn counter(gen: &[u8], at: u32) -> u8 {
         (gen[at as usize / 2] >> (at % 2 * 4)) & SATURATED
     }
 
     fn step(gen: &mut [u8], at: u32, up: bool) {
         let (byte, shift) = (&mut gen[at as usize / 2], at % 2 * 4);
         let v = (*byte >> shift) & SATURATED;
-        // A counter that is full has lost count: it stays full until its generation goes.
+        // A saturated counter has lost count: it stays so until its generation is dropped.
         let new = match (v, up) {
             (SATURATED, _) | (0, false) => v,
             (_, true) => v + 1,
@@ -76,10 +76,10 @@
     }
 
     fn minimum(gen: &[u8], positions: &[u32]) -> u8 {
-        positions.iter().map(|&p| Self::get(gen, p)).min().unwrap_or(0)
+        positions.iter().map(|&p| Self::counter(gen, p)).min().unwrap_or(0)
     }
 
-    /// Whether either generation shows the key.
+    /// Whether either generation contains the key, or seems to.
     pub fn contains(&self, h: Hashes) -> bool {
         self.count(h) > 0
     }
@@ -87,49 +87,49 @@
     /// The larger of both generations' estimates, 15 at most.
     pub fn count(&self, h: Hashes) -> u8 {
         let p = self.positions(h);
-        Self::minimum(&self.now, &p).max(Self::minimum(&self.old, &p))
+        Self::minimum(&self.current, &p).max(Self::minimum(&self.previous, &p))
     }
 
     /// Counts the key in the current generation, whether it is there or not.
     pub fn bump(&mut self, h: Hashes) {
         for p in self.positions(h) {
-            Self::step(&mut self.now, p, true);
+            Self::step(&mut self.current, p, true);
         }
     }
 
     /// Adds the key to the current generation if that lacks it; the changes made.
     pub fn add(&mut self, h: Hashes) -> Vec<Change> {
         let positions = self.positions(h);
-        if Self::minimum(&self.now, &positions) > 0 {
+        if Self::minimum(&self.current, &positions) > 0 {
             return Vec::new();
         }
         positions.into_iter().map(|at| self.apply_one(Change { at, up: true })).collect()
     }
 
-    /// Removes the key from each generation that shows it; the changes made to the current one.
+    /// Removes the key from each generation that contains it; the changes made to the current one.
     pub fn remove(&mut self, h: Hashes) -> Vec<Change> {
         let positions = self.positions(h);
-        if Self::minimum(&self.old, &positions) > 0 {
-            positions.iter().for_each(|&p| Self::step(&mut self.old, p, false));
+        if Self::minimum(&self.previous, &positions) > 0 {
+            positions.iter().for_each(|&p| Self::step(&mut self.previous, p, false));
         }
-        if Self::minimum(&self.now, &positions) == 0 {
+        if Self::minimum(&self.current, &positions) == 0 {
             return Vec::new();
         }
         positions.into_iter().map(|at| self.apply_one(Change { at, up: false })).collect()
     }
 
-    /// What would make an empty filter show what this one shows.
+    /// The changes that would make an empty filter contain what this one does.
     pub fn set_counters(&self) -> Vec<Change> {
-        let is_set = |at: &u32| Self::get(&self.now, *at).max(Self::get(&self.old, *at)) > 0;
+        let is_set = |at: &u32| Self::counter(&self.current, *at).max(Self::counter(&self.previous, *at)) > 0;
         (0..self.counters() as u32).filter(is_set).map(|at| Change { at, up: true }).collect()
     }
 
     fn apply_one(&mut self, c: Change) -> Change {
-        Self::step(&mut self.now, c.at, c.up);
+        Self::step(&mut self.current, c.at, c.up);
         c
     }
 
-    /// Applies a peer's changes; places outside the filter are skipped.
+    /// Applies a peer's changes; positions outside the filter are skipped.
     pub fn apply(&mut self, changes: &[Change]) {
         let m = self.counters() as u32;
         for &c in changes.iter().filter(|c| c.at < m) {
@@ -139,14 +139,14 @@
 
     /// Begins a new generation and drops the older one.
     pub fn rotate(&mut self) {
-        std::mem::swap(&mut self.now, &mut self.old);
-        self.now.fill(0);
+        std::mem::swap(&mut self.current, &mut self.previous);
+        self.current.fill(0);
     }
 
     /// Empties both generations.
     pub fn clear(&mut self) {
-        self.now.fill(0);
-        self.old.fill(0);
+        self.current.fill(0);
+        self.previous.fill(0);
     }
 }
 
@@ -203,7 +203,7 @@
     pieces
 }
 
-/// Reads one piece, whole or not at all, for a filter of `counters`. A piece that makes no sense has no changes.
+/// Decodes one piece, completely or not at all, for a filter of `counters`. A malformed piece has no changes.
 pub fn decode(mut data: &[u8], counters: usize) -> Vec<Change> {
     let (mut out, mut last) = (Vec::new(), 0u32);
     while !data.is_empty() {
--- a/crates/fernslip/src/lib.rs
+++ b/crates/fernslip/src/lib.rs
@@ -1,4 +1,4 @@
-//! fernslip decides, for a router, where objects are served, kept and filled from.
+//! fernslip decides, for a router, where objects are served, cached and filled from.
 //!
 //! It does no input or output. A router hands [`Router::handle`] one [`Event`] at a time, with its clock, and carries
 //! out the [`Action`]s that come back, in their order and before the next event. Equal settings, seed and events give
@@ -8,15 +8,15 @@
 //!
 //! - Time never runs back; a clock that does is taken to stand still.
 //! - The first event is a complete list ([`ListKind::Cached`] or [`ListKind::Full`]); each later event comes in the
-//!   order in which the router saw it. A request that comes while no cache is known is refused.
+//!   order in which the router saw it. A request that comes while no cache is known is rejected.
 //! - An action takes effect at the time of its event. Each [`Action::Forward`] is answered by exactly one
 //!   [`Event::Outcome`] that carries the number of the attempt, counted from 0 in each request. The router enforces
 //!   `until_ms` and reports [`Ending::TimedOut`].
-//! - The first [`Ending::Completed`] reaches the client by itself. Otherwise the module ends each request by one
+//! - The first [`Ending::Completed`] reaches the client by itself. Otherwise the router ends each request by one
 //!   [`Action::Reject`] or [`Action::Fail`], unless [`Event::Cancelled`] or an outcome with `over` came first; it
 //!   sends nothing more for it then, though it may still cancel an attempt.
 //! - Each [`Action::Timer`] comes back as one [`Event::Timer`]. [`Action::SendToPeer`] and [`Action::SendToAllPeers`] may be lost.
-//! - Never returned: an attempt at a cache of another location, at one that drains or is gone, or, where
+//! - Never returned: an attempt at a cache of another location, at one that drains or is removed, or, where
 //!   [`Settings::parallel`] is false, a second attempt while one is out.
 //!
 //! # Example
@@ -85,7 +85,7 @@
 //! };
 //! let entries = vec![entry("10.0.0.1:80", 1, 0), entry("10.0.1.1:80", 0, 1), entry("10.0.1.2:80", 0, 2)];
 //! router.handle(0.0, Event::Endpoints { kind: ListKind::Full, entries }, &mut actions);
-//! let ask = Request {
+//! let request = Request {
 //!     id: RequestId(1),
 //!     object: ObjectId(7),
 //!     part: 0,
@@ -94,11 +94,11 @@
 //!     budget_ms: 5000.0,
 //!     group: 0,
 //! };
-//! router.handle(5.0, Event::Request(ask), &mut actions);
+//! router.handle(5.0, Event::Request(request), &mut actions);
 //! match &actions[0] {
 //!     Action::Forward { cache, source, .. } => {
 //!         assert_eq!(&*cache.0, "10.0.0.1:80"); // home: the only cache of the location
-//!         assert_eq!(&*source.0, "10.0.1.1:80"); // nothing is shown to hold the object: its first parent
+//!         assert_eq!(&*source.0, "10.0.1.1:80"); // no filter shows the object: its first parent
 //!     }
 //!     other => panic!("{other:?}"),
 //! }
@@ -109,6 +109,7 @@
 mod bandwidth;
 mod bootstrap;
 pub mod facade;
+mod fill_limiter;
 pub mod filter;
 mod in_flight;
 pub mod json;
@@ -117,8 +118,10 @@
 mod peers;
 mod policy;
 mod purges;
+mod rejection_counts;
 mod rendezvous;
 mod slow_start;
+mod source_throttle;
 mod state;
 
 pub use api::*;
--- a/crates/fernslip/src/manual_exclusion.rs
+++ b/crates/fernslip/src/manual_exclusion.rs
@@ -1,17 +1,17 @@
-//! Cache nodes taken out by hand: from the operators' `exclude` until their `include`, a node counts as draining
+//! Cache nodes excluded manually: from the operators' `exclude` until their `include`, a node counts as draining
 //! for this router, whatever the list says meanwhile.
 //!
-//! The set sits between the list and the decisions: every list passes through [`ManualExclusions::rewrite`], which keeps the
-//! last word of the list on each node and turns `In` into `Draining` for those out by hand. Calls are not counted:
-//! two `exclude` need one `include`. Deterministic and without I/O; keeping the set across a restart is the host's.
+//! The set sits between the list and the decisions: every list passes through [`ManualExclusions::rewrite`], which
+//! retains the latest entry of each node and turns `In` into `Draining` for excluded ones. Calls are not counted:
+//! two `exclude` need one `include`. Deterministic and without I/O; persisting the set across a restart is the host's.
 
 use crate::api::{CacheId, Entry, ListKind, Phase};
 use std::collections::{BTreeSet, HashMap};
 
-/// For how long it is remembered since when a node is out of service, in milliseconds: longer than any attempt waits.
+/// For how long it is retained since when a node is out of service, in milliseconds: longer than any attempt waits.
 const OUT_OF_SERVICE_RETENTION_MS: f64 = 3_600_000.0;
 
-/// The nodes out by hand, and what the list last said of each node.
+/// The manually excluded nodes, and the latest list entry of each node.
 #[derive(Default)]
 pub struct ManualExclusions {
     excluded: BTreeSet<CacheId>,
@@ -20,8 +20,19 @@
     out_of_service: HashMap<CacheId, f64>,
 }
 
+/// What became of the inclusion of a node.
+#[derive(Clone, Debug)]
+pub enum Inclusion {
+    /// The id is neither listed nor excluded: nothing has changed.
+    Unknown,
+    /// It is excluded no more, and not listed.
+    NotListed,
+    /// It is excluded no more; its entry as the list last gave it.
+    Listed(Entry),
+}
+
 impl ManualExclusions {
-    /// Takes a list in and rewrites it: nodes out by hand are draining in it.
+    /// Takes a list in and rewrites it: excluded nodes are draining in it.
     pub fn rewrite(&mut self, now_ms: f64, kind: ListKind, entries: &mut [Entry]) {
         match kind {
             ListKind::Failed => return,
@@ -55,7 +66,7 @@
         self.listed.get(id).is_some_and(|e| e.phase == Phase::In) && !self.excluded.contains(id)
     }
 
-    /// Since when nothing new is to go to that node; `None`: it may, or it is too long ago to be remembered.
+    /// Since when nothing new is to go to that node; `None`: it may, or it is too long ago.
     pub fn out_of_service_since(&self, id: &CacheId) -> Option<f64> {
         self.out_of_service.get(id).copied()
     }
@@ -65,7 +76,7 @@
         self.listed.contains_key(id)
     }
 
-    /// Takes a node out; the entry that tells the decisions so, or `None` where no node of that id is listed.
+    /// Excludes a node; the rewritten entry for the router, or `None` where no node of that id is listed.
     pub fn exclude(&mut self, now_ms: f64, id: &CacheId) -> Option<Entry> {
         let entry = self.listed.get(id)?;
         self.excluded.insert(id.clone());
@@ -74,36 +85,35 @@
         Some(Entry { phase, ..entry.clone() })
     }
 
-    /// Puts a node back; the entry as the list last gave it, or `None` where the id is neither listed nor out.
-    /// A node that is out and no longer listed is put back all the same, with no entry to tell.
-    pub fn include(&mut self, id: &CacheId) -> Option<Option<Entry>> {
+    /// Includes a node again.
+    pub fn include(&mut self, id: &CacheId) -> Inclusion {
         let was_excluded = self.excluded.remove(id);
         if self.is_in_service(id) {
             self.out_of_service.remove(id);
         }
         match self.listed.get(id) {
-            Some(e) => Some(Some(e.clone())),
-            None if was_excluded => Some(None),
-            None => None,
+            Some(entry) => Inclusion::Listed(entry.clone()),
+            None if was_excluded => Inclusion::NotListed,
+            None => Inclusion::Unknown,
         }
     }
 
-    /// Takes nodes out before they are listed, as a restarted front does with the set that it kept.
+    /// Excludes nodes before they are listed, as a restarted front does with the set that it persisted.
     pub fn restore(&mut self, ids: impl IntoIterator<Item = CacheId>) {
         self.excluded.extend(ids);
     }
 
-    /// The nodes out by hand, in order.
+    /// The excluded nodes, in order.
     pub fn excluded(&self) -> impl Iterator<Item = &CacheId> {
         self.excluded.iter()
     }
 
-    /// Nodes listed and not gone: in service or draining.
+    /// Nodes listed and not removed: in service or draining.
     pub fn listed_count(&self) -> usize {
         self.listed.len()
     }
 
-    /// Listed nodes that are out by hand or draining by the list.
+    /// Listed nodes that are excluded, or draining by the list.
     pub fn avoided_count(&self) -> usize {
         self.listed.values().filter(|e| e.phase != Phase::In || self.excluded.contains(&e.cache)).count()
     }
--- a/crates/fernslip/src/peers.rs
+++ b/crates/fernslip/src/peers.rs
@@ -3,13 +3,15 @@
 use crate::rendezvous::mix;
 use std::collections::BTreeSet;
 
-/// Who was heard, and over how long things were learned, here or by one whose knowledge was taken over.
+/// The routers of the location that messages came from, and over how long things were learned, here or by one whose
+/// knowledge was adopted.
 #[derive(Clone, Debug, Default)]
 pub struct Peers {
+    /// Their numbers.
     known: BTreeSet<u32>,
     /// When this router's first event came.
     pub first_event_ms: Option<f64>,
-    /// For how much longer one had learned whose knowledge it took over.
+    /// For how much longer the router had learned whose knowledge was adopted, in milliseconds.
     adopted_ms: f64,
 }
 
@@ -19,7 +21,7 @@
         self.first_event_ms.get_or_insert(now);
     }
 
-    /// One was heard, of this location or of another.
+    /// A message came from a router, of this location or of another.
     pub fn record_message(&mut self, from: u32, same_location: bool) {
         if same_location {
             self.known.insert(from);
@@ -33,12 +35,12 @@
         self.known.iter().copied()
     }
 
-    /// Whether all of a location of `routers` were heard, this one included.
+    /// Whether all of a location of `routers` are known, this one included.
     pub fn all_known(&self, routers: u32) -> bool {
         self.known.len() + 1 >= routers as usize
     }
 
-    /// This router's place among the location's: by the order of their numbers, and by chance while some were not heard.
+    /// This router's index among the location's: by the order of their numbers, and a random one while some are not known.
     pub fn index(&self, own: u32, routers: u32) -> u32 {
         if !self.all_known(routers) {
             return mix(own.into()) as u32;
@@ -57,7 +59,7 @@
         self.first_event_ms.map_or(0.0, |b| now - b) + self.adopted_ms
     }
 
-    /// Knowledge of that many milliseconds is taken over, if it is more than there is.
+    /// Adopts knowledge of that many milliseconds if it is more than there is; whether it did.
     pub fn adopt(&mut self, now: f64, known_ms: f64) -> bool {
         let more = known_ms - self.known_ms(now);
         self.adopted_ms += more.max(0.0);
--- a/crates/fernslip/src/policy.rs
+++ b/crates/fernslip/src/policy.rs
@@ -6,11 +6,13 @@
 //! The constants below are the design's figures, shared by those modules.
 
 use crate::api::*;
+use crate::fill_limiter::FillLimiter;
 use crate::filter::Filter;
-use crate::in_flight::{AdaptiveThrottle, FillLimiter, RejectionCounts};
 use crate::message;
 use crate::peers::Peers;
 use crate::purges::Purges;
+use crate::rejection_counts::RejectionCounts;
+use crate::source_throttle::AdaptiveThrottle;
 use crate::state::{Node, PendingRequest};
 use std::collections::BTreeMap;
 
@@ -44,7 +46,7 @@
 const SYNC_REQUESTS: u32 = 100;
 /// Bytes of a message at the most.
 const MESSAGE_BYTES: usize = 256;
-/// A router that has learned for less has nothing to tell one that starts.
+/// A router that has learned for less has nothing to send to one that starts.
 const BOOTSTRAP_FROM_MS: f64 = 2_000.0;
 /// Messages with a cache's keys to a router that starts, at the most.
 const BOOTSTRAP_MAX_MESSAGES: usize = 8;
@@ -77,13 +79,13 @@
 /// Rejected sooner than a source can be asked, it was the cache itself: it drains, which is not known here
 /// yet, or is full.
 const LOCAL_REJECTION_MS: f64 = 5.0;
-/// Silence beyond twice the sending time of what was asked: longer than the stalls of a working cache.
+/// Silence beyond twice the sending time of the request: longer than the stalls of a working cache.
 const SILENT_MS: f64 = 800.0;
 /// A probe of a silent cache gets this part of `SILENT_MS`, and its sending time.
 const PROBE_FRACTION: f64 = 0.5;
 
 // Load, in answers at full pace over the link that sends them.
-/// Share of home's load below which another cache is worth a second copy.
+/// Share of home's load below which another cache justifies a second copy.
 const SPILL_GAIN: f64 = 0.6;
 /// Load rises while an answer is sent.
 const LATE_MARGIN: f64 = 1.6;
@@ -238,7 +240,7 @@
         }
         self.next_generation_ms = self.now_ms + GENERATION_MS;
         // Greets all when it starts, and once a generation while a router of the location is unknown:
-        // finds strangers, restarts and late joiners. Where one is gone for good it costs a few bytes.
+        // finds strangers, restarts and late joiners. Where one is removed for good it costs a few bytes.
         if self.settings.peers && !self.peers.all_known(self.settings.near_routers()) {
             out.push(Action::SendToAllPeers { data: message::greeting(self.settings.zone as u8, true) });
         }
--- a/crates/fernslip/src/policy/admission.rs
+++ b/crates/fernslip/src/policy/admission.rs
@@ -8,11 +8,11 @@
 impl Router {
     /// How the node warms up, and the part of its capacity that all routers together use; `None`: it is warm.
     pub(super) fn slow_start(&self, node: &Node) -> Option<SlowStart> {
-        let [initial_fraction, duration_ms, multiple] = self.settings.slow_start(node.role == Role::Parent);
+        let ramp = self.settings.slow_start(node.role == Role::Parent);
         let age_ms = self.now_ms - node.started_ms;
-        let warming_up = node.started_ms > 0.0 && node.role != Role::Origin && age_ms < duration_ms;
-        let rate = multiple * self.warm_capacity(node, node.link.proven) * SLOW_START_USE;
-        warming_up.then_some(SlowStart { initial_fraction, duration_ms, multiple, rate })
+        let warming_up = node.started_ms > 0.0 && node.role != Role::Origin && age_ms < ramp.duration_ms;
+        let rate = ramp.multiple * self.warm_capacity(node, node.link.proven) * SLOW_START_USE;
+        warming_up.then_some(SlowStart { rate, ..ramp })
     }
 
     /// Share of its full capacity that the node has by now, from 0.001 to 1; 1 once it is warm.
@@ -33,7 +33,7 @@
         let age_ms = self.now_ms - node.started_ms;
         let spent_ms = node.sent_within(self.now_ms, window_ms);
         let ramp_share_ms = ramp.rate * ramp.capacity_fraction(age_ms) * window_ms / f64::from(routers);
-        // What a router saw the node send lately it can send now, and may be asked for within the same multiple.
+        // What a router saw the node send lately it can send now, and may be requested within the same multiple.
         // One of several routers goes by that only where it knows no bandwidth: two ways at once would add up.
         let no_other_measure = routers == 1
             || !node.link.bandwidth.saturated && self.typical_bandwidth[node.role as usize] == 0.0;
--- a/crates/fernslip/src/policy/learning.rs
+++ b/crates/fernslip/src/policy/learning.rs
@@ -130,7 +130,7 @@
         if sibling {
             self.record_change(route.source, |f| f.remove(req.key));
         }
-        // A source that rejected it would do so again, to all fronts at once: the second is asked.
+        // A source that rejected it would do so again, to all fronts at once: another source is used.
         let rejected = outcome.ending == Ending::Saturated && !reason_given && blame.target == 0.0;
         let source_at_fault = match reason_given {
             true => blame.target == 0.0,
@@ -139,7 +139,7 @@
         if sibling || rejected || source_at_fault {
             req.excluded.insert(route.source.clone());
         }
-        // After a lost connection the same cache is tried once more: if its process died, that is refused.
+        // After a lost connection the same cache is attempted once more: if its process died, the connection is refused.
         let target_at_fault = blame.target > 0.0 && blame.target >= blame.source;
         if target_at_fault && (outcome.ending != Ending::ConnectionLost || req.attempts.len() > 1) {
             req.excluded.insert(route.target.clone());
--- a/crates/fernslip/src/policy/peers.rs
+++ b/crates/fernslip/src/policy/peers.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Tells a router that has just started what it can't know. Guards against restarts of a part of all routers:
+    /// Sends a router that has just started what it can't know. Guards against restarts of a part of all routers:
     /// each would fill without a limit, and send to what the others know to be slow or failing.
     fn send_bootstrap(&self, to: u32, out: &mut Vec<Action>) {
         let zone = self.settings.zone as u8;
--- a/crates/fernslip/src/policy/placement.rs
+++ b/crates/fernslip/src/policy/placement.rs
@@ -48,9 +48,9 @@
     /// The cache node that is to serve a request: the first in hash order, or where it would be late the next that
     /// would not be.
     ///
-    /// Links are shared evenly, so what is asked takes its sending time times the load. With no node in time the
+    /// Links are shared evenly, so a request takes its sending time times the load. With no node in time the
     /// request is rejected at once, the large first. Guards against hot objects, bursts, lost caches. Harm: second
-    /// copies; what a late answer is still worth. Nothing is faster than its sending time: what cannot end while
+    /// copies; what a late answer still earns. Nothing is faster than its sending time: what cannot end while
     /// the client waits only fills the links.
     fn home<'a>(
         &self,
@@ -119,7 +119,7 @@
     /// The home lacks the key: it is filled from a sibling that has it, else from a parent or the origin.
     ///
     /// Without capacity for another fill, a miss is rejected at once: it would only occupy a slot at the cache that
-    /// what is kept there needs. Guards against a slow origin, crowded links, flushes and scans.
+    /// what is cached there needs. Guards against a slow origin, crowded links, flushes and scans.
     fn plan_fill(
         &self,
         req: &PendingRequest,
--- a/crates/fernslip/src/policy/request.rs
+++ b/crates/fernslip/src/policy/request.rs
@@ -120,7 +120,7 @@
         let remaining_ms = self.remaining_ms(req);
         let may_retry = req.attempts.len() + 1 < self.settings.max_attempts as usize;
         let expected_there = lookup_only || plan.kind == AttemptKind::ExpectedHit;
-        // A fill runs on while the client waits: one that is dropped keeps nothing and is asked for again.
+        // A fill runs on while the client waits: one that is dropped leaves no copy and is requested again.
         let time_ms = if may_retry && expected_there {
             (req.objective_ms * OBJECTIVES).min(remaining_ms * REMAINING_FRACTION).max(MIN_ATTEMPT_MS)
         } else {
--- a/crates/fernslip/src/rendezvous.rs
+++ b/crates/fernslip/src/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Places in hash order: weighted rendezvous.
+//! Weighted rendezvous hashing: each key has an order of all nodes.
 
 use crate::filter::Hashes;
 
--- a/crates/fernslip/src/slow_start.rs
+++ b/crates/fernslip/src/slow_start.rs
@@ -1,28 +1,38 @@
-//! How many routers share what a machine that warms up can take, without a word between them.
+//! How many routers share the capacity of a node in slow start, without a message between them.
 //!
-//! All routers know when it started and how it warms, so all reckon the same sum of work that it may have been sent by
-//! a moment. The sum is cut into turns of one request each; turn number `j` is router `j % routers`'s. A router's part
-//! may thus be far less than one request in the time over which the machine's limit is watched, and is not rounded up.
+//! All routers know when it started and how it warms, so all compute the same sum of work that it may have been sent by
+//! a moment. The sum is cut into tokens of one request each; token number `j` is router `j % routers`'s. A router's part
+//! may thus be far less than one request in the time over which the node's limit is watched, and is not rounded up.
 
 impl crate::api::Settings {
-    /// How a parent, or another machine, warms up: its share at the start, the time in milliseconds, the multiple.
-    pub(crate) fn slow_start(&self, parent: bool) -> [f64; 3] {
+    /// How a parent, or another node, warms up; its rate is still 0.
+    pub(crate) fn slow_start(&self, parent: bool) -> SlowStart {
         if parent {
-            [self.parent_slow_start_from, self.parent_slow_start_ms, self.parent_slow_start_multiple]
+            SlowStart {
+                initial_fraction: self.parent_slow_start_from,
+                duration_ms: self.parent_slow_start_ms,
+                multiple: self.parent_slow_start_multiple,
+                rate: 0.0,
+            }
         } else {
-            [self.slow_start_from, self.slow_start_ms, self.slow_start_multiple]
+            SlowStart {
+                initial_fraction: self.slow_start_from,
+                duration_ms: self.slow_start_ms,
+                multiple: self.slow_start_multiple,
+                rate: 0.0,
+            }
         }
     }
 }
 
-/// A machine that warms evenly.
+/// A node whose capacity rises linearly from its start.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
     /// Share of its full capacity with which it starts.
     pub initial_fraction: f64,
     /// It is warm after this time, in milliseconds.
     pub duration_ms: f64,
-    /// How many times what it can do now it stands.
+    /// How many times its present capacity it stands.
     pub multiple: f64,
     /// Work that all routers may send it when warm, in milliseconds of sending a millisecond.
     pub rate: f64,
@@ -48,11 +58,11 @@
                 + (age_ms - elapsed).max(0.0))
     }
 
-    /// How many turns of `turn` milliseconds of sending came to router `place` of `routers` in the last `window_ms`.
-    /// Over all places they are all turns of that time: `allowed` over it, and one more at the most.
+    /// How many tokens of `token_ms` of sending came to router `slot` of `routers` in the last `window_ms`. Over all
+    /// slots they are all tokens of that time: `budget_until` over it, and one more at the most.
     pub fn tokens(&self, age_ms: f64, window_ms: f64, token_ms: f64, slot: u32, routers: u32) -> u32 {
         let (n, slot) = (i64::from(routers.max(1)), i64::from(slot % routers.max(1)));
-        // Its turns of the numbers 0 to `last`; the first turn of all comes with its start.
+        // Its tokens of the numbers 0 to `last`; the first token of all comes with the start.
         let upto = |last: i64| if last < slot { 0 } else { (last - slot) / n + 1 };
         let number =
             |age: f64| if age < 0.0 { -1 } else { (self.budget_until(age) / token_ms.max(1e-3)) as i64 };
