--- a/crates/front/src/control/discovery_watch/tests.rs
+++ b/crates/front/src/control/discovery_watch/tests.rs
@@ -10,10 +10,10 @@
         assert!(delays[0] >= RECONNECT_DELAY / 2 && delays[99] <= RECONNECT_DELAY * 3 / 2);
         // In no tenth of the time are there more than a quarter of them.
         let tenth = RECONNECT_DELAY / 10;
-        let most = delays
+        let counts = delays
             .iter()
             .map(|delay| delays.iter().filter(|other| **other >= *delay && **other < *delay + tenth).count());
-        assert!(most.max().is_some_and(|m| m <= 25), "{delays:?}");
+        assert!(counts.max().is_some_and(|m| m <= 25), "{delays:?}");
     }
     assert_eq!(reconnect_delay(1, 2), reconnect_delay(1, 2));
 }
--- a/crates/front/src/control/manual_exclusion/tests.rs
+++ b/crates/front/src/control/manual_exclusion/tests.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// One customer's front took over the nodes that another's of the same name had out by hand, on the same machine.
+/// One customer's front took over the nodes that another's of the same name had excluded, on the same host.
 #[test]
 fn fronts_of_two_deployments_share_no_manual_exclusion() {
     let folder = Folder::new("two");
@@ -79,7 +79,7 @@
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!((lines[0], &lines[2..]), (HEADER, &["a", "b"][..]));
     assert!(lines[1].starts_with(DEPLOYMENT_PREFIX) && !lines[1].contains(' '));
-    // Its own file gone, the shared one is still this deployment's, and not another's.
+    // Its own file removed, the shared one is still this deployment's, and not another's.
     std::fs::remove_file(&front.own_file).expect("written");
     assert_eq!(front.load().expect("read"), ids(&["a", "b"]));
     assert!(folder.front("pages", 4100).load().expect("read").is_empty());
--- a/crates/store/tests/disks.rs
+++ b/crates/store/tests/disks.rs
@@ -34,11 +34,11 @@
     Ok(at)
 }
 
-fn commit_until_failure(faulty_disk: &FaultyDisk, from: u64, most: u64) -> (u64, Option<Marks>) {
+fn commit_until_failure(faulty_disk: &FaultyDisk, from: u64, last: u64) -> (u64, Option<Marks>) {
     let (mut done, mut reported) = (from, None);
     if let Ok((mut store, _)) = Store::open(faulty_disk.disk(), 9) {
         reported = Some(store.marks());
-        for n in from + 1..=most {
+        for n in from + 1..=last {
             match put(&mut store, n) {
                 Ok(marks) => (done, reported) = (n, Some(marks)),
                 Err(_) => {
@@ -52,7 +52,7 @@
 }
 
 /// Loses power at each operation, several times over with other seeds: the order in which the store writes its pages is
-/// another in each process, so one fate a place is a matter of luck.
+/// another in each process, so that a single trial for each operation would prove little.
 fn lose_power_everywhere(faults: &Faults) {
     let intact = FaultyDisk::new(0);
     commit_until_failure(&intact, 0, 6);
--- a/crates/view/examples/compare.rs
+++ b/crates/view/examples/compare.rs
@@ -118,12 +118,12 @@
         got.iter().map(|g| g.as_ref().and_then(|g| g.settle_ms).unwrap_or(f64::MAX)).collect();
     settle.sort_by(f64::total_cmp);
     let ms = |v: f64| if v == f64::MAX { json!("never") } else { json!(v.round()) };
-    let most = got.iter().flatten().map(|g| g.bytes).fold(0.0, f64::max);
+    let max_bytes = got.iter().flatten().map(|g| g.bytes).fold(0.0, f64::max);
     json!({
         "scenario": name, "way": way, "fronts": n, "seeds": seeds,
         "settle_ms": { "p50": ms(settle[settle.len() / 2]), "max": ms(settle[settle.len() - 1]) },
         "false_gone": got.iter().flatten().map(|g| g.false_failures).sum::<usize>(),
-        "bytes_per_s_max": most.round(),
+        "bytes_per_s_max": max_bytes.round(),
     })
 }
 
--- a/crates/view/src/engine.rs
+++ b/crates/view/src/engine.rs
@@ -1,7 +1,7 @@
 //! One front's view of the fleet: takes events and the time, returns datagrams to send and changes to report.
 
 use crate::config::Config;
-use crate::fact::{Fact, FrontState, Id, Member, MemberTable, MergeOutcome, Rank};
+use crate::fact::{Fact, FrontProcess, FrontState, Id, Member, MemberTable, MergeOutcome, Rank};
 use crate::failure_detector::{Answered, Due, FailureDetector, Suspicion, Verdict};
 use crate::interface::{Action, Counters, Event, HistoryEntry, MemberStatus, Now};
 use crate::ring::Rings;
@@ -323,8 +323,10 @@
         if self.rings_due_ms.is_some_and(|due| now_ms >= due) {
             (self.rings_due_ms, self.rings_drawn_ms) = (None, now_ms);
             self.rings = Rings::new(&self.live_ids, own, self.config.watchers);
-            let with_process = |id: &Id| self.table.get(*id).map(|m| (*id, m.fact.process_id));
-            let subjects: Vec<(Id, u64)> = self.rings.subjects().iter().filter_map(with_process).collect();
+            let process = |id: &Id| {
+                self.table.get(*id).map(|m| FrontProcess { id: *id, process_id: m.fact.process_id })
+            };
+            let subjects: Vec<FrontProcess> = self.rings.subjects().iter().filter_map(process).collect();
             let offset: f64 = self.rng.random();
             self.detector.assign(&subjects, now_ms, offset);
         }
--- a/crates/view/src/engine/failure_detection.rs
+++ b/crates/view/src/engine/failure_detection.rs
@@ -70,7 +70,7 @@
         &mut self,
         now_ms: f64,
         received: ReceivedSuspicion,
-        m: &Message,
+        message: &Message,
         reply: &mut Vec<Item>,
         actions: &mut Vec<Action>,
     ) {
@@ -88,15 +88,15 @@
             reply.push(Item::FactRank(of, member.rank));
             return;
         }
-        if !self.rings.watchers(of).contains(&m.from) {
+        if !self.rings.watchers(of).contains(&message.from) {
             return;
         }
         // Shows the watcher that this front is in reach, where no suspicion of its own does.
         if suspicion.is_active && reply.is_empty() && !self.detector.suspects(of) {
             reply.push(Item::Ack(0));
         }
-        if self.detector.record(of, m.from, suspicion) {
-            let by = self.name(m.from);
+        if self.detector.record(of, message.from, suspicion) {
+            let by = self.name(message.from);
             self.record_history(of, now_ms, describe(suspicion.is_active).into(), by);
         }
         self.judge_member(now_ms, of, actions);
--- a/crates/view/src/engine/joining.rs
+++ b/crates/view/src/engine/joining.rs
@@ -8,12 +8,12 @@
         &mut self,
         now_ms: f64,
         fact: &Fact,
-        m: &Message,
+        message: &Message,
         reply: &mut Vec<Item>,
         actions: &mut Vec<Action>,
     ) {
         let id = fact.id();
-        if id != m.from || fact.process_id != m.process_id || !fact.is_valid() {
+        if id != message.from || fact.process_id != message.process_id || !fact.is_valid() {
             return;
         }
         let known = self.table.get(id).map(|known| known.fact.clone());
@@ -32,11 +32,11 @@
                 return;
             }
         }
-        self.receive_fact(now_ms, fact, m.from, actions);
+        self.receive_fact(now_ms, fact, message.from, actions);
         if let Some(member) = self.table.get(id) {
             reply.push(Item::FactRank(id, member.rank));
         }
-        if m.digest != self.table.digest() {
+        if message.digest != self.table.digest() {
             reply.push(Item::FullFact(self.own.clone()));
             let all: Vec<Item> = self.live_peers().map(|(_, m)| Item::FullFact(m.fact.clone())).collect();
             reply.extend(all.choose_multiple(&mut self.rng, INTRODUCED_MEMBERS).cloned());
--- a/crates/view/src/engine/receive.rs
+++ b/crates/view/src/engine/receive.rs
@@ -12,19 +12,20 @@
         bytes: &[u8],
         actions: &mut Vec<Action>,
     ) {
-        let Some(m) = self.open_datagram(now_ms, bytes) else { return };
+        let Some(message) = self.open_datagram(now_ms, bytes) else { return };
         self.counters.accepted += 1;
         self.last_received_ms = now_ms;
-        let mut reply = self.answer_sender(now_ms, from, &m, actions);
-        let sender = self.position(m.from, m.process_id);
-        self.settlement.merge(m.digest, &m.holders, sender, now_ms);
-        let has_hello = m.items.iter().any(|i| matches!(i, Item::Hello(_)));
-        if has_hello || m.items.iter().any(|i| matches!(i, Item::FullFact(f) if f.id() == m.from)) {
+        let mut reply = self.answer_sender(now_ms, from, &message, actions);
+        let sender = self.position(message.from, message.process_id);
+        self.settlement.merge(message.digest, &message.holders, sender, now_ms);
+        let has_hello = message.items.iter().any(|i| matches!(i, Item::Hello(_)));
+        if has_hello || message.items.iter().any(|i| matches!(i, Item::FullFact(f) if f.id() == message.from))
+        {
             reply.retain(|i| !matches!(i, Item::FactRequest(_)));
         }
-        let missing = self.receive_items(now_ms, from, &m, &mut reply, actions);
-        self.complete_reply(now_ms, &m, missing, &mut reply);
-        self.trim_reply(now_ms, m.from, &mut reply);
+        let missing = self.receive_items(now_ms, from, &message, &mut reply, actions);
+        self.complete_reply(now_ms, &message, missing, &mut reply);
+        self.trim_reply(now_ms, message.from, &mut reply);
         if !reply.is_empty() {
             self.send(now_ms, from, reply, actions);
         }
@@ -32,15 +33,17 @@
 
     /// The datagram's message, where it is valid under a known key and no replay; else counts it and drops it.
     fn open_datagram(&mut self, now_ms: f64, bytes: &[u8]) -> Option<Message> {
-        let Some(m) = Message::open(bytes, &self.keys) else {
+        let Some(message) = Message::open(bytes, &self.keys) else {
             self.counters.malformed += 1;
             return None;
         };
-        if m.process_id == self.own.process_id || !self.replays.is_new(m.process_id, 0, m.sequence, now_ms) {
+        if message.process_id == self.own.process_id
+            || !self.replays.is_new(message.process_id, 0, message.sequence, now_ms)
+        {
             self.counters.replayed += 1;
             return None;
         }
-        Some(m)
+        Some(message)
     }
 
     /// The reply's first items, by what the view holds of the sender's name.
@@ -48,26 +51,27 @@
         &mut self,
         now_ms: f64,
         from: SocketAddr,
-        m: &Message,
+        message: &Message,
         actions: &mut Vec<Action>,
     ) -> Vec<Item> {
-        let known = self.table.get(m.from).map(|k| (k.fact.process_id, k.fact.state, k.rank));
+        let known = self.table.get(message.from).map(|k| (k.fact.process_id, k.fact.state, k.rank));
         let mut reply = Vec::new();
         match known {
-            Some((process_id, state, _)) if process_id == m.process_id && state.is_live() => {
-                self.detector.received_from(m.from, now_ms)
+            Some((process_id, state, _)) if process_id == message.process_id && state.is_live() => {
+                self.detector.received_from(message.from, now_ms)
             }
             // The view holds it for failed: it is notified, and refutes that with a higher incarnation.
-            Some((process_id, FrontState::Failed, rank)) if process_id == m.process_id => {
-                reply.push(Item::FactRank(m.from, rank))
+            Some((process_id, FrontState::Failed, rank)) if process_id == message.process_id => {
+                reply.push(Item::FactRank(message.from, rank))
             }
-            Some((_, state, _)) if m.from != self.id() && state.is_live() => {
+            Some((_, state, _)) if message.from != self.id() && state.is_live() => {
                 // Another process of that name: it learns which one the view holds.
-                reply.extend(self.full_fact(m.from));
+                reply.extend(self.full_fact(message.from));
             }
-            _ if m.from != self.id() => reply.push(Item::FactRequest(vec![m.from])),
+            _ if message.from != self.id() => reply.push(Item::FactRequest(vec![message.from])),
             _ => {
-                let is_held = self.table.get(m.from).is_some_and(|k| k.fact.process_id == m.process_id);
+                let is_held =
+                    self.table.get(message.from).is_some_and(|k| k.fact.process_id == message.process_id);
                 self.note_duplicate(now_ms, from, is_held || !self.is_admitted, actions);
                 reply.push(Item::FullFact(self.own.clone()));
             }
@@ -80,19 +84,19 @@
         &mut self,
         now_ms: f64,
         from: SocketAddr,
-        m: &Message,
+        message: &Message,
         reply: &mut Vec<Item>,
         actions: &mut Vec<Action>,
     ) -> Vec<Id> {
         let mut missing = Vec::new();
-        for (i, item) in m.items.iter().enumerate() {
+        for (i, item) in message.items.iter().enumerate() {
             match item {
                 Item::Ping(number) => reply.push(Item::Ack(*number)),
-                Item::Ack(number) => self.receive_ack(now_ms, *number, m, actions),
+                Item::Ack(number) => self.receive_ack(now_ms, *number, message, actions),
                 Item::PingRequest(id, process_id, number) => {
                     self.forward_ping(now_ms, *id, *process_id, *number, from, actions)
                 }
-                Item::Hello(fact) => self.receive_hello(now_ms, fact, m, reply, actions),
+                Item::Hello(fact) => self.receive_hello(now_ms, fact, message, reply, actions),
                 Item::DuplicateName(addr) if *addr != self.own.addr => {
                     self.note_duplicate(now_ms, *addr, false, actions)
                 }
@@ -100,12 +104,12 @@
                 Item::FullFact(fact) => {
                     // Others announce this process: it has been admitted.
                     self.is_admitted |= fact.process_id == self.own.process_id && fact.state.is_live();
-                    self.receive_fact(now_ms, fact, m.from, actions);
+                    self.receive_fact(now_ms, fact, message.from, actions);
                 }
                 Item::FactRank(id, rank) => {
                     let is_own = *id == self.id() && rank.process_id == self.own.process_id;
                     self.is_admitted |= is_own && rank.state.is_live();
-                    let is_missing = self.receive_rank(now_ms, *id, *rank, m.from, actions);
+                    let is_missing = self.receive_rank(now_ms, *id, *rank, message.from, actions);
                     if is_missing && missing.len() < MAX_REQUESTED_FACTS {
                         missing.push(*id);
                     }
@@ -122,13 +126,13 @@
                     }
                 }
                 Item::DifferingBuckets(buckets) => {
-                    self.answer_differing_buckets(*buckets, &m.items[i + 1..], reply)
+                    self.answer_differing_buckets(*buckets, &message.items[i + 1..], reply)
                 }
                 &Item::Suspicion { of, process_id, incarnation, number, ping, is_active, is_only_silent } => {
                     let suspicion =
                         Suspicion { number, at_ms: now_ms, process_id, is_active, is_only_silent };
                     let received = ReceivedSuspicion { of, incarnation, suspicion, ping };
-                    self.receive_suspicion(now_ms, received, m, reply, actions);
+                    self.receive_suspicion(now_ms, received, message, reply, actions);
                 }
             }
         }
@@ -141,15 +145,15 @@
     }
 
     /// Adds a request for the missing facts and, where the digests differ, the start of a comparison of the views.
-    fn complete_reply(&mut self, now_ms: f64, m: &Message, missing: Vec<Id>, reply: &mut Vec<Item>) {
+    fn complete_reply(&mut self, now_ms: f64, message: &Message, missing: Vec<Id>, reply: &mut Vec<Item>) {
         if !missing.is_empty() && self.has_spare_budget(now_ms) {
             reply.push(Item::FactRequest(missing));
         }
-        let is_comparison_due =
-            m.digest != self.table.digest() && now_ms - self.last_comparison_ms >= COMPARISON_INTERVAL_MS;
+        let is_comparison_due = message.digest != self.table.digest()
+            && now_ms - self.last_comparison_ms >= COMPARISON_INTERVAL_MS;
         if is_comparison_due
             && self.is_admitted
-            && !m.items.iter().any(|i| matches!(i, Item::BucketSums(_)))
+            && !message.items.iter().any(|i| matches!(i, Item::BucketSums(_)))
             && self.has_spare_budget(now_ms)
         {
             self.last_comparison_ms = now_ms;
@@ -182,12 +186,13 @@
     }
 
     /// Takes the answer to a ping of this front, or forwards it where the ping was made for another.
-    fn receive_ack(&mut self, now_ms: f64, number: u32, m: &Message, actions: &mut Vec<Action>) {
+    fn receive_ack(&mut self, now_ms: f64, number: u32, message: &Message, actions: &mut Vec<Action>) {
         if let Some(forwarded) = self.forwarded_pings.remove(&number) {
             self.send(now_ms, forwarded.origin, vec![Item::Ack(forwarded.number)], actions);
             return;
         }
-        let answered = self.detector.ping_answered(number, Some((m.from, m.process_id)), now_ms);
+        let sender = FrontProcess { id: message.from, process_id: message.process_id };
+        let answered = self.detector.ping_answered(number, Some(sender), now_ms);
         if let Some(Answered { id, ends_suspicion: true }) = answered {
             self.broadcast_suspicion(now_ms, id, false, actions);
         }
--- a/crates/view/src/fact.rs
+++ b/crates/view/src/fact.rs
@@ -27,6 +27,15 @@
     }
 }
 
+/// A process of a front: of two processes of one name each has its own.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FrontProcess {
+    /// The front.
+    pub id: Id,
+    /// Drawn at random by the process.
+    pub process_id: u64,
+}
+
 fn hash(bytes: &[u8]) -> u64 {
     let h = Sha256::digest(bytes);
     h.iter().take(8).fold(0, |n, b| n << 8 | u64::from(*b))
--- a/crates/view/src/failure_detector.rs
+++ b/crates/view/src/failure_detector.rs
@@ -1,7 +1,7 @@
 //! Failure detection: pings to the members that this front watches, the suspicions of the other watchers of the same
 //! members, and the verdict that a member has failed, which takes several watchers.
 
-use crate::fact::Id;
+use crate::fact::{FrontProcess, Id};
 use std::collections::BTreeMap;
 
 /// Interval between two pings to a member that answers, in milliseconds.
@@ -152,9 +152,9 @@
     }
 
     /// Sets the subjects, each with its process. `offset` (0 to 1) shifts their first pings within an interval.
-    pub fn assign(&mut self, subjects: &[(Id, u64)], now_ms: f64, offset: f64) {
-        self.subjects.retain(|id, s| subjects.contains(&(*id, s.process_id)));
-        for (i, (id, process_id)) in subjects.iter().enumerate() {
+    pub fn assign(&mut self, subjects: &[FrontProcess], now_ms: f64, offset: f64) {
+        self.subjects.retain(|id, s| subjects.contains(&FrontProcess { id: *id, process_id: s.process_id }));
+        for (i, FrontProcess { id, process_id }) in subjects.iter().enumerate() {
             self.subjects.entry(*id).or_insert_with(|| Subject {
                 process_id: *process_id,
                 unanswered_since_ms: None,
@@ -228,11 +228,16 @@
     }
 
     /// Takes the answer to the ping of that number, direct or forwarded by another member; `None` where no such ping is
-    /// outstanding. `direct`: who answered and its process, where no other member forwarded the answer.
-    pub fn ping_answered(&mut self, number: u32, direct: Option<(Id, u64)>, now_ms: f64) -> Option<Answered> {
+    /// outstanding. `direct`: the process that answered, where no other member forwarded the answer.
+    pub fn ping_answered(
+        &mut self,
+        number: u32,
+        direct: Option<FrontProcess>,
+        now_ms: f64,
+    ) -> Option<Answered> {
         let (id, s) = self.subjects.iter_mut().find(|(_, s)| s.pings.iter().any(|p| p.number == number))?;
         // A process restarted at the same address answers for itself, not for the one before it.
-        if direct.is_some_and(|(from, process_id)| from == *id && process_id != s.process_id) {
+        if direct.is_some_and(|from| from.id == *id && from.process_id != s.process_id) {
             return None;
         }
         let sent_ms = s.pings.iter().find(|p| p.number == number).map_or(now_ms, |p| p.at_ms);
--- a/crates/view/tests/model.rs
+++ b/crates/view/tests/model.rs
@@ -82,8 +82,8 @@
 impl Fleet {
     fn receive(&self, s: &mut State, to: usize, report: Report) {
         let mut table = MemberTable::default();
-        for held in &s.views[to] {
-            table.merge(&held.fact(), 0.0);
+        for known in &s.views[to] {
+            table.merge(&known.fact(), 0.0);
         }
         let before = s.views[to][report.of];
         if self.believes_the_last {
