--- a/crates/fernslip/benches/allocs.rs
+++ b/crates/fernslip/benches/allocs.rs
@@ -17,7 +17,7 @@
 
 fn decision(rig: &mut Rig, object: u64) {
     rig.now += 1.0;
-    let Some(s) = sent(&rig.ask(object)) else { return };
+    let Some(s) = sent(&rig.request(object)) else { return };
     rig.now += 1.0;
     std::hint::black_box(rig.end(&s, 0, Ending::Completed, 1));
 }
--- a/crates/fernslip/benches/decide.rs
+++ b/crates/fernslip/benches/decide.rs
@@ -23,7 +23,7 @@
 }
 
 /// As [`rig`], with a tenth of the caches (at least one) started a second ago.
-fn cold_rig(caches: usize) -> Rig {
+fn slow_start_rig(caches: usize) -> Rig {
     let mut rig = Rig::with(settings());
     let born = rig.now - 1000.0;
     rig.update_endpoints(wide_fleet(caches, caches.div_ceil(10), born));
@@ -33,7 +33,7 @@
 /// One request, served: the module's whole ordinary path.
 fn decision(rig: &mut Rig, object: u64) {
     rig.now += 1.0;
-    let Some(s) = sent(&rig.ask(object)) else { return };
+    let Some(s) = sent(&rig.request(object)) else { return };
     rig.now += 1.0;
     black_box(rig.end(&s, 0, Ending::Completed, 1));
 }
@@ -42,7 +42,7 @@
 /// cold case that caches started just before stay cold through the run.
 fn decision_with(rig: &mut Rig, object: u64, step_ms: f64) {
     rig.now += step_ms;
-    let Some(s) = sent(&rig.ask(object)) else { return };
+    let Some(s) = sent(&rig.request(object)) else { return };
     rig.now += step_ms;
     let elapsed_ms = if s.cache == "c0:1" { 900.0 } else { 50.0 };
     black_box(rig.end_after(&s, 0, (Ending::Completed, 1), elapsed_ms));
@@ -81,7 +81,7 @@
         });
     }
     for caches in sizes() {
-        let mut rig = cold_rig(caches);
+        let mut rig = slow_start_rig(caches);
         let mut n = 0;
         group.bench_with_input(BenchmarkId::new("a tenth cold", caches), &caches, |b, _| {
             b.iter(|| {
@@ -128,7 +128,7 @@
     let mut group = c.benchmark_group("watch");
     for open in [10, 1000, 100_000] {
         let mut rig = rig(20, 200_000);
-        (0..open).for_each(|n| drop(rig.ask(n)));
+        (0..open).for_each(|n| drop(rig.request(n)));
         // What the module holds may be fewer than were asked: it refuses past its own bounds.
         let retained = rig.router.retained().requests;
         eprintln!("watch: {open} asked, {retained} held open");
--- a/crates/fernslip/src/bandwidth/tests.rs
+++ b/crates/fernslip/src/bandwidth/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_full_link_shows_its_width() {
+fn a_saturated_link_shows_its_bandwidth() {
     for width in [1.0, 3.0, 9.0, 40.0] {
         let mut w = Bandwidth::default();
         record_answers(&mut w, width, 2.0 * width, 60);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn what_is_no_time_changes_nothing() {
+fn invalid_times_change_nothing() {
     let mut w = Bandwidth::default();
     for (work, took, open) in
         [(0.0, 5.0, 1.0), (f64::NAN, 5.0, 1.0), (5.0, f64::INFINITY, 1.0), (5.0, 5.0, f64::NAN)]
--- a/crates/fernslip/src/bootstrap/tests.rs
+++ b/crates/fernslip/src/bootstrap/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_told_is_read_to_a_few_parts_in_a_hundred() {
+fn a_bootstrap_round_trips_to_a_few_percent() {
     let bandwidth = Bandwidth { capacity: 7.3, saturated: true };
     let proven = Bandwidth { capacity: 0.0, saturated: false };
     let m = NodeState { tag: [1, 2, 3], bandwidth, proven, pace: 1.4, quick_pace: 0.9, failure_rate: 0.02 };
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn cut_or_odd_bytes_are_none_and_earlier_programs_take_it_for_none() {
+fn malformed_bootstraps_are_ignored_also_by_earlier_versions() {
     let w = Bootstrap { known_ms: 1.0, fill_limit: 3.0, nodes: Vec::new() };
     let data = w.encode(4, 256);
     assert!(Bootstrap::read(&data).is_some());
--- a/crates/fernslip/src/in_flight/tests.rs
+++ b/crates/fernslip/src/in_flight/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_report_counts_for_the_others_and_wears_out() {
+fn a_load_report_counts_for_other_routers_and_fades() {
     let mut c = InFlight::default();
     c.local.step(0.0, 1.0);
     let guess = c.estimate_all(50_000.0, 10.0);
--- a/crates/fernslip/src/message/tests.rs
+++ b/crates/fernslip/src/message/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_written_is_read_and_what_is_cut_or_odd_is_not() {
+fn messages_round_trip_and_malformed_ones_are_ignored() {
     let changes: Vec<Change> = (0..60).map(|n| Change { at: n * 9, up: n % 4 > 0 }).collect();
     let piece = encode(&changes, 251).remove(0);
     let data = [header(7, [1, 2, 3]), piece].concat();
--- a/crates/fernslip/src/peers/tests.rs
+++ b/crates/fernslip/src/peers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn each_has_a_place_of_its_own_and_one_comes_next() {
+fn each_router_has_an_index_of_its_own_and_one_comes_next() {
     let numbers = [3u32, 7, 20, 21];
     let of = |own: u32| {
         let mut m = Peers::default();
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn what_is_taken_over_counts_from_then_on() {
+fn adopted_knowledge_counts_from_then_on() {
     let mut m = Peers::default();
     m.record_event(1_000.0);
     assert!(m.adopt(1_010.0, 9_000.0) && !m.adopt(1_020.0, 5_000.0));
--- a/crates/fernslip/src/slow_start/tests.rs
+++ b/crates/fernslip/src/slow_start/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn turns_of_all_routers_are_all_turns() {
+fn tokens_of_all_routers_are_all_tokens() {
     let w = SlowStart { initial_fraction: 0.1, duration_ms: 10_000.0, multiple: 2.0, rate: 5.0 };
     for routers in [1, 3, 7, 100] {
         for age in (0..12_000).step_by(130).map(f64::from) {
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn what_is_allowed_follows_its_warmth() {
+fn the_budget_follows_the_capacity() {
     let w = SlowStart { initial_fraction: 0.25, duration_ms: 8_000.0, multiple: 2.0, rate: 2.0 };
     for age in (0..9_000).step_by(500).map(f64::from) {
         let slope = w.budget_until(age + 0.5) - w.budget_until(age - 0.5).max(0.0);
--- a/crates/fernslip/src/source_throttle/tests.rs
+++ b/crates/fernslip/src/source_throttle/tests.rs
@@ -2,7 +2,7 @@
 
 /// A source past its limit is asked for little more than it takes; a few refusals hold nothing back.
 #[test]
-fn what_sources_turn_away_is_held_back() {
+fn fills_that_sources_reject_are_throttled() {
     let mut t = AdaptiveThrottle::default();
     t.record_end(0.0, false);
     assert_eq!(t.throttled_fraction(0.0), 0.0, "one says nothing");
--- a/crates/fernslip/tests/common/mod.rs
+++ b/crates/fernslip/tests/common/mod.rs
@@ -112,7 +112,7 @@
     })
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
@@ -150,7 +150,7 @@
         self.event(Event::Endpoints { kind: ListKind::Delta, entries: vec![e] })
     }
 
-    pub fn ask_with(&mut self, object: u64, class: usize, size_kb: f64) -> Vec<Action> {
+    pub fn request_with(&mut self, object: u64, class: usize, size_kb: f64) -> Vec<Action> {
         let id = RequestId(self.next);
         self.next += 1;
         self.event(Event::Request(Request {
@@ -164,8 +164,8 @@
         }))
     }
 
-    pub fn ask(&mut self, object: u64) -> Vec<Action> {
-        self.ask_with(object, 0, 100.0)
+    pub fn request(&mut self, object: u64) -> Vec<Action> {
+        self.request_with(object, 0, 100.0)
     }
 
     pub fn end_after(&mut self, s: &Sent, attempt: u32, how: (Ending, u8), elapsed_ms: f64) -> Vec<Action> {
@@ -187,7 +187,7 @@
     }
 
     /// Time passes until the module calls something off; whether it did within three seconds.
-    pub fn wait_until_called_off(&mut self) -> bool {
+    pub fn wait_until_cancelled(&mut self) -> bool {
         (0..60).any(|_| {
             self.now += 50.0;
             let out = self.event(Event::Timer { token: 0 });
@@ -197,7 +197,7 @@
 
     /// Asks and has it served with that detail; what was sent.
     pub fn serve(&mut self, object: u64, detail: u8) -> Sent {
-        let s = sent(&self.ask(object)).expect("sent");
+        let s = sent(&self.request(object)).expect("sent");
         self.now += 50.0;
         let after = self.end(&s, 0, Ending::Completed, detail);
         assert!(sent(&after).is_none(), "nothing more after the final answer");
--- a/crates/fernslip/tests/common/world.rs
+++ b/crates/fernslip/tests/common/simulation.rs
@@ -1,217 +1,37 @@
-//! A small deterministic world round the real module: one location of caches with shared links, parents and an origin,
-//! stepped in time. Links are shared evenly among their transfers; a fill holds every link on its way. Settings are
-//! drawn by seed over wider ranges than any deployment tells.
+//! A small deterministic world round the real router: one location of caches with shared links, parents and an origin,
+//! stepped in time. Links are shared evenly among their transfers; a fill occupies every link on its way.
+use super::deployment::{Day, Deployment, Draw, Kind};
 use super::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 const STEP_MS: f64 = 4.0;
-/// Before a day counts, its caches fill and its routers learn, in milliseconds.
-pub const WARM_MS: f64 = 6_000.0;
+/// Before a run counts, its caches fill and its routers learn, in milliseconds.
+pub const WARM_UP_MS: f64 = 6_000.0;
 
-/// Draws by seed: splitmix64.
-#[derive(Clone)]
-pub struct Draw(pub u64);
-
-impl Draw {
-    pub fn next(&mut self) -> u64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut x = self.0;
-        x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        x ^ (x >> 31)
-    }
-
-    /// Evenly from 0 to 1.
-    pub fn unit(&mut self) -> f64 {
-        (self.next() >> 11) as f64 / (1u64 << 53) as f64
-    }
-
-    pub fn within(&mut self, from: f64, to: f64) -> f64 {
-        from + (to - from) * self.unit()
-    }
-
-    /// As many small values as large ones.
-    pub fn log(&mut self, from: f64, to: f64) -> f64 {
-        (self.within(from.ln(), to.ln())).exp()
-    }
-
-    pub fn coin(&mut self) -> bool {
-        self.next() & 1 == 1
-    }
-
-    pub fn pick<T: Copy>(&mut self, of: &[T]) -> T {
-        of[(self.next() % of.len() as u64) as usize]
-    }
-}
-
-/// What a deployment is, drawn by its seed.
-#[derive(Clone, Debug)]
-pub struct Deployment {
-    pub seed: u64,
-    pub set: Settings,
-    /// Transfers that each cache's link carries.
-    pub widths: Vec<f64>,
-    pub parents: usize,
-    pub parent_width: f64,
-    pub origin_width: f64,
-    pub link_in: f64,
-    /// Weights in the list: none, or the widths, roughly.
-    pub weights: bool,
-    pub reports: bool,
-    /// Mean sending time of a request.
-    pub work_ms: f64,
-    /// Part of the requests that is for objects wanted once.
-    pub once: f64,
-}
-
-impl Deployment {
-    pub fn draw(seed: u64) -> Deployment {
-        let mut d = Draw(seed);
-        let caches = d.log(2.0, 40.9) as usize;
-        // In all some 80 transfers at the most: what a test has time for.
-        let mean = d.log(1.0, 50.0).min(80.0 / caches as f64).max(1.5);
-        let widths: Vec<f64> = (0..caches).map(|_| mean * d.within(0.7, 1.3)).collect();
-        let routers = d.log(1.0, 50.9) as u32;
-        let (once, total) = (d.within(0.03, 0.15), widths.iter().sum::<f64>());
-        let flow = d.log(500.0, 15_000.0);
-        let read = |objective_ms: f64, priority_weight| Class { objective_ms, priority_weight, ..class() };
-        let mut classes = vec![read(d.within(300.0, 1_000.0), 2.0), read(d.within(200.0, 600.0), 1.0)];
-        classes[0].deadline_ms = d.within(3_000.0, 8_000.0);
-        classes[1].deadline_ms = d.within(1_500.0, 4_000.0);
-        if d.coin() {
-            (classes[1].fresh_ms, classes[1].grace_ms) = (8_000.0, 20_000.0);
-        }
-        classes.push(Class { effect: Effect::AtMostOnce, write: true, ..read(600.0, 3.0) });
-        // Half as wide again as what is wanted once and what was not kept need.
-        let link_in = (total * d.within(0.45, 0.8)).max(2.0);
-        let links = d.coin();
-        let grace = d.log(100.0, 2_000.0);
-        let set = Settings {
-            zone_routers: vec![0, routers, 1],
-            routers: routers + 1,
-            link_in_kb_per_s: if links { vec![0.0, link_in * flow, link_in * flow] } else { vec![0.0; 3] },
-            classes,
-            straight: d.coin(),
-            joins: d.coin(),
-            neighbours: d.pick(&[Neighbours::None, Neighbours::Location]),
-            notes: d.pick(&[NoteLevel::None, NoteLevel::Hit, NoteLevel::All]),
-            stream_kb_per_s: flow,
-            max_attempts: d.within(1.0, 8.99) as u32,
-            peers: d.coin(),
-            max_retry_after_ms: d.pick(&[0.0, 500.0, 1_000.0]),
-            tick_ms: d.pick(&[0.0, 2.0]),
-            drain_grace_ms: grace,
-            slow_start_from: d.within(0.15, 0.5),
-            slow_start_ms: d.within(4_000.0, 20_000.0),
-            slow_start_multiple: d.within(1.5, 4.0),
-            slow_start_window_ms: d.within(1_000.0, 3_000.0),
-            purge_slack_ms: d.log(100.0, 2_000.0),
-            ..settings()
-        };
-        let parents = d.within(1.0, 4.99) as usize;
-        Deployment {
-            seed,
-            set,
-            parents,
-            parent_width: (link_in * d.within(1.2, 2.0) / parents as f64).max(2.0)
-                * if parents > 1 { 1.5 } else { 1.0 },
-            origin_width: link_in * d.within(1.2, 2.5),
-            link_in,
-            weights: d.next() % 4 == 0,
-            reports: d.next() % 3 == 0,
-            work_ms: d.log(60.0, 500.0),
-            once,
-            widths,
-        }
-    }
-}
-
-/// What happens besides requests.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Kind {
-    /// Nothing.
-    Calm,
-    /// A cache drains, another stops and comes back cold, objects are purged.
-    Trouble,
-}
-
-/// What came of a day.
-#[derive(Clone, Debug, Default)]
-pub struct Day {
-    pub asked: u32,
-    pub refused: u32,
-    pub failed: u32,
-    /// Sending time of what was served, in milliseconds.
-    pub served_ms: f64,
-    /// By cache: what it sent over what it could send.
-    pub used: Vec<f64>,
-    pub broken: Vec<String>,
-    pub log: Vec<String>,
-}
-
-impl std::fmt::Display for Deployment {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let s = &self.set;
-        let widths: Vec<f64> = self.widths.iter().map(|w| (w * 10.0).round() / 10.0).collect();
-        write!(
-            f,
-            "{} caches {widths:?}, {} routers, {} parents of {:.1}, origin {:.1}, ",
-            widths.len(),
-            s.zone_routers[1],
-            self.parents,
-            self.parent_width,
-            self.origin_width
-        )?;
-        write!(
-            f,
-            "link in {:.1} (told {}), weights {}, reports {}, ",
-            self.link_in,
-            s.link_in_kb_per_s[1] > 0.0,
-            self.weights,
-            self.reports
-        )?;
-        write!(
-            f,
-            "notes {:?}, {:?}, joins {}, peers {}, {} attempts, ",
-            s.notes, s.neighbours, s.joins, s.peers, s.max_attempts
-        )?;
-        write!(
-            f,
-            "{:.0} ms of work, {:.2} once, aims {:.0} and {:.0} ms, graces {:.0} and {:.0} ms",
-            self.work_ms,
-            self.once,
-            s.classes[0].objective_ms,
-            s.classes[1].objective_ms,
-            s.drain_grace_ms,
-            s.purge_slack_ms
-        )
-    }
-}
-
-/// A transfer under way: an attempt that is being answered.
+/// A transfer in flight: an attempt that is being answered.
 struct Flow {
     to: u32,
     id: RequestId,
     attempt: u32,
     cache: usize,
-    /// The links that it holds.
+    /// The links that it occupies.
     links: Vec<usize>,
     starts: f64,
-    left: f64,
+    remaining: f64,
     top: f64,
     sent: f64,
     until: f64,
     detail: u8,
-    minted: f64,
+    created: f64,
     keep: bool,
     parent: Option<usize>,
-    called_off: bool,
+    cancelled: bool,
 }
 
-struct Asked {
+struct TrackedRequest {
     ask: Request,
     due: f64,
-    tries: u32,
+    attempts: u32,
     out: bool,
     answers: u32,
     ran: u32,
@@ -224,7 +44,7 @@
         from: u32,
         data: Vec<u8>,
     },
-    Tell(u32, Box<Event>),
+    Notify(u32, Box<Event>),
     Outcome(u32, Box<Outcome>),
     Down(usize),
     Up(usize),
@@ -243,16 +63,16 @@
     /// Caches, then parents, then the origin.
     names: Vec<CacheId>,
     flows: Vec<Flow>,
-    held: Vec<BTreeMap<Key, f64>>,
-    asked: BTreeMap<RequestId, Asked>,
+    cached: Vec<BTreeMap<Key, f64>>,
+    requests: BTreeMap<RequestId, TrackedRequest>,
     due: BTreeMap<(u64, u64), Due>,
     serial: u64,
-    born: Vec<f64>,
+    started: Vec<f64>,
     down: BTreeSet<usize>,
     /// When a router was told that a machine drains or is gone.
-    told_out: BTreeMap<(u32, usize), f64>,
+    notified_out: BTreeMap<(u32, usize), f64>,
     /// When a router was told of a purge, and when that was.
-    told_purge: BTreeMap<(u32, u64), (f64, f64)>,
+    notified_purge: BTreeMap<(u32, u64), (f64, f64)>,
     sends: Vec<Vec<(f64, f64)>>,
     ids: u64,
     day: Day,
@@ -260,18 +80,18 @@
 
 impl World {
     pub fn new(d: &Deployment) -> World {
-        let (caches, routers) = (d.widths.len(), d.set.zone_routers[1]);
+        let (caches, routers) = (d.bandwidths.len(), d.set.zone_routers[1]);
         let start = 100_000.0;
         let mut list = Vec::new();
-        for (n, w) in d.widths.iter().enumerate() {
+        for (n, w) in d.bandwidths.iter().enumerate() {
             let weight = if d.weights { (w * 2.0).round() / 2.0 + 0.01 } else { 1.0 };
             list.push(Entry { weight, ..entry(&format!("c{n}:1"), 1, 0) });
         }
         let told = |w: f64| if d.weights { w } else { 1.0 };
         (0..d.parents).for_each(|p| {
-            list.push(Entry { weight: told(d.parent_width), ..entry(&format!("p{p}:1"), 0, 1) })
+            list.push(Entry { weight: told(d.parent_bandwidth), ..entry(&format!("p{p}:1"), 0, 1) })
         });
-        list.push(Entry { weight: told(d.origin_width), ..entry("o0:1", 0, 2) });
+        list.push(Entry { weight: told(d.origin_bandwidth), ..entry("o0:1", 0, 2) });
         let names: Vec<CacheId> = list.iter().map(|e| e.cache.clone()).collect();
         let one =
             |slot| Router::new(Settings { slot, ..d.set.clone() }, d.seed ^ u64::from(slot)).expect("sound");
@@ -280,19 +100,19 @@
             now: start,
             start,
             routers: (0..routers).map(one).collect(),
-            held: vec![BTreeMap::new(); names.len()],
-            born: vec![0.0; names.len()],
+            cached: vec![BTreeMap::new(); names.len()],
+            started: vec![0.0; names.len()],
             sends: vec![Vec::new(); names.len()],
             day: Day { used: vec![0.0; caches], ..Day::default() },
             d: d.clone(),
             names,
             flows: Vec::new(),
-            asked: BTreeMap::new(),
+            requests: BTreeMap::new(),
             due: BTreeMap::new(),
             serial: 0,
             down: BTreeSet::new(),
-            told_out: BTreeMap::new(),
-            told_purge: BTreeMap::new(),
+            notified_out: BTreeMap::new(),
+            notified_purge: BTreeMap::new(),
             ids: 0,
         };
         for r in 0..routers {
@@ -306,10 +126,10 @@
         self.due.insert(((when.max(0.0) * 1000.0) as u64, self.serial), due);
     }
 
-    fn tell_all(&mut self, event: &Event, spread_ms: f64) {
+    fn notify_all(&mut self, event: &Event, spread_ms: f64) {
         for r in 0..self.routers.len() as u32 {
             let when = self.now + self.draw.unit() * spread_ms;
-            self.at(when, Due::Tell(r, Box::new(event.clone())));
+            self.at(when, Due::Notify(r, Box::new(event.clone())));
         }
     }
 
@@ -318,16 +138,16 @@
     }
 
     /// What a link carries now: those of machines that warm up less. After the machines comes the location's link.
-    fn width(&self, link: usize) -> f64 {
-        let (caches, n) = (self.d.widths.len(), self.names.len());
+    fn bandwidth(&self, link: usize) -> f64 {
+        let (caches, n) = (self.d.bandwidths.len(), self.names.len());
         let full = match link {
-            l if l < caches => self.d.widths[l],
-            l if l < n - 1 => self.d.parent_width,
-            l if l == n - 1 => self.d.origin_width,
+            l if l < caches => self.d.bandwidths[l],
+            l if l < n - 1 => self.d.parent_bandwidth,
+            l if l == n - 1 => self.d.origin_bandwidth,
             _ => self.d.link_in,
         };
-        let age = (self.now - self.born.get(link).copied().unwrap_or(0.0)) / self.d.set.slow_start_ms;
-        let cold = link < caches && self.born[link] > 0.0 && age < 1.0;
+        let age = (self.now - self.started.get(link).copied().unwrap_or(0.0)) / self.d.set.slow_start_ms;
+        let cold = link < caches && self.started[link] > 0.0 && age < 1.0;
         full * if cold { self.d.set.slow_start_from + (1.0 - self.d.set.slow_start_from) * age } else { 1.0 }
     }
 
@@ -337,14 +157,14 @@
         for a in actions {
             match a {
                 Action::Forward { id, cache, source, until_ms, rank, age_ms, join, .. } => {
-                    self.get(r, id, &cache, &source, until_ms, rank > 0, age_ms, join);
+                    self.forward(r, id, &cache, &source, until_ms, rank > 0, age_ms, join);
                 }
                 Action::Cancel { id, attempt } => {
                     for f in self.flows.iter_mut().filter(|f| f.id == id && f.attempt == attempt) {
-                        f.called_off = true;
+                        f.cancelled = true;
                     }
                 }
-                Action::Reject { id, .. } => self.answer(id, |d| d.refused += 1),
+                Action::Reject { id, .. } => self.answer(id, |d| d.rejected += 1),
                 Action::Fail { id } => self.answer(id, |d| d.failed += 1),
                 Action::Timer { delay_ms, token } => self.at(self.now + delay_ms, Due::Timer(r, token)),
                 Action::SendToPeer { to, data } => self.post(r, to, data),
@@ -370,8 +190,8 @@
     }
 
     fn answer(&mut self, id: RequestId, count: impl Fn(&mut Day)) {
-        let counts = id.0 > 0 && self.now >= self.start + WARM_MS;
-        let a = self.asked.get_mut(&id).expect("asked");
+        let counts = id.0 > 0 && self.now >= self.start + WARM_UP_MS;
+        let a = self.requests.get_mut(&id).expect("asked");
         a.answers += 1;
         if a.answers > 1 {
             self.break_rule(format!("{id:?} is answered twice"));
@@ -381,7 +201,7 @@
     }
 
     #[allow(clippy::too_many_arguments)]
-    fn get(
+    fn forward(
         &mut self,
         to: u32,
         id: RequestId,
@@ -394,12 +214,13 @@
     ) {
         let at = |c: &CacheId| self.names.iter().position(|n| n == c).expect("listed");
         let (c, s) = (at(cache), at(source));
-        let (caches, n) = (self.d.widths.len(), self.names.len());
-        let a = self.asked.get_mut(&id).expect("asked");
-        let (attempt, key, class, work) = (a.tries, (a.ask.object.0, a.ask.part), a.ask.class, a.ask.size_kb);
+        let (caches, n) = (self.d.bandwidths.len(), self.names.len());
+        let a = self.requests.get_mut(&id).expect("asked");
+        let (attempt, key, class, work) =
+            (a.attempts, (a.ask.object.0, a.ask.part), a.ask.class, a.ask.size_kb);
         let work = work / self.d.set.stream_kb_per_s * 1000.0;
         let (was_out, answered) = (std::mem::replace(&mut a.out, true), a.answers);
-        a.tries += 1;
+        a.attempts += 1;
         let write = self.d.set.classes[class].write;
         if was_out || answered > 0 || attempt >= self.d.set.max_attempts {
             self.break_rule(format!("attempt {attempt} of {id:?}: out {was_out}, answered {answered}"));
@@ -408,13 +229,13 @@
             self.break_rule(format!("{cache:?} from {source:?} is not allowed"));
         }
         for m in [c, s] {
-            if self.told_out.get(&(to, m)).is_some_and(|t| self.now > t + self.d.set.drain_grace_ms) {
+            if self.notified_out.get(&(to, m)).is_some_and(|t| self.now > t + self.d.set.drain_grace_ms) {
                 self.break_rule(format!("{} is used after the grace", self.names[m].0));
             }
         }
         self.sends[c].push((self.now, work));
         let purged = self
-            .told_purge
+            .notified_purge
             .get(&(to, key.0))
             .filter(|p| self.now > p.0 + self.d.set.purge_slack_ms)
             .map(|p| p.1);
@@ -426,7 +247,7 @@
         } else {
             f64::INFINITY
         };
-        let good = |held: Option<&f64>| held.filter(|m| self.now - **m <= age).copied();
+        let good = |cached: Option<&f64>| cached.filter(|m| self.now - **m <= age).copied();
         let mut flow = Flow {
             to,
             id,
@@ -434,15 +255,15 @@
             cache: c,
             links: vec![c],
             starts: self.now + 1.0,
-            left: work,
+            remaining: work,
             top: 1.0,
             sent: self.now,
             until,
             detail: 1,
-            minted: 0.0,
+            created: 0.0,
             keep: keep && !write,
             parent: None,
-            called_off: false,
+            cancelled: false,
         };
         let open = self.flows.iter().filter(|f| f.cache == c).count() as f64;
         let soon = |ending| Outcome {
@@ -459,30 +280,30 @@
         if self.down.contains(&c) {
             return self.at(self.now + 1.0, Due::Outcome(to, Box::new(soon(Ending::ConnectionRefused))));
         }
-        if open > 20.0 + 8.0 * self.width(c) {
+        if open > 20.0 + 8.0 * self.bandwidth(c) {
             return self.at(self.now + 1.0, Due::Outcome(to, Box::new(soon(Ending::Saturated))));
         }
         let joins = join && self.d.set.joins;
         let under_way =
-            |f: &&Flow| f.cache == c && f.links.len() > 1 && self.asked[&f.id].ask.object.0 == key.0;
-        if let Some(minted) = good(self.held[c].get(&key)).filter(|_| !write) {
-            flow.minted = minted;
+            |f: &&Flow| f.cache == c && f.links.len() > 1 && self.requests[&f.id].ask.object.0 == key.0;
+        if let Some(created) = good(self.cached[c].get(&key)).filter(|_| !write) {
+            flow.created = created;
         } else if let Some(f) =
-            self.flows.iter().find(under_way).filter(|f| joins && !write && good(Some(&f.minted)).is_some())
+            self.flows.iter().find(under_way).filter(|f| joins && !write && good(Some(&f.created)).is_some())
         {
-            (flow.minted, flow.detail, flow.starts) = (f.minted, 4, f.starts);
-        } else if s == c || s < caches && good(self.held[s].get(&key)).is_none() {
+            (flow.created, flow.detail, flow.starts) = (f.created, 4, f.starts);
+        } else if s == c || s < caches && good(self.cached[s].get(&key)).is_none() {
             return self.at(self.now + 2.0, Due::Outcome(to, Box::new(soon(Ending::LookupMiss))));
         } else if s < caches {
-            flow.minted = self.held[s][&key];
+            flow.created = self.cached[s][&key];
             (flow.detail, flow.starts) = (2, self.now + 3.0);
             flow.links.push(s);
         } else {
-            (flow.detail, flow.starts, flow.minted) = (2, self.now + 15.0, self.now);
+            (flow.detail, flow.starts, flow.created) = (2, self.now + 15.0, self.now);
             flow.links.extend([n, s]);
             if s < n - 1 && !write {
-                match good(self.held[s].get(&key)) {
-                    Some(m) => flow.minted = m,
+                match good(self.cached[s].get(&key)) {
+                    Some(m) => flow.created = m,
                     None => {
                         (flow.detail, flow.parent) = (3, Some(s));
                         flow.starts += 40.0;
@@ -491,11 +312,11 @@
                 }
             }
         }
-        if purged.is_some_and(|p| flow.minted < p) {
+        if purged.is_some_and(|p| flow.created < p) {
             self.break_rule(format!("{id:?} gets a copy from before the purge of {:x}", key.0));
         }
         if write {
-            let a = self.asked.get_mut(&id).expect("asked");
+            let a = self.requests.get_mut(&id).expect("asked");
             a.ran += 1;
             if a.ran > 1 {
                 self.break_rule(format!("{id:?} runs twice"));
@@ -518,8 +339,11 @@
         let ask =
             Request { id, object: ObjectId(object), part: 0, class, size_kb, budget_ms, group: object % 32 };
         let due = self.now + budget_ms;
-        self.asked.insert(id, Asked { ask: ask.clone(), due, tries: 0, out: false, answers: 0, ran: 0 });
-        self.day.asked += u32::from(self.now >= self.start + WARM_MS);
+        self.requests.insert(
+            id,
+            TrackedRequest { ask: ask.clone(), due, attempts: 0, out: false, answers: 0, ran: 0 },
+        );
+        self.day.requests += u32::from(self.now >= self.start + WARM_UP_MS);
         self.handle(r, Event::Request(ask));
     }
 
@@ -529,22 +353,22 @@
                 Due::Timer(r, token) => self.handle(r, Event::Timer { token }),
                 Due::Message { to, from, data } => self.handle(to, Event::PeerMessage { from, data }),
                 Due::Outcome(r, o) => {
-                    self.asked.get_mut(&o.id).expect("asked").out = false;
+                    self.requests.get_mut(&o.id).expect("asked").out = false;
                     self.handle(r, Event::Outcome(*o));
                 }
-                Due::Tell(r, event) => {
+                Due::Notify(r, event) => {
                     match &*event {
                         Event::Endpoints { entries, .. } => {
                             for e in entries {
                                 let m = self.names.iter().position(|n| *n == e.cache).expect("listed");
                                 match e.phase {
-                                    Phase::In => self.told_out.remove(&(r, m)),
-                                    _ => self.told_out.insert((r, m), self.now),
+                                    Phase::In => self.notified_out.remove(&(r, m)),
+                                    _ => self.notified_out.insert((r, m), self.now),
                                 };
                             }
                         }
                         Event::Purged { object: Some(o), age_ms, .. } => {
-                            self.told_purge.insert((r, o.0), (self.now, self.now - age_ms));
+                            self.notified_purge.insert((r, o.0), (self.now, self.now - age_ms));
                         }
                         _ => {}
                     }
@@ -552,18 +376,18 @@
                 }
                 Due::Down(c) => {
                     self.down.insert(c);
-                    self.held[c].clear();
+                    self.cached[c].clear();
                     for f in self.flows.iter_mut().filter(|f| f.cache == c) {
                         f.until = f64::NEG_INFINITY;
                     }
                 }
                 Due::Up(c) => {
                     self.down.remove(&c);
-                    self.born[c] = self.now;
+                    self.started[c] = self.now;
                     self.sends[c].clear();
                 }
                 Due::Drop(object, before) => {
-                    self.held.iter_mut().for_each(|h| h.retain(|k, m| k.0 != object || *m >= before));
+                    self.cached.iter_mut().for_each(|h| h.retain(|k, m| k.0 != object || *m >= before));
                 }
             }
         }
@@ -572,33 +396,33 @@
     /// Moves all transfers on by a step, and ends those that are done or out of time.
     fn flow(&mut self) {
         let n = self.names.len();
-        let widths: Vec<f64> = (0..=n).map(|l| self.width(l)).collect();
+        let bandwidths: Vec<f64> = (0..=n).map(|l| self.bandwidth(l)).collect();
         let mut crowd = vec![0.0; n + 1];
         let active = |f: &&Flow| f.starts <= self.now;
         self.flows.iter().filter(active).for_each(|f| f.links.iter().for_each(|&l| crowd[l] += 1.0));
-        let counts = self.now >= self.start + WARM_MS;
+        let counts = self.now >= self.start + WARM_UP_MS;
         let mut ended = Vec::new();
         for (i, f) in self.flows.iter_mut().enumerate() {
             if f.starts <= self.now {
-                let share = f.links.iter().map(|&l| widths[l] / crowd[l]).fold(f.top, f64::min);
-                let sent = (share * STEP_MS).min(f.left);
-                f.left -= sent;
+                let share = f.links.iter().map(|&l| bandwidths[l] / crowd[l]).fold(f.top, f64::min);
+                let sent = (share * STEP_MS).min(f.remaining);
+                f.remaining -= sent;
                 if counts {
-                    self.day.used[f.cache] += sent / widths[f.cache];
+                    self.day.used[f.cache] += sent / bandwidths[f.cache];
                 }
             }
-            if f.left <= 1e-9 || self.now >= f.until || f.called_off {
+            if f.remaining <= 1e-9 || self.now >= f.until || f.cancelled {
                 ended.push(i);
             }
         }
         for i in ended.into_iter().rev() {
             let f = self.flows.swap_remove(i);
-            let a = self.asked.get_mut(&f.id).expect("asked");
+            let a = self.requests.get_mut(&f.id).expect("asked");
             a.out = false;
             let ending = match () {
                 () if f.until == f64::NEG_INFINITY => Ending::ConnectionLost,
-                () if f.called_off => Ending::Cancelled,
-                () if f.left > 1e-9 => Ending::TimedOut,
+                () if f.cancelled => Ending::Cancelled,
+                () if f.remaining > 1e-9 => Ending::TimedOut,
                 () => Ending::Completed,
             };
             let (over, key, size, class) =
@@ -607,10 +431,10 @@
                 let work = size / self.d.set.stream_kb_per_s * 1000.0;
                 self.answer(f.id, |d| d.served_ms += work);
                 if f.keep && !self.down.contains(&f.cache) {
-                    self.held[f.cache].insert(key, f.minted);
+                    self.cached[f.cache].insert(key, f.created);
                 }
                 if let Some(p) = f.parent.filter(|_| !self.d.set.classes[class].write) {
-                    self.held[p].insert(key, f.minted);
+                    self.cached[p].insert(key, f.created);
                 }
             }
             let detail = match self.d.set.notes {
@@ -641,25 +465,25 @@
         }
     }
 
-    fn troubles(&mut self, ms: f64) {
-        let caches = self.d.widths.len();
+    fn inject_faults(&mut self, ms: f64) {
+        let caches = self.d.bandwidths.len();
         let change = |c: usize, phase, born_ms| {
             let entries = vec![Entry { phase, born_ms, weight: 1.0, ..entry(&format!("c{c}:1"), 1, 0) }];
             Event::Endpoints { kind: ListKind::Delta, entries }
         };
-        let at = self.now - self.start - WARM_MS;
+        let at = self.now - self.start - WARM_UP_MS;
         let when = |share: f64| at >= share * ms && at < share * ms + STEP_MS;
         if when(0.2) && caches > 2 {
-            self.tell_all(&change(0, Phase::Draining, 0.0), 300.0);
+            self.notify_all(&change(0, Phase::Draining, 0.0), 300.0);
         }
         if when(0.3) && caches > 1 {
             self.at(self.now, Due::Down(caches - 1));
             self.at(self.now + 2_000.0, Due::Up(caches - 1));
-            self.tell_all(&change(caches - 1, Phase::Out, 0.0), 400.0);
+            self.notify_all(&change(caches - 1, Phase::Out, 0.0), 400.0);
         }
         if when(0.3 + 2_400.0 / ms) && caches > 1 {
-            let born = self.born[caches - 1];
-            self.tell_all(&change(caches - 1, Phase::In, born), 400.0);
+            let started = self.started[caches - 1];
+            self.notify_all(&change(caches - 1, Phase::In, started), 400.0);
         }
         if (at / STEP_MS) as u64 % 60 == 0 {
             let object = self.draw.log(1.0, 600.0) as u64;
@@ -668,75 +492,76 @@
                 let late = self.draw.within(20.0, 400.0);
                 let event =
                     Event::Purged { object: Some(ObjectId(object)), group: object % 32, age_ms: late };
-                self.at(self.now + late, Due::Tell(r, Box::new(event)));
+                self.at(self.now + late, Due::Notify(r, Box::new(event)));
             }
         }
     }
 
     /// Plays a day of `ms` after a time to warm up, with `load` times what the caches' links can send in all.
-    pub fn play(mut self, load: f64, ms: f64, kind: Kind) -> Day {
-        let total: f64 = self.d.widths.iter().sum();
+    pub fn run(mut self, load: f64, ms: f64, kind: Kind) -> Day {
+        let total: f64 = self.d.bandwidths.iter().sum();
         // Of the work that is drawn: the mean of the sizes over both classes, and the rare writes.
         let mean = (0..4_000)
             .map(|o| Draw(o ^ self.d.seed).log(0.125, 3.0) * 0.9 * [1.5, 0.5][o as usize % 2])
             .sum::<f64>()
             / 4_000.0
             * self.d.work_ms;
-        let end = self.start + WARM_MS + ms;
+        let end = self.start + WARM_UP_MS + ms;
         let mut next = self.now;
-        while self.now < end || self.asked.values().any(|a| a.answers == 0) {
-            let warm = self.now < self.start + WARM_MS;
+        while self.now < end || self.requests.values().any(|a| a.answers == 0) {
+            let warm = self.now < self.start + WARM_UP_MS;
             let rate = total / mean * if warm { load.min(0.4) } else { load };
             while next <= self.now && self.now < end {
                 next += -(1.0 - self.draw.unit()).ln() / rate;
                 let r = self.draw.next() % self.routers.len() as u64;
                 self.ask(r as u32);
             }
-            if kind == Kind::Trouble && !warm {
-                self.troubles(ms);
+            if kind == Kind::Faults && !warm {
+                self.inject_faults(ms);
             }
             self.flow();
             self.now += STEP_MS;
             self.dues();
             let late: Vec<RequestId> = self
-                .asked
+                .requests
                 .iter()
                 .filter(|(_, a)| a.answers == 0 && self.now > a.due + 50.0)
                 .map(|a| *a.0)
                 .collect();
             for id in late {
                 self.break_rule(format!("{id:?} got no answer in its time"));
-                self.asked.get_mut(&id).expect("asked").answers = 1;
+                self.requests.get_mut(&id).expect("asked").answers = 1;
             }
             if self.now < end {
-                self.asked.retain(|_, a| a.answers == 0 || a.out);
+                self.requests.retain(|_, a| a.answers == 0 || a.out);
             }
         }
         self.day.used.iter_mut().for_each(|u| *u /= ms);
-        self.check_cold();
+        self.check_slow_start();
         self.day
     }
 
     /// No window that begins with a send to a cache that started cold holds more work than it stands then.
-    fn check_cold(&mut self) {
+    fn check_slow_start(&mut self) {
         let set = self.d.set.clone();
-        for c in (0..self.d.widths.len()).filter(|&c| self.born[c] > 0.0) {
-            let warmth = |at: f64| {
-                (set.slow_start_from + (1.0 - set.slow_start_from) * (at - self.born[c]) / set.slow_start_ms)
+        for c in (0..self.d.bandwidths.len()).filter(|&c| self.started[c] > 0.0) {
+            let capacity_fraction = |at: f64| {
+                (set.slow_start_from
+                    + (1.0 - set.slow_start_from) * (at - self.started[c]) / set.slow_start_ms)
                     .min(1.0)
             };
             for (i, s) in
-                self.sends[c].iter().enumerate().filter(|s| s.1 .0 < self.born[c] + set.slow_start_ms)
+                self.sends[c].iter().enumerate().filter(|s| s.1 .0 < self.started[c] + set.slow_start_ms)
             {
                 let window = self.sends[c][i..].iter().take_while(|e| e.0 < s.0 + set.slow_start_window_ms);
-                let asked: f64 = window.map(|e| e.1).sum();
+                let requests: f64 = window.map(|e| e.1).sum();
                 let stands = set.slow_start_multiple
-                    * self.d.widths[c]
-                    * warmth(s.0 + set.slow_start_window_ms)
+                    * self.d.bandwidths[c]
+                    * capacity_fraction(s.0 + set.slow_start_window_ms)
                     * set.slow_start_window_ms;
                 // One large request in a window is chance.
-                if asked > stands.max(4.0 * self.d.work_ms) {
-                    let what = format!("{} is pushed over: {asked:.0} ms of {stands:.0}", self.names[c].0);
+                if requests > stands.max(4.0 * self.d.work_ms) {
+                    let what = format!("{} is pushed over: {requests:.0} ms of {stands:.0}", self.names[c].0);
                     self.day.broken.push(what);
                     break;
                 }
--- a/crates/fernslip/tests/deployments.rs
+++ b/crates/fernslip/tests/deployments.rs
@@ -3,14 +3,17 @@
 //!
 //!     cargo test -p fernslip --test deployments --release -- --ignored --nocapture    # a thousand draws
 mod common;
-#[path = "common/world.rs"]
-mod world;
+#[path = "common/deployment.rs"]
+mod deployment;
+#[path = "common/simulation.rs"]
+mod simulation;
 
 use common::*;
+use deployment::{Day, Deployment, Kind};
 use fernslip::*;
+use simulation::World;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
-use world::{Day, Deployment, Kind, World};
 
 const DAY_MS: f64 = 8_000.0;
 /// Of the draws that CI plays, how many miss a figure today: fewer is better, more is a step back.
@@ -22,13 +25,13 @@
     let mut wrong = Vec::new();
     let mut broken =
         |name: &str, day: &Day| wrong.extend(day.broken.iter().take(3).map(|b| format!("{name}: {b}")));
-    let calm = World::new(&d).play(0.6, DAY_MS, Kind::Calm);
+    let calm = World::new(&d).run(0.6, DAY_MS, Kind::Calm);
     broken("calm", &calm);
-    let crowd = World::new(&d).play(1.5, DAY_MS, Kind::Calm);
+    let crowd = World::new(&d).run(1.5, DAY_MS, Kind::Calm);
     broken("overload", &crowd);
-    let trouble = World::new(&d).play(0.6, DAY_MS, Kind::Trouble);
+    let trouble = World::new(&d).run(0.6, DAY_MS, Kind::Faults);
     broken("trouble", &trouble);
-    let lost = f64::from(calm.refused + calm.failed) / f64::from(calm.asked.max(1));
+    let lost = f64::from(calm.rejected + calm.failed) / f64::from(calm.requests.max(1));
     if lost > 0.01 {
         wrong.push(format!("calm: {:.1} % refused", lost * 100.0));
         wrong.extend(calm.log.iter().filter(|l| l.contains("gave up")).rev().take(2).cloned());
@@ -38,13 +41,13 @@
         wrong
             .push(format!("calm: cache {c} is idle: {:.2} of its link, the mean is {mean:.2}", calm.used[c]));
     }
-    let carried = crowd.served_ms / DAY_MS / d.widths.iter().sum::<f64>();
+    let carried = crowd.served_ms / DAY_MS / d.bandwidths.iter().sum::<f64>();
     if carried < 0.8 {
         let used = crowd.used.iter().sum::<f64>() / crowd.used.len() as f64;
-        let (refused, failed) = (crowd.refused, crowd.failed);
+        let (rejected, failed) = (crowd.rejected, crowd.failed);
         wrong.push(format!(
-            "overload: {carried:.2} of what its links carry, {used:.2} used; of {} {refused} refused, {failed} failed",
-            crowd.asked
+            "overload: {carried:.2} of what its links carry, {used:.2} used; of {} {rejected} refused, {failed} failed",
+            crowd.requests
         ));
         wrong.extend(crowd.log.iter().filter(|l| l.contains("gave up")).rev().take(2).cloned());
     }
@@ -55,7 +58,7 @@
 }
 
 /// Plays so many deployments on all cores; the seeds that fail, with what is wrong.
-fn play(seeds: std::ops::Range<u64>) -> Vec<(u64, Vec<String>)> {
+fn run_all(seeds: std::ops::Range<u64>) -> Vec<(u64, Vec<String>)> {
     let (next, failed) = (AtomicU64::new(seeds.start), Mutex::new(Vec::new()));
     let threads = std::thread::available_parallelism().map_or(4, |n| n.get());
     std::thread::scope(|s| {
@@ -81,7 +84,7 @@
 #[ignore = "many draws: run it in release"]
 fn a_thousand_deployments() {
     let count = std::env::var("DRAWS").ok().and_then(|n| n.parse().ok()).unwrap_or(1_000);
-    let failed = play(1_000..1_000 + count);
+    let failed = run_all(1_000..1_000 + count);
     for (seed, wrong) in &failed {
         println!("seed {seed}: {wrong:#?}");
     }
@@ -92,7 +95,7 @@
 /// What a figure missed is a weakness that is known and counted; a broken rule is none.
 #[test]
 fn three_dozen_deployments() {
-    let failed = play(0..36);
+    let failed = run_all(0..36);
     let rules = |w: &&String| w.contains(" ms: ") || w.contains("pushed over");
     let broken: Vec<_> = failed.iter().filter(|f| f.1.iter().any(|w| rules(&w))).collect();
     assert!(broken.is_empty(), "{broken:#?}");
--- a/crates/fernslip/tests/facade.rs
+++ b/crates/fernslip/tests/facade.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_request_is_picked_tried_again_and_over() {
+fn a_request_is_picked_retried_and_finished() {
     let d = ready();
     let first = attempt(d.pick(1000.0, ask(1)));
     assert!(first.source.is_some() && first.number == 0);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn what_is_given_up_is_answered_at_once_with_a_hint() {
+fn a_rejected_request_is_answered_at_once_with_a_retry_hint() {
     let d = ready();
     let a = attempt(d.pick(1000.0, ask(1)));
     match d.report(5999.0, ended(&a, Ending::Errored)) {
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn an_id_that_is_open_is_refused_and_the_first_keeps_its_answer() {
+fn a_duplicate_id_is_rejected_and_the_first_request_keeps_its_answer() {
     let d = ready();
     let a = attempt(d.pick(1000.0, ask(1)));
     assert!(matches!(d.pick(1001.0, ask(1)), Decision::Reject { .. }));
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_client_that_left_has_its_attempt_called_off() {
+fn a_disconnected_clients_attempt_is_cancelled() {
     let d = ready();
     let a = attempt(d.pick(1000.0, ask(1)));
     d.client_disconnected(1010.0, a.id);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn the_modules_timers_run_and_call_off_what_waits_at_a_silent_cache() {
+fn timers_cancel_attempts_at_a_silent_cache() {
     let d = ready();
     let a = attempt(d.pick(1000.0, ask(1)));
     let mut now = 1000.0;
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn peers_are_told_and_heard() {
+fn messages_to_and_from_peers_are_passed_on() {
     let d = ready();
     assert_eq!(d.host().0.lock().unwrap().len(), 0, "its location has no other router");
     d.peer_message(1000.0, 1, vec![2, 1, 1]);
@@ -144,7 +144,7 @@
 /// An attempt that was decided on and has not begun is told from one that may still begin: by a drain, a node out by hand, a
 /// purge of what it asks for, and its client's leaving. The next attempt is decided with all of it known.
 #[test]
-fn what_was_decided_on_before_the_news_may_not_begin() {
+fn an_attempt_outdated_by_a_purge_or_drain_is_not_begun() {
     let begins = |d: &Dispatcher<Notes>, a: &Attempt| d.is_in_service(a) && d.is_wanted(a);
     let d = ready();
     let first = attempt(d.pick(1000.0, ask(1)));
@@ -172,7 +172,7 @@
 /// Two threads, as the operators' and the watch's are: a node that is put back by hand while the list says that it drains is
 /// never sent anything, whichever comes first.
 #[test]
-fn a_node_put_back_while_the_list_drains_it_is_not_used() {
+fn a_node_included_while_the_list_drains_it_is_not_used() {
     for round in 0..300 {
         let d = ready();
         let node = attempt(d.pick(1000.0, ask(1))).cache;
--- a/crates/fernslip/tests/failures.rs
+++ b/crates/fernslip/tests/failures.rs
@@ -9,7 +9,7 @@
     let mut r = Rig::new();
     let home = r.serve(1, 1).cache;
     for _ in 0..12 {
-        let slow = sent(&r.ask(1)).unwrap();
+        let slow = sent(&r.request(1)).unwrap();
         assert_eq!(slow.cache, home);
         r.now += 5.0;
         assert_eq!(r.serve(1, 1).cache, home);
@@ -23,9 +23,9 @@
 
 /// Incident "machines that vanish": what waits at a silent cache is called off and tried elsewhere in time.
 #[test]
-fn a_silent_cache_is_noticed_and_its_requests_are_called_off() {
+fn a_silent_cache_is_noticed_and_its_requests_are_cancelled() {
     let mut r = Rig::new();
-    let s = sent(&r.ask(1)).unwrap();
+    let s = sent(&r.request(1)).unwrap();
     let mut off = None;
     while off.is_none() && r.now < 102_500.0 {
         r.now += 50.0;
@@ -34,7 +34,7 @@
     assert_eq!(off, Some(Action::Cancel { id: s.id, attempt: 0 }));
     let again = sent(&r.end(&s, 0, Ending::Cancelled, 0)).unwrap();
     assert_ne!(again.cache, s.cache);
-    assert_ne!(sent(&r.ask(1)).unwrap().cache, s.cache, "nothing new while it is silent");
+    assert_ne!(sent(&r.request(1)).unwrap().cache, s.cache, "nothing new while it is silent");
 }
 
 /// Incident "slow origin": misses that wait must not take the places of hits, and are refused at once.
@@ -45,19 +45,19 @@
     let mut waiting = Vec::new();
     let mut misses = 0;
     for o in 1000..1400 {
-        match sent(&r.ask(o)) {
+        match sent(&r.request(o)) {
             Some(s) => waiting.push(s),
             None => misses += 1,
         }
     }
     assert!(misses > 300, "most are refused: {misses}");
-    assert!(sent(&r.ask(1)).is_some(), "a hit still goes");
+    assert!(sent(&r.request(1)).is_some(), "a hit still goes");
     let many = waiting.len();
     r.now += 3000.0;
     for s in waiting {
         r.end(&s, 0, Ending::TimedOut, 7);
     }
-    let next = (2000..2400).filter(|&o| sent(&r.ask(o)).is_some()).count();
+    let next = (2000..2400).filter(|&o| sent(&r.request(o)).is_some()).count();
     assert!(next < many, "late fills shrink the limit: {next} of {many}");
 }
 
@@ -66,7 +66,7 @@
 fn a_broken_connection_is_one_failure() {
     let mut r = Rig::new();
     let home = r.serve(1, 1).cache;
-    let open: Vec<Sent> = (0..8).map(|_| sent(&r.ask(1)).unwrap()).collect();
+    let open: Vec<Sent> = (0..8).map(|_| sent(&r.request(1)).unwrap()).collect();
     r.now += 5.0;
     for s in &open {
         if let Some(again) = sent(&r.end(s, 0, Ending::ConnectionLost, 0)) {
@@ -86,7 +86,7 @@
     let mut tries_at_home = 0;
     for _ in 0..40 {
         r.now += 20.0;
-        let s = sent(&r.ask(1)).unwrap();
+        let s = sent(&r.request(1)).unwrap();
         if s.cache == home {
             tries_at_home += 1;
             if let Some(again) = sent(&r.end(&s, 0, Ending::Errored, 0)) {
@@ -110,7 +110,7 @@
     let mut r = Rig::new();
     for n in 0..60_000u64 {
         r.now += 3.0;
-        if let Some(s) = sent(&r.ask(n)) {
+        if let Some(s) = sent(&r.request(n)) {
             r.end(&s, 0, Ending::Completed, 2);
         }
         if n % 3 == 0 {
@@ -124,23 +124,23 @@
 
 /// Incident "overload makes all late": what its size and the load make late is refused at once, the large first.
 #[test]
-fn under_overload_the_large_are_refused_first() {
+fn under_overload_large_requests_are_rejected_first() {
     let mut r = Rig::new();
     let one = vec![entry("c1:1", 1, 0), entry("p1:1", 0, 1), entry("o1:1", 0, 2)];
     r.update_endpoints(one);
     r.serve(1, 1);
     // Thirty hits under way on a link for ten: three times the sending time. Aim: 400 ms and twice that time.
-    let sent_all = (0..30).all(|_| sent(&r.ask_with(1, 0, 50.0)).is_some());
+    let sent_all = (0..30).all(|_| sent(&r.request_with(1, 0, 50.0)).is_some());
     assert!(sent_all);
-    assert!(refused(&r.ask_with(1, 0, 900.0)), "900 ms would take 2.7 s, later than 2.2 s");
-    assert!(sent(&r.ask_with(1, 0, 100.0)).is_some(), "a small one is still in time");
+    assert!(rejected(&r.request_with(1, 0, 900.0)), "900 ms would take 2.7 s, later than 2.2 s");
+    assert!(sent(&r.request_with(1, 0, 100.0)).is_some(), "a small one is still in time");
 }
 
 /// Incident "refused while caches idle": the fill limit rises fast while it is in use and no fill is late.
 #[test]
 fn the_fill_limit_rises_while_in_use_and_calm() {
     let room = |r: &mut Rig, base: u64| {
-        let open: Vec<Sent> = (0..400).map_while(|o| sent(&r.ask(base + o))).collect();
+        let open: Vec<Sent> = (0..400).map_while(|o| sent(&r.request(base + o))).collect();
         r.now += 60.0;
         open.iter().for_each(|s| drop(r.end(s, 0, Ending::Completed, 3)));
         open.len()
@@ -156,10 +156,10 @@
 
 /// A silent cache gets trials only, and a trial has time to be answered.
 #[test]
-fn a_silent_cache_gets_trials_only() {
+fn a_silent_cache_gets_half_open_probes_only() {
     let mut r = Rig::new();
     let home = r.serve(1, 1).cache;
-    let s = sent(&r.ask(1)).unwrap();
+    let s = sent(&r.request(1)).unwrap();
     r.now += 1200.0;
     r.event(Event::Timer { token: 0 });
     let again = sent(&r.end(&s, 0, Ending::Cancelled, 0)).unwrap();
@@ -167,7 +167,7 @@
     let (mut trials, mut off) = (0, 0);
     for _ in 0..100 {
         r.now += 10.0;
-        let s = sent(&r.ask(1)).unwrap();
+        let s = sent(&r.request(1)).unwrap();
         match s.cache == home {
             true => trials += 1,
             false => drop(r.end(&s, 0, Ending::Completed, 1)),
@@ -196,10 +196,10 @@
 
 /// Full size: one open attempt of one of nine routers is no crowd. It was read as nine, and refused large parts.
 #[test]
-fn one_open_attempt_of_one_router_among_many_is_no_crowd() {
+fn one_open_attempt_of_one_router_among_many_is_no_congestion() {
     let mut r = Rig::with(Settings { zone_routers: vec![0, 9, 1], routers: 10, ..settings() });
     r.update_endpoints(fleet().into_iter().map(|e| Entry { weight: 2.0, ..e }).collect());
-    let large = |r: &mut Rig| sent(&r.ask_with(1, 0, 300.0));
+    let large = |r: &mut Rig| sent(&r.request_with(1, 0, 300.0));
     let home = large(&mut r).expect("sent").cache;
     assert_eq!(large(&mut r).expect("not refused").cache, home, "nor spilled");
     for _ in 0..40 {
@@ -211,7 +211,7 @@
 
 /// Full size, sick parent: the limit of fills is the location's, whatever the number of its routers.
 #[test]
-fn fills_under_way_are_bounded_over_all_routers_of_a_location() {
+fn fills_in_flight_are_bounded_over_all_routers_of_a_location() {
     let under_way = |routers: u32| {
         let s = Settings { zone_routers: vec![0, routers, 1], routers: routers + 1, ..settings() };
         let mut all: Vec<Rig> = (0..routers)
@@ -226,7 +226,7 @@
         for step in 0..1000u64 {
             let r = &mut all[(step % u64::from(routers)) as usize];
             r.now = 100_000.0 + 10.0 * step as f64;
-            let goes = usize::from(sent(&r.ask(10_000 + step)).is_some());
+            let goes = usize::from(sent(&r.request(10_000 + step)).is_some());
             (sends, late) = (sends + goes, late + if step >= 700 { goes } else { 0 });
         }
         (sends, late)
@@ -241,23 +241,23 @@
 #[test]
 fn a_fill_runs_as_long_as_the_client_waits() {
     let mut r = Rig::new();
-    let fill = sent(&r.ask(1)).unwrap();
+    let fill = sent(&r.request(1)).unwrap();
     assert!(fill.until_ms > r.now + 4900.0, "{fill:?}");
     let again = r.end(&fill, 0, Ending::Completed, 3);
     assert!(sent(&again).is_none());
-    let hit = sent(&r.ask(1)).unwrap();
+    let hit = sent(&r.request(1)).unwrap();
     assert!(hit.until_ms < r.now + 1200.0, "what is shown to be there is tried again in time: {hit:?}");
 }
 
 /// A parent that slows: its objects move to the others in hash order, its late fills don't close the gate for all.
 #[test]
-fn a_parent_slower_than_its_fellows_gets_less() {
+fn a_parent_slower_than_its_peers_gets_less() {
     let mut r = Rig::new();
     let share = |r: &mut Rig, objects: std::ops::Range<u64>, slow: f64| {
         let (mut of_p1, mut all) = (0, 0);
         for o in objects {
             r.now += 100.0;
-            let Some(s) = sent(&r.ask(o)) else { continue };
+            let Some(s) = sent(&r.request(o)) else { continue };
             let took = if s.source == "p1:1" { 150.0 * slow } else { 150.0 };
             r.end_after(&s, 0, (Ending::Completed, 3), took);
             (of_p1, all) = (of_p1 + usize::from(s.source == "p1:1"), all + 1);
@@ -283,7 +283,7 @@
     let part = |r: &mut Rig| {
         let mut at_slow = 0;
         for o in 0..200 {
-            let s = sent(&r.ask(o)).expect("sent");
+            let s = sent(&r.request(o)).expect("sent");
             assert_ne!(s.source, slow, "not filled from while it crawls");
             at_slow += u32::from(s.cache == slow);
             let took = if s.cache == slow { 1500.0 } else { 110.0 };
@@ -297,12 +297,15 @@
     let after = part(&mut r);
     assert!(after * 4 < before.max(40), "given less once it is known: {before}, then {after}");
     for o in 1000..1020 {
-        let s = sent(&r.ask(o)).expect("fills go on: the links are not to blame");
+        let s = sent(&r.request(o)).expect("fills go on: the links are not to blame");
         r.now += 20.0;
         r.end(&s, 0, if s.cache == slow { Ending::TimedOut } else { Ending::Completed }, 2);
     }
     r.now += 60_000.0;
-    assert!((2000..2200).any(|o| sent(&r.ask(o)).is_some_and(|s| s.cache == slow)), "tried again some day");
+    assert!(
+        (2000..2200).any(|o| sent(&r.request(o)).is_some_and(|s| s.cache == slow)),
+        "tried again some day"
+    );
 }
 
 /// Incident "spoilt answers": a cache's broken connections and errors tell nothing of the links. They used to shrink
@@ -312,14 +315,14 @@
     let room = |endings: &[Ending]| {
         let mut r = Rig::new();
         for (n, &ending) in endings.iter().enumerate() {
-            let s = sent(&r.ask(1000 + n as u64)).expect("sent");
+            let s = sent(&r.request(1000 + n as u64)).expect("sent");
             r.now += 20.0;
             let again = sent(&r.end(&s, 0, ending, 0)).expect("tried again");
             r.end(&again, 1, Ending::Completed, 2);
             // Time enough for the health of its machines to be forgotten.
             (0..20).for_each(|_| drop(r.serve(1, 1)));
         }
-        (2000..2400).filter(|&o| sent(&r.ask(o)).is_some()).count()
+        (2000..2400).filter(|&o| sent(&r.request(o)).is_some()).count()
     };
     let calm = room(&[]);
     assert!(room(&[Ending::ConnectionLost; 20]) >= calm);
@@ -333,7 +336,7 @@
     let room = |late: u64| {
         let mut r = Rig::new();
         for n in 0..300 {
-            let s = sent(&r.ask(1000 + n)).expect("sent");
+            let s = sent(&r.request(1000 + n)).expect("sent");
             r.now += 20.0;
             let lost = late > 0 && n % late == late - 1;
             let (ending, took) = if lost { (Ending::TimedOut, 1500.0) } else { (Ending::Completed, 50.0) };
@@ -342,7 +345,7 @@
                 r.end(&again, 1, Ending::Completed, 2);
             }
         }
-        (5000..5400).filter(|&o| sent(&r.ask(o)).is_some()).count()
+        (5000..5400).filter(|&o| sent(&r.request(o)).is_some()).count()
     };
     assert!(room(30) >= room(0));
     assert!(room(4) < room(0), "many of them are");
@@ -351,11 +354,11 @@
 /// Incident "it drains untold": a cache that turns away at once, sooner than any source could, is not asked again for
 /// the same request, then for none; the limit on fills is not to blame. It cost all tries of all its requests.
 #[test]
-fn a_cache_that_turns_away_unseen_is_left() {
+fn a_cache_that_rejects_requests_itself_is_avoided() {
     let mut r = Rig::new();
     let home = r.serve(1, 1).cache;
     for n in 0..8 {
-        let s = sent(&r.ask(1)).expect("sent");
+        let s = sent(&r.request(1)).expect("sent");
         r.now += 20.0;
         if s.cache == home {
             let again = sent(&r.end_after(&s, 0, (Ending::Saturated, 0), 1.0)).expect("tried again");
@@ -365,32 +368,32 @@
             r.end(&s, 0, Ending::Completed, 1);
         }
     }
-    assert_ne!(sent(&r.ask(1)).expect("sent").cache, home, "for trials only");
+    assert_ne!(sent(&r.request(1)).expect("sent").cache, home, "for trials only");
 }
 
 /// Incident "bad clients": what two machines answer with an error is the request's own fault. It used to be carried to
 /// one machine after the other, up to the last try.
 #[test]
-fn a_request_that_two_machines_find_in_error_goes_no_further() {
+fn a_request_that_fails_on_two_nodes_is_not_retried() {
     let mut r = Rig::new();
-    let first = sent(&r.ask(1)).expect("sent");
+    let first = sent(&r.request(1)).expect("sent");
     r.now += 5.0;
     let second = sent(&r.end(&first, 0, Ending::Errored, 0)).expect("one may be to blame itself");
     assert_ne!(second.cache, first.cache);
     r.now += 5.0;
     let over = r.end(&second, 1, Ending::Errored, 0);
-    assert!(sent(&over).is_none() && refused(&over), "{over:?}");
+    assert!(sent(&over).is_none() && rejected(&over), "{over:?}");
 }
 
 /// A crowded parent turned requests away, and each was sent there six times over, by all fronts in the same moment.
 #[test]
-fn after_a_source_has_turned_it_away_a_request_asks_another_source() {
+fn after_a_rejection_by_a_source_a_request_uses_another_source() {
     let mut settings = settings();
     settings.notes = NoteLevel::Hit;
     let mut r = Rig::with(settings);
     r.update_endpoints(fleet());
     let mut sources = Vec::new();
-    let mut next = sent(&r.ask(1));
+    let mut next = sent(&r.request(1));
     for n in 0.. {
         let Some(s) = next else { break };
         sources.push(s.source.clone());
@@ -404,7 +407,7 @@
 
 /// Seen at a larger fleet: one of many routers, with one attempt at a box, takes it for idle while the others crowd it.
 #[test]
-fn a_box_that_reports_a_crowd_is_crowded() {
+fn a_node_that_reports_high_load_counts_as_loaded() {
     let spread = |reported_in_flight: Option<f64>| {
         let mut set = settings();
         set.routers = 20;
@@ -415,7 +418,7 @@
         r.reported_in_flight = reported_in_flight;
         r.serve(1, 1);
         // Large, so that a crowd makes it late.
-        let next = sent(&r.ask_with(1, 0, 500.0));
+        let next = sent(&r.request_with(1, 0, 500.0));
         (home, next.map(|s| s.cache))
     };
     let (home, alone) = spread(None);
@@ -426,18 +429,18 @@
 
 /// A box that answers now and then only took requests again with each answer, and let the most of them time out.
 #[test]
-fn a_box_that_was_silent_is_not_well_again_with_one_answer() {
+fn a_node_that_was_silent_is_not_readmitted_after_one_answer() {
     let mut r = Rig::new();
     let home = r.serve(1, 1).cache;
-    let s = sent(&r.ask(1)).unwrap();
-    assert!(r.wait_until_called_off());
+    let s = sent(&r.request(1)).unwrap();
+    assert!(r.wait_until_cancelled());
     let again = sent(&r.end(&s, 0, Ending::Cancelled, 0)).unwrap();
     r.now += 50.0;
     r.end(&again, 1, Ending::Completed, 1);
     // A trial, which is answered.
     let trial = (0..100).find_map(|_| {
         r.now += 20.0;
-        let s = sent(&r.ask(1)).unwrap();
+        let s = sent(&r.request(1)).unwrap();
         let cache = s.cache.clone();
         r.end(&s, 0, Ending::Completed, 1);
         (cache == home).then_some(r.now)
@@ -454,13 +457,13 @@
 
 /// A hundred routers had twenty retries each saved, and could send 2,000 requests again in the moment of a loss.
 #[test]
-fn saved_retries_are_a_share_of_the_locations() {
+fn the_retry_budget_is_a_share_of_the_locations() {
     let again = |routers: u32| {
         let set = Settings { routers: 2 * routers, zone_routers: vec![0, routers, routers], ..settings() };
         let mut r = Rig::with(set);
         r.update_endpoints(fleet().into_iter().map(|e| Entry { weight: 10_000.0, ..e }).collect());
         // Each of its own home or not: what counts is that all break off in one moment.
-        let open: Vec<Sent> = (0..30).filter_map(|o| sent(&r.ask_with(o, 0, 1.0))).collect();
+        let open: Vec<Sent> = (0..30).filter_map(|o| sent(&r.request_with(o, 0, 1.0))).collect();
         assert!(open.len() > 20, "{}", open.len());
         r.now += 5.0;
         open.iter().filter(|s| sent(&r.end(s, 0, Ending::ConnectionLost, 0)).is_some()).count()
@@ -477,7 +480,7 @@
         let mut r = Rig::new();
         let (mut from_origin, mut all) = (0, 0);
         for o in 0..400u64 {
-            let Some(s) = sent(&r.ask(10_000 + o)) else { continue };
+            let Some(s) = sent(&r.request(10_000 + o)) else { continue };
             let took = if s.source.starts_with('o') { origin_ms } else { parent_ms(o) };
             r.now += 30.0;
             r.end_after(&s, 0, (Ending::Completed, 3), took);
@@ -499,14 +502,14 @@
 
 /// A fill that is out for longer than wanted counts while it is out: its client may wait for seconds yet.
 #[test]
-fn a_late_fill_tells_before_it_ends() {
+fn a_late_fill_counts_before_it_ends() {
     let mut r =
         Rig::with(Settings { classes: vec![Class { deadline_ms: 60_000.0, ..class() }], ..settings() });
     r.update_endpoints(fleet().into_iter().map(|e| Entry { weight: 1.0, ..e }).collect());
     let mut sends = 0;
     for o in 0..600u64 {
         r.now += 5.0;
-        sends += u32::from(sent(&r.ask(o)).is_some());
+        sends += u32::from(sent(&r.request(o)).is_some());
         r.event(Event::Timer { token: 0 });
     }
     // Wanted within 600 ms, 200 a second, nothing comes: some 120 go out before the first is late.
@@ -516,18 +519,18 @@
 /// Seen on a day of impatient clients: their attempts, out of time within a tenth of what was wanted, counted as late fills;
 /// the limit on fills fell to 5 and a parent was ejected, with nothing wrong.
 #[test]
-fn clients_without_patience_tell_nothing_of_sources_and_links() {
+fn impatient_clients_are_no_evidence_on_sources_and_links() {
     let mut r = Rig::with(settings());
     r.update_endpoints(fleet().into_iter().map(|e| Entry { weight: 1.0, ..e }).collect());
     let room = |r: &mut Rig, base: u64| {
-        let open: Vec<Sent> = (0..30).filter_map(|o| sent(&r.ask(base + o))).collect();
+        let open: Vec<Sent> = (0..30).filter_map(|o| sent(&r.request(base + o))).collect();
         r.now += 150.0;
         open.iter().for_each(|s| drop(r.end_after(s, 0, (Ending::Completed, 3), 150.0)));
         open.len()
     };
     let before = room(&mut r, 10_000);
     for o in 0..300 {
-        let s = sent(&r.ask(20_000 + o)).expect("sent");
+        let s = sent(&r.request(20_000 + o)).expect("sent");
         r.now += 40.0;
         if let Some(again) = sent(&r.end_after(&s, 0, (Ending::TimedOut, 0), 40.0)) {
             r.end_after(&again, 1, (Ending::Completed, 3), 100.0);
@@ -535,26 +538,26 @@
     }
     assert_eq!(room(&mut r, 30_000), before);
     let sources: std::collections::BTreeSet<String> =
-        (0..60).filter_map(|o| sent(&r.ask(40_000 + o))).map(|s| s.source).collect();
+        (0..60).filter_map(|o| sent(&r.request(40_000 + o))).map(|s| s.source).collect();
     assert!(sources.contains("p1:1") && sources.contains("p2:1"), "{sources:?}");
 }
 
 /// Incident "six attempts in five milliseconds": a machine that says that the request is over knew of the client's leaving
 /// before its front did. Each further attempt was for nobody, up to the most that are allowed.
 #[test]
-fn what_a_machine_says_is_over_is_not_tried_again() {
+fn a_request_that_a_node_reports_as_over_is_not_retried() {
     let mut r = Rig::new();
-    let s = sent(&r.ask(1)).expect("sent");
+    let s = sent(&r.request(1)).expect("sent");
     let said = r.end_after(&s, 0, (Ending::Superseded, 0), 1.0);
     assert!(sent(&said).is_none(), "{said:?}");
-    assert!(refused(&said), "nothing ran: {said:?}");
+    assert!(rejected(&said), "nothing ran: {said:?}");
     // Where an attempt before it may have run, nothing is promised.
     let mut r = Rig::with(Settings {
         classes: vec![Class { effect: Effect::Deduplicated, scope: DedupScope::Zone, ..class() }],
         ..settings()
     });
     r.update_endpoints(fleet());
-    let s = sent(&r.ask(1)).expect("sent");
+    let s = sent(&r.request(1)).expect("sent");
     let again = sent(&r.end(&s, 0, Ending::ConnectionLost, 0)).expect("within its window");
     let said = r.end_after(&again, 1, (Ending::Superseded, 0), 1.0);
     assert!(sent(&said).is_none() && failed(&said), "{said:?}");
@@ -562,10 +565,10 @@
 
 /// What the front took back before its first byte cost nobody anything: it goes on, be the retry budget gone.
 #[test]
-fn what_was_taken_back_goes_on_without_the_retry_budget() {
+fn a_retracted_attempt_is_repeated_without_the_retry_budget() {
     let mut r = Rig::new();
     for object in 0..200 {
-        let s = sent(&r.ask(object)).expect("sent");
+        let s = sent(&r.request(object)).expect("sent");
         let again = sent(&r.end_after(&s, 0, (Ending::Retracted, 0), 1.0)).expect("goes on");
         let third = sent(&r.end_after(&again, 1, (Ending::Retracted, 0), 1.0)).expect("goes on");
         r.end(&third, 2, Ending::Completed, 1);
@@ -585,7 +588,7 @@
             _ => None,
         })
     };
-    let first = r.ask(1);
+    let first = r.request(1);
     assert_eq!(begin_by(&first), Some(f64::INFINITY));
     let (s, at) = (sent(&first).expect("sent"), r.now);
     r.now += 40.0;
--- a/crates/fernslip/tests/fleet.rs
+++ b/crates/fernslip/tests/fleet.rs
@@ -35,7 +35,7 @@
         from: u32,
         data: Vec<u8>,
     },
-    Tell(u32, Event),
+    Notify(u32, Event),
     /// A box falls silent, or speaks again.
     Silent(String, bool),
 }
@@ -60,7 +60,7 @@
     next: u64,
     ids: u64,
     open: BTreeMap<(RequestId, u32), Open>,
-    tries: BTreeMap<RequestId, u32>,
+    attempts: BTreeMap<RequestId, u32>,
     out_now: BTreeSet<RequestId>,
     class_of: BTreeMap<RequestId, usize>,
     held: BTreeMap<(String, u64), f64>,
@@ -70,7 +70,7 @@
     sends: Sends,
     answered: BTreeMap<RequestId, u32>,
     served: usize,
-    refused: usize,
+    rejected: usize,
     messages: Vec<(f64, u32, usize)>,
     most_out: BTreeMap<String, (usize, usize)>,
     end_of_asks: f64,
@@ -107,16 +107,16 @@
     1 + (slot as usize * 7 + 3) % ZONES
 }
 
-fn boxed(zone: usize, n: usize) -> Entry {
+fn cache_entry(zone: usize, n: usize) -> Entry {
     Entry { weight: WEIGHT, ..entry(&format!("z{zone}b{n}:1"), zone, 0) }
 }
 
 impl World {
     fn new() -> World {
-        World::talking(true)
+        World::with_peers(true)
     }
 
-    fn talking(peers: bool) -> World {
+    fn with_peers(peers: bool) -> World {
         let router = |slot| {
             let set = Settings { peers, ..fleet_settings(zone_of(slot), slot) };
             Router::new(set, u64::from(slot) + 1).expect("sound")
@@ -126,7 +126,7 @@
         let mut w = World { routers, now: 100_000.0, ..World::default() };
         let mut all = Vec::new();
         for z in 1..=ZONES {
-            all.extend((0..BOXES).map(|b| boxed(z, b)));
+            all.extend((0..BOXES).map(|b| cache_entry(z, b)));
         }
         all.extend(["p1:1", "p2:1", "p3:1"].map(|p| Entry { weight: PARENT, ..entry(p, 0, 1) }));
         all.push(Entry { weight: 60.0, ..entry("o1:1", 0, 2) });
@@ -144,15 +144,15 @@
     }
 
     /// Tells every router, each in its own moment within `spread_ms`.
-    fn tell_all(&mut self, when: f64, spread_ms: f64, event: impl Fn() -> Event) {
+    fn notify_all(&mut self, when: f64, spread_ms: f64, event: impl Fn() -> Event) {
         for r in 0..self.routers.len() as u32 {
             let late = (mix(u64::from(r) ^ when.to_bits()) % 1000) as f64 / 1000.0 * spread_ms;
-            self.at(when + late, Due::Tell(r, event()));
+            self.at(when + late, Due::Notify(r, event()));
         }
     }
 
     fn update_endpoints(&mut self, when: f64, spread_ms: f64, entries: Vec<Entry>) {
-        self.tell_all(when, spread_ms, || Event::Endpoints {
+        self.notify_all(when, spread_ms, || Event::Endpoints {
             kind: ListKind::Delta,
             entries: entries.clone(),
         });
@@ -168,7 +168,7 @@
         for a in actions {
             match a {
                 Action::Forward { id, cache, source, until_ms, .. } => {
-                    let attempt = self.tries.entry(id).or_default();
+                    let attempt = self.attempts.entry(id).or_default();
                     let (number, class) = (*attempt, self.class_of[&id]);
                     *attempt += 1;
                     assert!(self.out_now.insert(id), "two attempts of {id:?} are out");
@@ -200,7 +200,7 @@
                     }
                 }
                 Action::Reject { id, .. } | Action::Fail { id } => {
-                    self.refused += 1;
+                    self.rejected += 1;
                     *self.answered.entry(id).or_default() += 1;
                 }
                 Action::Timer { delay_ms, token } => self.at(self.now + delay_ms, Due::Timer(r, token)),
@@ -277,7 +277,7 @@
                 // Timers go on for good while something is open; after the last answer nobody needs them.
                 Due::Timer(r, token) => self.handle(r, Event::Timer { token }),
                 Due::Message { to, from, data } => self.handle(to, Event::PeerMessage { from, data }),
-                Due::Tell(r, event) => self.handle(r, event),
+                Due::Notify(r, event) => self.handle(r, event),
                 Due::Silent(name, silent) => {
                     if silent {
                         self.silent.insert(name);
@@ -292,21 +292,22 @@
 
     /// In every window that begins with a send to it, a machine that started cold got no more than its budget; how
     /// much of the budget of all the time that it was cold was used.
-    fn cold_use(&self, name: &str, born: f64, set: &Settings, parent: bool) -> f64 {
+    fn slow_start_use(&self, name: &str, born: f64, set: &Settings, parent: bool) -> f64 {
         let (from, ms, weight) = match parent {
             true => (set.parent_slow_start_from, set.parent_slow_start_ms, PARENT),
             false => (set.slow_start_from, set.slow_start_ms, WEIGHT),
         };
         let multiple = if parent { set.parent_slow_start_multiple } else { set.slow_start_multiple };
-        let warmth = |at: f64| (from + (1.0 - from) * (at - born) / ms).min(1.0);
+        let capacity_fraction = |at: f64| (from + (1.0 - from) * (at - born) / ms).min(1.0);
         let sends: Vec<_> = self.sends[name].iter().filter(|s| s.0 >= born && s.0 < born + ms).collect();
         for (i, s) in sends.iter().enumerate() {
             let work: f64 = sends[i..].iter().take_while(|t| t.0 < s.0 + WINDOW_MS).map(|t| t.1).sum();
-            let budget = multiple * weight * WINDOW_MS * warmth(s.0 + WINDOW_MS / 2.0);
+            let budget = multiple * weight * WINDOW_MS * capacity_fraction(s.0 + WINDOW_MS / 2.0);
             assert!(work <= budget, "{name}: {work} ms of {budget} at {} ms", s.0 - born);
         }
         let last = self.end_of_asks.min(born + ms);
-        let whole = multiple * weight * (last - born) * (warmth(born) + warmth(last)) / 2.0;
+        let whole =
+            multiple * weight * (last - born) * (capacity_fraction(born) + capacity_fraction(last)) / 2.0;
         sends.iter().map(|s| s.1).sum::<f64>() / whole
     }
 
@@ -336,28 +337,29 @@
 #[test]
 fn a_lost_location_comes_back_within_its_budget() {
     let mut w = World::new();
-    let names: Vec<String> = (0..BOXES).map(|b| boxed(3, b).cache.0.to_string()).collect();
+    let names: Vec<String> = (0..BOXES).map(|b| cache_entry(3, b).cache.0.to_string()).collect();
     for n in &names {
         w.at(104_000.0, Due::Silent(n.clone(), true));
         w.at(109_000.0, Due::Silent(n.clone(), false));
     }
     let all = |phase: Phase, born_ms: f64| -> Vec<Entry> {
-        (0..BOXES).map(|b| Entry { phase, born_ms, ..boxed(3, b) }).collect()
+        (0..BOXES).map(|b| Entry { phase, born_ms, ..cache_entry(3, b) }).collect()
     };
     w.update_endpoints(107_000.0, 800.0, all(Phase::Out, 0.0));
     w.update_endpoints(109_000.0, 800.0, all(Phase::In, 109_000.0));
     w.run(121_000.0);
     w.all_answered();
     let set = fleet_settings(3, 0);
-    let used: f64 = names.iter().map(|n| w.cold_use(n, 109_000.0, &set, false)).sum::<f64>() / BOXES as f64;
+    let used: f64 =
+        names.iter().map(|n| w.slow_start_use(n, 109_000.0, &set, false)).sum::<f64>() / BOXES as f64;
     assert!(used > 0.15, "what comes back is used: {used}");
 }
 
 /// A box says nothing any more and stays on the list: all routers of its location find out, and each soon.
 #[test]
-fn a_box_that_fell_silent_gets_trials_only_from_all_together() {
+fn a_silent_cache_gets_probes_only_from_all_routers_together() {
     let mut w = World::new();
-    let name = boxed(3, 1).cache.0.to_string();
+    let name = cache_entry(3, 1).cache.0.to_string();
     w.at(104_000.0, Due::Silent(name.clone(), true));
     w.run(110_000.0);
     w.all_answered();
@@ -376,12 +378,12 @@
         w.update_endpoints(
             105_000.0,
             500.0,
-            new.clone().map(|b| Entry { born_ms: 105_000.0, ..boxed(z, b) }).collect(),
+            new.clone().map(|b| Entry { born_ms: 105_000.0, ..cache_entry(z, b) }).collect(),
         );
         w.update_endpoints(
             106_000.0,
             0.0,
-            old.clone().map(|b| Entry { phase: Phase::Draining, ..boxed(z, b) }).collect(),
+            old.clone().map(|b| Entry { phase: Phase::Draining, ..cache_entry(z, b) }).collect(),
         );
     }
     let parent = |name: &str, phase: Phase, born_ms: f64| Entry {
@@ -401,29 +403,29 @@
     let mut used = 0.0;
     for z in 1..=ZONES {
         for b in new.clone() {
-            used += w.cold_use(&boxed(z, b).cache.0, 105_000.0, &set, false) / (3 * ZONES) as f64;
+            used += w.slow_start_use(&cache_entry(z, b).cache.0, 105_000.0, &set, false) / (3 * ZONES) as f64;
         }
         for b in old.clone() {
-            let last = w.sends[&*boxed(z, b).cache.0].iter().map(|s| s.0).fold(0.0, f64::max);
+            let last = w.sends[&*cache_entry(z, b).cache.0].iter().map(|s| s.0).fold(0.0, f64::max);
             assert!(last <= 106_000.0 + DRAIN_MS, "sent to a draining box at {last}");
         }
     }
     assert!(used > 0.15, "{used}");
-    let parent_used = w.cold_use("p4:1", 105_000.0, &set, true);
+    let parent_used = w.slow_start_use("p4:1", 105_000.0, &set, true);
     assert!(parent_used > 0.05, "the new parent is asked: {parent_used}");
-    let total = (w.served + w.refused) as f64;
+    let total = (w.served + w.rejected) as f64;
     assert!(w.served as f64 > 0.8 * total, "{} of {total} served", w.served);
 }
 
 /// Where routers may not talk they do not know their places at a box of their location, and still share its turns.
 #[test]
-fn without_messages_cold_boxes_keep_to_their_budgets() {
-    let mut w = World::talking(false);
+fn without_messages_caches_in_slow_start_keep_to_their_budgets() {
+    let mut w = World::with_peers(false);
     for z in 1..=ZONES {
         w.update_endpoints(
             103_000.0,
             500.0,
-            (0..3).map(|b| Entry { born_ms: 103_000.0, ..boxed(z, b) }).collect(),
+            (0..3).map(|b| Entry { born_ms: 103_000.0, ..cache_entry(z, b) }).collect(),
         );
     }
     w.run(112_000.0);
@@ -433,7 +435,7 @@
     let mut used = 0.0;
     for z in 1..=ZONES {
         for b in 0..3 {
-            used += w.cold_use(&boxed(z, b).cache.0, 103_000.0, &set, false) / (3 * ZONES) as f64;
+            used += w.slow_start_use(&cache_entry(z, b).cache.0, 103_000.0, &set, false) / (3 * ZONES) as f64;
         }
     }
     assert!(used > 0.1, "{used}");
@@ -441,24 +443,24 @@
 
 /// Every copy is void at once, at all routers in nearly the same moment, while a parent warms up.
 #[test]
-fn a_purge_of_everything_does_not_push_a_cold_parent_over() {
+fn a_purge_of_everything_does_not_overload_a_parent_in_slow_start() {
     let mut w = World::new();
     let cold = Entry { weight: PARENT, born_ms: 104_500.0, ..entry("p2:1", 0, 1) };
     w.update_endpoints(104_500.0, 200.0, vec![cold]);
     for group in 0..16 {
-        w.tell_all(105_000.0, 300.0, || Event::Purged { object: None, group, age_ms: 0.0 });
+        w.notify_all(105_000.0, 300.0, || Event::Purged { object: None, group, age_ms: 0.0 });
     }
     // The boxes drop their copies by themselves.
     for z in 1..=ZONES {
         for b in 0..BOXES {
-            w.at(105_300.0, Due::Silent(boxed(z, b).cache.0.to_string(), false));
+            w.at(105_300.0, Due::Silent(cache_entry(z, b).cache.0.to_string(), false));
         }
     }
     w.run(114_000.0);
     w.all_answered();
-    let used = w.cold_use("p2:1", 104_500.0, &fleet_settings(1, 0), true);
+    let used = w.slow_start_use("p2:1", 104_500.0, &fleet_settings(1, 0), true);
     assert!(used > 0.05, "{used}");
-    assert!(w.served as f64 > 0.8 * (w.served + w.refused) as f64, "{} refused", w.refused);
+    assert!(w.served as f64 > 0.8 * (w.served + w.rejected) as f64, "{} refused", w.rejected);
     // After their greetings, messages cost each router less than 4 KB a second, at 8 requests a second and 9 mates.
     let bytes = w.most_bytes(101_000.0);
     assert!(bytes < 4_000, "{bytes} bytes in a second");
@@ -472,7 +474,7 @@
     let run = || {
         let mut w = World::new();
         w.run(103_000.0);
-        (w.served, w.refused, w.messages.len(), w.sends.values().map(Vec::len).sum::<usize>())
+        (w.served, w.rejected, w.messages.len(), w.sends.values().map(Vec::len).sum::<usize>())
     };
     assert_eq!(run(), run());
 }
@@ -480,7 +482,7 @@
 /// A restart of a part of all routers: one that starts knew no limit of fills, no width and no key, though its mates did,
 /// and asked parents and the origin for what its location's caches hold.
 #[test]
-fn one_that_starts_is_told_what_its_mates_have_learned() {
+fn a_starting_router_gets_what_its_peers_have_learned() {
     let set = |slot| Settings { slot, peers: true, ..settings() };
     let start = |slot, now| {
         let mut r = Rig::with(Settings { zone_routers: vec![0, 3, 0], routers: 3, ..set(slot) });
@@ -513,7 +515,7 @@
     }
     assert!(bytes < 4_000, "{bytes} bytes");
     // What its mate's keys show is asked for as a hit: the attempt leaves time for another. A fill takes all there is.
-    let is_hit = |r: &mut Rig, o: u64| sent(&r.ask(o)).is_some_and(|s| s.until_ms - r.now < 4_000.0);
+    let is_hit = |r: &mut Rig, o: u64| sent(&r.request(o)).is_some_and(|s| s.until_ms - r.now < 4_000.0);
     let known = (0..60).filter(|o| is_hit(&mut new, *o)).count();
     assert!(!is_hit(&mut new, 10_000), "a key that nobody knows");
     assert!(known >= 55, "{known} of 60 keys are known");
--- a/crates/fernslip/tests/peer_suspicion.rs
+++ b/crates/fernslip/tests/peer_suspicion.rs
@@ -3,7 +3,7 @@
 use common::*;
 use fernslip::*;
 
-fn hear(r: &mut Rig, cache: &str, amount: f64) -> Vec<Action> {
+fn suspect(r: &mut Rig, cache: &str, amount: f64) -> Vec<Action> {
     r.event(Event::PeerSuspicion { cache: cache.into(), amount })
 }
 
@@ -20,29 +20,29 @@
 
 /// Guards healthy boxes against peers that lie: whatever is said, all are used and nothing is refused.
 #[test]
-fn hearsay_alone_neither_ejects_nor_refuses() {
+fn gossip_alone_neither_ejects_nor_rejects() {
     let mut r = Rig::new();
     for amount in [1.0, f64::MAX, f64::INFINITY, f64::NAN] {
-        hear(&mut r, "c1:1", amount);
+        suspect(&mut r, "c1:1", amount);
         let [c1, c2, c3] = homes(&mut r, 1000);
         assert!(c1 > 10 && c1 < c2 / 2 && c1 < c3 / 2, "fewer homes, not none: {c1} {c2} {c3}");
     }
     for c in ["c1:1", "c2:1", "c3:1", "p1:1", "p2:1", "o1:1", "nobody:1"] {
-        hear(&mut r, c, 1.0);
+        suspect(&mut r, c, 1.0);
     }
     let [c1, c2, c3] = homes(&mut r, 5000);
     assert!(c1.min(c2).min(c3) > 60, "said of all, it takes from none: {c1} {c2} {c3}");
-    hear(&mut r, "c1:1", 0.0);
+    suspect(&mut r, "c1:1", 0.0);
     assert!(homes(&mut r, 9000)[0] > homes(&mut r, 20_000)[1], "what is no longer said is over");
 }
 
 /// How many failures in a row of its own bring a cache to trials only.
-fn failures_until_out(hearsay: f64) -> usize {
+fn failures_until_ejected(suspicion: f64) -> usize {
     let mut r = Rig::new();
-    hear(&mut r, "c1:1", hearsay);
+    suspect(&mut r, "c1:1", suspicion);
     let mut failures = 0;
     for o in 0.. {
-        let s = sent(&r.ask(o)).expect("sent");
+        let s = sent(&r.request(o)).expect("sent");
         r.now += 20.0;
         if s.cache != "c1:1" {
             r.end(&s, 0, Ending::Completed, 2);
@@ -61,31 +61,31 @@
 }
 
 #[test]
-fn with_hearsay_one_failure_of_its_own_is_enough() {
-    assert_eq!(failures_until_out(0.0), 2);
-    assert_eq!(failures_until_out(0.8), 1);
-    assert_eq!(failures_until_out(-0.8), 2, "praise does not keep a failing cache in use");
+fn with_gossip_one_own_failure_is_enough_to_eject() {
+    assert_eq!(failures_until_ejected(0.0), 2);
+    assert_eq!(failures_until_ejected(0.8), 1);
+    assert_eq!(failures_until_ejected(-0.8), 2, "praise does not keep a failing cache in use");
 }
 
 /// A cache that is out gets its next trial at once when others say that it is well.
 #[test]
-fn praise_brings_a_trial_sooner() {
+fn good_gossip_brings_a_probe_sooner() {
     let trial = |praise: bool| {
         let mut r = Rig::new();
         let home = r.serve(1, 2).cache;
         let mut o = 0;
         // Fails until it is out.
-        while sent(&r.ask(1)).expect("sent").cache == home {
-            let s = sent(&r.ask(1)).expect("sent");
+        while sent(&r.request(1)).expect("sent").cache == home {
+            let s = sent(&r.request(1)).expect("sent");
             r.now += 20.0;
             r.end(&s, 0, Ending::ConnectionRefused, 0);
             o += 1;
             assert!(o < 20);
         }
         if praise {
-            hear(&mut r, &home, -0.8);
+            suspect(&mut r, &home, -0.8);
         }
-        sent(&r.ask(1)).expect("sent").cache == home
+        sent(&r.request(1)).expect("sent").cache == home
     };
     assert!(!trial(false));
     assert!(trial(true));
@@ -94,7 +94,7 @@
 #[test]
 fn a_cache_that_was_replaced_begins_anew() {
     let mut r = Rig::new();
-    hear(&mut r, "c1:1", 0.8);
+    suspect(&mut r, "c1:1", 0.8);
     let said = homes(&mut r, 1000)[0];
     r.delta(Entry { born_ms: r.now - 60_000.0, ..entry("c1:1", 1, 0) });
     assert!(homes(&mut r, 1000)[0] > 2 * said);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn evidence_is_told_where_it_is_asked_for() {
+fn evidence_is_reported_where_it_is_enabled() {
     for asked in [false, true] {
         let mut r = Rig::new();
         if asked {
@@ -118,14 +118,14 @@
         let home = r.serve(1, 2).cache;
         let mut told = Vec::new();
         for _ in 0..2 {
-            let s = sent(&r.ask(1)).expect("sent");
+            let s = sent(&r.request(1)).expect("sent");
             r.now += 20.0;
             let after = r.end(&s, 0, Ending::ConnectionRefused, 0);
             told.extend(signs(&after));
         }
-        hear(&mut r, &home, -0.8);
+        suspect(&mut r, &home, -0.8);
         r.now += 1000.0;
-        let s = sent(&r.ask(1)).expect("sent");
+        let s = sent(&r.request(1)).expect("sent");
         assert_eq!(s.cache, home, "a trial");
         told.extend(signs(&r.end(&s, 0, Ending::Completed, 1)));
         let expected = [(Sign::Failing, true), (Sign::Failing, true), (Sign::Well, true)];
@@ -137,7 +137,7 @@
 fn silence_is_evidence() {
     let mut r = Rig::new();
     r.router.enable_evidence();
-    sent(&r.ask(1)).expect("sent");
+    sent(&r.request(1)).expect("sent");
     let mut told = Vec::new();
     while told.is_empty() && r.now < 110_000.0 {
         r.now += 50.0;
--- a/crates/fernslip/tests/rules.rs
+++ b/crates/fernslip/tests/rules.rs
@@ -6,7 +6,7 @@
 #[test]
 fn every_request_gets_one_answer_and_nothing_after_it() {
     let mut r = Rig::new();
-    let s = sent(&r.ask(1)).unwrap();
+    let s = sent(&r.request(1)).unwrap();
     r.now += 10.0;
     r.event(Event::Cancelled { id: s.id });
     let after = r.end(&s, 0, Ending::Errored, 0);
@@ -14,17 +14,20 @@
         after.iter().all(|a| !matches!(a, Action::Forward { .. })),
         "nothing is sent for a withdrawn request"
     );
-    assert!(!refused(&after) && !failed(&after));
+    assert!(!rejected(&after) && !failed(&after));
 }
 
 #[test]
 fn attempts_end_before_the_deadline_and_a_late_failure_is_answered_at_once() {
     let mut r = Rig::new();
-    let s = sent(&r.ask(1)).unwrap();
+    let s = sent(&r.request(1)).unwrap();
     assert!(s.until_ms <= r.now + 5000.0);
     r.now += 4990.0;
     let after = r.end(&s, 0, Ending::Errored, 0);
-    assert!(sent(&after).is_none() && refused(&after), "no time for another try: refused at once, {after:?}");
+    assert!(
+        sent(&after).is_none() && rejected(&after),
+        "no time for another try: refused at once, {after:?}"
+    );
 }
 
 #[test]
@@ -61,22 +64,22 @@
 }
 
 #[test]
-fn a_cold_cache_gets_no_more_than_its_budget_in_a_burst() {
+fn a_cache_in_slow_start_gets_no_more_than_its_budget_in_a_burst() {
     let mut r = Rig::new();
     r.delta(Entry { born_ms: r.now, ..entry("c1:1", 1, 0) });
     // 0.2 of weight 10, times 4, for 1 s: 8 s of sending at the most, at 0.1 s each; attempts stay open.
-    let n = (0..2000).filter_map(|o| sent(&r.ask(o))).filter(|s| s.cache == "c1:1").count();
+    let n = (0..2000).filter_map(|o| sent(&r.request(o))).filter(|s| s.cache == "c1:1").count();
     assert!(n as f64 * 0.1 <= 8.0, "{n} attempts");
 }
 
 #[test]
-fn a_cold_parent_is_spared_also_by_refused_fills() {
+fn a_parent_in_slow_start_is_spared_also_by_rejected_fills() {
     let mut r = Rig::new();
     r.delta(Entry { born_ms: r.now, ..entry("p1:1", 0, 1) });
     // 0.1 of weight 10, times 2, for 1 s, shared by two routers: 1 s of sending, ten fills.
     let (mut to_cold, mut to_other) = (0, 0);
     for o in 0..300 {
-        if let Some(s) = sent(&r.ask(o)) {
+        if let Some(s) = sent(&r.request(o)) {
             to_cold += usize::from(s.source == "p1:1");
             to_other += usize::from(s.source == "p2:1");
             r.end(&s, 0, Ending::Saturated, 6);
@@ -95,23 +98,23 @@
     assert!(s.age_ms > 0.0 && s.age_ms < 580.0, "{s:?}");
     assert_eq!(r.serve(6, 2).age_ms, 0.0, "another object has no bound");
     r.event(Event::Purged { object: None, group: 3, age_ms: 0.0 });
-    let s = sent(&r.ask(6)).unwrap();
+    let s = sent(&r.request(6)).unwrap();
     assert!(s.age_ms > 0.0, "a bound even in the instant of the purge: {s:?}");
 }
 
 #[test]
-fn a_keyed_write_is_resent_in_its_window_only_and_never_kept() {
+fn a_keyed_write_is_resent_in_its_window_only_and_never_cached() {
     for (wait, resent) in [(500.0, true), (3001.0, false)] {
         let mut set = settings();
         set.classes = vec![Class { effect: Effect::Deduplicated, write: true, ..class() }];
         let mut r = Rig::with(set);
         r.update_endpoints(fleet());
-        let s = sent(&r.ask(1)).unwrap();
+        let s = sent(&r.request(1)).unwrap();
         assert!(s.rank == 0 && !s.join && (s.source.starts_with('o') || s.source.starts_with('p')));
         r.now += wait;
         let after = r.end(&s, 0, Ending::Errored, 0);
         assert_eq!(sent(&after).is_some(), resent);
-        assert_eq!(refused(&after), !resent, "the group is all: a refusal is allowed");
+        assert_eq!(rejected(&after), !resent, "the group is all: a refusal is allowed");
     }
 }
 
@@ -124,13 +127,13 @@
         let mut list = fleet();
         list.iter_mut().enumerate().for_each(|(n, e)| e.cell = n as i64);
         r.update_endpoints(list);
-        let s = sent(&r.ask(1)).unwrap();
+        let s = sent(&r.request(1)).unwrap();
         let after = r.end(&s, 0, Ending::Errored, 0);
         match effect {
-            Effect::AtMostOnce => assert!(sent(&after).is_none() && failed(&after) && !refused(&after)),
+            Effect::AtMostOnce => assert!(sent(&after).is_none() && failed(&after) && !rejected(&after)),
             _ => assert_eq!(sent(&after).unwrap().cache, s.cache, "each cell is a cache of its own here"),
         }
-        let s = sent(&r.ask(2)).unwrap();
+        let s = sent(&r.request(2)).unwrap();
         assert!(
             sent(&r.end(&s, 0, Ending::ConnectionRefused, 0)).is_some(),
             "it never ran: free to go elsewhere"
@@ -139,13 +142,13 @@
 }
 
 #[test]
-fn home_fills_from_the_sibling_that_shows_it_and_a_lying_filter_costs_one_try() {
+fn home_fills_from_the_sibling_that_shows_it_and_a_wrong_filter_costs_one_attempt() {
     let mut r = Rig::new();
     let home = r.serve(1, 2).cache;
     r.delta(Entry { phase: Phase::Out, ..entry(&home, 1, 0) });
     let second = r.serve(1, 2).cache;
     r.delta(entry(&home, 1, 0));
-    let s = sent(&r.ask(1)).unwrap();
+    let s = sent(&r.request(1)).unwrap();
     assert_eq!((&s.cache, &s.source), (&home, &second), "home came back empty; its sibling shows the object");
     let after = r.end(&s, 0, Ending::Saturated, 8);
     let again = sent(&after).unwrap();
@@ -176,7 +179,7 @@
         seen.insert(a.source);
     }
     assert_eq!(seen.len(), 2, "both parents are used");
-    let s = sent(&r.ask(999)).unwrap();
+    let s = sent(&r.request(999)).unwrap();
     let again = sent(&r.end(&s, 0, Ending::Saturated, 7)).unwrap();
     assert!(again.cache == s.cache && again.source != s.source && again.source.starts_with('p'));
     let last = sent(&r.end(&again, 1, Ending::Saturated, 7)).unwrap();
@@ -224,7 +227,7 @@
 fn work(rigs: &mut [Rig], objects: std::ops::Range<u64>) -> Vec<(u32, Vec<u8>)> {
     let mut said = Vec::new();
     for o in objects {
-        let mut acts = rigs[0].ask(o);
+        let mut acts = rigs[0].request(o);
         let s = sent(&acts).unwrap();
         acts.extend(rigs[0].end(&s, 0, Ending::Completed, 2));
         said.extend(talk(rigs, 0, acts, false));
@@ -236,7 +239,7 @@
 fn fills_from_siblings(r: &mut Rig, zone: usize, objects: std::ops::Range<u64>) -> usize {
     r.delta(entry("c4:1", zone, 0));
     r.delta(entry("c5:1", zone, 0));
-    objects.filter_map(|o| sent(&r.ask(o))).filter(|s| s.source.starts_with('c')).count()
+    objects.filter_map(|o| sent(&r.request(o))).filter(|s| s.source.starts_with('c')).count()
 }
 
 #[test]
@@ -254,7 +257,7 @@
 }
 
 #[test]
-fn a_router_that_restarts_or_was_not_heard_is_found_again() {
+fn a_router_that_restarts_or_was_unknown_is_discovered_again() {
     let mut rigs = three_routers(true);
     assert!(work(&mut rigs, 0..60).is_empty(), "its greeting was lost: it knows of nobody");
     rigs[0].now += 10_001.0;
@@ -270,7 +273,7 @@
 
 /// Lost, repeated, reordered, foreign, truncated and hostile messages: a wrong guess at the most.
 #[test]
-fn odd_messages_do_no_harm() {
+fn malformed_messages_do_no_harm() {
     let mut rigs = three_routers(false);
     let told = work(&mut rigs, 0..100);
     let r = &mut rigs[1];
@@ -309,11 +312,11 @@
 #[test]
 fn odd_input_has_a_defined_result() {
     let mut r = Rig::with(settings());
-    assert!(refused(&r.ask(1)), "no list yet: refused");
+    assert!(rejected(&r.request(1)), "no list yet: refused");
     r.update_endpoints(Vec::new());
-    assert!(refused(&r.ask(2)), "an empty list: refused");
+    assert!(rejected(&r.request(2)), "an empty list: refused");
     r.update_endpoints(vec![entry("p1:1", 0, 1), entry("o1:1", 0, 2)]);
-    assert!(refused(&r.ask(3)), "a location without caches: refused");
+    assert!(rejected(&r.request(3)), "a location without caches: refused");
     r.update_endpoints(vec![entry("c1:1", 1, 0), entry("o1:1", 0, 2)]);
     assert_eq!(r.serve(4, 3).source, "o1:1", "a site without parents: the origin");
     r.update_endpoints(vec![
@@ -347,7 +350,7 @@
         let mut all = Vec::new();
         for o in 0..500u64 {
             r.now += 7.0;
-            let acts = r.ask(o % 37);
+            let acts = r.request(o % 37);
             if let Some(s) = sent(&acts) {
                 let how = if o % 11 == 0 { Ending::Errored } else { Ending::Completed };
                 all.extend(r.end(&s, 0, how, if o % 11 == 0 { 0 } else { 2 }));
@@ -361,7 +364,7 @@
 
 /// A cold parent shared by many routers: more than nothing, and within its budget over every window.
 #[test]
-fn a_cold_parent_gets_its_part_and_no_more_from_many_routers() {
+fn a_parent_in_slow_start_gets_its_part_and_no_more_from_many_routers() {
     for routers in [3u32, 60, 300] {
         let set = Settings {
             routers,
@@ -386,7 +389,7 @@
             let now = born + step as f64;
             let r = &mut all[(step.wrapping_mul(7) % u64::from(routers)) as usize];
             r.now = now;
-            if let Some(s) = sent(&r.ask(step)) {
+            if let Some(s) = sent(&r.request(step)) {
                 if s.source == "p1:1" {
                     sends.push(now);
                 }
@@ -398,8 +401,8 @@
         for (i, &from) in sends.iter().enumerate() {
             let work = 100.0 * sends[i..].iter().filter(|&&t| t < from + 3000.0).count() as f64;
             // Its mean over the window, as it warms in a line.
-            let warmth = 0.1 + 0.9 * (from + 1500.0 - born) / 20_000.0;
-            let budget = 2.0 * 10.0 * warmth * 3000.0;
+            let capacity_fraction = 0.1 + 0.9 * (from + 1500.0 - born) / 20_000.0;
+            let budget = 2.0 * 10.0 * capacity_fraction * 3000.0;
             assert!(work <= budget, "{routers} routers: {work} ms of {budget} at {}", from - born);
         }
     }
--- a/crates/fernslip/tests/slow_start.rs
+++ b/crates/fernslip/tests/slow_start.rs
@@ -23,7 +23,7 @@
 const LOAD: f64 = 0.6;
 const START: f64 = 100_000.0;
 const BORN: f64 = START + 6_000.0;
-const COLD_MS: f64 = 10_000.0;
+const SLOW_START_MS: f64 = 10_000.0;
 
 struct World {
     rng: ChaCha8Rng,
@@ -36,7 +36,7 @@
     asks: BTreeMap<u64, u32>,
     next: u64,
     class_of: BTreeMap<RequestId, usize>,
-    tries: BTreeMap<RequestId, u32>,
+    attempts: BTreeMap<RequestId, u32>,
     /// Sends of mean work to the cold box of the first location, and to the cold parent.
     sends: [Vec<(f64, f64)>; 2],
 }
@@ -56,17 +56,17 @@
         classes: vec![class(), class()],
         notes: NoteLevel::Hit,
         slow_start_from: 0.23,
-        slow_start_ms: COLD_MS,
+        slow_start_ms: SLOW_START_MS,
         slow_start_multiple: 2.0,
         slow_start_window_ms: WINDOW_MS,
         parent_slow_start_from: 0.065,
-        parent_slow_start_ms: COLD_MS,
+        parent_slow_start_ms: SLOW_START_MS,
         parent_slow_start_multiple: 2.0,
         ..settings()
     }
 }
 
-fn boxed(zone: usize, n: usize) -> Entry {
+fn cache_entry(zone: usize, n: usize) -> Entry {
     Entry { weight: WEIGHT, ..entry(&format!("z{zone}b{n}:1"), zone, 0) }
 }
 
@@ -75,7 +75,9 @@
     let born_ms = if started { BORN } else { 0.0 };
     let mut all = Vec::new();
     for z in 1..=zones {
-        all.extend((0..BOXES).map(|b| Entry { born_ms: if z == 1 { born_ms } else { 0.0 }, ..boxed(z, b) }));
+        all.extend(
+            (0..BOXES).map(|b| Entry { born_ms: if z == 1 { born_ms } else { 0.0 }, ..cache_entry(z, b) }),
+        );
     }
     let parent = Entry { weight: PARENT * zones as f64, ..entry("p1:1", 0, 1) };
     all.push(Entry { born_ms, ..parent.clone() });
@@ -113,7 +115,7 @@
             asks: BTreeMap::new(),
             next: 0,
             class_of: BTreeMap::new(),
-            tries: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             sends: Default::default(),
         };
         for r in 0..n {
@@ -148,7 +150,7 @@
         restarts.sort_by(|a, b| b.0.total_cmp(&a.0));
         while let Some(Reverse((at, number))) = self.queue.pop() {
             let now = at as f64 / 1000.0;
-            if now > BORN + COLD_MS {
+            if now > BORN + SLOW_START_MS {
                 break;
             }
             while restarts.last().is_some_and(|r| r.0 <= now) {
@@ -189,7 +191,7 @@
         for a in actions {
             match a {
                 Action::Forward { id, cache, source, .. } => {
-                    let attempt = *self.tries.entry(id).and_modify(|n| *n += 1).or_insert(0);
+                    let attempt = *self.attempts.entry(id).and_modify(|n| *n += 1).or_insert(0);
                     let class = self.class_of[&id];
                     let work = SIZES_KB[class];
                     // Half of what is asked for is there, but for one that has just started.
@@ -250,8 +252,8 @@
             _ => (set.parent_slow_start_from, set.parent_slow_start_multiple, PARENT * zones as f64),
         };
         let calls = |at: f64, ms: f64| {
-            let warmth = (from + (1.0 - from) * (at - BORN) / COLD_MS).min(1.0);
-            multiple * weight * warmth * ms / MEAN_MS
+            let capacity_fraction = (from + (1.0 - from) * (at - BORN) / SLOW_START_MS).min(1.0);
+            multiple * weight * capacity_fraction * ms / MEAN_MS
         };
         let sends = &self.sends[which];
         let mut worst = f64::MIN;
@@ -262,13 +264,13 @@
             worst = worst.max((sent - n) / (2.0 * n.sqrt() + 2.0));
         }
         let all: f64 = sends.iter().map(|s| s.1).sum::<f64>() / MEAN_MS;
-        (worst, all / calls(BORN + COLD_MS / 2.0, COLD_MS))
+        (worst, all / calls(BORN + SLOW_START_MS / 2.0, SLOW_START_MS))
     }
 }
 
 /// In no window of any seed do all routers together go beyond what is put down to chance; what may be sent is used.
 #[test]
-fn cold_machines_bear_what_all_send_at_every_size_of_the_fleet() {
+fn nodes_in_slow_start_stand_what_all_routers_send_at_every_fleet_size() {
     println!("routers  weights  seeds  at       heaviest window beyond N, in parts of 2·√N + 2: median, most   used, median");
     let sizes = [(1, 3, 20), (1, 10, 20), (1, 20, 12), (1, 30, 12), (10, 30, 3)];
     for (told, (zones, per_zone, seeds)) in [true, false].into_iter().flat_map(|t| sizes.map(|s| (t, s))) {
--- a/crates/fernslip/tests/streams.rs
+++ b/crates/fernslip/tests/streams.rs
@@ -46,7 +46,7 @@
 }
 
 /// Plays one stream; the hash of all actions, and how many there were.
-fn play(kind: Kind, caches: usize, seed: u64) -> (String, usize) {
+fn replay(kind: Kind, caches: usize, seed: u64) -> (String, usize) {
     let mut draw = Draw(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let mut router = Router::new(settings(), seed).expect("settings are sound");
     let mut now = 100_000.0;
@@ -191,7 +191,7 @@
     {
         for caches in [3, 8, 20] {
             for seed in [1, 2] {
-                let (hash, count) = play(kind, caches, seed);
+                let (hash, count) = replay(kind, caches, seed);
                 let _ = writeln!(all, "{kind:?} caches={caches} seed={seed} actions={count} {hash}");
             }
         }
@@ -201,6 +201,6 @@
 
 #[test]
 fn a_stream_is_played_alike_twice() {
-    assert_eq!(play(Kind::Failing, 8, 5), play(Kind::Failing, 8, 5));
-    assert_ne!(play(Kind::Failing, 8, 5).0, play(Kind::Failing, 8, 6).0, "the seed draws another stream");
+    assert_eq!(replay(Kind::Failing, 8, 5), replay(Kind::Failing, 8, 5));
+    assert_ne!(replay(Kind::Failing, 8, 5).0, replay(Kind::Failing, 8, 6).0, "the seed draws another stream");
 }
--- a/crates/fernslip/tests/weights.rs
+++ b/crates/fernslip/tests/weights.rs
@@ -4,23 +4,23 @@
 use fernslip::*;
 
 /// A location of one cache whose link carries `real` transfers, of which the list tells `told` (1: nothing).
-struct One {
+struct SingleCache {
     rig: Rig,
     real: f64,
 }
 
-impl One {
-    fn new(told: f64, real: f64) -> One {
+impl SingleCache {
+    fn new(told: f64, real: f64) -> SingleCache {
         let mut rig = Rig::with(settings());
         let one = vec![entry("c1:1", 1, 0), entry("p1:1", 0, 1), entry("o1:1", 0, 2)];
         rig.update_endpoints(one.into_iter().map(|e| Entry { weight: told, ..e }).collect());
         rig.serve(1, 1);
-        One { rig, real }
+        SingleCache { rig, real }
     }
 
     /// `many` hits at once, of 300 KB (0.3 s of sending) each, answered as a link shared evenly does; how many went.
     fn burst(&mut self, many: usize) -> usize {
-        let open: Vec<Sent> = (0..many).filter_map(|_| sent(&self.rig.ask_with(1, 0, 300.0))).collect();
+        let open: Vec<Sent> = (0..many).filter_map(|_| sent(&self.rig.request_with(1, 0, 300.0))).collect();
         let took = 300.0 * (open.len() as f64 / self.real).max(1.0);
         self.rig.now += took;
         open.iter().for_each(|s| drop(self.rig.end_after(s, 0, (Ending::Completed, 1), took)));
@@ -31,15 +31,15 @@
 
 /// Seen where no sizes are told: each cache was taken for a link of one transfer, and half of all was refused.
 #[test]
-fn nothing_is_refused_before_a_link_was_seen_full() {
-    let mut w = One::new(1.0, 50.0);
+fn nothing_is_rejected_before_a_link_was_seen_full() {
+    let mut w = SingleCache::new(1.0, 50.0);
     assert_eq!((0..10).map(|_| w.burst(40)).min(), Some(40));
 }
 
 #[test]
 fn a_link_seen_full_bounds_what_is_sent() {
     for (told, real) in [(1.0, 5.0), (1.0, 20.0), (8.0, 20.0), (30.0, 10.0)] {
-        let mut w = One::new(told, real);
+        let mut w = SingleCache::new(told, real);
         (0..40).for_each(|_| {
             w.burst(200);
         });
@@ -51,8 +51,8 @@
 
 #[test]
 fn a_link_that_slows_is_given_less_and_more_again_when_it_recovers() {
-    let mut w = One::new(1.0, 20.0);
-    let mean = |w: &mut One| (0..60).map(|_| w.burst(100)).skip(50).sum::<usize>() / 10;
+    let mut w = SingleCache::new(1.0, 20.0);
+    let mean = |w: &mut SingleCache| (0..60).map(|_| w.burst(100)).skip(50).sum::<usize>() / 10;
     let before = mean(&mut w);
     w.real = 4.0;
     let slow = mean(&mut w);
@@ -63,12 +63,12 @@
 
 /// A cold cache's budget goes by what warm ones of like size were seen to carry.
 #[test]
-fn a_cold_cache_is_not_pushed_over() {
+fn a_cache_in_slow_start_is_not_overloaded() {
     let mut r = Rig::with(settings());
     let untold = |e: Entry| Entry { weight: 1.0, ..e };
     r.update_endpoints(fleet().into_iter().map(untold).collect());
     for o in 0..40 {
-        let open: Vec<Sent> = (0..60).filter_map(|n| sent(&r.ask(o * 100 + n))).collect();
+        let open: Vec<Sent> = (0..60).filter_map(|n| sent(&r.request(o * 100 + n))).collect();
         let at = |c: &str| open.iter().filter(|s| s.cache == c).count() as f64;
         let took: Vec<f64> = open.iter().map(|s| 100.0 * (at(&s.cache) / 10.0).max(1.0)).collect();
         r.now += took.iter().copied().fold(100.0, f64::max);
@@ -78,14 +78,14 @@
     r.delta(Entry { weight: 1.0, born_ms: r.now, ..entry("c1:1", 1, 0) });
     // Links of 10 transfers: what fits in time goes there, and never more than its budget: a fifth of 10, times 4, for
     // 1 s are 8 s of sending, 0.1 s each. Attempts stay open.
-    let to_cold = (0..2000).filter_map(|o| sent(&r.ask(o))).filter(|s| s.cache == "c1:1").count();
+    let to_cold = (0..2000).filter_map(|o| sent(&r.request(o))).filter(|s| s.cache == "c1:1").count();
     assert!((5..=80).contains(&to_cold), "{to_cold} attempts");
 }
 
 /// Seen at a front that restarts as its location comes back cold: it knows no width, took each box for a link of one
 /// transfer, and refused nearly all until they were warm.
 #[test]
-fn a_router_that_knows_nothing_learns_from_cold_caches() {
+fn a_router_that_knows_nothing_learns_from_caches_in_slow_start() {
     let mut set = settings();
     (set.slow_start_ms, set.slow_start_multiple, set.slow_start_window_ms) = (16_000.0, 2.0, 2_000.0);
     let (from, slow_start_ms, multiple, window) =
@@ -109,7 +109,7 @@
         open.retain(|o| o.0 > r.now);
         due.iter()
             .for_each(|(at, s)| drop(r.end_after(s, 0, (Ending::Completed, 1), (r.now - at).max(work))));
-        if let Some(s) = sent(&r.ask_with(step as u64 % 40, 0, work)) {
+        if let Some(s) = sent(&r.request_with(step as u64 % 40, 0, work)) {
             let there = 1.0 + open.iter().filter(|o| o.1.cache == s.cache).count() as f64;
             open.push((r.now + work * (there / now_carries(r.now)).max(1.0), s.clone()));
             sends.push((r.now, s.cache));
