--- a/crates/front/src/control/gossip.rs
+++ b/crates/front/src/control/gossip.rs
@@ -230,7 +230,8 @@
                 let digest = Some(fleet.digest());
                 if held != digest {
                     held = digest;
-                    self.feed(queues, Event::Peers(fleet.gossip_peers()));
+                    let peers = fleet.gossip_peers().into_iter().map(|p| (p.name, p.addr)).collect();
+                    self.feed(queues, Event::Peers(peers));
                 }
             }
             let told = std::mem::take(&mut *lock(&self.evidence.0));
--- a/crates/front/src/control/snapshot.rs
+++ b/crates/front/src/control/snapshot.rs
@@ -4,8 +4,8 @@
 use crate::view::Fleet;
 use fernslip_store::layers::Peer;
 use fernslip_store::{Change, Disk, LayerContents, Marks, Store, StoreError};
+use fernslip_view::PeerAddress;
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 pub struct RestoredState {
     /// The peers found in the snapshot, by name, with their last known address.
-    pub peers: Vec<(String, SocketAddr)>,
+    pub peers: Vec<PeerAddress>,
     /// The store's marks at the last commit before this start; `None` where the store was empty.
     pub marks: Option<Marks>,
 }
@@ -69,7 +69,9 @@
             tracing::error!(damaged, "store: peers that can't be read are left out");
         }
         let stored: BTreeMap<String, Peer> = entries.into_iter().collect();
-        let address = |(name, peer): (&String, &Peer)| Some((name.clone(), peer.addr.parse().ok()?));
+        let address = |(name, peer): (&String, &Peer)| {
+            Some(PeerAddress { name: name.clone(), addr: peer.addr.parse().ok()? })
+        };
         let peers = stored.iter().filter_map(address).collect();
         Ok((Snapshot { store, stored }, RestoredState { peers, marks }))
     }
--- a/crates/front/src/control/snapshot/tests.rs
+++ b/crates/front/src/control/snapshot/tests.rs
@@ -15,7 +15,7 @@
     assert!(matches!(Snapshot::open(&path, 2).err(), Some(StoreError::Locked)));
     drop(snapshot);
     let (snapshot, found) = Snapshot::open(&path, 3).expect("the same");
-    assert_eq!(found.peers, [("f2".to_string(), ([127, 0, 0, 1], 7).into())]);
+    assert_eq!(found.peers, [PeerAddress { name: "f2".to_string(), addr: ([127, 0, 0, 1], 7).into() }]);
     drop(snapshot);
     std::fs::write(&path, [7; 9000]).expect("written over");
     let (_snapshot, found) = Snapshot::open(&path, 4).expect("an empty one");
--- a/crates/front/src/control/view.rs
+++ b/crates/front/src/control/view.rs
@@ -11,7 +11,7 @@
 use crate::sync::lock;
 use fernslip_gossip::Keyring;
 use fernslip_store::layers::Peer;
-use fernslip_view::{Action, Config, Event, FrontState, Now, View, MAX_DATAGRAM_BYTES};
+use fernslip_view::{Action, Config, Event, FrontState, Now, PeerAddress, View, MAX_DATAGRAM_BYTES};
 use std::io::ErrorKind;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
@@ -46,7 +46,7 @@
         clock: &Clock,
         seed: u64,
         gossip: Option<SocketAddr>,
-        remembered: Vec<(String, SocketAddr)>,
+        remembered: Vec<PeerAddress>,
     ) -> std::io::Result<Fleet> {
         let socket = UdpSocket::bind(plan.listen)?;
         let mut config = Config { gossip, remembered, ..plan.config.clone() };
@@ -69,7 +69,7 @@
     }
 
     /// Names and gossip addresses of the other live fronts that gossip.
-    pub fn gossip_peers(&self) -> Vec<(String, SocketAddr)> {
+    pub fn gossip_peers(&self) -> Vec<PeerAddress> {
         lock(&self.view).gossip_peers()
     }
 
--- a/crates/view/src/config.rs
+++ b/crates/view/src/config.rs
@@ -2,6 +2,15 @@
 
 use std::net::SocketAddr;
 
+/// A front's name and an address of it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PeerAddress {
+    /// The front's name.
+    pub name: String,
+    /// The address.
+    pub addr: SocketAddr,
+}
+
 /// The configuration of one front's view.
 #[derive(Clone, Debug)]
 pub struct Config {
@@ -21,7 +30,7 @@
     pub seeds: Vec<SocketAddr>,
     /// Fronts that this one knew when it last ran, with their addresses then: polled beside the seeds. One address that is
     /// still valid is enough to bring all together.
-    pub remembered: Vec<(String, SocketAddr)>,
+    pub remembered: Vec<PeerAddress>,
     /// Number of watchers of each front.
     pub watchers: usize,
     /// Bytes of datagrams sent per second, at most, whatever happens.
@@ -54,6 +63,6 @@
 impl Config {
     /// The addresses polled before any member is known: the seeds, and where others were when this front last ran.
     pub(crate) fn initial_contacts(&self) -> impl Iterator<Item = SocketAddr> + '_ {
-        self.seeds.iter().copied().chain(self.remembered.iter().map(|r| r.1))
+        self.seeds.iter().copied().chain(self.remembered.iter().map(|r| r.addr))
     }
 }
--- a/crates/view/src/engine.rs
+++ b/crates/view/src/engine.rs
@@ -1,6 +1,6 @@
 //! One front's view of the fleet: takes events and the time, returns datagrams to send and changes to report.
 
-use crate::config::Config;
+use crate::config::{Config, PeerAddress};
 use crate::fact::{Fact, FrontProcess, FrontState, Id, Member, MemberTable, MergeOutcome, Rank};
 use crate::failure_detector::{Answered, Due, FailureDetector, Suspicion, Verdict};
 use crate::interface::{Action, Counters, Event, HistoryEntry, MemberStatus, Now};
@@ -208,8 +208,10 @@
     }
 
     /// Names and gossip addresses of the other live members that gossip.
-    pub fn gossip_peers(&self) -> Vec<(String, SocketAddr)> {
-        self.live_peers().filter_map(|(_, m)| Some((m.fact.name.clone(), m.fact.gossip?))).collect()
+    pub fn gossip_peers(&self) -> Vec<PeerAddress> {
+        self.live_peers()
+            .filter_map(|(_, m)| Some(PeerAddress { name: m.fact.name.clone(), addr: m.fact.gossip? }))
+            .collect()
     }
 
     /// The view's digest: equal for all who hold the same view.
@@ -230,7 +232,7 @@
     /// knew when it last ran.
     pub fn missing(&self) -> Vec<String> {
         if !self.is_admitted {
-            return self.config.remembered.iter().map(|r| r.0.clone()).collect();
+            return self.config.remembered.iter().map(|r| r.name.clone()).collect();
         }
         let live = self.table.live().enumerate();
         live.filter(|(i, _)| !self.settlement.is_holder(*i)).map(|(_, (_, m))| m.fact.name.clone()).collect()
--- a/crates/view/src/engine/rejoin.rs
+++ b/crates/view/src/engine/rejoin.rs
@@ -12,7 +12,7 @@
             let seeds: Vec<SocketAddr> =
                 self.config.seeds.iter().copied().filter(|s| *s != self.own.addr).collect();
             targets.extend(seeds.choose_multiple(&mut self.rng, 2));
-            let remembered = self.config.remembered.iter().map(|r| r.1);
+            let remembered = self.config.remembered.iter().map(|r| r.addr);
             let remembered: Vec<SocketAddr> = remembered.filter(|a| *a != self.own.addr).collect();
             targets.extend(remembered.choose_multiple(&mut self.rng, 2));
             for to in targets {
--- a/crates/view/src/lib.rs
+++ b/crates/view/src/lib.rs
@@ -61,7 +61,7 @@
 mod settlement;
 mod wire;
 
-pub use config::Config;
+pub use config::{Config, PeerAddress};
 pub use engine::View;
 pub use fact::{Fact, FrontState, Id, Member, MemberTable, MergeOutcome, Rank, MAX_MEMBERS, MAX_TEXT_BYTES};
 pub use interface::{Action, Counters, Event, HistoryEntry, MemberStatus, Now};
--- a/crates/view/tests/remembers.rs
+++ b/crates/view/tests/remembers.rs
@@ -1,7 +1,7 @@
 //! A front that comes back: what it remembers, whom it polls, and that nothing is settled before it was answered.
 
 use fernslip_gossip::{Key, Keyring};
-use fernslip_view::{Action, Config, Event, FrontState, Now, View};
+use fernslip_view::{Action, Config, Event, FrontState, Now, PeerAddress, View};
 use std::net::SocketAddr;
 
 fn addr(n: u16) -> SocketAddr {
@@ -17,7 +17,10 @@
         name: format!("f{n}"),
         addr: addr(at),
         seeds: seeds.iter().map(|s| addr(*s)).collect(),
-        remembered: remembered.iter().map(|(name, at)| (name.to_string(), addr(*at))).collect(),
+        remembered: remembered
+            .iter()
+            .map(|(name, at)| PeerAddress { name: name.to_string(), addr: addr(*at) })
+            .collect(),
         ..Config::default()
     };
     let mut v = View::new(config, Keyring::new(Key::new(1, [7; 32])), u64::from(n) + 1, now(ms));
