--- a/crates/import/src/modjk/mounts.rs
+++ b/crates/import/src/modjk/mounts.rs
@@ -1,10 +1,10 @@
 //! Mounts of paths onto workers.
 
-use super::syntax::{expand_line, is_comment, property_name};
+use super::syntax::record_lines;
 use crate::error::ImportError;
 use crate::ledger::{Item, Ledger};
 use crate::params::NamedParam;
-use crate::text::{read_lines, Continuations, Expanded, Line};
+use crate::text::{Expanded, Line};
 use std::collections::HashMap;
 use std::path::Path;
 use std::sync::Arc;
@@ -51,22 +51,14 @@
     let file: Arc<str> = path.display().to_string().into();
     let mut mounts = Vec::new();
     let mut variables: HashMap<String, String> = HashMap::new();
-    for line in read_lines(&file, bytes, Continuations::Ignored)? {
-        if is_comment(&line) {
-            continue;
-        }
-        let location = line.location(&file, 0);
-        let item = ledger.note(&location, property_name(&line));
-        if line.invalid_utf8 {
-            ledger.omitted(item, "bytes that are no UTF-8");
-            continue;
-        }
-        let expanded = expand_line(&line, &location, &variables)?;
+    for line in record_lines(ledger, &file, bytes)? {
+        let item = line.item;
+        let expanded = line.expand(&variables)?;
         let Some((name, value)) = expanded.text.split_once('=') else {
             ledger.omitted(item, "no `path=worker`");
             continue;
         };
-        let attributes = read_attributes(ledger, &file, &line, &expanded);
+        let attributes = read_attributes(ledger, &file, &line.line, &expanded);
         let name = name.trim();
         if !name.starts_with(['/', '!', '-']) {
             // A variable of the file's own, for lines below.
--- a/crates/import/src/modjk/syntax.rs
+++ b/crates/import/src/modjk/syntax.rs
@@ -1,11 +1,12 @@
-//! Values of mod_jk's properties.
+//! Lines of mod_jk's files, and values of properties.
 
 use crate::error::ImportError;
 use crate::ledger::{Item, Ledger};
 use crate::location::Location;
-use crate::text::{expand, Expanded, Line, MAX_LINE_BYTES};
+use crate::text::{expand, read_lines, Continuations, Expanded, Line, MAX_LINE_BYTES};
 use fernslip_site::{status_code, State};
 use std::collections::HashMap;
+use std::sync::Arc;
 
 /// The values of a list, separated by blanks and commas.
 pub(super) fn split_list(value: &str) -> Vec<String> {
@@ -53,29 +54,47 @@
     }
 }
 
-/// Whether a line holds nothing but a comment.
-pub(super) fn is_comment(line: &Line) -> bool {
-    line.text.starts_with('#')
+/// A line of a file, recorded in the ledger.
+pub(super) struct RecordedLine {
+    pub line: Line,
+    pub location: Location,
+    pub item: Item,
 }
 
-/// The name on the left of a line's `=`.
-pub(super) fn property_name(line: &Line) -> &str {
-    line.text.split('=').next().unwrap_or("").trim()
+impl RecordedLine {
+    /// The line without its comment, its variables `$(NAME)` expanded.
+    pub fn expand(&self, variables: &HashMap<String, String>) -> Result<Expanded, ImportError> {
+        let text = without_comment(&self.line.text);
+        let expanded = expand(&text, "$(", ')', |name| variables.get(name).map(String::as_str));
+        expanded.ok_or_else(|| ImportError::LineTooLong {
+            location: self.location.clone(),
+            expanded: true,
+            limit: MAX_LINE_BYTES,
+        })
+    }
 }
 
-/// A line without its comment, its variables `$(NAME)` expanded.
-pub(super) fn expand_line(
-    line: &Line,
-    location: &Location,
-    variables: &HashMap<String, String>,
-) -> Result<Expanded, ImportError> {
-    let text = without_comment(&line.text);
-    let expanded = expand(&text, "$(", ')', |name| variables.get(name).map(String::as_str));
-    expanded.ok_or_else(|| ImportError::LineTooLong {
-        location: location.clone(),
-        expanded: true,
-        limit: MAX_LINE_BYTES,
-    })
+/// The lines of a file, except comments, each recorded under the name on the left of its `=`. Those that are no UTF-8
+/// are omitted.
+pub(super) fn record_lines(
+    ledger: &mut Ledger,
+    file: &Arc<str>,
+    bytes: &[u8],
+) -> Result<Vec<RecordedLine>, ImportError> {
+    let mut recorded = Vec::new();
+    for line in read_lines(file, bytes, Continuations::Ignored)? {
+        if line.text.starts_with('#') {
+            continue;
+        }
+        let location = line.location(file, 0);
+        let item = ledger.note(&location, line.text.split('=').next().unwrap_or("").trim());
+        if line.invalid_utf8 {
+            ledger.omitted(item, "bytes that are no UTF-8");
+            continue;
+        }
+        recorded.push(RecordedLine { line, location, item });
+    }
+    Ok(recorded)
 }
 
 /// Cuts off a comment, which begins at a `#` that no backslash precedes.
--- a/crates/import/src/modjk/workers.rs
+++ b/crates/import/src/modjk/workers.rs
@@ -1,13 +1,12 @@
 //! Workers files, and workers with what their templates give them.
 
 use super::mounts::Mount;
-use super::syntax::{expand_line, is_comment, property_name, split_list};
+use super::syntax::{record_lines, split_list};
 use super::ModJk;
 use crate::coverage::{self, JK_GLOBAL_PROPERTIES, JK_WORKER_PROPERTIES};
 use crate::error::ImportError;
 use crate::ledger::{Item, Ledger};
 use crate::params::{parse_flag, NamedParam, Param, Params};
-use crate::text::{read_lines, Continuations};
 use std::collections::{BTreeMap, HashSet};
 use std::path::Path;
 use std::sync::Arc;
@@ -59,18 +58,9 @@
         bytes: &[u8],
     ) -> Result<(), ImportError> {
         let file: Arc<str> = path.display().to_string().into();
-        for line in read_lines(&file, bytes, Continuations::Ignored)? {
-            if is_comment(&line) {
-                continue;
-            }
-            let location = line.location(&file, 0);
-            let item = ledger.note(&location, property_name(&line));
-            if line.invalid_utf8 {
-                ledger.omitted(item, "bytes that are no UTF-8");
-                continue;
-            }
-            let expanded = expand_line(&line, &location, &self.variables)?;
-            self.property(ledger, &expanded.text, item);
+        for line in record_lines(ledger, &file, bytes)? {
+            let expanded = line.expand(&self.variables)?;
+            self.property(ledger, &expanded.text, line.item);
         }
         Ok(())
     }
