--- a/crates/cli/tests/machine.rs
+++ b/crates/cli/tests/machine.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::scripted::{encode_call, read_answer, ScriptedFront, STEP_TIMEOUT};
-use fernslip_rig::shim::{Fault, Faults, Shim};
+use fernslip_rig::shim::{MachineFault, ProcessFaults, Shim};
 use serde_json::{json, Value as Json};
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -14,7 +14,7 @@
 const HOUR_NS: i64 = 3_600_000_000_000;
 
 /// The program under faults that the test sets, none at first.
-fn start_with_faults(name: &str, change: impl Fn(&mut Json)) -> (ScriptedFront, Shim, Faults) {
+fn start_with_faults(name: &str, change: impl Fn(&mut Json)) -> (ScriptedFront, Shim, ProcessFaults) {
     let shim = Shim::build().expect("a C compiler");
     let faults = shim.faults(name, 1).expect("a file");
     let front = ScriptedFront::start_prepared(name, Vec::new(), change, |command| {
@@ -48,7 +48,7 @@
     ] {
         let (mut front, _shim, faults) = start_with_faults(name, |_| {});
         assert_eq!(front.step("bus", "<", ""), "from 1");
-        faults.set(Fault::WallOffsetNs, step_ns).expect("a file");
+        faults.set(MachineFault::WallOffsetNs, step_ns).expect("a file");
         // The bus goes on, as it does each second.
         front.step("bus", ">", "1");
         std::thread::sleep(Duration::from_millis(300));
@@ -158,7 +158,7 @@
 fn local_connect_failures_are_not_attributed_to_nodes() {
     let (mut front, _shim, faults) = start_with_faults("ports", |_| {});
     let mut client = front.connect();
-    faults.set(Fault::Connect, 1000).expect("a file");
+    faults.set(MachineFault::Connect, 1000).expect("a file");
     client.write_all(&encode_call(1, "contribution-change", 1, 15_000, &[])).expect("the front reads");
     std::thread::sleep(Duration::from_millis(150));
     faults.clear_rates().expect("a file");
@@ -176,9 +176,12 @@
 /// of the last moment.
 fn calls_are_answered_in_spite_of_failing_system_calls() {
     let (mut front, _shim, faults) = start_with_faults("calls", |_| {});
-    for (fault, rate) in
-        [(Fault::Accept, 300), (Fault::Transfer, 200), (Fault::Wait, 200), (Fault::Register, 100)]
-    {
+    for (fault, rate) in [
+        (MachineFault::Accept, 300),
+        (MachineFault::Transfer, 200),
+        (MachineFault::Wait, 200),
+        (MachineFault::Register, 100),
+    ] {
         faults.set(fault, rate).expect("a file");
     }
     let calls = 200;
--- a/crates/rig/shim/faults.c
+++ b/crates/rig/shim/faults.c
@@ -43,14 +43,14 @@
     return rng;
 }
 
-static int hits(int64_t rate) { return rate > 0 && (int64_t)(draw() % 1000) < rate; }
+static int should_fail(int64_t rate) { return rate > 0 && (int64_t)(draw() % 1000) < rate; }
 
-static int fails(const int *errors, int count) {
+static int fail_with(const int *errors, int count) {
     errno = errors[draw() % count];
     return -1;
 }
 
-#define FAILS(...) (fails((const int[]){__VA_ARGS__}, sizeof((const int[]){__VA_ARGS__}) / sizeof(int)))
+#define FAILS(...) (fail_with((const int[]){__VA_ARGS__}, sizeof((const int[]){__VA_ARGS__}) / sizeof(int)))
 
 #define NEXT(name)                                                                                                     \
     static __typeof__(name) *next;                                                                                     \
@@ -90,22 +90,22 @@
 
 int accept4(int fd, struct sockaddr *a, socklen_t *len, int flags) {
     NEXT(accept4);
-    return hits(state->accept_rate) ? FAILS(ECONNABORTED, ENFILE, ENOBUFS, EINTR) : next(fd, a, len, flags);
+    return should_fail(state->accept_rate) ? FAILS(ECONNABORTED, ENFILE, ENOBUFS, EINTR) : next(fd, a, len, flags);
 }
 
 int socket(int domain, int type, int protocol) {
     NEXT(socket);
-    return (type & SOCK_STREAM) && hits(state->connect_rate) ? FAILS(ENOBUFS, ENFILE) : next(domain, type, protocol);
+    return (type & SOCK_STREAM) && should_fail(state->connect_rate) ? FAILS(ENOBUFS, ENFILE) : next(domain, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *a, socklen_t len) {
     NEXT(connect);
-    return hits(state->connect_rate) ? FAILS(EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EINTR) : next(fd, a, len);
+    return should_fail(state->connect_rate) ? FAILS(EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EINTR) : next(fd, a, len);
 }
 
 ssize_t send(int fd, const void *data, size_t len, int flags) {
     NEXT(send);
-    if (hits(state->transfer_rate)) {
+    if (should_fail(state->transfer_rate)) {
         if (draw() % 2)
             return FAILS(EINTR, ENOBUFS, ENOMEM);
         len = len > 0 ? 1 : 0;
@@ -115,7 +115,7 @@
 
 ssize_t recv(int fd, void *data, size_t len, int flags) {
     NEXT(recv);
-    if (hits(state->transfer_rate)) {
+    if (should_fail(state->transfer_rate)) {
         if (draw() % 2)
             return FAILS(EINTR, ENOMEM);
         len = len > 0 ? 1 : 0;
@@ -125,12 +125,12 @@
 
 int epoll_wait(int fd, struct epoll_event *events, int count, int timeout) {
     NEXT(epoll_wait);
-    return hits(state->wait_rate) ? FAILS(EINTR) : next(fd, events, count, timeout);
+    return should_fail(state->wait_rate) ? FAILS(EINTR) : next(fd, events, count, timeout);
 }
 
 int epoll_ctl(int fd, int op, int of, struct epoll_event *event) {
     NEXT(epoll_ctl);
-    return op == EPOLL_CTL_ADD && hits(state->register_rate) ? FAILS(ENOMEM) : next(fd, op, of, event);
+    return op == EPOLL_CTL_ADD && should_fail(state->register_rate) ? FAILS(ENOMEM) : next(fd, op, of, event);
 }
 
 int open64(const char *path, int flags, ...) {
@@ -144,12 +144,12 @@
         mode = va_arg(rest, mode_t);
         va_end(rest);
     }
-    return hits(state->disk_rate) ? FAILS(EIO, ENOSPC) : next(path, flags, mode);
+    return should_fail(state->disk_rate) ? FAILS(EIO, ENOSPC) : next(path, flags, mode);
 }
 
 ssize_t write(int fd, const void *data, size_t len) {
     NEXT(write);
-    if (state->disk_rate > 0 && is_file(fd) && hits(state->disk_rate)) {
+    if (state->disk_rate > 0 && is_file(fd) && should_fail(state->disk_rate)) {
         if (draw() % 2 == 0)
             return FAILS(ENOSPC, EIO);
         len = len > 1 ? len / 2 : len;
@@ -159,10 +159,10 @@
 
 int fsync(int fd) {
     NEXT(fsync);
-    return hits(state->disk_rate) ? FAILS(EIO, ENOSPC) : next(fd);
+    return should_fail(state->disk_rate) ? FAILS(EIO, ENOSPC) : next(fd);
 }
 
 int rename(const char *from, const char *to) {
     NEXT(rename);
-    return hits(state->disk_rate) ? FAILS(EIO, ENOSPC) : next(from, to);
+    return should_fail(state->disk_rate) ? FAILS(EIO, ENOSPC) : next(from, to);
 }
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -8,7 +8,7 @@
 use fernslip_rig::run::{run_scenario, Options, RunReport};
 use fernslip_rig::scenario::Scenario;
 use fernslip_rig::soak::options::Options as SoakOptions;
-use fernslip_rig::soak::run::run_soak as run_soak_seed;
+use fernslip_rig::soak::run::run_soak;
 use fernslip_rig::{chart, pairs, suite};
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
@@ -107,7 +107,7 @@
 }
 
 /// `run`: one scenario with one seed.
-async fn run(args: RunArgs) -> Result<Verdict, String> {
+async fn run_command(args: RunArgs) -> Result<Verdict, String> {
     let options = args.fleet.options(args.fronts, args.seed)?;
     let scenario = match std::fs::read_to_string(&args.scenario) {
         Ok(text) => Scenario::parse(&args.scenario, &text),
@@ -129,7 +129,7 @@
 }
 
 /// `suite`: several scenarios with several seeds.
-async fn run_suite(args: SuiteArgs) -> Result<Verdict, String> {
+async fn suite_command(args: SuiteArgs) -> Result<Verdict, String> {
     let all: Vec<String> = match args.which.as_str() {
         "view" => suite::bundled_names().into_iter().map(String::from).collect(),
         "main" => suite::MAIN.map(String::from).to_vec(),
@@ -155,7 +155,7 @@
 }
 
 /// `pairs`: this build and an earlier one in one fleet.
-async fn run_pairs(args: PairsArgs) -> Result<Verdict, String> {
+async fn pairs_command(args: PairsArgs) -> Result<Verdict, String> {
     let earlier = pairs::build(args.with.as_deref())?;
     let options = args.fleet.options(Some(args.fronts), 0)?;
     let mut holds = true;
@@ -169,7 +169,7 @@
 }
 
 /// `soak`: overlapping faults, a run a seed.
-async fn run_soak(args: SoakArgs) -> Result<Verdict, String> {
+async fn soak_command(args: SoakArgs) -> Result<Verdict, String> {
     if let Some(dir) = &args.logs {
         create_folder(dir)?;
     }
@@ -185,7 +185,7 @@
             logs: args.logs.clone(),
             without_faults: args.without_faults,
         };
-        let report = run_soak_seed(&options).await.map_err(|e| e.to_string())?;
+        let report = run_soak(&options).await.map_err(|e| e.to_string())?;
         eprintln!(
             "seed {seed}: {} troubles, broken {:?}, {:?}",
             report.faults, report.breaches, report.counts
@@ -198,16 +198,17 @@
     Ok(Verdict::of(holds))
 }
 
-async fn run_command(args: Args) -> Result<Verdict, String> {
+/// Runs the sub-command.
+async fn execute(args: Args) -> Result<Verdict, String> {
     match args.command {
         Command::List => {
             suite::bundled_names().iter().for_each(|name| println!("{name}"));
             Ok(Verdict::Holds)
         }
-        Command::Run(args) => run(args).await,
-        Command::Suite(args) => run_suite(args).await,
-        Command::Pairs(args) => run_pairs(args).await,
-        Command::Soak(args) => run_soak(args).await,
+        Command::Run(args) => run_command(args).await,
+        Command::Suite(args) => suite_command(args).await,
+        Command::Pairs(args) => pairs_command(args).await,
+        Command::Soak(args) => soak_command(args).await,
     }
 }
 
@@ -221,7 +222,7 @@
     };
     // The run is dropped when a signal wins, which kills the processes that it started.
     let result = tokio::select! {
-        result = run_command(args) => result,
+        result = execute(args) => result,
         _ = term.recv() => Err("ended by SIGTERM".into()),
         _ = int.recv() => Err("interrupted".into()),
     };
--- a/crates/rig/src/shim.rs
+++ b/crates/rig/src/shim.rs
@@ -1,7 +1,7 @@
 //! Machine faults under a real process: system calls that fail as Linux documents, and a stepped wall clock.
 //!
 //! A small library in C (`shim/faults.c`), built with the system's compiler and preloaded into the process alone, reads its
-//! rates from a file that [`Faults::set`] changes while the process runs. Nothing outside that process is affected.
+//! rates from a file that [`ProcessFaults::set`] changes while the process runs. Nothing outside that process is affected.
 
 use std::io;
 use std::os::unix::fs::FileExt;
@@ -45,11 +45,11 @@
     ///
     /// # Errors
     /// The file can't be written.
-    pub fn faults(&self, name: &str, seed: u64) -> io::Result<Faults> {
+    pub fn faults(&self, name: &str, seed: u64) -> io::Result<ProcessFaults> {
         let path = self.folder.path().join(format!("{name}.faults"));
         let file = std::fs::OpenOptions::new().write(true).create(true).truncate(true).open(&path)?;
         file.set_len((FIELDS * size_of::<i64>()) as u64)?;
-        Ok(Faults { file, path, library: self.library(), seed })
+        Ok(ProcessFaults { file, path, library: self.library(), seed })
     }
 }
 
@@ -58,7 +58,7 @@
 
 /// A fault that can be injected; its discriminant is the index of its value in the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum MachineFault {
     /// The wall clock is off by so many nanoseconds.
     WallOffsetNs = 0,
     /// `accept` fails; this value and all below are rates in a thousand.
@@ -75,21 +75,27 @@
     Disk = 6,
 }
 
-impl Fault {
+impl MachineFault {
     /// All faults whose value is a rate.
-    pub const RATES: [Fault; 6] =
-        [Fault::Accept, Fault::Connect, Fault::Transfer, Fault::Wait, Fault::Register, Fault::Disk];
+    pub const RATES: [MachineFault; 6] = [
+        MachineFault::Accept,
+        MachineFault::Connect,
+        MachineFault::Transfer,
+        MachineFault::Wait,
+        MachineFault::Register,
+        MachineFault::Disk,
+    ];
 }
 
 /// The faults of one process.
-pub struct Faults {
+pub struct ProcessFaults {
     file: std::fs::File,
     path: PathBuf,
     library: PathBuf,
     seed: u64,
 }
 
-impl Faults {
+impl ProcessFaults {
     /// The environment variables that load the library into the process.
     pub fn environment(&self) -> [(&'static str, String); 3] {
         let text = |p: &Path| p.display().to_string();
@@ -104,7 +110,7 @@
     ///
     /// # Errors
     /// The file can't be written.
-    pub fn set(&self, fault: Fault, value: i64) -> io::Result<()> {
+    pub fn set(&self, fault: MachineFault, value: i64) -> io::Result<()> {
         self.file.write_all_at(&value.to_ne_bytes(), fault as u64 * size_of::<i64>() as u64)
     }
 
@@ -113,6 +119,6 @@
     /// # Errors
     /// The file can't be written.
     pub fn clear_rates(&self) -> io::Result<()> {
-        Fault::RATES.iter().try_for_each(|f| self.set(*f, 0))
+        MachineFault::RATES.iter().try_for_each(|f| self.set(*f, 0))
     }
 }
--- a/crates/rig/src/soak/inject.rs
+++ b/crates/rig/src/soak/inject.rs
@@ -4,7 +4,7 @@
 use super::environment::Environment;
 use super::nodes::NodeMode;
 use super::plan::{FaultKind, PlannedFault, SystemFaultRate};
-use crate::shim::Fault as SystemFault;
+use crate::shim::MachineFault;
 use rustix::process::Signal;
 use serde_json::Value;
 use std::io;
@@ -71,7 +71,7 @@
             }
             FaultKind::StepWallClock { front, by_ms } => {
                 let process = self.fronts[front].lock().await;
-                process.settings.faults.set(SystemFault::WallOffsetNs, by_ms * 1_000_000)?;
+                process.settings.faults.set(MachineFault::WallOffsetNs, by_ms * 1_000_000)?;
             }
             FaultKind::SystemCalls { front, rates } => self.fail_system_calls(front, rates, duration).await?,
             FaultKind::FaultyClients { front, count } => {
--- a/crates/rig/src/soak/plan.rs
+++ b/crates/rig/src/soak/plan.rs
@@ -3,7 +3,7 @@
 use super::bus::BusMode;
 use super::nodes::NodeMode;
 use super::seeded_rng::SeededRng;
-use crate::shim::Fault as SystemFault;
+use crate::shim::MachineFault;
 use std::ops::Range;
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SystemFaultRate {
     /// Which.
-    pub fault: SystemFault,
+    pub fault: MachineFault,
     /// So many times of a thousand.
     pub per_thousand: i64,
 }
@@ -200,7 +200,7 @@
 }
 
 fn draw_system_faults(rng: &SeededRng) -> Vec<SystemFaultRate> {
-    let chosen = SystemFault::RATES.into_iter().filter(|_| rng.chance(0.5));
+    let chosen = MachineFault::RATES.into_iter().filter(|_| rng.chance(0.5));
     chosen.map(|fault| SystemFaultRate { fault, per_thousand: rng.number(20..300) as i64 }).collect()
 }
 
--- a/crates/rig/src/soak/process.rs
+++ b/crates/rig/src/soak/process.rs
@@ -3,7 +3,7 @@
 use super::availability::FrontAvailability;
 use super::checker::{Rule, RuleChecker};
 use crate::client_protocol::is_ready;
-use crate::shim::Faults;
+use crate::shim::ProcessFaults;
 use crate::sync::lock;
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::VecDeque;
@@ -47,7 +47,7 @@
     /// The program.
     pub program: PathBuf,
     /// The machine faults under it.
-    pub faults: Faults,
+    pub faults: ProcessFaults,
     /// The file that its log is appended to, if any.
     pub log_file: Option<PathBuf>,
     /// The longest deadline of its classes.
