--- a/crates/front/src/control/watch_event.rs
+++ b/crates/front/src/control/watch_event.rs
@@ -81,3 +81,6 @@
     let group = if object.is_some() { json::opt(purge, "tag")? } else { json::num(purge, "tag")? };
     Ok(WatchEvent::Purge { object, group: group as u64, unix_ms: json::num(purge, "ts")? })
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/view/src/failure_detector.rs
+++ b/crates/view/src/failure_detector.rs
@@ -338,3 +338,6 @@
         self.suspicions.retain(|_, recorded| !recorded.is_empty());
     }
 }
+
+#[cfg(test)]
+mod tests;
