--- a/crates/cli/tests/admin.rs
+++ b/crates/cli/tests/admin.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
-use common::{members, Answer, Front, Node};
-use std::io::{Read, Write};
+use common::{members, send_admin_command, Answer, Front, Node};
+use std::io::Write;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
@@ -16,15 +16,6 @@
 /// Calls that a busy client keeps out.
 const IN_FLIGHT: u64 = 4;
 
-fn send_command(admin: &str, line: &str) -> String {
-    let mut caller = TcpStream::connect(admin).expect("the admin interface listens");
-    caller.set_read_timeout(Some(Duration::from_secs(30))).expect("a socket option");
-    caller.write_all(line.as_bytes()).expect("the admin interface reads");
-    let mut answer = String::new();
-    let _ = caller.read_to_string(&mut answer);
-    answer
-}
-
 fn figure(text: &str, name: &str) -> Option<u64> {
     text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
 }
@@ -37,8 +28,12 @@
     let tmp = state_dir.display().to_string();
     let site = format!("{SITE}{}", members(&[("a", &a), ("b", &b)], &origin));
     let front = Front::start_with_env("door", &site, &[], &[("RELAY_OPS", "127.0.0.1:0"), ("TMPDIR", &tmp)]);
-    let line =
-        front.log_lines.iter().find(|l| l.contains("operators' door at ")).expect("the door's line").clone();
+    let line = front
+        .log_lines
+        .iter()
+        .find(|l| l.contains("operators' door at "))
+        .expect("the admin interface's line")
+        .clone();
     let admin = line.rsplit(' ').next().expect("an address").trim_matches('"').to_string();
 
     // Callers that hold a connection and send nothing, or half a line, block no other.
@@ -46,18 +41,18 @@
     let mut half = TcpStream::connect(&admin).expect("the admin interface listens");
     half.write_all(b"read").expect("the admin interface reads");
     let sent_at = Instant::now();
-    assert_eq!(send_command(&admin, "readyz\n"), "200 ready\n");
+    assert_eq!(send_admin_command(&admin, "readyz\n"), "200 ready\n");
     assert!(sent_at.elapsed() < ANSWER_WITHIN, "answered in {:?}", sent_at.elapsed());
     let long = format!("{}\n", "x".repeat(2000));
     for (line, answer) in [("reboot\n", "400 unknown call\n"), (&long, "400 too long\n")] {
-        assert_eq!(send_command(&admin, line), answer);
+        assert_eq!(send_admin_command(&admin, line), answer);
     }
 
     let mut client = front.client();
     for n in 0..3 {
         assert_eq!(client.call("docs", n), Answer::Served);
     }
-    let figures = send_command(&admin, "telemetry\n");
+    let figures = send_admin_command(&admin, "telemetry\n");
     assert!(figures.starts_with("200 ") && figures.ends_with("EOF\n"), "{figures}");
     assert_eq!(figure(&figures, "relay.transactions.docs.answered"), Some(3), "{figures}");
     assert_eq!(
@@ -71,7 +66,7 @@
         ("exclude a\n", "200 excluded a\n"),
         ("exclude a\n", "200 excluded a\n"),
     ] {
-        assert_eq!(send_command(&admin, line), answer);
+        assert_eq!(send_admin_command(&admin, line), answer);
     }
     let files = std::fs::read_dir(&state_dir).expect("a folder").flatten().map(|f| f.path());
     let own =
@@ -83,7 +78,7 @@
         assert_eq!(client.call("docs", n), Answer::Served);
     }
     assert_eq!(a.request_count(), before, "nothing goes to a manually excluded node");
-    assert_eq!(send_command(&admin, "include a\n"), "200 included a\n", "two out need one back");
+    assert_eq!(send_admin_command(&admin, "include a\n"), "200 included a\n", "two out need one back");
 
     for (line, answer) in [
         ("evacuate\n", "200 evacuating\n"),
@@ -91,10 +86,10 @@
         ("activate\n", "200 active\n"),
         ("readyz\n", "200 ready\n"),
     ] {
-        assert_eq!(send_command(&admin, line), answer);
+        assert_eq!(send_admin_command(&admin, line), answer);
     }
     // Another customer's front under the same name, with the same folder, on the same nodes.
-    assert_eq!(send_command(&admin, "exclude a\n"), "200 excluded a\n");
+    assert_eq!(send_admin_command(&admin, "exclude a\n"), "200 excluded a\n");
     let other = site.replace("\"docs\"", "\"pages\"");
     let beside = Front::start_with_env("beside", &other, &[], &[("TMPDIR", &tmp)]);
     let (mut client, before) = (beside.client(), a.request_count());
@@ -106,7 +101,7 @@
 }
 
 /// A client that sends its next call as soon as the last is answered never leaves its connection idle. At its end
-/// the front turns such calls away at once and closes the connection after its last answer, so it leaves soon after
+/// the front rejects such calls at once and closes the connection after its last answer, so it exits soon after
 /// its grace of 1 s instead of at the end of the longest deadline (here 5 s), with its calls answered.
 #[test]
 fn a_busy_persistent_connection_is_drained_at_shutdown() {
@@ -123,7 +118,7 @@
         }
         for n in IN_FLIGHT.. {
             match client.try_next_answer() {
-                Some((_, Answer::Error(word, fields))) if word == "Shed" => {
+                Some((_, Answer::Error(code, fields))) if code == "Shed" => {
                     shed += 1;
                     assert!(fields.contains(&("pause".into(), "100".into())), "{fields:?}");
                 }
@@ -148,7 +143,7 @@
 }
 
 /// Peers that write in pieces: a client's call a byte at a time, and a cache node's answer a byte at a time. Each is
-/// taken whole and served, and neither is cut off as stalled while its bytes keep coming.
+/// read completely and served, and neither is cut off as stalled while its bytes keep coming.
 #[test]
 fn calls_and_answers_in_pieces_are_served() {
     let (a, origin) = (Node::start(), Node::start());
--- a/crates/cli/tests/cli.rs
+++ b/crates/cli/tests/cli.rs
@@ -99,7 +99,7 @@
     assert!(text(&failed.stderr).contains("cycle.conf:1:1: "), "{}", text(&failed.stderr));
     assert_eq!(std::fs::read_to_string(&out).expect("it"), "as it was");
     assert!(!dir.join("report.json").exists());
-    // Nor does one whose report has no place.
+    // Nor does one whose report can't be written.
     std::fs::write(&conf, "ProxyPass / http://h:1/\n").expect("a file");
     assert_eq!(code(&["import", "httpd", &conf, "-o", &out, "--report", &path("none/report.json")]), Some(1));
     assert_eq!(std::fs::read_to_string(&out).expect("it"), "as it was");
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -324,6 +324,25 @@
     }
 }
 
+/// Sends a line to an admin interface; its answer.
+pub fn send_admin_command(addr: &str, line: &str) -> String {
+    let mut caller = TcpStream::connect(addr).expect("the admin interface listens");
+    caller.set_read_timeout(Some(STEP_TIMEOUT)).expect("a socket option");
+    caller.write_all(line.as_bytes()).expect("the admin interface reads");
+    let mut answer = String::new();
+    let _ = caller.read_to_string(&mut answer);
+    answer
+}
+
+/// Waits until a condition holds.
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + STEP_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "never: {what}");
+        std::thread::sleep(Duration::from_millis(5));
+    }
+}
+
 /// A site document's members: cache nodes by id, and an origin `o`.
 pub fn members(nodes: &[(&str, &Node)], origin: &Node) -> String {
     let mut text: String =
--- a/crates/cli/tests/endings.rs
+++ b/crates/cli/tests/endings.rs
@@ -1,4 +1,4 @@
-//! Paths that end things, with what crosses them forced: one row a case, each played against the program over real
+//! Paths that end things, with what crosses them forced: one row a case, each run against the program over real
 //! sockets. `docs/design/endings.md` has the table; the names here stand in its last column.
 //!
 //! Events are brought together by barriers: an answer, a log line, a call that follows on the same way, a process that is
@@ -53,6 +53,28 @@
     client.write_all(bytes).expect("the front reads");
 }
 
+/// A client's connection that takes up few bytes that it does not read.
+fn connect_with_small_buffer(front: &ScriptedFront) -> TcpStream {
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    socket.set_recv_buffer_size(4096).expect("a socket option");
+    let addr: std::net::SocketAddr = front.addr.parse().expect("an address");
+    socket.connect(&addr.into()).expect("the front listens");
+    TcpStream::from(socket)
+}
+
+/// Has a command's process run with at most so many descriptors.
+fn limit_descriptors(command: &mut Command, limit: usize) {
+    let mut limited = Command::new("sh");
+    limited.args(["-c", &format!("ulimit -n {limit}; exec \"$0\"")]).arg(command.get_program());
+    for (name, value) in command.get_envs() {
+        if let Some(value) = value {
+            limited.env(name, value);
+        }
+    }
+    limited.stderr(std::process::Stdio::piped());
+    *command = limited;
+}
+
 fn endpoint_update(offset: u64, id: &str, addr: std::net::SocketAddr, state: &str) -> String {
     json!({"offset": offset, "topology": {"version": offset, "full": false, "servers": [
         {"id": id, "addr": addr.to_string(), "zone": "edge-1", "kind": "standard", "cell": 0, "state": state, "weight": 1,
@@ -65,7 +87,7 @@
     for state in ["Terminating", "Gone"] {
         let (mut front, backlog) = start_with_full_backlog(&format!("drain-{state}"), with_slow_connects);
         let mut client = front.connect();
-        // A write: the module calls none of them off by itself, however long the node says nothing.
+        // A write: the module cancels none of them by itself, however long the node is silent.
         send(&mut client, &encode_call(1, WRITE, 1, 15_000, &[]));
         front.step("bus", "<", "");
         let a = front.servers["a"].addr();
@@ -102,7 +124,7 @@
     true
 }
 
-/// What is asked for is purged while the connection comes up: what goes out then names a copy younger than the purge, be
+/// What is requested is purged while the connection comes up: what goes out then names a copy younger than the purge, be
 /// it an object or a group that was purged, and a call for another object goes out as it was.
 fn a_purge_before_the_connection_is_up_limits_the_age_of_copies() {
     let purges = [json!({"url": "00000000000000a1"}), json!({"tag": 17})];
@@ -181,7 +203,7 @@
             s.set_nonblocking(false).expect("a socket option");
             s.set_read_timeout(Some(STEP_TIMEOUT)).expect("a socket option");
             let mut some = [0; 4096];
-            let n = s.read(&mut some).expect("what is asked");
+            let n = s.read(&mut some).expect("the request");
             got.extend_from_slice(&some[..n]);
             assert!(!String::from_utf8_lossy(&got).contains("via=o"), "filled from a source that drains");
             s.write_all(&fernslip_front::resp::array(&[b"0000000000000001", b"served", b"-", b"done"]))
@@ -196,7 +218,7 @@
     assert_nothing_leaked(front);
 }
 
-/// Its client leaves while the connection comes up: nothing begins, be it that the deployment allows no cancelling.
+/// Its client disconnects or cancels while the connection comes up: nothing begins, be it that the deployment allows no cancelling.
 fn nothing_begins_for_a_client_that_left_before_the_connection_is_up() {
     for (name, closes) in [("forget", false), ("close", true)] {
         let (mut front, backlog) = start_with_full_backlog(name, without_cancelling);
@@ -235,7 +257,7 @@
             drop(client);
             front.signal("CONT");
         } else {
-            // It was begun, and is called off when its client leaves.
+            // It was begun, and is cancelled when its client disconnects.
             assert_eq!(front.next_request("a").0, format!("{n:016x}"));
             drop(client);
             assert_eq!(front.step("a", "<", ""), format!("QUIT {n:016x}"));
@@ -253,7 +275,7 @@
     assert_nothing_leaked(front);
 }
 
-/// A client that shuts its sending half has closed, as far as the protocol says: its call is called off.
+/// A client that shuts its sending half has closed, by the protocol: its call is cancelled.
 fn a_half_closed_client_has_its_call_cancelled() {
     let mut front = ScriptedFront::start("half");
     let mut client = front.connect();
@@ -289,7 +311,7 @@
         }
     });
     let mut client = front.connect();
-    // One as the platform's clients ask, one that would wait far beyond the class's deadline.
+    // One as the platform's clients send, one that would wait far beyond the class's deadline.
     send(&mut client, &encode_call(1, WRITE, 1, 1500, &[]));
     send(&mut client, &encode_call(2, WRITE, 2, 20_000, &[]));
     front.next_request("a");
@@ -305,7 +327,7 @@
     }
     assert_eq!(read_answer(&mut client), "closed", "and not reset");
     let (code, lines) = front.wait_for_exit();
-    // Within 3.7 s on a machine that has time for it (`ending/tests.rs` has the plan); here it is only told.
+    // Within 3.7 s on a machine that has time for it (`ending/tests.rs` has the plan); here it is only printed.
     println!("ended {:?} after SIGTERM", began.elapsed());
     assert_eq!(code, Some(0), "{lines:?}");
 }
@@ -348,7 +370,7 @@
     }
 }
 
-/// What comes when the front no longer takes work is turned away with a word, on new connections as well, and resting
+/// What comes when the front no longer takes work is rejected with `Shed`, on new connections as well, and idle
 /// clients see an end, not a reset.
 fn calls_during_shutdown_are_shed_and_connections_closed_without_reset() {
     // Far from the end of the process, however busy the machine is.
@@ -382,7 +404,7 @@
     assert_eq!(code, Some(0), "{lines:?}");
 }
 
-/// The bus says something again and again that is no line: it is silent, and asked again.
+/// The event bus sends something again and again that is no line: it counts as silent, and is connected to anew.
 fn an_event_bus_that_only_dribbles_is_reconnected() {
     for (name, noise) in [("half", "{\"offset\":"), ("blank", "\n")] {
         let mut front = ScriptedFront::start(name);
@@ -406,7 +428,7 @@
     }
 }
 
-/// A bus that takes connections and says nothing, again and again, holds nothing up; then it speaks.
+/// An event bus that accepts connections and sends nothing, again and again, blocks nothing; then it sends.
 fn an_event_bus_that_sends_nothing_blocks_nothing() {
     let mut front = ScriptedFront::start_with("mute", |c| c["known"] = json!({"offset": 0, "batch": []}));
     for _ in 0..2 {
@@ -445,7 +467,7 @@
     assert_nothing_leaked(front);
 }
 
-/// A bus whose numbers begin anew: it is asked for all, and a drain among what it lost stays in force.
+/// An event bus whose offsets begin anew is read from the start, and a drain among what it lost stays in effect.
 fn an_event_bus_with_new_numbers_is_read_from_the_start_and_drains_stay() {
     let mut front = ScriptedFront::start("anew");
     front.step("bus", "<", "");
@@ -478,7 +500,7 @@
     assert_nothing_leaked(front);
 }
 
-/// A node dribbles an answer that never ends: nothing new is asked on that connection, and what was asked there ends in
+/// A node dribbles an answer that never ends: no new request goes out on that connection, and the one there ends in
 /// its time.
 fn a_connection_whose_answer_dribbles_gets_no_further_request() {
     let mut front = ScriptedFront::start("dribble");
@@ -499,7 +521,7 @@
     assert_eq!(front.step("a", "<", ""), format!("QUIT {:016x}", 1));
     send(&mut client, &encode_call(2, WRITE, 2, 15_000, &[]));
     assert_eq!(front.next_request("a").0, format!("{:016x}", 2));
-    // Answered where it was asked: on another connection, as on the first the answer would be a part of the other.
+    // Answered where it was sent: on another connection, as on the first the answer would be a part of the other.
     front.answer("a", &format!("{:016x}", 2), "served - done");
     assert_eq!(read_answer(&mut client), r#"[1,2,null,["b:done",{}]]"#);
     stop.store(true, Ordering::SeqCst);
@@ -513,7 +535,7 @@
     let half = |front: &mut ScriptedFront, trace: &str| {
         front.step("a", ">", &format!("raw *4\r\n$16\r\n{trace}\r\n$6\r\nser"));
     };
-    // Each cuts the connection under a write: it may have run, so it is not asked again.
+    // Each cuts the connection under a write: it may have run, so it is not retried.
     type Cut = fn(&mut ScriptedFront);
     let cuts: [(&str, Cut); 2] = [
         ("close", |p| drop(p.servers.get_mut("a").expect("a server").connections.remove(0))),
@@ -530,7 +552,7 @@
         half(&mut front, &trace);
         cut(&mut front);
         assert!(read_answer(&mut client).starts_with(r#"[1,1,["Fault""#), "{name}");
-        // A read is asked again.
+        // A read is retried.
         send(&mut client, &encode_call(2, READ, 2, 15_000, &[]));
         let (trace, _) = front.next_request("a");
         half(&mut front, &trace);
@@ -538,7 +560,7 @@
         let (again, _) = front.next_request("a");
         assert_eq!(again, trace, "{name}");
         front.answer("a", &again, "served tell=fill whole");
-        // A second answer, and one to what was given up, are nobody's.
+        // A second answer, and one to no open request, are ignored.
         front.answer("a", &again, "served tell=fill twice");
         front.answer("a", "00000000000000ff", "served tell=fill nobody's");
         assert_eq!(read_answer(&mut client), r#"[1,2,null,["b:whole",{}]]"#);
@@ -551,7 +573,7 @@
     }
 }
 
-/// A node knows before the front that a client has left, and says that the request is over: no further attempt begins,
+/// A node knows before the front that a client has disconnected, and ends the request: no further attempt begins,
 /// and whoever still waits has an answer at once.
 fn a_request_that_a_node_ends_gets_an_answer_and_no_further_attempt() {
     for class in [READ, WRITE] {
@@ -580,7 +602,7 @@
     let (trace, fields) = front.next_request("a");
     assert!(fields.ends_with("known=4be0c1927d55a6f3"), "{fields}");
     front.answer("a", &trace, "still_good tag=0000000000000000,minted=1");
-    // That was no answer of its: it is asked again, elsewhere or on another connection.
+    // That was no answer to it: it is retried, elsewhere or on another connection.
     let (again, _) = front.next_request("a");
     assert_eq!(again, trace);
     front.answer("a", &again, "still_good tag=4be0c1927d55a6f3,minted=1");
@@ -594,17 +616,9 @@
     let limit = 96;
     let (bus, backlog) = ScriptedServer::with_full_backlog();
     let prepare = |command: &mut Command| {
-        // The limit that the configuration tells is the process's own.
-        let program = command.get_program().to_owned();
-        let mut limited = Command::new("sh");
-        limited.args(["-c", &format!("ulimit -n {limit}; exec \"$0\"")]).arg(program);
-        for (name, value) in command.get_envs() {
-            if let Some(value) = value {
-                limited.env(name, value);
-            }
-        }
-        limited.stderr(std::process::Stdio::piped()).process_group(0);
-        *command = limited;
+        // The limit in the configuration is the process's own.
+        limit_descriptors(command, limit);
+        command.process_group(0);
     };
     let mut front = ScriptedFront::start_prepared(
         "full",
@@ -622,7 +636,7 @@
         front.signal("STOP");
         idle.extend((0..2 * limit).map(|_| TcpStream::connect(&addr).expect("the kernel takes it up")));
         front.signal("CONT");
-        // Who comes in the same moment may find no place; who speaks a little later does.
+        // A client that connects in the same moment may find no slot; one that sends a little later does.
         let deadline = Instant::now() + STEP_TIMEOUT;
         let client = loop {
             let mut client = front.connect();
@@ -630,7 +644,7 @@
             if is_written && read_answer(&mut client) == "[1,1,null,[true,{}]]" {
                 break client;
             }
-            assert!(Instant::now() < deadline, "nobody is heard");
+            assert!(Instant::now() < deadline, "no client is answered");
         };
         idle.push(client);
     }
@@ -652,20 +666,10 @@
     assert_eq!(out, 0, "the front never asks for more than it has");
 }
 
-/// The process has far fewer descriptors than its configuration tells: accept fails again and again. The front waits longer
-/// each time instead of spinning, idle clients give way, and who speaks is heard.
+/// The process has far fewer descriptors than its configuration has: accept fails again and again. The front waits longer
+/// each time instead of spinning, idle clients give way, and one that sends is answered.
 fn accept_backs_off_without_descriptors() {
-    let prepare = |command: &mut Command| {
-        let mut limited = Command::new("sh");
-        limited.args(["-c", "ulimit -n 48; exec \"$0\""]).arg(command.get_program());
-        for (name, value) in command.get_envs() {
-            if let Some(value) = value {
-                limited.env(name, value);
-            }
-        }
-        limited.stderr(std::process::Stdio::piped());
-        *command = limited;
-    };
+    let prepare = |command: &mut Command| limit_descriptors(command, 48);
     let mut front =
         ScriptedFront::start_prepared("emfile", vec![], |c| c["limits"]["sockets"] = 512.into(), prepare);
     let began = Instant::now();
@@ -680,7 +684,7 @@
         {
             break;
         }
-        assert!(Instant::now() < deadline, "nobody is heard");
+        assert!(Instant::now() < deadline, "no client is answered");
     }
     drop(idle);
     front.client = None;
@@ -694,7 +698,7 @@
 }
 
 /// Calls on one connection to a node that hangs are given up in the same moment: each has its answer, and the front goes on.
-/// A lock held by the first while it waited for its word to arrive stopped the whole front, in a trial of that wait.
+/// A lock held by the first while it waited for its cancel to arrive stopped the whole front, in a trial of that wait.
 fn many_calls_that_time_out_together_are_all_answered() {
     let mut front = ScriptedFront::start("together-up");
     let mut client = front.connect();
@@ -716,11 +720,7 @@
 /// A client that has its answers waiting and reads none of them is closed, though no call of its is open any more.
 fn a_client_that_never_reads_is_closed() {
     let mut front = ScriptedFront::start("unread");
-    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    socket.set_recv_buffer_size(4096).expect("a socket option");
-    let addr: std::net::SocketAddr = front.addr.parse().expect("an address");
-    socket.connect(&addr.into()).expect("the front listens");
-    let mut client = TcpStream::from(socket);
+    let mut client = connect_with_small_buffer(&front);
     let body = "x".repeat(240_000);
     // Beyond what the sockets on the way hold.
     for n in 1..=24 {
@@ -734,16 +734,12 @@
 }
 
 /// SIGTERM while a client reads its answers slowly: the connection is to close, and closes when the last byte that is owed
-/// is out. What the client asks meanwhile is turned away with a word, and not dropped.
+/// is out. What the client sends meanwhile is rejected with `Shed`, and not dropped.
 fn a_slow_reader_gets_all_answers_during_shutdown() {
     let mut front = ScriptedFront::start_with("slow-end", |c| {
         c["settings"]["classes"][0]["deadline_ms"] = 120_000.into()
     });
-    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    socket.set_recv_buffer_size(4096).expect("a socket option");
-    let addr: std::net::SocketAddr = front.addr.parse().expect("an address");
-    socket.connect(&addr.into()).expect("the front listens");
-    let mut client = TcpStream::from(socket);
+    let mut client = connect_with_small_buffer(&front);
     client.set_read_timeout(Some(STEP_TIMEOUT)).expect("a socket option");
     let body = "x".repeat(240_000);
     // Beyond what the sockets on the way hold.
@@ -775,12 +771,12 @@
     assert_eq!(code, Some(0), "{lines:?}");
 }
 
-/// A connection comes up long after its request was made: the node is told the time that the client has left then.
+/// A connection comes up long after its request was made: the node gets the time that remains to the client then.
 fn a_node_gets_the_time_that_remains_when_its_connection_is_up() {
     let patience = 15_000;
     let (mut front, backlog) = start_with_full_backlog("late-limit", with_slow_connects);
     let mut client = front.connect();
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     send(&mut client, &encode_call(1, WRITE, 1, patience, &[]));
     send(&mut client, &common::scripted::encode_health_check(2));
     assert_eq!(read_answer(&mut client), "[1,2,null,[true,{}]]");
@@ -788,21 +784,24 @@
     let mut node = front.servers.remove("a").expect("a server");
     node.empty_backlog(backlog);
     front.servers.insert("a", node);
-    let released = asked.elapsed().as_millis() as u64;
+    let released = sent_at.elapsed().as_millis() as u64;
     let (trace, fields) = front.next_request("a");
     let limit = fields.split(',').find_map(|f| f.strip_prefix("limit=")).expect("a limit");
     let limit: u64 = limit.parse().expect("milliseconds");
-    assert!(limit <= patience - released + 150, "{limit} ms told, {released} of {patience} ms were gone");
+    assert!(
+        limit <= patience - released + 150,
+        "a limit of {limit} ms, {released} of {patience} ms had passed"
+    );
     front.answer("a", &trace, "served - done");
     assert_eq!(read_answer(&mut client), r#"[1,1,null,["b:done",{}]]"#);
     drop(client);
     assert_nothing_leaked(front);
 }
 
-/// Other clients hold all the room for parts of messages: a client that has a call open, and whose next one comes in two
-/// parts, is answered on both. Trouble with other clients frees no call of its answer.
+/// Other clients use up the buffers for partial messages: a client that has a call open, and whose next one comes in two
+/// parts, is answered on both. Trouble with other clients leaves no call unanswered.
 fn a_client_with_an_open_call_is_served_when_others_use_up_the_buffers() {
-    // The least room that a front has: 1 MB for parts of messages.
+    // The least that a front has: 1 MB for partial messages.
     let mut front = ScriptedFront::start_with("room", |c| c["limits"]["memory_mb"] = 20.into());
     let mut client = front.connect();
     send(&mut client, &encode_call(1, WRITE, 1, 15_000, &[]));
@@ -812,7 +811,7 @@
     long.truncate(long.len() - 2);
     long.extend_from_slice(&[0xc5, 0xbb, 0x80]);
     long.resize(long.len() + 48_000, b'x');
-    // As much as fits, and some that are turned away.
+    // As much as fits, and some that are rejected.
     let part = vec![b'x'; 52_000];
     let mut others: Vec<TcpStream> = (0..25).map(|_| front.connect()).collect();
     for other in &mut others {
@@ -835,7 +834,7 @@
     assert_nothing_leaked(front);
 }
 
-/// A client has begun its next message and does not end it: what it asked before is answered all the same.
+/// A client has begun its next message and does not end it: its earlier call is answered all the same.
 fn an_open_call_is_answered_before_a_partial_message_closes_the_connection() {
     let mut front = ScriptedFront::start("half-behind");
     let mut client = front.connect();
@@ -850,7 +849,7 @@
     assert_nothing_leaked(front);
 }
 
-/// Clients send MessagePack that has no place in a call, an extension type among it: each is turned away as malformed and
+/// Clients send MessagePack of types that no call has, an extension type among them: each is rejected as malformed and
 /// its connection given back, and the next client is served.
 fn messages_of_unexpected_types_are_malformed() {
     let mut front = ScriptedFront::start("ext");
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// Far longer than any step takes on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(60);
+const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn options(fronts: usize, seed: u64) -> Options {
     Options {
@@ -32,18 +32,18 @@
 }
 
 /// Nothing that must hold broke; times are for the suite to measure, not for a machine that is busy.
-fn holds(p: &RunReport) {
+fn assert_no_breach(p: &RunReport) {
     assert_eq!(p.breaches.len(), 0, "{:#?}", p.breaches);
     assert_eq!(p.stale_members, 0);
     assert_eq!(p.rule_violations, 0);
 }
 
-/// The text of a scenario with more time, as it is played beside other tests.
-fn patient(text: &str) -> Scenario {
+/// A scenario with longer timeouts, as it runs beside other tests.
+fn parse_with_long_timeouts(text: &str) -> Scenario {
     let mut s = Scenario::parse("test.kdl", text).expect("a scenario");
     for step in &mut s.steps {
         if let Step::Await { within, .. } = step {
-            *within = PATIENCE;
+            *within = STEP_TIMEOUT;
         }
     }
     s
@@ -51,30 +51,30 @@
 
 #[test]
 fn all_fronts_agree_after_crashes_and_restarts() {
-    let s = patient(
+    let s = parse_with_long_timeouts(
         "scenario \"crash\" load=40 serves-all=#false { kill part=0.33; await \"known\" within-ms=1; \
          await \"settled\" within-ms=1; restart; await \"settled\" within-ms=1; }",
     );
     let p = run(&s, &options(7, 1));
-    holds(&p);
+    assert_no_breach(&p);
     assert_eq!(p.awaited.len(), 3);
     assert!(p.load["served"].as_u64().is_some_and(|n| n > 0), "{}", p.load);
 }
 
 #[test]
 fn all_fronts_agree_on_newcomers() {
-    let s = patient("scenario \"join\" { join count=3; await \"settled\" within-ms=1; }");
-    holds(&run(&s, &options(5, 2)));
+    let s = parse_with_long_timeouts("scenario \"join\" { join count=3; await \"settled\" within-ms=1; }");
+    assert_no_breach(&run(&s, &options(5, 2)));
 }
 
 #[test]
 fn partitioned_halves_agree_apart_and_together_again() {
-    let s = patient(
+    let s = parse_with_long_timeouts(
         "scenario \"halves\" load=40 { partition sides=2; await \"settled\" within-ms=1; heal; \
          await \"settled\" within-ms=1; }",
     );
     let p = run(&s, &options(8, 3));
-    holds(&p);
+    assert_no_breach(&p);
     // Each half saw the other's end.
     let cut = p.events.iter().find(|m| m.name == "partition").expect("it happened").at_ms;
     let least = p.samples.iter().filter(|s| s.at_ms > cut).map(|s| s.member_count).min();
@@ -83,11 +83,11 @@
 
 #[test]
 fn a_front_that_moved_and_one_that_was_paused_come_back() {
-    let s = patient(
+    let s = parse_with_long_timeouts(
         "scenario \"moved\" serves-all=#false { kill count=1; restart moved=#true; await \"settled\" within-ms=1; \
          stop count=1; wait ms=4000; go-on; await \"settled\" within-ms=1; }",
     );
-    holds(&run(&s, &options(6, 4)));
+    assert_no_breach(&run(&s, &options(6, 4)));
 }
 
 #[test]
@@ -101,7 +101,7 @@
     assert!(b.description.contains("Known") && b.evidence.iter().any(|t| t.contains("digest")), "{b:?}");
 }
 
-fn of_folder(dir: &Path) -> Vec<u32> {
+fn processes_of(dir: &Path) -> Vec<u32> {
     let mut found = Vec::new();
     for entry in std::fs::read_dir("/proc").expect("proc").flatten() {
         let Some(id) = entry.file_name().to_str().and_then(|n| n.parse().ok()) else { continue };
@@ -122,9 +122,9 @@
     let rt = runtime();
     rt.block_on(async {
         let running = async {
-            let by = Instant::now() + PATIENCE;
-            while of_folder(&dir).len() < 4 {
-                assert!(Instant::now() < by, "they never started");
+            let deadline = Instant::now() + STEP_TIMEOUT;
+            while processes_of(&dir).len() < 4 {
+                assert!(Instant::now() < deadline, "they never started");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
@@ -133,18 +133,18 @@
             () = running => {}
         }
     });
-    let by = Instant::now() + PATIENCE;
-    while !of_folder(&dir).is_empty() {
-        assert!(Instant::now() < by, "still there: {:?}", of_folder(&dir));
+    let deadline = Instant::now() + STEP_TIMEOUT;
+    while !processes_of(&dir).is_empty() {
+        assert!(Instant::now() < deadline, "still there: {:?}", processes_of(&dir));
         std::thread::sleep(Duration::from_millis(20));
     }
     let _ = std::fs::remove_dir_all(dir);
 }
 
-/// Ended with its test, also when that fails.
-struct Alone(std::process::Child);
+/// A process that is killed at the end of its test, also when that fails.
+struct KillOnDrop(std::process::Child);
 
-impl Drop for Alone {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -177,14 +177,14 @@
     );
     let mut command = Command::new(env!("CARGO_BIN_EXE_fernslip"));
     command.args(["run", "--site", &name("site.kdl")]).env_remove("RELAY_CONFIG").env_remove("RELAY_OPS");
-    let _front = Alone(command.spawn().expect("the program"));
-    let by = Instant::now() + PATIENCE;
+    let _front = KillOnDrop(command.spawn().expect("the program"));
+    let deadline = Instant::now() + STEP_TIMEOUT;
     let shown = loop {
         let (code, text) = run(&["fleet", "members", &socket]);
         if code == Some(0) && text.contains(" ready ") {
             break text;
         }
-        assert!(Instant::now() < by, "{text}");
+        assert!(Instant::now() < deadline, "{text}");
         std::thread::sleep(Duration::from_millis(20));
     };
     assert!(shown.contains("front n1: view ") && shown.contains("1 fronts, settled for"), "{shown}");
--- a/crates/cli/tests/handover.rs
+++ b/crates/cli/tests/handover.rs
@@ -1,4 +1,4 @@
-//! Replacing a process while it serves: the platform holds the clients' listening socket and hands it to each process
+//! Replacing a process while it serves: the platform owns the clients' listening socket and passes it to each process
 //! as descriptor 3, named in `$RELAY_PASSED_SOCKET`. Two processes serve from it together; the old one ends by
 //! SIGTERM, and clients are served throughout.
 
@@ -41,7 +41,7 @@
     old.signal("TERM");
     old.wait_for_log("left");
     assert!(old.child.wait().expect("its end").success(), "the old process ends well");
-    // The kept connection was closed by the old process; a new one is the new process's.
+    // The persistent connection was closed by the old process; a new one is the new process's.
     for n in 0..20 {
         assert_eq!(new.client().call("docs", 100 + n), Answer::Served);
     }
@@ -50,8 +50,8 @@
     new.wait_for_log("left");
 }
 
-/// While the old process still answers what it holds, all that connects is the new one's: nothing is accepted only to be
-/// turned away.
+/// While the old process still answers its open calls, all new connections are the new one's: none is accepted only to be
+/// rejected.
 #[test]
 fn clients_that_connect_while_the_old_process_shuts_down_are_served_by_the_new() {
     let (a, origin) = (Node::start(), Node::start());
--- a/crates/cli/tests/live.rs
+++ b/crates/cli/tests/live.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{Answer, Front, Node, STEP_TIMEOUT};
+use common::{wait_until, Answer, Front, Node, STEP_TIMEOUT};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,22 +13,14 @@
     class \"docs\" aim-ms=600 deadline-ms=5000 worth=2\nclass \"pages\" aim-ms=400 deadline-ms=3000\n\
     class \"change\" aim-ms=600 deadline-ms=3000 effect=\"at-most-once\" write=#true\n";
 
-/// After the word, nothing new may come later than this. What is printed counts from the signal, so that the file's
-/// reading is in it; what is asserted, from the line that tells of it, so that a machine that stalls can't fail it.
+/// The longest that new requests may come after a drain. What is printed counts from the signal, so that reading the file
+/// is in it; what is asserted, from the log line of the reload, so that a machine that stalls can't fail it.
 const GRACE: Duration = Duration::from_millis(500);
 
 fn member(id: &str, node: &Node, more: &str) -> String {
     format!("member \"{id}\" address=\"{}\" {more}\n", node.addr)
 }
 
-fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
-    let by = Instant::now() + STEP_TIMEOUT;
-    while !done() {
-        assert!(Instant::now() < by, "never: {what}");
-        std::thread::sleep(Duration::from_millis(5));
-    }
-}
-
 /// Clients that call without pause until they are stopped; how many answers were served, and how many not.
 struct Load {
     stop: Arc<AtomicBool>,
@@ -65,8 +57,8 @@
     }
 }
 
-/// The rule on drains, in the path that is new here: the operators' word comes by SIGHUP, and from 500 ms after it
-/// on nothing new comes to the node, as target or as the source of a fill, while clients ask without pause.
+/// The rule on drains, by SIGHUP: from 500 ms after the reload on nothing new comes to the node, as target or as the
+/// source of a fill, while clients call without pause.
 #[test]
 fn a_member_set_to_draining_by_sighup_gets_nothing_new() {
     let nodes = [Node::start(), Node::start(), Node::start(), Node::start()];
@@ -79,7 +71,7 @@
     };
     let mut front = Front::start("drain", &site("", ""), &[]);
     let load = Load::start(&front, 8);
-    wait_for("load on every member", || nodes[..3].iter().all(|n| n.request_count() > 50));
+    wait_until("load on every member", || nodes[..3].iter().all(|n| n.request_count() > 50));
     let mut delays = Vec::new();
     for state in ["draining", "stopped"] {
         let signal = front.reload(&site(&format!("state=\"{state}\""), ""));
@@ -96,7 +88,7 @@
         // Back, as ready: it is used again.
         let back = front.reload(&site("", ""));
         front.wait_for_log("reload: site: members");
-        wait_for("use of a member that is ready again", || !b.requests_after(back + GRACE).is_empty());
+        wait_until("use of a member that is ready again", || !b.requests_after(back + GRACE).is_empty());
     }
     // What changes at one member leaves the connections of the others alone.
     let before: Vec<usize> =
@@ -104,7 +96,7 @@
     let requests_before = a.request_count();
     front.reload(&site("state=\"draining\"", "weight=3"));
     front.wait_for_log("reload: site: members added=0 gone=0 moved=0 changed=2");
-    wait_for("load on the others", || a.request_count() > requests_before + 50);
+    wait_until("load on the others", || a.request_count() > requests_before + 50);
     let after: Vec<usize> = [a, c].iter().map(|n| n.state.connections_ended.load(Ordering::SeqCst)).collect();
     assert_eq!(before, after, "connections of members that stay");
     let (served, other) = load.stop();
@@ -161,14 +153,14 @@
     assert_eq!((near.request_count(), far.request_count()), (20, 0), "the first tier alone");
     near.state.refuses_connections.store(true, Ordering::SeqCst);
     let mut object = 100;
-    wait_for("the second tier", || {
+    wait_until("the second tier", || {
         object += 1;
         client.call("docs", object);
         far.request_count() > 20
     });
     near.state.refuses_connections.store(false, Ordering::SeqCst);
     let (before, back) = (near.request_count(), Instant::now());
-    wait_for("the first tier's return", || {
+    wait_until("the first tier's return", || {
         object += 1;
         client.call("docs", object);
         near.request_count() > before + 20
@@ -207,7 +199,7 @@
             "{fields:?}"
         );
     }
-    // Without a limit of the pool its member's holds; who waits longer is let in.
+    // Without a limit of the pool its member's holds; one that may wait longer is admitted.
     front.reload(&pool("wait-ms=2000 waiting=100"));
     front.wait_for_log("reload: site:");
     (0..9).for_each(|n| assert!(client.send("docs", 100 + n) > 0));
@@ -256,7 +248,7 @@
     let mut client = front.client();
     [&a, &b].iter().for_each(|n| n.state.delay_ms.store(10_000, Ordering::SeqCst));
     client.send("change", 7);
-    wait_for("the write", || a.request_count() + b.request_count() == 1);
+    wait_until("the write", || a.request_count() + b.request_count() == 1);
     [&a, &b].iter().for_each(|n| n.state.refuses_connections.store(true, Ordering::SeqCst));
     assert!(matches!(client.next_answer().1, Answer::Error(code, _) if code == "Fault"));
     assert_eq!(a.request_count() + b.request_count(), 1);
@@ -347,13 +339,13 @@
     let mut front = Front::start("queue", &site, &[]);
     let (mut first, mut leaving, mut third) = (front.client(), front.client(), front.client());
     first.send("docs", 1);
-    wait_for("the first inside", || a.request_count() == 1);
+    wait_until("the first inside", || a.request_count() == 1);
     leaving.send("docs", 2);
     assert_eq!(leaving.call("isWell", 0), Answer::Served, "read after its call: that waits by now");
     assert!(matches!(third.call("docs", 3), Answer::Error(..)), "the queue is full");
     drop(leaving);
     front.wait_for_log("kind=client");
-    assert_eq!(third.call("docs", 4), Answer::Served, "the place in the queue is free");
+    assert_eq!(third.call("docs", 4), Answer::Served, "the slot in the queue is free");
     assert_eq!(first.next_answer().1, Answer::Served);
     let objects = a.state.requests.lock().expect("sound");
     let object = |n: u64| format!("{n:016x}");
--- a/crates/cli/tests/machine.rs
+++ b/crates/cli/tests/machine.rs
@@ -1,13 +1,13 @@
 //! Faults of the front's own machine, under the real program: a wall clock that is stepped, system calls that fail for a
-//! moment, a folder that can't be written. All rules hold, and what was promised is kept.
+//! moment, a folder that can't be written. All rules hold, and what was answered is durable.
 
 mod common;
 
 use common::scripted::{encode_call, read_answer, ScriptedFront, STEP_TIMEOUT};
+use common::send_admin_command;
 use fernslip_rig::shim::{MachineFault, ProcessFaults, Shim};
 use serde_json::{json, Value as Json};
-use std::io::{Read, Write};
-use std::net::TcpStream;
+use std::io::Write;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const READ: &str = "statement-docs";
@@ -67,15 +67,6 @@
     }
 }
 
-fn send_command(at: &str, line: &str) -> String {
-    let mut caller = TcpStream::connect(at).expect("the admin interface listens");
-    caller.set_read_timeout(Some(STEP_TIMEOUT)).expect("a socket option");
-    caller.write_all(line.as_bytes()).expect("it reads");
-    let mut answer = String::new();
-    let _ = caller.read_to_string(&mut answer);
-    answer
-}
-
 /// The program with an admin interface and a folder of its own, which another process of it may share.
 fn start_with_folder(name: &str, folder: &std::path::Path) -> (ScriptedFront, String) {
     let listen = std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
@@ -91,7 +82,7 @@
     (front, listen.to_string())
 }
 
-/// The program on a clients' socket that the platform holds, with that folder.
+/// The program on a clients' socket that the platform owns, with that folder.
 fn start_with_socket(
     name: &str,
     folder: &std::path::Path,
@@ -119,26 +110,26 @@
     (front, admin.to_string())
 }
 
-/// A folder that can't be written: what can't be kept for the next process is not promised.
+/// A folder that can't be written: an exclusion that can't be stored for the next process is rejected.
 fn an_exclusion_that_cannot_be_stored_is_rejected() {
     let folder = tempfile::tempdir().expect("a folder");
     let (front, admin) = start_with_folder("unkept", folder.path());
     std::fs::remove_dir_all(folder.path()).expect("ours");
-    let answer = send_command(&admin, "exclude a\n");
+    let answer = send_admin_command(&admin, "exclude a\n");
     assert!(answer.starts_with("400 "), "{answer}");
     std::fs::create_dir(folder.path()).expect("a folder");
-    assert_eq!(send_command(&admin, "exclude a\n"), "200 excluded a\n");
+    assert_eq!(send_admin_command(&admin, "exclude a\n"), "200 excluded a\n");
     std::fs::remove_dir_all(folder.path()).expect("ours");
-    let answer = send_command(&admin, "include a\n");
+    let answer = send_admin_command(&admin, "include a\n");
     assert!(answer.starts_with("400 "), "{answer}");
-    let figures = send_command(&admin, "telemetry\n");
+    let figures = send_admin_command(&admin, "telemetry\n");
     assert!(figures.contains("relay.cluster_unhealthy=1\n"), "it is out as before: {figures}");
     std::fs::create_dir(folder.path()).expect("a folder");
-    assert_eq!(send_command(&admin, "include a\n"), "200 included a\n");
+    assert_eq!(send_admin_command(&admin, "include a\n"), "200 included a\n");
     drop(front);
 }
 
-/// A new configuration is told by SIGHUP while its file can't be read for a moment: it is taken up once it can.
+/// SIGHUP comes while the new configuration's file can't be read for a moment: it is applied once it can.
 fn a_configuration_unreadable_for_a_moment_is_applied_later() {
     let mut front = ScriptedFront::start("moment");
     assert_eq!(front.step("bus", "<", ""), "from 1");
@@ -153,8 +144,8 @@
     assert_eq!(front.step("bus2", "<", ""), "from 1");
 }
 
-/// This machine has no port, buffer or route for a moment: what is asked meanwhile is served once it has, and no node is
-/// held to have failed.
+/// This machine has no port, buffer or route for a moment: calls meanwhile are served once it has, and no node counts
+/// as failed.
 fn local_connect_failures_are_not_attributed_to_nodes() {
     let (mut front, _shim, faults) = start_with_faults("ports", |_| {});
     let mut client = front.connect();
@@ -211,10 +202,10 @@
         (&new_admin, &old_admin, "exclude b\n", "2"),
         (&old_admin, &new_admin, "include a\n", "1"),
     ] {
-        assert!(send_command(at, line).starts_with("200 "), "{line}");
+        assert!(send_admin_command(at, line).starts_with("200 "), "{line}");
         let deadline = Instant::now() + STEP_TIMEOUT;
         let wanted = format!("relay.cluster_unhealthy={unhealthy}\n");
-        while !send_command(other, "telemetry\n").contains(&wanted) {
+        while !send_admin_command(other, "telemetry\n").contains(&wanted) {
             assert!(Instant::now() < deadline, "{line:?} does not hold at the other process");
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -230,7 +221,7 @@
         for what in ["exclude", "include"] {
             let callers = ["a", "b", "p"].map(|id| {
                 let (admin, line) = (admin.clone(), format!("{what} {id}\n"));
-                std::thread::spawn(move || send_command(&admin, &line))
+                std::thread::spawn(move || send_admin_command(&admin, &line))
             });
             for caller in callers {
                 assert!(caller.join().expect("no panic").starts_with("200 "));
