--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -41,7 +41,7 @@
                 zone: find(&names.zones, &r["rack_zone"]),
                 kind: find(&names.kinds, &r["machine"]),
                 cell: r["pod"].as_i64().unwrap_or(0),
-                born_ms: opt(r, "born_ms")?,
+                started_ms: opt(r, "born_ms")?,
                 phase: match text(r, "phase")? {
                     "IN" => Phase::In,
                     "LAME" => Phase::Draining,
--- a/crates/fernslip/src/api/endpoints.rs
+++ b/crates/fernslip/src/api/endpoints.rs
@@ -28,7 +28,7 @@
     /// Its cell.
     pub cell: i64,
     /// When it last started, in milliseconds on the events' clock; 0: long ago.
-    pub born_ms: f64,
+    pub started_ms: f64,
     /// Its state.
     pub phase: Phase,
 }
--- a/crates/fernslip/src/facade.rs
+++ b/crates/fernslip/src/facade.rs
@@ -33,7 +33,7 @@
 //!     zone: names.zones.iter().position(|z| z == zone),
 //!     kind: names.kinds.iter().position(|k| k == kind),
 //!     cell: 0,
-//!     born_ms: 0.0,
+//!     started_ms: 0.0,
 //!     phase: Phase::In,
 //! };
 //! let entries = vec![entry("cache-1", "edge-1", "standard"), entry("origin-1", "north", "origin")];
--- a/crates/fernslip/src/lib.rs
+++ b/crates/fernslip/src/lib.rs
@@ -80,7 +80,7 @@
 //!     zone: Some(zone),
 //!     kind: Some(kind),
 //!     cell: 0,
-//!     born_ms: 0.0,
+//!     started_ms: 0.0,
 //!     phase: Phase::In,
 //! };
 //! let entries = vec![entry("10.0.0.1:80", 1, 0), entry("10.0.1.1:80", 0, 1), entry("10.0.1.2:80", 0, 2)];
--- a/crates/fernslip/src/manual_exclusion/tests.rs
+++ b/crates/fernslip/src/manual_exclusion/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn entry(id: &str, phase: Phase) -> Entry {
-    Entry { cache: id.into(), weight: 1.0, zone: None, kind: None, cell: 0, born_ms: 0.0, phase }
+    Entry { cache: id.into(), weight: 1.0, zone: None, kind: None, cell: 0, started_ms: 0.0, phase }
 }
 
 #[test]
--- a/crates/fernslip/src/policy/nodes.rs
+++ b/crates/fernslip/src/policy/nodes.rs
@@ -58,11 +58,11 @@
         let counters = if role == Role::Edge { COUNTERS } else { 0 };
         let node = self.caches.entry(entry.cache).or_insert_with_key(|id| {
             let name: Vec<u64> = id.0.bytes().map(u64::from).collect();
-            Node::new(key_number(hash(&name)), entry.born_ms, entry.phase, counters, HASHES)
+            Node::new(key_number(hash(&name)), entry.started_ms, entry.phase, counters, HASHES)
         });
         let returned = node.phase == Phase::Out && entry.phase == Phase::In;
-        if entry.born_ms > node.started_ms || returned {
-            node.reset(entry.born_ms);
+        if entry.started_ms > node.started_ms || returned {
+            node.reset(entry.started_ms);
         }
         node.role = role;
         node.zone = entry.zone;
--- a/crates/fernslip/tests/common/mod.rs
+++ b/crates/fernslip/tests/common/mod.rs
@@ -64,7 +64,7 @@
         zone: Some(zone),
         kind: Some(kind),
         cell: zone as i64,
-        born_ms: 0.0,
+        started_ms: 0.0,
         phase: Phase::In,
     }
 }
@@ -205,10 +205,10 @@
     }
 }
 
-/// `caches` caches of the location, the first `cold` of them started at `born_ms`, two parents and an origin.
-pub fn wide_fleet(caches: usize, cold: usize, born_ms: f64) -> Vec<Entry> {
+/// `caches` caches of the location, the first `cold` of them started at `started_ms`, two parents and an origin.
+pub fn wide_fleet(caches: usize, cold: usize, started_ms: f64) -> Vec<Entry> {
     let mut all: Vec<Entry> = (0..caches).map(|i| entry(&format!("c{i}:1"), 1, 0)).collect();
-    all.iter_mut().take(cold).for_each(|e| e.born_ms = born_ms);
+    all.iter_mut().take(cold).for_each(|e| e.started_ms = started_ms);
     all.extend(["p1:1", "p2:1"].iter().map(|n| entry(n, 0, 1)));
     all.push(entry("o1:1", 0, 2));
     all
--- a/crates/fernslip/tests/common/simulation.rs
+++ b/crates/fernslip/tests/common/simulation.rs
@@ -467,8 +467,8 @@
 
     fn inject_faults(&mut self, ms: f64) {
         let caches = self.d.bandwidths.len();
-        let change = |c: usize, phase, born_ms| {
-            let entries = vec![Entry { phase, born_ms, weight: 1.0, ..entry(&format!("c{c}:1"), 1, 0) }];
+        let change = |c: usize, phase, started_ms| {
+            let entries = vec![Entry { phase, started_ms, weight: 1.0, ..entry(&format!("c{c}:1"), 1, 0) }];
             Event::Endpoints { kind: ListKind::Delta, entries }
         };
         let at = self.now - self.start - WARM_UP_MS;
--- a/crates/fernslip/tests/fleet.rs
+++ b/crates/fernslip/tests/fleet.rs
@@ -342,8 +342,8 @@
         w.at(104_000.0, Due::Silent(n.clone(), true));
         w.at(109_000.0, Due::Silent(n.clone(), false));
     }
-    let all = |phase: Phase, born_ms: f64| -> Vec<Entry> {
-        (0..BOXES).map(|b| Entry { phase, born_ms, ..cache_entry(3, b) }).collect()
+    let all = |phase: Phase, started_ms: f64| -> Vec<Entry> {
+        (0..BOXES).map(|b| Entry { phase, started_ms, ..cache_entry(3, b) }).collect()
     };
     w.update_endpoints(107_000.0, 800.0, all(Phase::Out, 0.0));
     w.update_endpoints(109_000.0, 800.0, all(Phase::In, 109_000.0));
@@ -378,7 +378,7 @@
         w.update_endpoints(
             105_000.0,
             500.0,
-            new.clone().map(|b| Entry { born_ms: 105_000.0, ..cache_entry(z, b) }).collect(),
+            new.clone().map(|b| Entry { started_ms: 105_000.0, ..cache_entry(z, b) }).collect(),
         );
         w.update_endpoints(
             106_000.0,
@@ -386,10 +386,10 @@
             old.clone().map(|b| Entry { phase: Phase::Draining, ..cache_entry(z, b) }).collect(),
         );
     }
-    let parent = |name: &str, phase: Phase, born_ms: f64| Entry {
+    let parent = |name: &str, phase: Phase, started_ms: f64| Entry {
         weight: PARENT,
         phase,
-        born_ms,
+        started_ms,
         ..entry(name, 0, 1)
     };
     w.update_endpoints(
@@ -425,7 +425,7 @@
         w.update_endpoints(
             103_000.0,
             500.0,
-            (0..3).map(|b| Entry { born_ms: 103_000.0, ..cache_entry(z, b) }).collect(),
+            (0..3).map(|b| Entry { started_ms: 103_000.0, ..cache_entry(z, b) }).collect(),
         );
     }
     w.run(112_000.0);
@@ -445,7 +445,7 @@
 #[test]
 fn a_purge_of_everything_does_not_overload_a_parent_in_slow_start() {
     let mut w = World::new();
-    let cold = Entry { weight: PARENT, born_ms: 104_500.0, ..entry("p2:1", 0, 1) };
+    let cold = Entry { weight: PARENT, started_ms: 104_500.0, ..entry("p2:1", 0, 1) };
     w.update_endpoints(104_500.0, 200.0, vec![cold]);
     for group in 0..16 {
         w.notify_all(105_000.0, 300.0, || Event::Purged { object: None, group, age_ms: 0.0 });
--- a/crates/fernslip/tests/peer_suspicion.rs
+++ b/crates/fernslip/tests/peer_suspicion.rs
@@ -96,7 +96,7 @@
     let mut r = Rig::new();
     suspect(&mut r, "c1:1", 0.8);
     let said = homes(&mut r, 1000)[0];
-    r.delta(Entry { born_ms: r.now - 60_000.0, ..entry("c1:1", 1, 0) });
+    r.delta(Entry { started_ms: r.now - 60_000.0, ..entry("c1:1", 1, 0) });
     assert!(homes(&mut r, 1000)[0] > 2 * said);
 }
 
--- a/crates/fernslip/tests/rules.rs
+++ b/crates/fernslip/tests/rules.rs
@@ -66,7 +66,7 @@
 #[test]
 fn a_cache_in_slow_start_gets_no_more_than_its_budget_in_a_burst() {
     let mut r = Rig::new();
-    r.delta(Entry { born_ms: r.now, ..entry("c1:1", 1, 0) });
+    r.delta(Entry { started_ms: r.now, ..entry("c1:1", 1, 0) });
     // 0.2 of weight 10, times 4, for 1 s: 8 s of sending at the most, at 0.1 s each; attempts stay open.
     let n = (0..2000).filter_map(|o| sent(&r.request(o))).filter(|s| s.cache == "c1:1").count();
     assert!(n as f64 * 0.1 <= 8.0, "{n} attempts");
@@ -75,7 +75,7 @@
 #[test]
 fn a_parent_in_slow_start_is_spared_also_by_rejected_fills() {
     let mut r = Rig::new();
-    r.delta(Entry { born_ms: r.now, ..entry("p1:1", 0, 1) });
+    r.delta(Entry { started_ms: r.now, ..entry("p1:1", 0, 1) });
     // 0.1 of weight 10, times 2, for 1 s, shared by two routers: 1 s of sending, ten fills.
     let (mut to_cold, mut to_other) = (0, 0);
     for o in 0..300 {
@@ -161,7 +161,7 @@
     let mut r = Rig::new();
     let home = r.serve(1, 2).cache;
     r.now += 100.0;
-    r.delta(Entry { born_ms: r.now, ..entry(&home, 1, 0) });
+    r.delta(Entry { started_ms: r.now, ..entry(&home, 1, 0) });
     r.now += 20_000.0;
     let s = r.serve(1, 1);
     assert!(s.source.starts_with('p'));
@@ -378,7 +378,7 @@
         let mut all: Vec<Rig> = (0..routers)
             .map(|slot| {
                 let mut r = Rig::with(Settings { slot, ..set.clone() });
-                let cold = |e: Entry| if &*e.cache.0 == "p1:1" { Entry { born_ms: born, ..e } } else { e };
+                let cold = |e: Entry| if &*e.cache.0 == "p1:1" { Entry { started_ms: born, ..e } } else { e };
                 r.update_endpoints(fleet().into_iter().map(cold).collect());
                 r
             })
--- a/crates/fernslip/tests/slow_start.rs
+++ b/crates/fernslip/tests/slow_start.rs
@@ -72,16 +72,17 @@
 
 /// The machines; where weights are not told each is listed with 1.
 fn list(zones: usize, told: bool, started: bool) -> Vec<Entry> {
-    let born_ms = if started { BORN } else { 0.0 };
+    let started_ms = if started { BORN } else { 0.0 };
     let mut all = Vec::new();
     for z in 1..=zones {
         all.extend(
-            (0..BOXES).map(|b| Entry { born_ms: if z == 1 { born_ms } else { 0.0 }, ..cache_entry(z, b) }),
+            (0..BOXES)
+                .map(|b| Entry { started_ms: if z == 1 { started_ms } else { 0.0 }, ..cache_entry(z, b) }),
         );
     }
     let parent = Entry { weight: PARENT * zones as f64, ..entry("p1:1", 0, 1) };
-    all.push(Entry { born_ms, ..parent.clone() });
-    all.extend(["p2:1", "p3:1"].map(|p| Entry { cache: p.into(), born_ms, ..parent.clone() }));
+    all.push(Entry { started_ms, ..parent.clone() });
+    all.extend(["p2:1", "p3:1"].map(|p| Entry { cache: p.into(), started_ms, ..parent.clone() }));
     all.push(Entry { weight: 60.0 * zones as f64, ..entry("o1:1", 0, 2) });
     if !told {
         all.iter_mut().for_each(|e| e.weight = 1.0);
--- a/crates/fernslip/tests/weights.rs
+++ b/crates/fernslip/tests/weights.rs
@@ -75,7 +75,7 @@
         open.iter().zip(took).for_each(|(s, t)| drop(r.end_after(s, 0, (Ending::Completed, 1), t)));
     }
     r.now += 2_000.0;
-    r.delta(Entry { weight: 1.0, born_ms: r.now, ..entry("c1:1", 1, 0) });
+    r.delta(Entry { weight: 1.0, started_ms: r.now, ..entry("c1:1", 1, 0) });
     // Links of 10 transfers: what fits in time goes there, and never more than its budget: a fifth of 10, times 4, for
     // 1 s are 8 s of sending, 0.1 s each. Attempts stay open.
     let to_cold = (0..2000).filter_map(|o| sent(&r.request(o))).filter(|s| s.cache == "c1:1").count();
@@ -95,7 +95,7 @@
     r.update_endpoints(
         fleet()
             .into_iter()
-            .map(|e| Entry { weight: 1.0, born_ms: if e.kind == Some(0) { born } else { 0.0 }, ..e })
+            .map(|e| Entry { weight: 1.0, started_ms: if e.kind == Some(0) { born } else { 0.0 }, ..e })
             .collect(),
     );
     // Links of 10 transfers when warm. A request of 200 ms of sending every 20 ms: 3.3 transfers each.
--- a/crates/front/src/control/discovery_watch.rs
+++ b/crates/front/src/control/discovery_watch.rs
@@ -64,16 +64,17 @@
     if let Some(gossip) = &front.gossip {
         // Starts in Unix time: all fronts must name a node by the same start.
         let starts = nodes.iter().map(|ListedNode { entry, .. }| {
-            (entry.cache.clone(), Some(entry.born_ms).filter(|_| entry.phase != Phase::Out))
+            (entry.cache.clone(), Some(entry.started_ms).filter(|_| entry.phase != Phase::Out))
         });
         gossip.news(front.queues.all(), full, starts.collect());
     }
     let mut entries = Vec::new();
     for ListedNode { mut entry, addr } in nodes {
-        entry.born_ms = front.bus.starts.module_time(&front.wall_clock, &entry.cache, entry.born_ms, since);
+        entry.started_ms =
+            front.bus.starts.module_time(&front.wall_clock, &entry.cache, entry.started_ms, since);
         match (entry.phase, addr) {
             (Phase::Out, _) => front.upstream.remove_node(&entry.cache),
-            (_, Some(addr)) => front.upstream.add_node(entry.cache.clone(), addr, entry.born_ms),
+            (_, Some(addr)) => front.upstream.add_node(entry.cache.clone(), addr, entry.started_ms),
             (_, None) => tracing::warn!("bus: {} has no address", entry.cache.0),
         }
         entries.push(entry);
--- a/crates/front/src/control/watch_event.rs
+++ b/crates/front/src/control/watch_event.rs
@@ -8,7 +8,7 @@
 /// A cache node of an endpoint-list event.
 #[derive(Clone, Debug)]
 pub struct ListedNode {
-    /// The node's entry; its `born_ms` is Unix time until the event is applied.
+    /// The node's entry; its `started_ms` is Unix time until the event is applied.
     pub entry: Entry,
     /// Where the node listens; `None`: the event has no usable address for it.
     pub addr: Option<SocketAddr>,
@@ -62,7 +62,7 @@
         zone: index_of(&names.zones, &node["zone"]),
         kind: index_of(&names.kinds, &node["kind"]),
         cell: node["cell"].as_i64().unwrap_or(0),
-        born_ms: json::opt(node, "started_ms")?,
+        started_ms: json::opt(node, "started_ms")?,
         phase: match json::text(node, "state")? {
             "Ready" => Phase::In,
             "Terminating" => Phase::Draining,
--- a/crates/front/src/control/watch_event/tests.rs
+++ b/crates/front/src/control/watch_event/tests.rs
@@ -30,7 +30,7 @@
         resolved,
         [(Phase::In, Some(0), Some(80)), (Phase::Draining, None, None), (Phase::Out, Some(0), Some(80))]
     );
-    assert_eq!((nodes[0].entry.weight, nodes[0].entry.born_ms, nodes[0].entry.kind), (2.0, 5.0, Some(0)));
+    assert_eq!((nodes[0].entry.weight, nodes[0].entry.started_ms, nodes[0].entry.kind), (2.0, 5.0, Some(0)));
 }
 
 #[test]
--- a/crates/front/src/control/watch_history.rs
+++ b/crates/front/src/control/watch_history.rs
@@ -85,7 +85,7 @@
         for ListedNode { entry, .. } in nodes {
             match entry.phase {
                 Phase::In => drop(self.draining.remove(&entry.cache)),
-                _ => drop(self.draining.insert(entry.cache.clone(), entry.born_ms)),
+                _ => drop(self.draining.insert(entry.cache.clone(), entry.started_ms)),
             }
         }
     }
@@ -176,7 +176,7 @@
     /// The complete endpoint list that a replay amounts to; nodes known to be draining stay so unless they have restarted.
     fn list_of_replay(&self, collected: BTreeMap<CacheId, ListedNode>) -> WatchEvent {
         let still_drains =
-            |e: &Entry| self.draining.get(&e.cache).is_some_and(|started| *started >= e.born_ms);
+            |e: &Entry| self.draining.get(&e.cache).is_some_and(|started| *started >= e.started_ms);
         let present = collected.into_values().filter(|n| n.entry.phase != Phase::Out);
         let nodes = present.map(|ListedNode { entry, addr }| {
             let drains = entry.phase == Phase::In && still_drains(&entry);
--- a/crates/front/src/upstream/dispatch_queues/endpoint_updates.rs
+++ b/crates/front/src/upstream/dispatch_queues/endpoint_updates.rs
@@ -99,7 +99,7 @@
                     Phase::Draining => Notified::Draining,
                     Phase::Out => Notified::Removed,
                 };
-                let (id, started_ms) = (entry.cache.0.clone(), entry.born_ms);
+                let (id, started_ms) = (entry.cache.0.clone(), entry.started_ms);
                 queue.feed(clock, Event::Notified { id, state, started_ms });
             }
         }
@@ -114,7 +114,7 @@
         zone: member.zone,
         kind: member.kind,
         cell: 0,
-        born_ms: started_ms,
+        started_ms,
         phase: match member.state {
             State::Draining => Phase::Draining,
             State::Stopped => Phase::Out,
--- a/crates/front/src/upstream/dispatch_queues/tests.rs
+++ b/crates/front/src/upstream/dispatch_queues/tests.rs
@@ -9,9 +9,9 @@
     fernslip::json::settings(&v["settings"]).expect("settings")
 }
 
-fn entry(name: &str, zone: usize, kind: Option<usize>, born_ms: f64) -> Entry {
+fn entry(name: &str, zone: usize, kind: Option<usize>, started_ms: f64) -> Entry {
     let (zone, cell, weight, phase) = (Some(zone), 0, 20.0, Phase::In);
-    Entry { cache: name.into(), weight, zone, kind, cell, born_ms, phase }
+    Entry { cache: name.into(), weight, zone, kind, cell, started_ms, phase }
 }
 
 /// Guards a parent that warms up against the queues of one front: each has a module of its own, which knows of no other.
--- a/crates/front/src/upstream/node_registry.rs
+++ b/crates/front/src/upstream/node_registry.rs
@@ -37,7 +37,7 @@
             zone: node.and_then(|n| n.zone),
             kind: node.and_then(|n| n.kind),
             cell: node.map_or(0, |n| n.cell),
-            born_ms: endpoint.started_ms,
+            started_ms: endpoint.started_ms,
             phase: match endpoint.phase {
                 Phase::Serving => fernslip::Phase::In,
                 Phase::Draining => fernslip::Phase::Draining,
--- a/crates/gossip/examples/liar.rs
+++ b/crates/gossip/examples/liar.rs
@@ -127,7 +127,7 @@
                 zone: Some(zone),
                 kind: Some(kind),
                 cell: 0,
-                born_ms: 0.0,
+                started_ms: 0.0,
                 phase: Phase::In,
             };
             let mut entries: Vec<Entry> = (0..BOXES).map(|b| entry(name(b), 1, 0)).collect();
