--- a/crates/site/src/model/class.rs
+++ b/crates/site/src/model/class.rs
@@ -2,9 +2,10 @@
 
 use super::keyword::Effect;
 use serde::Serialize;
+use std::fmt;
 
 /// A class of requests.
-#[derive(Clone, Debug, PartialEq, Serialize)]
+#[derive(Clone, PartialEq, Serialize)]
 pub struct Class {
     /// Its name.
     pub name: String,
@@ -31,3 +32,22 @@
     /// How long a stale copy may still be served.
     pub grace_ms: Option<u64>,
 }
+
+/// With the document's keys as field names: fronts hash this form to compare their configurations, also with fronts of
+/// earlier versions.
+impl fmt::Debug for Class {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Class")
+            .field("name", &self.name)
+            .field("aim_ms", &self.latency_objective_ms)
+            .field("aim_stretch", &self.objective_stretch)
+            .field("deadline_ms", &self.deadline_ms)
+            .field("worth", &self.priority_weight)
+            .field("late_worth", &self.late_weight)
+            .field("effect", &self.effect)
+            .field("write", &self.write)
+            .field("fresh_ms", &self.fresh_ms)
+            .field("grace_ms", &self.grace_ms)
+            .finish()
+    }
+}
--- a/crates/site/src/model/pool.rs
+++ b/crates/site/src/model/pool.rs
@@ -2,6 +2,7 @@
 
 use super::keyword::State;
 use serde::Serialize;
+use std::fmt;
 
 /// The membership of one member in a pool.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -47,7 +48,7 @@
 }
 
 /// When a member is ejected, and how it recovers.
-#[derive(Clone, Debug, Default, PartialEq, Serialize)]
+#[derive(Clone, Default, PartialEq, Serialize)]
 pub struct Recovery {
     /// Consecutive failures after which it is ejected.
     pub failures: Option<u64>,
@@ -61,6 +62,19 @@
     pub fail_on: Vec<u16>,
 }
 
+/// With the document's keys as field names: fronts hash this form to compare their configurations, also with fronts of
+/// earlier versions.
+impl fmt::Debug for Recovery {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Recovery")
+            .field("failures", &self.failures)
+            .field("first_ms", &self.first_backoff_ms)
+            .field("most_ms", &self.max_backoff_ms)
+            .field("fail_on", &self.fail_on)
+            .finish()
+    }
+}
+
 /// A group of interchangeable members.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Pool {
