--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -1,4 +1,4 @@
-//! The wire's names and shapes.
+//! The simulator's messages as events and actions: the wire's names and shapes.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -54,68 +54,79 @@
 }
 
 /// An event of one instance; `rows` is the roster it may refer to.
-pub fn event(cmd: &str, v: &Value, rows: &Value, names: &Names) -> Got<Event> {
-    let id = || hex(v, "call").map(RequestId);
-    Ok(match cmd {
-        "FLEET" => {
-            let kind = match text(v, "mode")? {
-                "delta" => ListKind::Delta,
-                "full" => ListKind::Full,
-                "cached" => ListKind::Cached,
-                "failed" => ListKind::Failed,
-                other => return Err(unknown("mode", other)),
-            };
-            let entries = if kind == ListKind::Failed { Vec::new() } else { entries(rows, names)? };
-            Event::Endpoints { kind, entries }
-        }
-        "JOB_IN" => {
-            let lane = text(v, "lane")?;
-            Event::Request(Request {
-                id: id()?,
-                object: ObjectId(if v["content_id"].is_string() { hex(v, "content_id")? } else { 0 }),
-                part: opt(v, "range_no")? as u32,
-                class: names.classes.iter().position(|c| c == lane).ok_or_else(|| unknown("lane", lane))?,
-                size_kb: opt(v, "size_kb")?,
-                budget_ms: num(v, "time_budget_ms")?,
-                group: opt(v, "purge_group")? as u64,
-            })
-        }
-        "OPENED" => Event::Opened { id: id()?, attempt: num(v, "try")? as u32 },
-        "CLOSED_ATTEMPT" => Event::Outcome(Outcome {
-            id: id()?,
-            attempt: num(v, "try")? as u32,
-            cache: cache(v, "cache")?,
-            ending: ending(v)?,
-            elapsed_ms: opt(v, "spent_ms")?,
-            over: v["over"].as_bool().unwrap_or(false),
-            detail: opt(v, "detail")? as u8,
-            fill_wait_ms: opt(v, "fill_wait_ms")?,
-            reported_in_flight: names
-                .reports
-                .iter()
-                .position(|n| IN_FLIGHT_NAMES.contains(&n.as_str()))
-                .and_then(|i| v["stats"].get(i)?.as_f64()),
-        }),
-        "WITHDRAWN" => Event::Cancelled { id: id()? },
+pub fn event(command: &str, v: &Value, rows: &Value, names: &Names) -> Got<Event> {
+    Ok(match command {
+        "FLEET" => endpoints(v, rows, names)?,
+        "JOB_IN" => Event::Request(request(v, names)?),
+        "OPENED" => Event::Opened { id: request_id(v)?, attempt: num(v, "try")? as u32 },
+        "CLOSED_ATTEMPT" => Event::Outcome(outcome(v, names)?),
+        "WITHDRAWN" => Event::Cancelled { id: request_id(v)? },
         "WAKEUP" => Event::Timer { token: v["handle"].as_u64().unwrap_or(0) },
         "CHECK_RESULT" => Event::HealthChecked { cache: cache(v, "cache")?, ending: ending(v)? },
-        "MEMO" => Event::PeerMessage {
-            from: num(v, "who")? as u32,
-            data: STANDARD
-                .decode(text(v, "raw")?)
-                .map_err(|_| JsonError::Field { key: "raw".into(), wanted: "no base64" })?,
-        },
-        "REPLACED" => {
-            let object = match v["content_id"].as_str() {
-                Some(_) => Some(hex(v, "content_id")?).filter(|&o| o != 0).map(ObjectId),
-                None => None,
-            };
-            Event::Purged { object, group: opt(v, "batch_id")? as u64, age_ms: opt(v, "age_span_ms")? }
-        }
+        "MEMO" => Event::PeerMessage { from: num(v, "who")? as u32, data: message(v)? },
+        "REPLACED" => purge(v)?,
         other => return Err(unknown("cmd", other)),
     })
 }
 
+fn request_id(v: &Value) -> Got<RequestId> {
+    hex(v, "call").map(RequestId)
+}
+
+fn endpoints(v: &Value, rows: &Value, names: &Names) -> Got<Event> {
+    let kind = match text(v, "mode")? {
+        "delta" => ListKind::Delta,
+        "full" => ListKind::Full,
+        "cached" => ListKind::Cached,
+        "failed" => ListKind::Failed,
+        other => return Err(unknown("mode", other)),
+    };
+    let entries = if kind == ListKind::Failed { Vec::new() } else { entries(rows, names)? };
+    Ok(Event::Endpoints { kind, entries })
+}
+
+fn request(v: &Value, names: &Names) -> Got<Request> {
+    let class = text(v, "lane")?;
+    Ok(Request {
+        id: request_id(v)?,
+        object: ObjectId(if v["content_id"].is_string() { hex(v, "content_id")? } else { 0 }),
+        part: opt(v, "range_no")? as u32,
+        class: names.classes.iter().position(|c| c == class).ok_or_else(|| unknown("lane", class))?,
+        size_kb: opt(v, "size_kb")?,
+        budget_ms: num(v, "time_budget_ms")?,
+        group: opt(v, "purge_group")? as u64,
+    })
+}
+
+fn outcome(v: &Value, names: &Names) -> Got<Outcome> {
+    let in_flight = names.reports.iter().position(|n| IN_FLIGHT_NAMES.contains(&n.as_str()));
+    Ok(Outcome {
+        id: request_id(v)?,
+        attempt: num(v, "try")? as u32,
+        cache: cache(v, "cache")?,
+        ending: ending(v)?,
+        elapsed_ms: opt(v, "spent_ms")?,
+        over: v["over"].as_bool().unwrap_or(false),
+        detail: opt(v, "detail")? as u8,
+        fill_wait_ms: opt(v, "fill_wait_ms")?,
+        reported_in_flight: in_flight.and_then(|i| v["stats"].get(i)?.as_f64()),
+    })
+}
+
+fn message(v: &Value) -> Got<Vec<u8>> {
+    let decoded = STANDARD.decode(text(v, "raw")?);
+    decoded.map_err(|_| JsonError::Field { key: "raw".into(), wanted: "no base64" })
+}
+
+fn purge(v: &Value) -> Got<Event> {
+    // 0 names no object: the whole group is purged.
+    let object = match v["content_id"].as_str() {
+        Some(_) => Some(hex(v, "content_id")?).filter(|&id| id != 0).map(ObjectId),
+        None => None,
+    };
+    Ok(Event::Purged { object, group: opt(v, "batch_id")? as u64, age_ms: opt(v, "age_span_ms")? })
+}
+
 /// An action of one instance.
 pub fn action(instance: i64, action: Action) -> Value {
     let hex = |id: RequestId| format!("{:016x}", id.0);
--- a/crates/fernslip/benches/decide.rs
+++ b/crates/fernslip/benches/decide.rs
@@ -25,8 +25,8 @@
 /// As [`rig`], with a tenth of the caches (at least one) started a second ago.
 fn slow_start_rig(caches: usize) -> Rig {
     let mut rig = Rig::with(settings());
-    let born = rig.now - 1000.0;
-    rig.update_endpoints(wide_fleet(caches, caches.div_ceil(10), born));
+    let started_ms = rig.now - 1000.0;
+    rig.update_endpoints(wide_fleet(caches, caches.div_ceil(10), started_ms));
     rig
 }
 
--- a/crates/fernslip/src/bandwidth/tests.rs
+++ b/crates/fernslip/src/bandwidth/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 
 /// `open` transfers of `work_ms` at a time over a link that carries `width`.
-fn record_answers(w: &mut Bandwidth, width: f64, open: f64, answers: usize) {
+fn record_answers(w: &mut Bandwidth, bandwidth: f64, open: f64, answers: usize) {
     for n in 0..answers {
         let work = 50.0 + 100.0 * (n % 5) as f64;
-        w.record_answer(work, work * (open / width).max(1.0) + 8.0, 10.0, open);
+        w.record_answer(work, work * (open / bandwidth).max(1.0) + 8.0, 10.0, open);
     }
 }
 
 #[test]
 fn a_saturated_link_shows_its_bandwidth() {
-    for width in [1.0, 3.0, 9.0, 40.0] {
+    for bandwidth in [1.0, 3.0, 9.0, 40.0] {
         let mut w = Bandwidth::default();
-        record_answers(&mut w, width, 2.0 * width, 60);
-        assert!(w.saturated && (w.capacity / width - 1.0).abs() < 0.1, "{width}: {w:?}");
+        record_answers(&mut w, bandwidth, 2.0 * bandwidth, 60);
+        assert!(w.saturated && (w.capacity / bandwidth - 1.0).abs() < 0.1, "{bandwidth}: {w:?}");
     }
 }
 
--- a/crates/fernslip/src/slow_start/tests.rs
+++ b/crates/fernslip/src/slow_start/tests.rs
@@ -7,8 +7,11 @@
         for age in (0..12_000).step_by(130).map(f64::from) {
             let all: u32 = (0..routers).map(|k| w.tokens(age, 1500.0, 300.0, k, routers)).sum();
             let since = if age < 1500.0 { 0.0 } else { w.budget_until(age - 1500.0) };
-            let due = (w.budget_until(age) - since) / 300.0;
-            assert!((f64::from(all) - due).abs() <= 1.0 + 1e-9, "{routers} at {age}: {all}, due {due}");
+            let expected = (w.budget_until(age) - since) / 300.0;
+            assert!(
+                (f64::from(all) - expected).abs() <= 1.0 + 1e-9,
+                "{routers} at {age}: {all}, due {expected}"
+            );
         }
     }
 }
--- a/crates/fernslip/src/source_throttle/tests.rs
+++ b/crates/fernslip/src/source_throttle/tests.rs
@@ -7,17 +7,17 @@
     t.record_end(0.0, false);
     assert_eq!(t.throttled_fraction(0.0), 0.0, "one says nothing");
     // Fifty a second are wanted; the source takes ten.
-    let (mut asked, mut taken) = (0, 0);
+    let (mut requested, mut accepted) = (0, 0);
     for n in 0..1_000u64 {
         let now = 20.0 * n as f64;
         if t.should_throttle(now, crate::rendezvous::mix(n)) {
             t.record_throttled(now, true);
         } else {
-            let takes = taken as f64 <= now / 100.0;
-            t.record_end(now, takes);
-            (asked, taken) = (asked + 1, taken + u32::from(takes));
+            let accepts = accepted as f64 <= now / 100.0;
+            t.record_end(now, accepts);
+            (requested, accepted) = (requested + 1, accepted + u32::from(accepts));
         }
     }
-    assert!(asked < 2 * taken && taken > 190, "{asked} asked, {taken} taken");
+    assert!(requested < 2 * accepted && accepted > 190, "{requested} asked, {accepted} taken");
     assert_eq!(t.throttled_fraction(60_000.0), 0.0, "it is forgotten");
 }
--- a/crates/fernslip/tests/common/deployment.rs
+++ b/crates/fernslip/tests/common/deployment.rs
@@ -130,7 +130,7 @@
 
 /// What came of a day.
 #[derive(Clone, Debug, Default)]
-pub struct Day {
+pub struct RunReport {
     pub requests: u32,
     pub rejected: u32,
     pub failed: u32,
@@ -138,7 +138,7 @@
     pub served_ms: f64,
     /// By cache: what it sent over what it could send.
     pub used: Vec<f64>,
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     pub log: Vec<String>,
 }
 
--- a/crates/fernslip/tests/common/mod.rs
+++ b/crates/fernslip/tests/common/mod.rs
@@ -206,9 +206,9 @@
 }
 
 /// `caches` caches of the location, the first `cold` of them started at `started_ms`, two parents and an origin.
-pub fn wide_fleet(caches: usize, cold: usize, started_ms: f64) -> Vec<Entry> {
+pub fn wide_fleet(caches: usize, in_slow_start: usize, started_ms: f64) -> Vec<Entry> {
     let mut all: Vec<Entry> = (0..caches).map(|i| entry(&format!("c{i}:1"), 1, 0)).collect();
-    all.iter_mut().take(cold).for_each(|e| e.started_ms = started_ms);
+    all.iter_mut().take(in_slow_start).for_each(|e| e.started_ms = started_ms);
     all.extend(["p1:1", "p2:1"].iter().map(|n| entry(n, 0, 1)));
     all.push(entry("o1:1", 0, 2));
     all
--- a/crates/fernslip/tests/common/simulation.rs
+++ b/crates/fernslip/tests/common/simulation.rs
@@ -1,6 +1,6 @@
 //! A small deterministic world round the real router: one location of caches with shared links, parents and an origin,
 //! stepped in time. Links are shared evenly among their transfers; a fill occupies every link on its way.
-use super::deployment::{Day, Deployment, Draw, Kind};
+use super::deployment::{Deployment, Draw, Kind, RunReport};
 use super::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -29,7 +29,7 @@
 }
 
 struct TrackedRequest {
-    ask: Request,
+    request: Request,
     due: f64,
     attempts: u32,
     out: bool,
@@ -75,7 +75,7 @@
     notified_purge: BTreeMap<(u32, u64), (f64, f64)>,
     sends: Vec<Vec<(f64, f64)>>,
     ids: u64,
-    day: Day,
+    report: RunReport,
 }
 
 impl World {
@@ -87,11 +87,11 @@
             let weight = if d.weights { (w * 2.0).round() / 2.0 + 0.01 } else { 1.0 };
             list.push(Entry { weight, ..entry(&format!("c{n}:1"), 1, 0) });
         }
-        let told = |w: f64| if d.weights { w } else { 1.0 };
+        let listed = |w: f64| if d.weights { w } else { 1.0 };
         (0..d.parents).for_each(|p| {
-            list.push(Entry { weight: told(d.parent_bandwidth), ..entry(&format!("p{p}:1"), 0, 1) })
+            list.push(Entry { weight: listed(d.parent_bandwidth), ..entry(&format!("p{p}:1"), 0, 1) })
         });
-        list.push(Entry { weight: told(d.origin_bandwidth), ..entry("o0:1", 0, 2) });
+        list.push(Entry { weight: listed(d.origin_bandwidth), ..entry("o0:1", 0, 2) });
         let names: Vec<CacheId> = list.iter().map(|e| e.cache.clone()).collect();
         let one =
             |slot| Router::new(Settings { slot, ..d.set.clone() }, d.seed ^ u64::from(slot)).expect("sound");
@@ -103,7 +103,7 @@
             cached: vec![BTreeMap::new(); names.len()],
             started: vec![0.0; names.len()],
             sends: vec![Vec::new(); names.len()],
-            day: Day { used: vec![0.0; caches], ..Day::default() },
+            report: RunReport { used: vec![0.0; caches], ..RunReport::default() },
             d: d.clone(),
             names,
             flows: Vec::new(),
@@ -134,7 +134,7 @@
     }
 
     fn break_rule(&mut self, what: String) {
-        self.day.broken.push(format!("{:.0} ms: {what}", self.now - self.start));
+        self.report.violations.push(format!("{:.0} ms: {what}", self.now - self.start));
     }
 
     /// What a link carries now: those of machines that warm up less. After the machines comes the location's link.
@@ -147,8 +147,12 @@
             _ => self.d.link_in,
         };
         let age = (self.now - self.started.get(link).copied().unwrap_or(0.0)) / self.d.set.slow_start_ms;
-        let cold = link < caches && self.started[link] > 0.0 && age < 1.0;
-        full * if cold { self.d.set.slow_start_from + (1.0 - self.d.set.slow_start_from) * age } else { 1.0 }
+        let warming_up = link < caches && self.started[link] > 0.0 && age < 1.0;
+        full * if warming_up {
+            self.d.set.slow_start_from + (1.0 - self.d.set.slow_start_from) * age
+        } else {
+            1.0
+        }
     }
 
     fn handle(&mut self, r: u32, event: Event) {
@@ -173,7 +177,9 @@
                         .filter(|&to| to != r)
                         .for_each(|to| self.post(r, to, data.clone()));
                 }
-                Action::Log(line) => self.day.log.push(format!("{:.0} [{r}] {line}", self.now - self.start)),
+                Action::Log(line) => {
+                    self.report.log.push(format!("{:.0} [{r}] {line}", self.now - self.start))
+                }
                 _ => {}
             }
         }
@@ -189,14 +195,14 @@
         }
     }
 
-    fn answer(&mut self, id: RequestId, count: impl Fn(&mut Day)) {
+    fn answer(&mut self, id: RequestId, count: impl Fn(&mut RunReport)) {
         let counts = id.0 > 0 && self.now >= self.start + WARM_UP_MS;
         let a = self.requests.get_mut(&id).expect("asked");
         a.answers += 1;
         if a.answers > 1 {
             self.break_rule(format!("{id:?} is answered twice"));
         } else if counts {
-            count(&mut self.day);
+            count(&mut self.report);
         }
     }
 
@@ -217,7 +223,7 @@
         let (caches, n) = (self.d.bandwidths.len(), self.names.len());
         let a = self.requests.get_mut(&id).expect("asked");
         let (attempt, key, class, work) =
-            (a.attempts, (a.ask.object.0, a.ask.part), a.ask.class, a.ask.size_kb);
+            (a.attempts, (a.request.object.0, a.request.part), a.request.class, a.request.size_kb);
         let work = work / self.d.set.stream_kb_per_s * 1000.0;
         let (was_out, answered) = (std::mem::replace(&mut a.out, true), a.answers);
         a.attempts += 1;
@@ -285,7 +291,7 @@
         }
         let joins = join && self.d.set.joins;
         let under_way =
-            |f: &&Flow| f.cache == c && f.links.len() > 1 && self.requests[&f.id].ask.object.0 == key.0;
+            |f: &&Flow| f.cache == c && f.links.len() > 1 && self.requests[&f.id].request.object.0 == key.0;
         if let Some(created) = good(self.cached[c].get(&key)).filter(|_| !write) {
             flow.created = created;
         } else if let Some(f) =
@@ -325,7 +331,7 @@
         self.flows.push(flow);
     }
 
-    fn ask(&mut self, r: u32) {
+    fn request(&mut self, r: u32) {
         self.ids += 1;
         let (id, dice) = (RequestId(self.ids), self.draw.unit());
         // Zipf's law, roughly: as many requests for objects 1 to 4 as for 4 to 16.
@@ -336,15 +342,15 @@
         let size = Draw(object ^ self.d.seed).log(0.125, 3.0) * 0.9 * [1.5, 0.5, 0.2][class];
         let size_kb = size * self.d.work_ms / 1000.0 * self.d.set.stream_kb_per_s;
         let budget_ms = self.d.set.classes[class].deadline_ms;
-        let ask =
+        let request =
             Request { id, object: ObjectId(object), part: 0, class, size_kb, budget_ms, group: object % 32 };
         let due = self.now + budget_ms;
         self.requests.insert(
             id,
-            TrackedRequest { ask: ask.clone(), due, attempts: 0, out: false, answers: 0, ran: 0 },
+            TrackedRequest { request: request.clone(), due, attempts: 0, out: false, answers: 0, ran: 0 },
         );
-        self.day.requests += u32::from(self.now >= self.start + WARM_UP_MS);
-        self.handle(r, Event::Request(ask));
+        self.report.requests += u32::from(self.now >= self.start + WARM_UP_MS);
+        self.handle(r, Event::Request(request));
     }
 
     fn dues(&mut self) {
@@ -397,18 +403,18 @@
     fn flow(&mut self) {
         let n = self.names.len();
         let bandwidths: Vec<f64> = (0..=n).map(|l| self.bandwidth(l)).collect();
-        let mut crowd = vec![0.0; n + 1];
+        let mut load = vec![0.0; n + 1];
         let active = |f: &&Flow| f.starts <= self.now;
-        self.flows.iter().filter(active).for_each(|f| f.links.iter().for_each(|&l| crowd[l] += 1.0));
+        self.flows.iter().filter(active).for_each(|f| f.links.iter().for_each(|&l| load[l] += 1.0));
         let counts = self.now >= self.start + WARM_UP_MS;
         let mut ended = Vec::new();
         for (i, f) in self.flows.iter_mut().enumerate() {
             if f.starts <= self.now {
-                let share = f.links.iter().map(|&l| bandwidths[l] / crowd[l]).fold(f.top, f64::min);
+                let share = f.links.iter().map(|&l| bandwidths[l] / load[l]).fold(f.top, f64::min);
                 let sent = (share * STEP_MS).min(f.remaining);
                 f.remaining -= sent;
                 if counts {
-                    self.day.used[f.cache] += sent / bandwidths[f.cache];
+                    self.report.used[f.cache] += sent / bandwidths[f.cache];
                 }
             }
             if f.remaining <= 1e-9 || self.now >= f.until || f.cancelled {
@@ -426,7 +432,7 @@
                 () => Ending::Completed,
             };
             let (over, key, size, class) =
-                (ending == Ending::Completed, (a.ask.object.0, 0), a.ask.size_kb, a.ask.class);
+                (ending == Ending::Completed, (a.request.object.0, 0), a.request.size_kb, a.request.class);
             if over {
                 let work = size / self.d.set.stream_kb_per_s * 1000.0;
                 self.answer(f.id, |d| d.served_ms += work);
@@ -498,7 +504,7 @@
     }
 
     /// Plays a day of `ms` after a time to warm up, with `load` times what the caches' links can send in all.
-    pub fn run(mut self, load: f64, ms: f64, kind: Kind) -> Day {
+    pub fn run(mut self, load: f64, ms: f64, kind: Kind) -> RunReport {
         let total: f64 = self.d.bandwidths.iter().sum();
         // Of the work that is drawn: the mean of the sizes over both classes, and the rare writes.
         let mean = (0..4_000)
@@ -514,7 +520,7 @@
             while next <= self.now && self.now < end {
                 next += -(1.0 - self.draw.unit()).ln() / rate;
                 let r = self.draw.next() % self.routers.len() as u64;
-                self.ask(r as u32);
+                self.request(r as u32);
             }
             if kind == Kind::Faults && !warm {
                 self.inject_faults(ms);
@@ -536,9 +542,9 @@
                 self.requests.retain(|_, a| a.answers == 0 || a.out);
             }
         }
-        self.day.used.iter_mut().for_each(|u| *u /= ms);
+        self.report.used.iter_mut().for_each(|u| *u /= ms);
         self.check_slow_start();
-        self.day
+        self.report
     }
 
     /// No window that begins with a send to a cache that started cold holds more work than it stands then.
@@ -562,7 +568,7 @@
                 // One large request in a window is chance.
                 if requests > stands.max(4.0 * self.d.work_ms) {
                     let what = format!("{} is pushed over: {requests:.0} ms of {stands:.0}", self.names[c].0);
-                    self.day.broken.push(what);
+                    self.report.violations.push(what);
                     break;
                 }
             }
--- a/crates/fernslip/tests/deployments.rs
+++ b/crates/fernslip/tests/deployments.rs
@@ -9,13 +9,13 @@
 mod simulation;
 
 use common::*;
-use deployment::{Day, Deployment, Kind};
+use deployment::{Deployment, Kind, RunReport};
 use fernslip::*;
 use simulation::World;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-const DAY_MS: f64 = 8_000.0;
+const RUN_MS: f64 = 8_000.0;
 /// Of the draws that CI plays, how many miss a figure today: fewer is better, more is a step back.
 const MISSED: usize = 13;
 
@@ -23,14 +23,15 @@
 fn faults(seed: u64) -> Vec<String> {
     let d = Deployment::draw(seed);
     let mut wrong = Vec::new();
-    let mut broken =
-        |name: &str, day: &Day| wrong.extend(day.broken.iter().take(3).map(|b| format!("{name}: {b}")));
-    let calm = World::new(&d).run(0.6, DAY_MS, Kind::Calm);
-    broken("calm", &calm);
-    let crowd = World::new(&d).run(1.5, DAY_MS, Kind::Calm);
-    broken("overload", &crowd);
-    let trouble = World::new(&d).run(0.6, DAY_MS, Kind::Faults);
-    broken("trouble", &trouble);
+    let mut violations = |name: &str, report: &RunReport| {
+        wrong.extend(report.violations.iter().take(3).map(|b| format!("{name}: {b}")))
+    };
+    let calm = World::new(&d).run(0.6, RUN_MS, Kind::Calm);
+    violations("calm", &calm);
+    let overload = World::new(&d).run(1.5, RUN_MS, Kind::Calm);
+    violations("overload", &overload);
+    let with_faults = World::new(&d).run(0.6, RUN_MS, Kind::Faults);
+    violations("trouble", &with_faults);
     let lost = f64::from(calm.rejected + calm.failed) / f64::from(calm.requests.max(1));
     if lost > 0.01 {
         wrong.push(format!("calm: {:.1} % refused", lost * 100.0));
@@ -41,15 +42,15 @@
         wrong
             .push(format!("calm: cache {c} is idle: {:.2} of its link, the mean is {mean:.2}", calm.used[c]));
     }
-    let carried = crowd.served_ms / DAY_MS / d.bandwidths.iter().sum::<f64>();
+    let carried = overload.served_ms / RUN_MS / d.bandwidths.iter().sum::<f64>();
     if carried < 0.8 {
-        let used = crowd.used.iter().sum::<f64>() / crowd.used.len() as f64;
-        let (rejected, failed) = (crowd.rejected, crowd.failed);
+        let used = overload.used.iter().sum::<f64>() / overload.used.len() as f64;
+        let (rejected, failed) = (overload.rejected, overload.failed);
         wrong.push(format!(
             "overload: {carried:.2} of what its links carry, {used:.2} used; of {} {rejected} refused, {failed} failed",
-            crowd.requests
+            overload.requests
         ));
-        wrong.extend(crowd.log.iter().filter(|l| l.contains("gave up")).rev().take(2).cloned());
+        wrong.extend(overload.log.iter().filter(|l| l.contains("gave up")).rev().take(2).cloned());
     }
     if !wrong.is_empty() {
         wrong.push(d.to_string());
@@ -97,8 +98,8 @@
 fn three_dozen_deployments() {
     let failed = run_all(0..36);
     let rules = |w: &&String| w.contains(" ms: ") || w.contains("pushed over");
-    let broken: Vec<_> = failed.iter().filter(|f| f.1.iter().any(|w| rules(&w))).collect();
-    assert!(broken.is_empty(), "{broken:#?}");
+    let violations: Vec<_> = failed.iter().filter(|f| f.1.iter().any(|w| rules(&w))).collect();
+    assert!(violations.is_empty(), "{violations:#?}");
     // Before capacity was learned 20 of these missed a figure.
     assert!(failed.len() <= MISSED, "{} of 36 draws miss a figure: {failed:#?}", failed.len());
 }
--- a/crates/fernslip/tests/facade.rs
+++ b/crates/fernslip/tests/facade.rs
@@ -49,7 +49,7 @@
     d
 }
 
-fn ask(id: u64) -> Request {
+fn request(id: u64) -> Request {
     let (object, budget_ms) = (ObjectId(9), 5000.0);
     Request { id: RequestId(id), object, part: 0, class: 0, size_kb: 100.0, budget_ms, group: 3 }
 }
@@ -78,7 +78,7 @@
 #[test]
 fn a_request_is_picked_retried_and_finished() {
     let d = ready();
-    let first = attempt(d.pick(1000.0, ask(1)));
+    let first = attempt(d.pick(1000.0, request(1)));
     assert!(first.source.is_some() && first.number == 0);
     let second = attempt(d.report(1050.0, ended(&first, Ending::Errored)));
     assert_eq!(second.number, 1);
@@ -93,7 +93,7 @@
 #[test]
 fn a_rejected_request_is_answered_at_once_with_a_retry_hint() {
     let d = ready();
-    let a = attempt(d.pick(1000.0, ask(1)));
+    let a = attempt(d.pick(1000.0, request(1)));
     match d.report(5999.0, ended(&a, Ending::Errored)) {
         Decision::Reject { retry_after_ms } => assert!(retry_after_ms > 0.0),
         other => panic!("{other:?}"),
@@ -104,15 +104,15 @@
 #[test]
 fn a_duplicate_id_is_rejected_and_the_first_request_keeps_its_answer() {
     let d = ready();
-    let a = attempt(d.pick(1000.0, ask(1)));
-    assert!(matches!(d.pick(1001.0, ask(1)), Decision::Reject { .. }));
+    let a = attempt(d.pick(1000.0, request(1)));
+    assert!(matches!(d.pick(1001.0, request(1)), Decision::Reject { .. }));
     assert!(matches!(d.report(1050.0, ended(&a, Ending::Completed)), Decision::Finished));
 }
 
 #[test]
 fn a_disconnected_clients_attempt_is_cancelled() {
     let d = ready();
-    let a = attempt(d.pick(1000.0, ask(1)));
+    let a = attempt(d.pick(1000.0, request(1)));
     d.client_disconnected(1010.0, a.id);
     assert!(a.cancelled.load(Ordering::Acquire), "also where the front has not begun with it");
     assert!(d.host().0.lock().unwrap().contains(&"cancel 1 0".to_string()));
@@ -123,7 +123,7 @@
 #[test]
 fn timers_cancel_attempts_at_a_silent_cache() {
     let d = ready();
-    let a = attempt(d.pick(1000.0, ask(1)));
+    let a = attempt(d.pick(1000.0, request(1)));
     let mut now = 1000.0;
     while !a.cancelled.load(Ordering::Acquire) {
         now = d.tick(now).expect("it looks for silent machines");
@@ -147,7 +147,7 @@
 fn an_attempt_outdated_by_a_purge_or_drain_is_not_begun() {
     let begins = |d: &Dispatcher<Notes>, a: &Attempt| d.is_in_service(a) && d.is_wanted(a);
     let d = ready();
-    let first = attempt(d.pick(1000.0, ask(1)));
+    let first = attempt(d.pick(1000.0, request(1)));
     assert!(begins(&d, &first));
     d.purged(1001.0, Some(ObjectId(10)), 0, 1.0);
     assert!(begins(&d, &first), "another object");
@@ -175,7 +175,7 @@
 fn a_node_included_while_the_list_drains_it_is_not_used() {
     for round in 0..300 {
         let d = ready();
-        let node = attempt(d.pick(1000.0, ask(1))).cache;
+        let node = attempt(d.pick(1000.0, request(1))).cache;
         assert!(d.exclude(1001.0, &node));
         let mut drains = fleet();
         drains.retain(|e| e.cache == node);
@@ -185,7 +185,7 @@
             threads.spawn(|| d.update_endpoints(1002.0, ListKind::Delta, drains));
         });
         for n in 2..6 {
-            let next = attempt(d.pick(1003.0, ask(n)));
+            let next = attempt(d.pick(1003.0, request(n)));
             assert_ne!(next.cache, node, "round {round}");
         }
     }
--- a/crates/fernslip/tests/failures.rs
+++ b/crates/fernslip/tests/failures.rs
@@ -63,7 +63,7 @@
 
 /// Incident "resets": one broken connection with many attempts is one failure.
 #[test]
-fn a_broken_connection_is_one_failure() {
+fn a_lost_connection_is_one_failure() {
     let mut r = Rig::new();
     let home = r.serve(1, 1).cache;
     let open: Vec<Sent> = (0..8).map(|_| sent(&r.request(1)).unwrap()).collect();
@@ -83,12 +83,12 @@
 fn an_outlier_is_ejected_and_comes_back() {
     let mut r = Rig::new();
     let home = r.serve(1, 1).cache;
-    let mut tries_at_home = 0;
+    let mut attempts_at_home = 0;
     for _ in 0..40 {
         r.now += 20.0;
         let s = sent(&r.request(1)).unwrap();
         if s.cache == home {
-            tries_at_home += 1;
+            attempts_at_home += 1;
             if let Some(again) = sent(&r.end(&s, 0, Ending::Errored, 0)) {
                 r.end(&again, 1, Ending::Completed, 1);
             }
@@ -96,7 +96,7 @@
             r.end(&s, 0, Ending::Completed, 1);
         }
     }
-    assert!(tries_at_home < 12, "{tries_at_home} of 40 went to the failing cache");
+    assert!(attempts_at_home < 12, "{attempts_at_home} of 40 went to the failing cache");
     for _ in 0..60 {
         r.now += 300.0;
         r.serve(1, 1);
@@ -139,19 +139,19 @@
 /// Incident "refused while caches idle": the fill limit rises fast while it is in use and no fill is late.
 #[test]
 fn the_fill_limit_rises_while_in_use_and_calm() {
-    let room = |r: &mut Rig, base: u64| {
+    let capacity = |r: &mut Rig, base: u64| {
         let open: Vec<Sent> = (0..400).map_while(|o| sent(&r.request(base + o))).collect();
         r.now += 60.0;
         open.iter().for_each(|s| drop(r.end(s, 0, Ending::Completed, 3)));
         open.len()
     };
     let mut r = Rig::new();
-    let first = room(&mut r, 10_000);
-    let second = room(&mut r, 20_000);
+    let first = capacity(&mut r, 10_000);
+    let second = capacity(&mut r, 20_000);
     assert!(second > first + 2, "{first} then {second}");
     let mut idle = Rig::new();
     (0..200).for_each(|o| drop(idle.serve(30_000 + o, 3)));
-    assert_eq!(room(&mut idle, 40_000), first, "a limit that is not used does not rise");
+    assert_eq!(capacity(&mut idle, 40_000), first, "a limit that is not used does not rise");
 }
 
 /// A silent cache gets trials only, and a trial has time to be answered.
@@ -164,19 +164,19 @@
     r.event(Event::Timer { token: 0 });
     let again = sent(&r.end(&s, 0, Ending::Cancelled, 0)).unwrap();
     assert_ne!(again.cache, home);
-    let (mut trials, mut off) = (0, 0);
+    let (mut probes, mut off) = (0, 0);
     for _ in 0..100 {
         r.now += 10.0;
         let s = sent(&r.request(1)).unwrap();
         match s.cache == home {
-            true => trials += 1,
+            true => probes += 1,
             false => drop(r.end(&s, 0, Ending::Completed, 1)),
         }
         let cancels = r.event(Event::Timer { token: 0 });
         off += cancels.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
     }
-    assert!((1..=5).contains(&trials), "{trials} trials in a second");
-    assert!(off <= trials, "each is called off once at most");
+    assert!((1..=5).contains(&probes), "{probes} trials in a second");
+    assert!(off <= probes, "each is called off once at most");
 }
 
 /// A flood of purges forgets the oldest, but never lets an older copy through.
@@ -311,8 +311,8 @@
 /// Incident "spoilt answers": a cache's broken connections and errors tell nothing of the links. They used to shrink
 /// the limit on fills with each attempt that a connection carried.
 #[test]
-fn broken_connections_leave_the_limit_on_fills_alone() {
-    let room = |endings: &[Ending]| {
+fn lost_connections_leave_the_limit_on_fills_alone() {
+    let capacity = |endings: &[Ending]| {
         let mut r = Rig::new();
         for (n, &ending) in endings.iter().enumerate() {
             let s = sent(&r.request(1000 + n as u64)).expect("sent");
@@ -324,16 +324,16 @@
         }
         (2000..2400).filter(|&o| sent(&r.request(o)).is_some()).count()
     };
-    let calm = room(&[]);
-    assert!(room(&[Ending::ConnectionLost; 20]) >= calm);
-    assert!(room(&[Ending::Errored; 20]) >= calm);
+    let calm = capacity(&[]);
+    assert!(capacity(&[Ending::ConnectionLost; 20]) >= calm);
+    assert!(capacity(&[Ending::Errored; 20]) >= calm);
 }
 
 /// Incident "answers that never come": one fill in thirty that runs out of time is no sign of crowded links. Each used
 /// to take more from the limit on fills than those in time gave back.
 #[test]
 fn single_late_fills_leave_the_limit_on_fills_alone() {
-    let room = |late: u64| {
+    let capacity = |late: u64| {
         let mut r = Rig::new();
         for n in 0..300 {
             let s = sent(&r.request(1000 + n)).expect("sent");
@@ -347,8 +347,8 @@
         }
         (5000..5400).filter(|&o| sent(&r.request(o)).is_some()).count()
     };
-    assert!(room(30) >= room(0));
-    assert!(room(4) < room(0), "many of them are");
+    assert!(capacity(30) >= capacity(0));
+    assert!(capacity(4) < capacity(0), "many of them are");
 }
 
 /// Incident "it drains untold": a cache that turns away at once, sooner than any source could, is not asked again for
@@ -438,14 +438,14 @@
     r.now += 50.0;
     r.end(&again, 1, Ending::Completed, 1);
     // A trial, which is answered.
-    let trial = (0..100).find_map(|_| {
+    let probe = (0..100).find_map(|_| {
         r.now += 20.0;
         let s = sent(&r.request(1)).unwrap();
         let cache = s.cache.clone();
         r.end(&s, 0, Ending::Completed, 1);
         (cache == home).then_some(r.now)
     });
-    assert!(trial.is_some(), "it is tried");
+    assert!(probe.is_some(), "it is tried");
     let back = (0..5).filter(|_| r.serve(1, 1).cache == home).count();
     assert!(back <= 1, "{back} of 5 requests went there at once");
     for _ in 0..40 {
@@ -522,13 +522,13 @@
 fn impatient_clients_are_no_evidence_on_sources_and_links() {
     let mut r = Rig::with(settings());
     r.update_endpoints(fleet().into_iter().map(|e| Entry { weight: 1.0, ..e }).collect());
-    let room = |r: &mut Rig, base: u64| {
+    let capacity = |r: &mut Rig, base: u64| {
         let open: Vec<Sent> = (0..30).filter_map(|o| sent(&r.request(base + o))).collect();
         r.now += 150.0;
         open.iter().for_each(|s| drop(r.end_after(s, 0, (Ending::Completed, 3), 150.0)));
         open.len()
     };
-    let before = room(&mut r, 10_000);
+    let before = capacity(&mut r, 10_000);
     for o in 0..300 {
         let s = sent(&r.request(20_000 + o)).expect("sent");
         r.now += 40.0;
@@ -536,7 +536,7 @@
             r.end_after(&again, 1, (Ending::Completed, 3), 100.0);
         }
     }
-    assert_eq!(room(&mut r, 30_000), before);
+    assert_eq!(capacity(&mut r, 30_000), before);
     let sources: std::collections::BTreeSet<String> =
         (0..60).filter_map(|o| sent(&r.request(40_000 + o))).map(|s| s.source).collect();
     assert!(sources.contains("p1:1") && sources.contains("p2:1"), "{sources:?}");
@@ -548,9 +548,9 @@
 fn a_request_that_a_node_reports_as_over_is_not_retried() {
     let mut r = Rig::new();
     let s = sent(&r.request(1)).expect("sent");
-    let said = r.end_after(&s, 0, (Ending::Superseded, 0), 1.0);
-    assert!(sent(&said).is_none(), "{said:?}");
-    assert!(rejected(&said), "nothing ran: {said:?}");
+    let actions = r.end_after(&s, 0, (Ending::Superseded, 0), 1.0);
+    assert!(sent(&actions).is_none(), "{actions:?}");
+    assert!(rejected(&actions), "nothing ran: {actions:?}");
     // Where an attempt before it may have run, nothing is promised.
     let mut r = Rig::with(Settings {
         classes: vec![Class { effect: Effect::Deduplicated, scope: DedupScope::Zone, ..class() }],
@@ -559,8 +559,8 @@
     r.update_endpoints(fleet());
     let s = sent(&r.request(1)).expect("sent");
     let again = sent(&r.end(&s, 0, Ending::ConnectionLost, 0)).expect("within its window");
-    let said = r.end_after(&again, 1, (Ending::Superseded, 0), 1.0);
-    assert!(sent(&said).is_none() && failed(&said), "{said:?}");
+    let actions = r.end_after(&again, 1, (Ending::Superseded, 0), 1.0);
+    assert!(sent(&actions).is_none() && failed(&actions), "{actions:?}");
 }
 
 /// What the front took back before its first byte cost nobody anything: it goes on, be the retry budget gone.
@@ -596,6 +596,6 @@
     let by = begin_by(&again).expect("within its window");
     assert_eq!(by, at + keyed.repeat_window_ms - 4.0, "less two ticks");
     r.now = by;
-    let said = r.end(&sent(&again).expect("sent"), 1, Ending::Retracted, 0);
-    assert!(failed(&said) && sent(&said).is_none(), "{said:?}");
+    let actions = r.end(&sent(&again).expect("sent"), 1, Ending::Retracted, 0);
+    assert!(failed(&actions) && sent(&actions).is_none(), "{actions:?}");
 }
--- a/crates/fernslip/tests/fleet.rs
+++ b/crates/fernslip/tests/fleet.rs
@@ -8,7 +8,7 @@
 
 const ZONES: usize = 10;
 const PER_ZONE: u32 = 10;
-const BOXES: usize = 5;
+const CACHES: usize = 5;
 const SIZES_KB: [f64; 2] = [40.0, 360.0]; // by class; a KB is a millisecond of sending
 const WINDOW_MS: f64 = 1_500.0;
 const WEIGHT: f64 = 4.0; // of a box, and of a parent: answers at full pace
@@ -23,7 +23,7 @@
 }
 
 enum Due {
-    Ask(u32),
+    Arrival(u32),
     End {
         to: u32,
         id: RequestId,
@@ -63,7 +63,7 @@
     attempts: BTreeMap<RequestId, u32>,
     out_now: BTreeSet<RequestId>,
     class_of: BTreeMap<RequestId, usize>,
-    held: BTreeMap<(String, u64), f64>,
+    cached: BTreeMap<(String, u64), f64>,
     object_of: BTreeMap<RequestId, u64>,
     silent: BTreeSet<String>,
     /// To boxes, and to parents and the origin as sources of fills.
@@ -73,7 +73,7 @@
     rejected: usize,
     messages: Vec<(f64, u32, usize)>,
     most_out: BTreeMap<String, (usize, usize)>,
-    end_of_asks: f64,
+    end_of_requests: f64,
 }
 
 fn fleet_settings(zone: usize, slot: u32) -> Settings {
@@ -126,13 +126,13 @@
         let mut w = World { routers, now: 100_000.0, ..World::default() };
         let mut all = Vec::new();
         for z in 1..=ZONES {
-            all.extend((0..BOXES).map(|b| cache_entry(z, b)));
+            all.extend((0..CACHES).map(|b| cache_entry(z, b)));
         }
         all.extend(["p1:1", "p2:1", "p3:1"].map(|p| Entry { weight: PARENT, ..entry(p, 0, 1) }));
         all.push(Entry { weight: 60.0, ..entry("o1:1", 0, 2) });
         for r in 0..n {
             w.handle(r, Event::Endpoints { kind: ListKind::Full, entries: all.clone() });
-            w.at(100_000.0 + f64::from(r), Due::Ask(r));
+            w.at(100_000.0 + f64::from(r), Due::Arrival(r));
         }
         w
     }
@@ -175,7 +175,7 @@
                     assert!(!self.answered.contains_key(&id), "an attempt after the answer");
                     let (name, object) = (cache.0.to_string(), self.object_of[&id]);
                     self.send(&name, class);
-                    let hit = self.held.contains_key(&(name.clone(), object));
+                    let hit = self.cached.contains_key(&(name.clone(), object));
                     let silent = self.silent.contains(&name);
                     if !hit && !silent && source != cache {
                         let from = source.0.to_string();
@@ -239,16 +239,16 @@
     }
 
     fn run(&mut self, until: f64) {
-        self.end_of_asks = until;
+        self.end_of_requests = until;
         while let Some(Reverse((at, n))) = self.queue.pop() {
             let Some(due) = self.dues.remove(&n) else { continue };
             self.now = self.now.max(at as f64 / 1000.0);
             match due {
-                Due::Ask(r) if self.now < self.end_of_asks => {
+                Due::Arrival(r) if self.now < self.end_of_requests => {
                     self.ask(r);
-                    self.at(self.now + 90.0 + (mix(n) % 60) as f64, Due::Ask(r));
+                    self.at(self.now + 90.0 + (mix(n) % 60) as f64, Due::Arrival(r));
                 }
-                Due::Ask(_) => {}
+                Due::Arrival(_) => {}
                 Due::End { to, id, attempt } => {
                     let Some(o) = self.open.remove(&(id, attempt)) else { continue };
                     self.out_now.remove(&id);
@@ -259,7 +259,7 @@
                     if over {
                         self.served += 1;
                         *self.answered.entry(id).or_default() += 1;
-                        self.held.insert((o.cache.clone(), self.object_of[&id]), self.now);
+                        self.cached.insert((o.cache.clone(), self.object_of[&id]), self.now);
                     }
                     let outcome = Outcome {
                         id,
@@ -283,7 +283,7 @@
                         self.silent.insert(name);
                     } else {
                         self.silent.remove(&name);
-                        self.held.retain(|(n, _), _| *n != name);
+                        self.cached.retain(|(n, _), _| *n != name);
                     }
                 }
             }
@@ -292,22 +292,24 @@
 
     /// In every window that begins with a send to it, a machine that started cold got no more than its budget; how
     /// much of the budget of all the time that it was cold was used.
-    fn slow_start_use(&self, name: &str, born: f64, set: &Settings, parent: bool) -> f64 {
+    fn slow_start_use(&self, name: &str, started: f64, set: &Settings, parent: bool) -> f64 {
         let (from, ms, weight) = match parent {
             true => (set.parent_slow_start_from, set.parent_slow_start_ms, PARENT),
             false => (set.slow_start_from, set.slow_start_ms, WEIGHT),
         };
         let multiple = if parent { set.parent_slow_start_multiple } else { set.slow_start_multiple };
-        let capacity_fraction = |at: f64| (from + (1.0 - from) * (at - born) / ms).min(1.0);
-        let sends: Vec<_> = self.sends[name].iter().filter(|s| s.0 >= born && s.0 < born + ms).collect();
+        let capacity_fraction = |at: f64| (from + (1.0 - from) * (at - started) / ms).min(1.0);
+        let sends: Vec<_> =
+            self.sends[name].iter().filter(|s| s.0 >= started && s.0 < started + ms).collect();
         for (i, s) in sends.iter().enumerate() {
             let work: f64 = sends[i..].iter().take_while(|t| t.0 < s.0 + WINDOW_MS).map(|t| t.1).sum();
             let budget = multiple * weight * WINDOW_MS * capacity_fraction(s.0 + WINDOW_MS / 2.0);
-            assert!(work <= budget, "{name}: {work} ms of {budget} at {} ms", s.0 - born);
+            assert!(work <= budget, "{name}: {work} ms of {budget} at {} ms", s.0 - started);
         }
-        let last = self.end_of_asks.min(born + ms);
+        let last = self.end_of_requests.min(started + ms);
         let whole =
-            multiple * weight * (last - born) * (capacity_fraction(born) + capacity_fraction(last)) / 2.0;
+            multiple * weight * (last - started) * (capacity_fraction(started) + capacity_fraction(last))
+                / 2.0;
         sends.iter().map(|s| s.1).sum::<f64>() / whole
     }
 
@@ -337,13 +339,13 @@
 #[test]
 fn a_lost_location_comes_back_within_its_budget() {
     let mut w = World::new();
-    let names: Vec<String> = (0..BOXES).map(|b| cache_entry(3, b).cache.0.to_string()).collect();
+    let names: Vec<String> = (0..CACHES).map(|b| cache_entry(3, b).cache.0.to_string()).collect();
     for n in &names {
         w.at(104_000.0, Due::Silent(n.clone(), true));
         w.at(109_000.0, Due::Silent(n.clone(), false));
     }
     let all = |phase: Phase, started_ms: f64| -> Vec<Entry> {
-        (0..BOXES).map(|b| Entry { phase, started_ms, ..cache_entry(3, b) }).collect()
+        (0..CACHES).map(|b| Entry { phase, started_ms, ..cache_entry(3, b) }).collect()
     };
     w.update_endpoints(107_000.0, 800.0, all(Phase::Out, 0.0));
     w.update_endpoints(109_000.0, 800.0, all(Phase::In, 109_000.0));
@@ -351,7 +353,7 @@
     w.all_answered();
     let set = fleet_settings(3, 0);
     let used: f64 =
-        names.iter().map(|n| w.slow_start_use(n, 109_000.0, &set, false)).sum::<f64>() / BOXES as f64;
+        names.iter().map(|n| w.slow_start_use(n, 109_000.0, &set, false)).sum::<f64>() / CACHES as f64;
     assert!(used > 0.15, "what comes back is used: {used}");
 }
 
@@ -373,7 +375,7 @@
 #[test]
 fn a_mass_replacement_keeps_to_every_budget() {
     let mut w = World::new();
-    let (old, new) = (0..3, BOXES..BOXES + 3);
+    let (old, new) = (0..3, CACHES..CACHES + 3);
     for z in 1..=ZONES {
         w.update_endpoints(
             105_000.0,
@@ -445,14 +447,14 @@
 #[test]
 fn a_purge_of_everything_does_not_overload_a_parent_in_slow_start() {
     let mut w = World::new();
-    let cold = Entry { weight: PARENT, started_ms: 104_500.0, ..entry("p2:1", 0, 1) };
-    w.update_endpoints(104_500.0, 200.0, vec![cold]);
+    let in_slow_start = Entry { weight: PARENT, started_ms: 104_500.0, ..entry("p2:1", 0, 1) };
+    w.update_endpoints(104_500.0, 200.0, vec![in_slow_start]);
     for group in 0..16 {
         w.notify_all(105_000.0, 300.0, || Event::Purged { object: None, group, age_ms: 0.0 });
     }
     // The boxes drop their copies by themselves.
     for z in 1..=ZONES {
-        for b in 0..BOXES {
+        for b in 0..CACHES {
             w.at(105_300.0, Due::Silent(cache_entry(z, b).cache.0.to_string(), false));
         }
     }
--- a/crates/fernslip/tests/isolation.rs
+++ b/crates/fernslip/tests/isolation.rs
@@ -50,10 +50,10 @@
         self.step += 1;
         let (n, now) = (self.step, 1_000.0 + 7.0 * self.step as f64);
         let (id, object) = (RequestId(n), ObjectId(n % 11));
-        let ask =
+        let request =
             Request { id, object, part: 0, class: self.class, size_kb: 40.0, budget_ms: 300.0, group: 1 };
         let mut out = Vec::new();
-        self.router.handle(now, Event::Request(ask), &mut out);
+        self.router.handle(now, Event::Request(request), &mut out);
         let sent: Vec<CacheId> = out
             .iter()
             .filter_map(|a| if let Action::Forward { cache, .. } = a { Some(cache.clone()) } else { None })
--- a/crates/fernslip/tests/peer_suspicion.rs
+++ b/crates/fernslip/tests/peer_suspicion.rs
@@ -70,7 +70,7 @@
 /// A cache that is out gets its next trial at once when others say that it is well.
 #[test]
 fn good_gossip_brings_a_probe_sooner() {
-    let trial = |praise: bool| {
+    let probe = |praise: bool| {
         let mut r = Rig::new();
         let home = r.serve(1, 2).cache;
         let mut o = 0;
@@ -87,17 +87,17 @@
         }
         sent(&r.request(1)).expect("sent").cache == home
     };
-    assert!(!trial(false));
-    assert!(trial(true));
+    assert!(!probe(false));
+    assert!(probe(true));
 }
 
 #[test]
 fn a_cache_that_was_replaced_begins_anew() {
     let mut r = Rig::new();
     suspect(&mut r, "c1:1", 0.8);
-    let said = homes(&mut r, 1000)[0];
+    let suspected = homes(&mut r, 1000)[0];
     r.delta(Entry { started_ms: r.now - 60_000.0, ..entry("c1:1", 1, 0) });
-    assert!(homes(&mut r, 1000)[0] > 2 * said);
+    assert!(homes(&mut r, 1000)[0] > 2 * suspected);
 }
 
 fn signs(actions: &[Action]) -> Vec<(Sign, bool)> {
@@ -110,26 +110,26 @@
 
 #[test]
 fn evidence_is_reported_where_it_is_enabled() {
-    for asked in [false, true] {
+    for enabled in [false, true] {
         let mut r = Rig::new();
-        if asked {
+        if enabled {
             r.router.enable_evidence();
         }
         let home = r.serve(1, 2).cache;
-        let mut told = Vec::new();
+        let mut evidence = Vec::new();
         for _ in 0..2 {
             let s = sent(&r.request(1)).expect("sent");
             r.now += 20.0;
             let after = r.end(&s, 0, Ending::ConnectionRefused, 0);
-            told.extend(signs(&after));
+            evidence.extend(signs(&after));
         }
         suspect(&mut r, &home, -0.8);
         r.now += 1000.0;
         let s = sent(&r.request(1)).expect("sent");
         assert_eq!(s.cache, home, "a trial");
-        told.extend(signs(&r.end(&s, 0, Ending::Completed, 1)));
+        evidence.extend(signs(&r.end(&s, 0, Ending::Completed, 1)));
         let expected = [(Sign::Failing, true), (Sign::Failing, true), (Sign::Well, true)];
-        assert_eq!(told, if asked { &expected[..] } else { &[] });
+        assert_eq!(evidence, if enabled { &expected[..] } else { &[] });
     }
 }
 
@@ -138,10 +138,10 @@
     let mut r = Rig::new();
     r.router.enable_evidence();
     sent(&r.request(1)).expect("sent");
-    let mut told = Vec::new();
-    while told.is_empty() && r.now < 110_000.0 {
+    let mut evidence = Vec::new();
+    while evidence.is_empty() && r.now < 110_000.0 {
         r.now += 50.0;
-        told = signs(&r.event(Event::Timer { token: 0 }));
+        evidence = signs(&r.event(Event::Timer { token: 0 }));
     }
-    assert_eq!(told, [(Sign::Silent, true)]);
+    assert_eq!(evidence, [(Sign::Silent, true)]);
 }
--- a/crates/fernslip/tests/rules.rs
+++ b/crates/fernslip/tests/rules.rs
@@ -77,15 +77,15 @@
     let mut r = Rig::new();
     r.delta(Entry { started_ms: r.now, ..entry("p1:1", 0, 1) });
     // 0.1 of weight 10, times 2, for 1 s, shared by two routers: 1 s of sending, ten fills.
-    let (mut to_cold, mut to_other) = (0, 0);
+    let (mut to_warming_up, mut to_other) = (0, 0);
     for o in 0..300 {
         if let Some(s) = sent(&r.request(o)) {
-            to_cold += usize::from(s.source == "p1:1");
+            to_warming_up += usize::from(s.source == "p1:1");
             to_other += usize::from(s.source == "p2:1");
             r.end(&s, 0, Ending::Saturated, 6);
         }
     }
-    assert!(to_cold > 0 && to_cold <= 10 && to_other > 0, "{to_cold} {to_other}");
+    assert!(to_warming_up > 0 && to_warming_up <= 10 && to_other > 0, "{to_warming_up} {to_other}");
 }
 
 #[test]
@@ -186,9 +186,9 @@
     assert_eq!(last.source, "o1:1", "the origin serves when no parent does");
 }
 
-/// Routers 0 and 1 of one location, 2 of another: what each says reaches whom it is meant for.
-fn talk(rigs: &mut [Rig], from: u32, actions: Vec<Action>, lost: bool) -> Vec<(u32, Vec<u8>)> {
-    let mut said = Vec::new();
+/// Routers 0 and 1 of one location, 2 of another: each message reaches its receivers.
+fn exchange(rigs: &mut [Rig], from: u32, actions: Vec<Action>, lost: bool) -> Vec<(u32, Vec<u8>)> {
+    let mut messages = Vec::new();
     for a in actions {
         let (to, data) = match a {
             Action::SendToPeer { to, data } => (vec![to], data),
@@ -199,14 +199,14 @@
         };
         assert!(data.len() <= 256);
         for i in to {
-            said.push((i, data.clone()));
+            messages.push((i, data.clone()));
             if !lost {
                 let answer = rigs[i as usize].event(Event::PeerMessage { from, data: data.clone() });
-                said.extend(talk(rigs, i, answer, false));
+                messages.extend(exchange(rigs, i, answer, false));
             }
         }
     }
-    said
+    messages
 }
 
 fn router(slot: u32, zone: usize) -> Rig {
@@ -218,21 +218,21 @@
     let mut rigs = vec![router(0, 1), router(1, 1), router(2, 2)];
     for i in 0..rigs.len() {
         let acts = rigs[i].update_endpoints(fleet());
-        talk(&mut rigs, i as u32, acts, lost);
+        exchange(&mut rigs, i as u32, acts, lost);
     }
     rigs
 }
 
 /// Serves new objects at router 0; what it says meanwhile.
 fn work(rigs: &mut [Rig], objects: std::ops::Range<u64>) -> Vec<(u32, Vec<u8>)> {
-    let mut said = Vec::new();
+    let mut messages = Vec::new();
     for o in objects {
         let mut acts = rigs[0].request(o);
         let s = sent(&acts).unwrap();
         acts.extend(rigs[0].end(&s, 0, Ending::Completed, 2));
-        said.extend(talk(rigs, 0, acts, false));
+        messages.extend(exchange(rigs, 0, acts, false));
     }
-    said
+    messages
 }
 
 /// A new cache takes a share of the homes; how many of its fills come from siblings that are shown to hold them.
@@ -245,8 +245,8 @@
 #[test]
 fn changes_go_to_the_own_locations_routers_only() {
     let mut rigs = three_routers(false);
-    let said = work(&mut rigs, 0..100);
-    assert!(!said.is_empty() && said.iter().all(|(to, _)| *to == 1), "only to its mate");
+    let messages = work(&mut rigs, 0..100);
+    assert!(!messages.is_empty() && messages.iter().all(|(to, _)| *to == 1), "only to its mate");
     assert!(fills_from_siblings(&mut rigs[1], 1, 0..90) > 0, "it knows what router 0 saw");
     assert_eq!(fills_from_siblings(&mut rigs[2], 2, 0..90), 0, "another location's filters are not its own");
     let mut deaf = three_routers(true);
@@ -265,8 +265,8 @@
     rigs[1] = router(1, 1);
     rigs[1].now = rigs[0].now;
     let acts = rigs[1].update_endpoints(fleet());
-    let said = talk(&mut rigs, 1, acts, false);
-    assert!(said.iter().any(|(to, _)| *to == 1), "its mate answers the one that restarted");
+    let messages = exchange(&mut rigs, 1, acts, false);
+    assert!(messages.iter().any(|(to, _)| *to == 1), "its mate answers the one that restarted");
     work(&mut rigs, 200..300);
     assert!(fills_from_siblings(&mut rigs[1], 1, 200..290) > 0);
 }
@@ -275,9 +275,9 @@
 #[test]
 fn malformed_messages_do_no_harm() {
     let mut rigs = three_routers(false);
-    let told = work(&mut rigs, 0..100);
+    let messages = work(&mut rigs, 0..100);
     let r = &mut rigs[1];
-    for (_, d) in told.iter().rev() {
+    for (_, d) in messages.iter().rev() {
         for data in
             [d.clone(), d[..d.len() / 2].to_vec(), d[..2].to_vec(), [d.as_slice(), &[255; 40]].concat()]
         {
@@ -374,19 +374,20 @@
             parent_slow_start_ms: 20_000.0,
             ..settings()
         };
-        let born = 100_000.0;
+        let started = 100_000.0;
         let mut all: Vec<Rig> = (0..routers)
             .map(|slot| {
                 let mut r = Rig::with(Settings { slot, ..set.clone() });
-                let cold = |e: Entry| if &*e.cache.0 == "p1:1" { Entry { started_ms: born, ..e } } else { e };
-                r.update_endpoints(fleet().into_iter().map(cold).collect());
+                let in_slow_start =
+                    |e: Entry| if &*e.cache.0 == "p1:1" { Entry { started_ms: started, ..e } } else { e };
+                r.update_endpoints(fleet().into_iter().map(in_slow_start).collect());
                 r
             })
             .collect();
         // Work of 100 ms each; far more is asked than the parent may be sent.
         let mut sends: Vec<f64> = Vec::new();
         for step in 0..12_000u64 {
-            let now = born + step as f64;
+            let now = started + step as f64;
             let r = &mut all[(step.wrapping_mul(7) % u64::from(routers)) as usize];
             r.now = now;
             if let Some(s) = sent(&r.request(step)) {
@@ -401,9 +402,9 @@
         for (i, &from) in sends.iter().enumerate() {
             let work = 100.0 * sends[i..].iter().filter(|&&t| t < from + 3000.0).count() as f64;
             // Its mean over the window, as it warms in a line.
-            let capacity_fraction = 0.1 + 0.9 * (from + 1500.0 - born) / 20_000.0;
+            let capacity_fraction = 0.1 + 0.9 * (from + 1500.0 - started) / 20_000.0;
             let budget = 2.0 * 10.0 * capacity_fraction * 3000.0;
-            assert!(work <= budget, "{routers} routers: {work} ms of {budget} at {}", from - born);
+            assert!(work <= budget, "{routers} routers: {work} ms of {budget} at {}", from - started);
         }
     }
 }
--- a/crates/fernslip/tests/slow_start.rs
+++ b/crates/fernslip/tests/slow_start.rs
@@ -15,14 +15,14 @@
 /// By class; a KB is a millisecond of sending.
 const SIZES_KB: [f64; 2] = [40.0, 360.0];
 const MEAN_MS: f64 = (SIZES_KB[0] + SIZES_KB[1]) / 2.0;
-const BOXES: usize = 5;
+const CACHES: usize = 5;
 /// Answers at full pace: of a box, and of a parent for each location.
 const WEIGHT: f64 = 6.0;
 const PARENT: f64 = 14.0;
 /// Part of a location's capacity that is asked for.
 const LOAD: f64 = 0.6;
 const START: f64 = 100_000.0;
-const BORN: f64 = START + 6_000.0;
+const STARTED_MS: f64 = START + 6_000.0;
 const SLOW_START_MS: f64 = 10_000.0;
 
 struct World {
@@ -33,7 +33,7 @@
     silent: Vec<bool>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     dues: BTreeMap<u64, (u32, Event)>,
-    asks: BTreeMap<u64, u32>,
+    requests: BTreeMap<u64, u32>,
     next: u64,
     class_of: BTreeMap<RequestId, usize>,
     attempts: BTreeMap<RequestId, u32>,
@@ -71,12 +71,12 @@
 }
 
 /// The machines; where weights are not told each is listed with 1.
-fn list(zones: usize, told: bool, started: bool) -> Vec<Entry> {
-    let started_ms = if started { BORN } else { 0.0 };
+fn list(zones: usize, listed: bool, started: bool) -> Vec<Entry> {
+    let started_ms = if started { STARTED_MS } else { 0.0 };
     let mut all = Vec::new();
     for z in 1..=zones {
         all.extend(
-            (0..BOXES)
+            (0..CACHES)
                 .map(|b| Entry { started_ms: if z == 1 { started_ms } else { 0.0 }, ..cache_entry(z, b) }),
         );
     }
@@ -84,14 +84,14 @@
     all.push(Entry { started_ms, ..parent.clone() });
     all.extend(["p2:1", "p3:1"].map(|p| Entry { cache: p.into(), started_ms, ..parent.clone() }));
     all.push(Entry { weight: 60.0 * zones as f64, ..entry("o1:1", 0, 2) });
-    if !told {
+    if !listed {
         all.iter_mut().for_each(|e| e.weight = 1.0);
     }
     all
 }
 
 impl World {
-    fn new(zones: usize, per_zone: u32, told: bool, seed: u64) -> World {
+    fn new(zones: usize, per_zone: u32, listed: bool, seed: u64) -> World {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let n = zones as u32 * per_zone;
         let silent: Vec<bool> = (0..n).map(|_| rng.random_bool(0.33)).collect();
@@ -103,7 +103,7 @@
         // Some see several times the mean.
         let shares: Vec<f64> =
             (0..n).map(|_| if rng.random_bool(0.15) { 4.0 } else { rng.random_range(0.3..1.0) }).collect();
-        let all = zones as f64 * BOXES as f64 * WEIGHT * LOAD / MEAN_MS;
+        let all = zones as f64 * CACHES as f64 * WEIGHT * LOAD / MEAN_MS;
         let sum: f64 = shares.iter().sum();
         let mut w = World {
             rng,
@@ -113,18 +113,18 @@
             silent,
             queue: BinaryHeap::new(),
             dues: BTreeMap::new(),
-            asks: BTreeMap::new(),
+            requests: BTreeMap::new(),
             next: 0,
             class_of: BTreeMap::new(),
             attempts: BTreeMap::new(),
             sends: Default::default(),
         };
         for r in 0..n {
-            w.due(START, r, Event::Endpoints { kind: ListKind::Full, entries: list(zones, told, false) });
-            w.ask(START + 1.0, r);
+            w.due(START, r, Event::Endpoints { kind: ListKind::Full, entries: list(zones, listed, false) });
+            w.request(START + 1.0, r);
             // Told of the starts within a second, or born with them on the list.
-            let when = BORN + w.rng.random_range(0.0..1_000.0);
-            w.due(when, r, Event::Endpoints { kind: ListKind::Full, entries: list(zones, told, true) });
+            let when = STARTED_MS + w.rng.random_range(0.0..1_000.0);
+            w.due(when, r, Event::Endpoints { kind: ListKind::Full, entries: list(zones, listed, true) });
         }
         w
     }
@@ -136,22 +136,22 @@
     }
 
     /// The next request of a router, at random intervals.
-    fn ask(&mut self, after: f64, r: u32) {
+    fn request(&mut self, after: f64, r: u32) {
         let gap = -f64::ln(1.0 - self.rng.random::<f64>()) / self.rates[r as usize];
         self.next += 1;
         self.queue.push(Reverse((((after + gap) * 1000.0) as u64, self.next)));
-        self.asks.insert(self.next, r);
+        self.requests.insert(self.next, r);
     }
 
-    fn run(mut self, zones: usize, per_zone: u32, told: bool) -> World {
+    fn run(mut self, zones: usize, per_zone: u32, listed: bool) -> World {
         // A fifth starts anew in the moment in which the machines do, knowing the list alone.
         let n = self.routers.len() as u32;
         let mut restarts: Vec<(f64, u32)> =
-            (0..n).filter(|r| r % 5 == 0).map(|r| (BORN + 10.0 * f64::from(r % 50), r)).collect();
+            (0..n).filter(|r| r % 5 == 0).map(|r| (STARTED_MS + 10.0 * f64::from(r % 50), r)).collect();
         restarts.sort_by(|a, b| b.0.total_cmp(&a.0));
         while let Some(Reverse((at, number))) = self.queue.pop() {
             let now = at as f64 / 1000.0;
-            if now > BORN + SLOW_START_MS {
+            if now > STARTED_MS + SLOW_START_MS {
                 break;
             }
             while restarts.last().is_some_and(|r| r.0 <= now) {
@@ -161,10 +161,10 @@
                 self.handle(
                     now,
                     r,
-                    Event::Endpoints { kind: ListKind::Full, entries: list(zones, told, true) },
+                    Event::Endpoints { kind: ListKind::Full, entries: list(zones, listed, true) },
                 );
             }
-            if let Some(r) = self.asks.remove(&number) {
+            if let Some(r) = self.requests.remove(&number) {
                 let class = usize::from(self.rng.random_bool(0.5));
                 let id = RequestId(number);
                 self.class_of.insert(id, class);
@@ -175,10 +175,10 @@
                     self.rng.random_range(0..400)
                 };
                 let (part, size_kb, group) = (0, SIZES_KB[class], object % 16);
-                let ask =
+                let request =
                     Request { id, object: ObjectId(object), part, class, size_kb, budget_ms: 6000.0, group };
-                self.handle(now, r, Event::Request(ask));
-                self.ask(now, r);
+                self.handle(now, r, Event::Request(request));
+                self.request(now, r);
             } else if let Some((r, event)) = self.dues.remove(&number) {
                 self.handle(now, r, event);
             }
@@ -196,19 +196,19 @@
                     let class = self.class_of[&id];
                     let work = SIZES_KB[class];
                     // Half of what is asked for is there, but for one that has just started.
-                    let cold = now >= BORN && cache.0.starts_with("z1b");
-                    let hit = !cold && self.rng.random_bool(0.5);
-                    if cold && &*cache.0 == "z1b0:1" {
+                    let warming_up = now >= STARTED_MS && cache.0.starts_with("z1b");
+                    let hit = !warming_up && self.rng.random_bool(0.5);
+                    if warming_up && &*cache.0 == "z1b0:1" {
                         self.sends[0].push((now, work));
                     }
-                    if now >= BORN && !hit && &*source.0 == "p1:1" {
+                    if now >= STARTED_MS && !hit && &*source.0 == "p1:1" {
                         self.sends[1].push((now, work));
                     }
-                    let turned = self.rng.random_bool(0.05);
-                    let took = if turned { 2.0 } else { work + if hit { 5.0 } else { 60.0 } };
-                    let ending = if turned { Ending::Saturated } else { Ending::Completed };
-                    let detail = if turned { 0 } else { 2 - u8::from(hit) };
-                    let (elapsed_ms, over) = (took, !turned);
+                    let rejects = self.rng.random_bool(0.05);
+                    let took = if rejects { 2.0 } else { work + if hit { 5.0 } else { 60.0 } };
+                    let ending = if rejects { Ending::Saturated } else { Ending::Completed };
+                    let detail = if rejects { 0 } else { 2 - u8::from(hit) };
+                    let (elapsed_ms, over) = (took, !rejects);
                     let o = Outcome {
                         id,
                         attempt,
@@ -227,9 +227,9 @@
                 Action::SendToAllPeers { data } => {
                     let zone = self.zone_of[r as usize];
                     // Others' greetings change nothing there: only those of the location are carried, for speed.
-                    let is_mate = |t: &u32| *t != r && self.zone_of[*t as usize] == zone;
-                    let mates: Vec<u32> = (0..self.routers.len() as u32).filter(is_mate).collect();
-                    for to in mates {
+                    let is_peer = |t: &u32| *t != r && self.zone_of[*t as usize] == zone;
+                    let peers: Vec<u32> = (0..self.routers.len() as u32).filter(is_peer).collect();
+                    for to in peers {
                         self.post(now, r, to, data.clone());
                     }
                 }
@@ -253,7 +253,7 @@
             _ => (set.parent_slow_start_from, set.parent_slow_start_multiple, PARENT * zones as f64),
         };
         let calls = |at: f64, ms: f64| {
-            let capacity_fraction = (from + (1.0 - from) * (at - BORN) / SLOW_START_MS).min(1.0);
+            let capacity_fraction = (from + (1.0 - from) * (at - STARTED_MS) / SLOW_START_MS).min(1.0);
             multiple * weight * capacity_fraction * ms / MEAN_MS
         };
         let sends = &self.sends[which];
@@ -265,7 +265,7 @@
             worst = worst.max((sent - n) / (2.0 * n.sqrt() + 2.0));
         }
         let all: f64 = sends.iter().map(|s| s.1).sum::<f64>() / MEAN_MS;
-        (worst, all / calls(BORN + SLOW_START_MS / 2.0, SLOW_START_MS))
+        (worst, all / calls(STARTED_MS + SLOW_START_MS / 2.0, SLOW_START_MS))
     }
 }
 
@@ -274,9 +274,9 @@
 fn nodes_in_slow_start_stand_what_all_routers_send_at_every_fleet_size() {
     println!("routers  weights  seeds  at       heaviest window beyond N, in parts of 2·√N + 2: median, most   used, median");
     let sizes = [(1, 3, 20), (1, 10, 20), (1, 20, 12), (1, 30, 12), (10, 30, 3)];
-    for (told, (zones, per_zone, seeds)) in [true, false].into_iter().flat_map(|t| sizes.map(|s| (t, s))) {
+    for (listed, (zones, per_zone, seeds)) in [true, false].into_iter().flat_map(|t| sizes.map(|s| (t, s))) {
         let set = fleet(zones, per_zone, 0);
-        let world = |s: u64| World::new(zones, per_zone, told, 9_000 + s).run(zones, per_zone, told);
+        let world = |s: u64| World::new(zones, per_zone, listed, 9_000 + s).run(zones, per_zone, listed);
         let worlds: Vec<World> = (0..seeds).map(world).collect();
         for (which, name) in [(0, "box"), (1, "parent")] {
             let mut got: Vec<(f64, f64)> = worlds.iter().map(|w| w.heaviest(which, &set, zones)).collect();
@@ -284,11 +284,11 @@
             let mut used: Vec<f64> = got.iter().map(|g| g.1).collect();
             used.sort_by(f64::total_cmp);
             let (median, most) = (got[got.len() / 2].0, got[got.len() - 1].0);
-            let (routers, weights) = (zones as u32 * per_zone, if told { "told" } else { "untold" });
+            let (routers, weights) = (zones as u32 * per_zone, if listed { "told" } else { "untold" });
             let used = used[used.len() / 2];
             println!("{routers:7}  {weights:7}  {seeds:5}  {name:7} {median:6.2} {most:6.2}   {used:.2}");
             assert!(most <= 1.0, "{routers} routers at a cold {name}: {most:.2} times what chance allows");
-            assert!(!told || used > 0.05, "{routers} routers leave a cold {name} alone");
+            assert!(!listed || used > 0.05, "{routers} routers leave a cold {name} alone");
         }
     }
 }
--- a/crates/fernslip/tests/weights.rs
+++ b/crates/fernslip/tests/weights.rs
@@ -10,10 +10,10 @@
 }
 
 impl SingleCache {
-    fn new(told: f64, real: f64) -> SingleCache {
+    fn new(listed: f64, real: f64) -> SingleCache {
         let mut rig = Rig::with(settings());
         let one = vec![entry("c1:1", 1, 0), entry("p1:1", 0, 1), entry("o1:1", 0, 2)];
-        rig.update_endpoints(one.into_iter().map(|e| Entry { weight: told, ..e }).collect());
+        rig.update_endpoints(one.into_iter().map(|e| Entry { weight: listed, ..e }).collect());
         rig.serve(1, 1);
         SingleCache { rig, real }
     }
@@ -38,14 +38,14 @@
 
 #[test]
 fn a_link_seen_full_bounds_what_is_sent() {
-    for (told, real) in [(1.0, 5.0), (1.0, 20.0), (8.0, 20.0), (30.0, 10.0)] {
-        let mut w = SingleCache::new(told, real);
+    for (listed, real) in [(1.0, 5.0), (1.0, 20.0), (8.0, 20.0), (30.0, 10.0)] {
+        let mut w = SingleCache::new(listed, real);
         (0..40).for_each(|_| {
             w.burst(200);
         });
         // Wanted within 400 ms and twice its sending time: in time at 3.3 transfers to each that fits.
         let fit = w.burst(200) as f64;
-        assert!(fit >= 1.2 * real && fit <= 3.4 * real, "{told} told, {real} real: {fit} at once");
+        assert!(fit >= 1.2 * real && fit <= 3.4 * real, "{listed} told, {real} real: {fit} at once");
     }
 }
 
@@ -78,8 +78,8 @@
     r.delta(Entry { weight: 1.0, started_ms: r.now, ..entry("c1:1", 1, 0) });
     // Links of 10 transfers: what fits in time goes there, and never more than its budget: a fifth of 10, times 4, for
     // 1 s are 8 s of sending, 0.1 s each. Attempts stay open.
-    let to_cold = (0..2000).filter_map(|o| sent(&r.request(o))).filter(|s| s.cache == "c1:1").count();
-    assert!((5..=80).contains(&to_cold), "{to_cold} attempts");
+    let to_warming_up = (0..2000).filter_map(|o| sent(&r.request(o))).filter(|s| s.cache == "c1:1").count();
+    assert!((5..=80).contains(&to_warming_up), "{to_warming_up} attempts");
 }
 
 /// Seen at a front that restarts as its location comes back cold: it knows no width, took each box for a link of one
@@ -91,20 +91,20 @@
     let (from, slow_start_ms, multiple, window) =
         (set.slow_start_from, set.slow_start_ms, set.slow_start_multiple, set.slow_start_window_ms);
     let mut r = Rig::with(set);
-    let born = r.now;
+    let started = r.now;
     r.update_endpoints(
         fleet()
             .into_iter()
-            .map(|e| Entry { weight: 1.0, started_ms: if e.kind == Some(0) { born } else { 0.0 }, ..e })
+            .map(|e| Entry { weight: 1.0, started_ms: if e.kind == Some(0) { started } else { 0.0 }, ..e })
             .collect(),
     );
     // Links of 10 transfers when warm. A request of 200 ms of sending every 20 ms: 3.3 transfers each.
     let (real, work) = (10.0, 200.0);
-    let now_carries = |at: f64| real * (from + (1.0 - from) * ((at - born) / slow_start_ms).min(1.0));
+    let now_carries = |at: f64| real * (from + (1.0 - from) * ((at - started) / slow_start_ms).min(1.0));
     let mut open: Vec<(f64, Sent)> = Vec::new();
     let (mut sends, mut served_late) = (Vec::<(f64, String)>::new(), 0);
     for step in 0..500 {
-        r.now = born + 20.0 * f64::from(step);
+        r.now = started + 20.0 * f64::from(step);
         let due: Vec<_> = open.iter().filter(|o| o.0 <= r.now).cloned().collect();
         open.retain(|o| o.0 > r.now);
         due.iter()
@@ -119,8 +119,8 @@
     for (n, (at, cache)) in sends.iter().enumerate() {
         let window_sends = sends[n..].iter().take_while(|s| s.0 < at + window).filter(|s| s.1 == *cache);
         let budget = multiple * now_carries(*at + window) * window;
-        let asked = window_sends.count() as f64 * work;
-        assert!(asked <= budget, "{asked} ms asked of {cache} from {at}, {budget} at the most");
+        let requested = window_sends.count() as f64 * work;
+        assert!(requested <= budget, "{requested} ms asked of {cache} from {at}, {budget} at the most");
     }
     assert!(served_late > 225, "{served_late} of 250 after five seconds");
 }
