--- a/crates/front/src/control/node_starts.rs
+++ b/crates/front/src/control/node_starts.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Drops the starts of unlisted nodes once more than [`MAX_STARTS`] are retained. Up to that number they stay: a node
+    /// Drops the starts of unlisted nodes once more than `MAX_STARTS` are retained. Up to that number they stay: a node
     /// that returns with the same reported start has not restarted since.
     pub fn limit(&self, is_listed: impl Fn(&CacheId) -> bool) {
         let mut starts = lock(&self.0);
--- a/crates/front/src/control/peers.rs
+++ b/crates/front/src/control/peers.rs
@@ -1,12 +1,10 @@
 //! Datagrams between the fronts of a tier: short messages of the dispatchers to their peers.
 
-use crate::shared::Shared;
 use may::io::{CoIo, WaitIo};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io::ErrorKind;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::Arc;
 use std::time::Duration;
 
 /// Longest datagram, in bytes.
@@ -74,8 +72,9 @@
         self.send(self.broadcast_addr.as_ref(), data);
     }
 
-    /// Passes received messages to the dispatchers for the life of the process; counts and drops what no peer sent.
-    pub fn run(&self, front: &Arc<Shared>) {
+    /// Passes received messages to `deliver`, with the slot of the peer that sent them, for the life of the process;
+    /// counts and drops what no peer sent.
+    pub fn run(&self, deliver: impl Fn(u32, &[u8])) {
         let mut data = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let Ok((n, from)) = self.receive(&mut data) else {
@@ -85,9 +84,7 @@
             };
             let sender = self.addrs.iter().position(|p| *p == from);
             if let Some(slot) = sender.filter(|_| n <= MAX_DATAGRAM_BYTES) {
-                for queue in front.queues.all() {
-                    queue.dispatcher.peer_message(front.clock.now(), slot as u32, data[..n].to_vec());
-                }
+                deliver(slot as u32, &data[..n]);
             } else {
                 self.foreign.fetch_add(1, Ordering::Relaxed);
             }
--- a/crates/front/src/shared.rs
+++ b/crates/front/src/shared.rs
@@ -68,6 +68,13 @@
         }
     }
 
+    /// Passes a message of the peer in `slot` to the decisions of every pool.
+    pub(crate) fn deliver_peer_message(&self, slot: u32, message: &[u8]) {
+        for queue in self.queues.all() {
+            queue.dispatcher.peer_message(self.clock.now(), slot, message.to_vec());
+        }
+    }
+
     /// Messages of peers that were dropped so far: from no peer, too long, or malformed.
     pub(crate) fn dropped_peer_messages(&self) -> u64 {
         let odd: u64 = self.queues.all().iter().map(|q| q.dispatcher.malformed_messages()).sum();
--- a/crates/front/src/startup.rs
+++ b/crates/front/src/startup.rs
@@ -318,7 +318,7 @@
     }
     if let Some(peers) = front.peers.clone() {
         let f = front.clone();
-        spawn(move || peers.run(&f));
+        spawn(move || peers.run(|slot, message| f.deliver_peer_message(slot, message)));
     }
     Ok(())
 }
