--- a/crates/fernslip/src/facade/state.rs
+++ b/crates/fernslip/src/facade/state.rs
@@ -12,13 +12,19 @@
 /// A request that the front has handed over and that has no final answer yet.
 pub(super) struct OpenRequest {
     pub(super) object: ObjectId,
+    /// Purge group of the object.
     pub(super) group: u64,
-    pub(super) sent: u32,
+    /// How many attempts were decided on; the next one gets this number.
+    pub(super) attempts: u32,
+    /// It was served, or its client has disconnected.
     pub(super) over: bool,
     /// Its object was purged since its attempt was decided on.
     pub(super) outdated: bool,
+    /// The decision that its caller has not taken yet.
     pub(super) decided: Option<Decision>,
+    /// What its caller waits on.
     pub(super) waiter: Option<Arc<dyn Waiter>>,
+    /// The flag of the attempt that is out: see [`Attempt::cancelled`].
     pub(super) cancelled: Option<Arc<AtomicBool>>,
 }
 
@@ -28,7 +34,7 @@
         OpenRequest {
             object,
             group,
-            sent: 0,
+            attempts: 0,
             over: false,
             outdated: false,
             decided: None,
@@ -123,6 +129,7 @@
         calls
     }
 
+    /// Hands a decision to the caller that waits for it, unless the request is over.
     fn decide(&mut self, id: RequestId, decision: Decision, calls: &mut Vec<HostCall>) {
         if let Some(open) = self.open.get_mut(&id).filter(|o| !o.over) {
             open.decided = Some(decision);
@@ -130,12 +137,13 @@
         }
     }
 
+    /// Carries an action out in the state, and adds what is to be done once the lock is released.
     fn carry_out(&mut self, now_ms: f64, action: Action, calls: &mut Vec<HostCall>) {
         match action {
             Action::Forward { id, cache, source, until_ms, begin_by_ms, rank, age_ms, join, renew } => {
                 let Some(open) = self.open.get_mut(&id) else { return };
-                let number = open.sent;
-                open.sent += 1;
+                let number = open.attempts;
+                open.attempts += 1;
                 open.outdated = false;
                 let cancelled = Arc::new(AtomicBool::new(false));
                 open.cancelled = Some(cancelled.clone());
@@ -160,7 +168,7 @@
             }
             Action::Fail { id } => self.decide(id, Decision::Fail, calls),
             Action::Cancel { id, attempt } => {
-                let flag = self.open.get(&id).filter(|o| o.sent == attempt + 1);
+                let flag = self.open.get(&id).filter(|o| o.attempts == attempt + 1);
                 if let Some(flag) = flag.and_then(|o| o.cancelled.as_ref()) {
                     flag.store(true, MemoryOrdering::Release);
                     calls.push(HostCall::Cancel { id, attempt });
--- a/crates/fernslip/src/policy.rs
+++ b/crates/fernslip/src/policy.rs
@@ -146,7 +146,7 @@
     /// State of the random draws.
     seed: u64,
     /// Cache nodes of the location, parents and origins.
-    caches: BTreeMap<CacheId, Node>,
+    nodes: BTreeMap<CacheId, Node>,
     requests: BTreeMap<RequestId, PendingRequest>,
     purges: Purges,
     /// How often keys were requested lately.
@@ -191,7 +191,7 @@
             settings,
             now_ms: 0.0,
             seed,
-            caches: BTreeMap::new(),
+            nodes: BTreeMap::new(),
             requests: BTreeMap::new(),
             purges: Purges::default(),
             demand: Filter::new(COUNTERS, HASHES),
@@ -244,9 +244,9 @@
         if self.settings.peers && !self.peers.all_known(self.settings.near_routers()) {
             out.push(Action::SendToAllPeers { data: message::greeting(self.settings.zone as u8, true) });
         }
-        self.caches.values_mut().for_each(|node| node.filter.rotate());
+        self.nodes.values_mut().for_each(|node| node.filter.rotate());
         self.demand.rotate();
-        self.caches.retain(|_, node| node.phase != Phase::Out || node.in_flight.local.current > 0.0);
+        self.nodes.retain(|_, node| node.phase != Phase::Out || node.in_flight.local.current > 0.0);
         let retention_ms = self.settings.purge_done_ms.max(2.0 * GENERATION_MS) + GENERATION_MS;
         self.purges.drop_before(self.now_ms - retention_ms);
     }
@@ -266,7 +266,7 @@
         Retained {
             requests: self.requests.len(),
             purges: self.purges.len(),
-            filter_changes: self.caches.values().map(|node| node.changes.len()).sum(),
+            filter_changes: self.nodes.values().map(|node| node.changes.len()).sum(),
         }
     }
 }
--- a/crates/fernslip/src/policy/capacity.rs
+++ b/crates/fernslip/src/policy/capacity.rs
@@ -65,13 +65,13 @@
     ) {
         let now = self.now_ms;
         let open = (self.in_flight_total(id) - total_when_sent) / took_ms.max(1.0);
-        let known = self.caches.get(id);
+        let known = self.nodes.get(id);
         let routers = known.map_or(1.0, |node| self.sharers(node));
         let warming_up = known.is_none_or(|node| self.slow_start(node).is_some());
-        let Some(node) = self.caches.get_mut(id).filter(|_| !warming_up) else { return };
+        let Some(node) = self.nodes.get_mut(id).filter(|_| !warming_up) else { return };
         node.link.record_answer(now, Answer { work_ms, took_ms, base_ms, open }, routers);
         let role = node.role as usize;
-        self.typical_bandwidth[role] = mean_proven_capacity(self.caches.values(), role);
+        self.typical_bandwidth[role] = mean_proven_capacity(self.nodes.values(), role);
     }
 
     /// How many times the transfers that it carries are in flight there: 1 is full.
--- a/crates/fernslip/src/policy/filters.rs
+++ b/crates/fernslip/src/policy/filters.rs
@@ -9,7 +9,7 @@
 impl Router {
     /// Changes a node's filter, and notes the changes for peers as far as there is capacity for them.
     pub(super) fn record_change(&mut self, id: &CacheId, change: impl Fn(&mut Filter) -> Vec<Change>) {
-        if let Some(node) = self.caches.get_mut(id) {
+        if let Some(node) = self.nodes.get_mut(id) {
             let capacity = MAX_PENDING_CHANGES.saturating_sub(node.changes.len());
             node.changes.extend(change(&mut node.filter).into_iter().take(capacity));
         }
--- a/crates/fernslip/src/policy/health.rs
+++ b/crates/fernslip/src/policy/health.rs
@@ -21,7 +21,7 @@
     /// Other routers' gossip on a node: above 0 it gets fewer homes and is ejected after fewer failures, below 0 it
     /// is probed at once. It never ejects or re-admits by itself.
     pub(super) fn peer_suspicion(&mut self, id: &CacheId, amount: f64) {
-        let Some(node) = self.caches.get_mut(id).filter(|_| amount.is_finite()) else { return };
+        let Some(node) = self.nodes.get_mut(id).filter(|_| amount.is_finite()) else { return };
         node.peer_suspicion = amount.clamp(-MAX_PEER_SUSPICION, MAX_PEER_SUSPICION);
         if node.peer_suspicion < 0.0 {
             node.next_probe_ms = node.next_probe_ms.min(self.now_ms);
@@ -37,10 +37,10 @@
 
     /// One piece of evidence on a node: 0 good, 1 a failure of its own, between: perhaps its own.
     pub(super) fn record_evidence(&mut self, id: &CacheId, blame: f64, out: &mut Vec<Action>) {
-        let Some(node) = self.caches.get(id) else { return };
+        let Some(node) = self.nodes.get(id) else { return };
         let peers = self.peer_health(node);
         let now = self.now_ms;
-        let Some(node) = self.caches.get_mut(id) else { return };
+        let Some(node) = self.nodes.get_mut(id) else { return };
         if blame > 0.0 && now - node.last_failure >= SAME_FAILURE_MS {
             node.last_failure = now;
             node.failure_rate += (HEALTH_STEP * blame).min(1.0) * (1.0 - node.failure_rate);
@@ -86,7 +86,7 @@
         let spread = spread(&mut self.seed);
         let near_routers = f64::from(self.settings.near_routers());
         let now = self.now_ms;
-        if let Some(node) = self.caches.get_mut(id) {
+        if let Some(node) = self.nodes.get_mut(id) {
             let routers = if node.role == Role::Edge { near_routers } else { 1.0 };
             node.next_probe_ms = now + PROBE_INTERVAL_MS * spread * routers;
         }
--- a/crates/fernslip/src/policy/learning.rs
+++ b/crates/fernslip/src/policy/learning.rs
@@ -80,7 +80,7 @@
 
     /// Whether the source is another cache node of the location.
     fn is_sibling(&self, route: &Route) -> bool {
-        let is_edge = |id: &CacheId| self.caches.get(id).is_some_and(|node| node.role == Role::Edge);
+        let is_edge = |id: &CacheId| self.nodes.get(id).is_some_and(|node| node.role == Role::Edge);
         route.source != route.target && is_edge(route.source)
     }
 
@@ -97,7 +97,7 @@
         // What joined a fill came over its source's link with that fill.
         let filled_from = Some(route.source).filter(|_| said_filled);
         for id in [Some(route.target), filled_from].into_iter().flatten() {
-            let node = self.caches.get_mut(id).filter(|node| route.sent_ms >= node.started_ms);
+            let node = self.nodes.get_mut(id).filter(|node| route.sent_ms >= node.started_ms);
             if let Some(node) = node {
                 node.link.delivery.record(now, req.work_ms, outcome.elapsed_ms);
             }
@@ -105,7 +105,7 @@
         let filled = said_filled || (outcome.detail == 0 && !route.hit_expected);
         if filled && route.source != route.target {
             self.record_evidence(route.source, 0.0, out);
-            self.caches.entry(route.source.clone()).and_modify(|node| node.last_seen = now);
+            self.nodes.entry(route.source.clone()).and_modify(|node| node.last_seen = now);
         }
         if !self.settings.classes[req.request.class].write {
             self.record_change(route.target, |f| f.add(req.key));
@@ -150,7 +150,7 @@
     fn blame(&self, req: &PendingRequest, outcome: &Outcome, route: &Route) -> Blame {
         // A time-out counts only against a node that has answered nothing since: a slow one is crowded, and
         // ejecting it would crowd the rest and move its homes.
-        let quiet = |id: &CacheId| self.caches.get(id).is_some_and(|node| node.last_seen < route.sent_ms);
+        let quiet = |id: &CacheId| self.nodes.get(id).is_some_and(|node| node.last_seen < route.sent_ms);
         let timed_out = outcome.ending == Ending::TimedOut;
         let others_explain = || route.hit_expected || route.target_slow || !quiet(route.source);
         let all_notes = self.settings.notes == NoteLevel::All;
@@ -171,7 +171,7 @@
 
     /// Where no reason is given, blame goes by who has been failing with others.
     fn blame_by_history(&self, route: &Route) -> Blame {
-        let suspicion = |id: &CacheId| self.caches.get(id).map_or(0.0, |node| node.failure_rate) + 0.05;
+        let suspicion = |id: &CacheId| self.nodes.get(id).map_or(0.0, |node| node.failure_rate) + 0.05;
         let target = suspicion(route.target) / (suspicion(route.target) + suspicion(route.source));
         Blame { target, source: 1.0 - target }
     }
--- a/crates/fernslip/src/policy/nodes.rs
+++ b/crates/fernslip/src/policy/nodes.rs
@@ -23,7 +23,7 @@
         for entry in entries {
             self.update_endpoint(entry);
         }
-        let edges = || self.caches.values().filter(|node| node.role == Role::Edge);
+        let edges = || self.nodes.values().filter(|node| node.role == Role::Edge);
         // Caches that keep anything send more than their link brings in; a parent feeds a location or more.
         let listed = edges().filter(|node| node.phase != Phase::Out).count();
         let expected_bandwidth = self.settings.expected_bandwidth(listed);
@@ -37,7 +37,7 @@
     /// A complete list removes what it does not name.
     fn remove_unlisted(&mut self, entries: &[Entry], out: &mut Vec<Action>) {
         let listed: BTreeSet<&CacheId> = entries.iter().map(|entry| &entry.cache).collect();
-        for (id, node) in &mut self.caches {
+        for (id, node) in &mut self.nodes {
             if !listed.contains(id) && node.phase != Phase::Out {
                 node.phase = Phase::Out;
                 out.push(Action::Log(format!("{} is off the list: not used", id.0)));
@@ -56,7 +56,7 @@
             return;
         }
         let counters = if role == Role::Edge { COUNTERS } else { 0 };
-        let node = self.caches.entry(entry.cache).or_insert_with_key(|id| {
+        let node = self.nodes.entry(entry.cache).or_insert_with_key(|id| {
             let name: Vec<u64> = id.0.bytes().map(u64::from).collect();
             Node::new(key_number(hash(&name)), entry.started_ms, entry.phase, counters, HASHES)
         });
@@ -76,7 +76,7 @@
     pub(super) fn peers_of<'a>(&'a self, node: &'a Node) -> impl Iterator<Item = &'a Node> {
         let same_role =
             move |other: &&Node| other.role == node.role && other.phase == Phase::In && other.tag != node.tag;
-        self.caches.values().filter(same_role)
+        self.nodes.values().filter(same_role)
     }
 
     /// How many routers may send to it or fill from it.
@@ -90,14 +90,14 @@
 
     /// One more (1) or one less (-1) is in flight at a node.
     pub(super) fn count_in_flight(&mut self, id: &CacheId, by: f64) {
-        let Some(routers) = self.caches.get(id).map(|node| self.sharers(node)) else { return };
+        let Some(routers) = self.nodes.get(id).map(|node| self.sharers(node)) else { return };
         let now = self.now_ms;
-        self.caches.entry(id.clone()).and_modify(|node| node.in_flight.step(now, by, routers));
+        self.nodes.entry(id.clone()).and_modify(|node| node.in_flight.step(now, by, routers));
     }
 
     /// What was in flight at a node, summed over time, in milliseconds.
     pub(super) fn in_flight_total(&self, id: &CacheId) -> f64 {
         let total = |node: &Node| node.in_flight.total_over_time(self.now_ms, self.sharers(node));
-        self.caches.get(id).map_or(0.0, total)
+        self.nodes.get(id).map_or(0.0, total)
     }
 }
--- a/crates/fernslip/src/policy/outcome.rs
+++ b/crates/fernslip/src/policy/outcome.rs
@@ -59,11 +59,11 @@
         let kind = attempt.kind;
         let in_time = outcome.elapsed_ms <= req.objective_ms;
         // A fill through a cache that crawls or is itself congested tells nothing of its source or the links.
-        let target = self.caches.get(&attempt.cache);
+        let target = self.nodes.get(&attempt.cache);
         let target_slow = target.is_some_and(|node| self.is_slow(node));
         let fill_pace = outcome.elapsed_ms / (req.work_ms + PACE_BASE_MS);
         let target_congested = target.is_some_and(|node| self.is_congested(node, fill_pace));
-        let source_slow = || self.caches.get(&attempt.source).is_some_and(|node| self.is_slow(node));
+        let source_slow = || self.nodes.get(&attempt.source).is_some_and(|node| self.is_slow(node));
         let hit_expected = matches!(kind, AttemptKind::ExpectedHit | AttemptKind::LookupOnly);
         let said_hit = outcome.detail == 1 || outcome.detail == 0 && hit_expected;
         EndedAttempt {
@@ -93,7 +93,7 @@
         let pace = outcome.elapsed_ms / (req.work_ms + base_ms);
         let telling = hit || !ended.target_slow && !ended.target_congested;
         let now = self.now_ms;
-        let node = self.caches.get_mut(id).filter(|node| hit == (node.role == Role::Edge) && telling);
+        let node = self.nodes.get_mut(id).filter(|node| hit == (node.role == Role::Edge) && telling);
         if let Some(node) = node {
             node.record_pace(now, pace);
             let total_when_sent = ended.in_flight_totals[usize::from(!hit)];
@@ -130,7 +130,7 @@
         let now = self.now_ms;
         let silent = outcome.ending.never_sent()
             || matches!(outcome.ending, Ending::TimedOut | Ending::Cancelled | Ending::ConnectionRefused);
-        let Some(node) = self.caches.get_mut(target) else { return };
+        let Some(node) = self.nodes.get_mut(target) else { return };
         if let Some(reported) = outcome.reported_in_flight {
             node.in_flight.record_report(now, reported);
         }
--- a/crates/fernslip/src/policy/peers.rs
+++ b/crates/fernslip/src/policy/peers.rs
@@ -10,7 +10,7 @@
 impl Router {
     /// Sends the location's routers what changed in the filters since the last time.
     pub(super) fn send_filter_changes(&mut self, out: &mut Vec<Action>) {
-        for node in self.caches.values_mut() {
+        for node in self.nodes.values_mut() {
             let changes = std::mem::take(&mut node.changes);
             for data in message::changes(self.settings.zone as u8, node.tag, &changes, MESSAGE_BYTES) {
                 out.extend(self.peers.all().map(|to| Action::SendToPeer { to, data: data.clone() }));
@@ -40,7 +40,7 @@
             Message::Greeting { wants_reply: false } => {}
             Message::Changes { tag, changes } => {
                 let tagged = |node: &&mut Node| node.tag.to_be_bytes().starts_with(&tag);
-                let mut in_service = self.caches.values_mut().filter(|node| node.phase == Phase::In);
+                let mut in_service = self.nodes.values_mut().filter(|node| node.phase == Phase::In);
                 if let Some(node) = in_service.find(tagged) {
                     node.filter.apply(&changes);
                 }
@@ -57,7 +57,7 @@
         if known_ms < BOOTSTRAP_FROM_MS {
             return;
         }
-        let in_service = self.caches.values().filter(|node| node.phase == Phase::In);
+        let in_service = self.nodes.values().filter(|node| node.phase == Phase::In);
         let bootstrap = Bootstrap::of(in_service.clone(), self.now_ms, known_ms, self.fill_limiter.limit);
         out.push(Action::SendToPeer { to, data: bootstrap.encode(zone, MESSAGE_BYTES) });
         // The keys that caches are known to have: one of its peers sends them, the next by number.
@@ -78,7 +78,7 @@
         }
         self.fill_limiter.limit = bootstrap.fill_limit;
         let first_event_ms = self.peers.first_event_ms.unwrap_or(self.now_ms);
-        bootstrap.apply(self.caches.values_mut(), self.now_ms, first_event_ms);
-        self.typical_bandwidth = [0, 1, 2].map(|role| mean_proven_capacity(self.caches.values(), role));
+        bootstrap.apply(self.nodes.values_mut(), self.now_ms, first_event_ms);
+        self.typical_bandwidth = [0, 1, 2].map(|role| mean_proven_capacity(self.nodes.values(), role));
     }
 }
--- a/crates/fernslip/src/policy/placement.rs
+++ b/crates/fernslip/src/policy/placement.rs
@@ -19,7 +19,7 @@
         let home = self.home(req, &ranked, remaining_ms)?;
         let parent = self.source(req, Role::Parent);
         let origin = self.source(req, Role::Origin);
-        let late = |id: &CacheId| self.is_late(&self.caches[id], req);
+        let late = |id: &CacheId| self.is_late(&self.nodes[id], req);
         let parent = parent.filter(|id| !late(id) || origin.is_none_or(late));
         if self.settings.classes[req.request.class].write {
             return Self::plan_write(req, home.0, parent, origin);
@@ -39,7 +39,7 @@
         let key = key_number(req.key);
         let weight = |node: &Node| self.effective_weight(node) * (1.0 - node.peer_suspicion.max(0.0));
         let in_service =
-            self.caches.iter().filter(|(_, node)| node.role == Role::Edge && node.phase == Phase::In);
+            self.nodes.iter().filter(|(_, node)| node.role == Role::Edge && node.phase == Phase::In);
         let mut scored: Vec<_> = in_service.map(|c| (score(c.1.tag, key, weight(c.1)), c)).collect();
         scored.sort_by(|a, b| b.0.total_cmp(&a.0));
         scored.into_iter().map(|(_, candidate)| candidate).collect()
--- a/crates/fernslip/src/policy/request.rs
+++ b/crates/fernslip/src/policy/request.rs
@@ -85,7 +85,7 @@
         let cost_ms = self.mean_work_ms[req.request.class];
         for id in [&target, &source] {
             let window_ms = self.settings.slow_start_window_ms;
-            let Some(node) = self.caches.get_mut(id) else { continue };
+            let Some(node) = self.nodes.get_mut(id) else { continue };
             node.record_sent(now, cost_ms, window_ms);
             if node.ejected || node.is_silent(now) {
                 self.schedule_probe(id);
@@ -99,7 +99,7 @@
             self.count_in_flight(&source, 1.0);
         }
         let in_flight_totals = [&target, &source].map(|id| self.in_flight_total(id));
-        if let Some(node) = self.caches.get_mut(&target) {
+        if let Some(node) = self.nodes.get_mut(&target) {
             node.silent_after.get_or_insert(now + (SILENT_MS + 2.0 * req.work_ms));
         }
         if !self.watch_timer_set && self.settings.cancel {
--- a/crates/fernslip/src/policy/retry.rs
+++ b/crates/fernslip/src/policy/retry.rs
@@ -20,7 +20,7 @@
             (Effect::Idempotent, _) | (_, None) => true,
             (Effect::AtMostOnce, Some(_)) => false,
             (Effect::Deduplicated, Some(first)) => {
-                let same_group = self.caches.get(&first.cache).is_some_and(|node| match class.scope {
+                let same_group = self.nodes.get(&first.cache).is_some_and(|node| match class.scope {
                     DedupScope::All => true,
                     DedupScope::Zone => node.zone == to.zone,
                     DedupScope::Cell => node.cell == to.cell,
--- a/crates/fernslip/src/policy/silence.rs
+++ b/crates/fernslip/src/policy/silence.rs
@@ -58,7 +58,7 @@
             let least_ms = SILENT_MS * PROBE_FRACTION + req.work_ms;
             for (n, attempt) in req.attempts.iter_mut().enumerate() {
                 let due = attempt.open && !attempt.cancelled && now > attempt.sent + least_ms;
-                if due && self.caches.get(&attempt.cache).is_some_and(|node| node.is_silent(now)) {
+                if due && self.nodes.get(&attempt.cache).is_some_and(|node| node.is_silent(now)) {
                     attempt.cancelled = true;
                     req.excluded.insert(attempt.cache.clone());
                     out.push(Action::Cancel { id, attempt: n as u32 });
@@ -72,15 +72,15 @@
     /// A fill that is late already tells now what its end would tell when the client has disconnected.
     fn learn_from_late_fill(&mut self, fill: &LateFill) {
         let now = self.now_ms;
-        let slow = |id: &CacheId| self.caches.get(id).is_some_and(|node| self.is_slow(node));
-        let target = self.caches.get(&fill.target);
+        let slow = |id: &CacheId| self.nodes.get(id).is_some_and(|node| self.is_slow(node));
+        let target = self.nodes.get(&fill.target);
         if slow(&fill.target) || target.is_some_and(|node| self.is_congested(node, fill.pace)) {
             return;
         }
         if !slow(&fill.source) {
             self.fill_limiter.record_late(now, f64::from(self.settings.near_routers()));
         }
-        if let Some(node) = self.caches.get_mut(&fill.source).filter(|node| node.role != Role::Edge) {
+        if let Some(node) = self.nodes.get_mut(&fill.source).filter(|node| node.role != Role::Edge) {
             node.record_pace(now, fill.pace.max(node.pace_at(now)));
         }
     }
--- a/crates/fernslip/src/policy/sources.rs
+++ b/crates/fernslip/src/policy/sources.rs
@@ -11,7 +11,7 @@
     pub(super) fn source(&self, req: &PendingRequest, role: Role) -> Option<&CacheId> {
         let object = req.request.object.0;
         let weight = |node: &Node| node.listed_weight * self.speed_factor(node);
-        self.caches
+        self.nodes
             .iter()
             .filter(|(_, node)| node.role == role && node.phase == Phase::In)
             .filter(|(id, node)| self.is_usable(id, node, req))
