--- a/crates/record/src/storage.rs
+++ b/crates/record/src/storage.rs
@@ -68,3 +68,6 @@
         StoredValue::Snapshot { state: state.to_bytes(), term, voters }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/record/src/voter.rs
+++ b/crates/record/src/voter.rs
@@ -6,10 +6,10 @@
 use crate::state::{LogEntry, RecordState, VoterId, KIND_NOOP, KIND_VOTERS};
 use crate::storage::{StorageKey, StoredValue, Write, WriteBatch};
 use crate::texts::{Digest, TextRef};
-use log::Log;
+use log::{Log, RestoredLog};
 use protobuf::Message as _;
 use raft::eraftpb::{
-    ConfChange, ConfChangeType, ConfState, Entry as RaftEntry, EntryType, HardState, Message, Snapshot,
+    ConfChange, ConfChangeType, Entry as RaftEntry, EntryType, HardState, Message, Snapshot,
 };
 use raft::{Config, RawNode, StateRole, Storage};
 use std::collections::BTreeMap;
@@ -117,8 +117,7 @@
         extra_election_ticks: usize,
         stored: &BTreeMap<StorageKey, StoredValue>,
     ) -> Option<RestoredVoter> {
-        let log = Log::new();
-        let state = restore_log(&log, stored)?;
+        let RestoredLog { log, state } = Log::restore(stored)?;
         log.set_snapshot_ref(encode_snapshot_ref(&state));
         let election_ticks = ELECTION_TICKS + extra_election_ticks;
         let config = Config {
@@ -314,35 +313,6 @@
     }
 }
 
-/// Fills an empty log with what was found on disk; the state of its snapshot.
-fn restore_log(log: &Log, stored: &BTreeMap<StorageKey, StoredValue>) -> Option<RecordState> {
-    let (mut state, mut state_term) = (RecordState::default(), 0);
-    let mut memory = log.entries.wl();
-    if let Some(StoredValue::Snapshot { state: encoded, term, voters }) = stored.get(&StorageKey::Snapshot) {
-        (state, state_term) = (RecordState::from_bytes(encoded)?, *term);
-        let mut snapshot = Snapshot::default();
-        snapshot.mut_metadata().index = state.applied_index;
-        snapshot.mut_metadata().term = *term;
-        let conf_state = ConfState { voters: voters.clone(), ..ConfState::default() };
-        *snapshot.mut_metadata().mut_conf_state() = conf_state;
-        memory.apply_snapshot(snapshot).ok()?;
-    }
-    let mut entries = Vec::new();
-    for (key, value) in stored.range(StorageKey::Entry(state.applied_index + 1)..) {
-        let (StorageKey::Entry(_), StoredValue::Entry(bytes)) = (key, value) else { continue };
-        entries.push(RaftEntry::parse_from_bytes(bytes).ok()?);
-    }
-    memory.append(&entries).ok()?;
-    if let Some(StoredValue::HardState(bytes)) = stored.get(&StorageKey::HardState) {
-        let mut hard_state = HardState::parse_from_bytes(bytes).ok()?;
-        // The snapshot may be ahead of the hard state that was last written.
-        hard_state.commit = hard_state.commit.max(state.applied_index);
-        hard_state.term = hard_state.term.max(state_term);
-        memory.set_hardstate(hard_state);
-    }
-    Some(state)
-}
-
 /// A snapshot as the leader's message has it: the reference to the state's encoding.
 fn encode_snapshot_ref(state: &RecordState) -> Vec<u8> {
     let bytes = state.to_bytes();
--- a/crates/record/src/voter/log.rs
+++ b/crates/record/src/voter/log.rs
@@ -1,8 +1,12 @@
 //! A voter's log in memory, as the `raft` crate reads it.
 
-use raft::eraftpb::{Entry, Snapshot};
+use crate::state::RecordState;
+use crate::storage::{StorageKey, StoredValue};
+use protobuf::Message as _;
+use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::storage::MemStorage;
 use raft::{GetEntriesContext, RaftState, Storage};
+use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// The log. A snapshot for a voter that is far behind contains only a reference to the state, which is fetched apart
@@ -13,9 +17,44 @@
     snapshot_ref: Arc<Mutex<Vec<u8>>>,
 }
 
+/// A log from disk, and the state of the snapshot below it.
+pub(super) struct RestoredLog {
+    pub(super) log: Log,
+    pub(super) state: RecordState,
+}
+
 impl Log {
-    pub(super) fn new() -> Log {
-        Log { entries: MemStorage::new(), snapshot_ref: Arc::default() }
+    /// The log that was found on disk; an empty one if nothing was. `None`: what was found can't be decoded.
+    pub(super) fn restore(stored: &BTreeMap<StorageKey, StoredValue>) -> Option<RestoredLog> {
+        let (mut state, mut state_term) = (RecordState::default(), 0);
+        let log = Log { entries: MemStorage::new(), snapshot_ref: Arc::default() };
+        let mut memory = log.entries.wl();
+        if let Some(StoredValue::Snapshot { state: encoded, term, voters }) =
+            stored.get(&StorageKey::Snapshot)
+        {
+            (state, state_term) = (RecordState::from_bytes(encoded)?, *term);
+            let mut snapshot = Snapshot::default();
+            snapshot.mut_metadata().index = state.applied_index;
+            snapshot.mut_metadata().term = *term;
+            let conf_state = ConfState { voters: voters.clone(), ..ConfState::default() };
+            *snapshot.mut_metadata().mut_conf_state() = conf_state;
+            memory.apply_snapshot(snapshot).ok()?;
+        }
+        let mut entries = Vec::new();
+        for (key, value) in stored.range(StorageKey::Entry(state.applied_index + 1)..) {
+            let (StorageKey::Entry(_), StoredValue::Entry(bytes)) = (key, value) else { continue };
+            entries.push(Entry::parse_from_bytes(bytes).ok()?);
+        }
+        memory.append(&entries).ok()?;
+        if let Some(StoredValue::HardState(bytes)) = stored.get(&StorageKey::HardState) {
+            let mut hard_state = HardState::parse_from_bytes(bytes).ok()?;
+            // The snapshot may be ahead of the hard state that was last written.
+            hard_state.commit = hard_state.commit.max(state.applied_index);
+            hard_state.term = hard_state.term.max(state_term);
+            memory.set_hardstate(hard_state);
+        }
+        drop(memory);
+        Some(RestoredLog { log, state })
     }
 
     pub(super) fn set_snapshot_ref(&self, encoded: Vec<u8>) {
