--- a/crates/front/src/clients/mod.rs
+++ b/crates/front/src/clients/mod.rs
@@ -2,6 +2,8 @@
 
 pub mod budget;
 pub mod call;
+mod connection;
+mod eviction;
 pub mod forward;
 pub mod listen;
 pub mod metrics;
--- a/crates/front/src/invariants.rs
+++ b/crates/front/src/invariants.rs
@@ -1,7 +1,7 @@
 //! What must hold whenever the front sends, repeats, answers, closes or starts, checked at run time where it happens.
 //!
 //! Each kind of step passes one guard that keeps its rule: sending [`SendGuard`](crate::upstream::send_guard::SendGuard), repeating
-//! `forward::serve`, answering `Client::answer`, closing [`Link::run`](crate::link::Link::run), starting
+//! `forward::serve`, answering `ClientConnection::answer`, closing [`Link::run`](crate::link::Link::run), starting
 //! [`Startup`]. The checks here are apart from the guards: they look at what was done. A violation is counted by name, logged
 //! with the ids concerned and shown in the figures as `relay.violations.NAME`; it never ends the process.
 
