--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -131,8 +131,8 @@
     };
     match result {
         Ok(ring) => {
-            let accepted: Vec<String> = ring.accepts().iter().map(u8::to_string).collect();
-            print(&format!("signs {}, accepts {}\n", ring.signs(), accepted.join(" and ")))
+            let accepted: Vec<String> = ring.accepted_keys().iter().map(u8::to_string).collect();
+            print(&format!("signs {}, accepts {}\n", ring.signing_key(), accepted.join(" and ")))
         }
         Err(error) => fail(format!("{}: {error}", file.display())),
     }
--- a/crates/cli/tests/gossip.rs
+++ b/crates/cli/tests/gossip.rs
@@ -1,9 +1,9 @@
-//! Fronts that gossip, over sockets: real fronts, stand-in boxes, a peer that lies, keys rotated under load.
+//! Fronts that gossip, over sockets: real fronts, stand-in cache nodes, a byzantine peer, keys rotated under load.
 
 mod common;
 
 use common::{Answer, Front, Node, STEP_TIMEOUT};
-use fernslip_gossip::{Action, BoxKey, Config, Event, Gossip, Keyring, Kind, Now};
+use fernslip_gossip::{Action, CacheNodeKey, Config, Event, Evidence, Gossip, Keyring, Now, Observation};
 use std::net::{SocketAddr, UdpSocket};
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-fn folder(name: &str) -> PathBuf {
+fn temp_dir_for(name: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("fernslip-gossip-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
     std::fs::create_dir_all(&dir).expect("a folder");
@@ -91,8 +91,8 @@
 
 /// Fronts n0 to n2 see a box fail; n3, which was sent nothing, hears of it, and still does not refuse or eject.
 #[test]
-fn a_front_that_sees_little_hears_of_a_box_that_fails() {
-    let dir = folder("hears");
+fn a_front_that_sees_little_learns_of_a_failing_node_by_gossip() {
+    let dir = temp_dir_for("hears");
     new_keys(&dir);
     let nodes: Vec<Node> = (0..5).map(|_| Node::start()).collect();
     let boxes: Vec<&Node> = nodes.iter().collect();
@@ -130,8 +130,8 @@
 
 /// A peer with the key that accuses a healthy box without end: no front lowers its share for it at any look.
 #[test]
-fn a_lying_peer_takes_no_healthy_box_out() {
-    let dir = folder("liar");
+fn a_byzantine_peer_ejects_no_healthy_node() {
+    let dir = temp_dir_for("liar");
     let keys = new_keys(&dir);
     let nodes: Vec<Node> = (0..4).map(|_| Node::start()).collect();
     let boxes: Vec<&Node> = nodes.iter().collect();
@@ -148,23 +148,28 @@
         mono_ms: start.elapsed().as_secs_f64() * 1000.0,
         unix_ms: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0,
     };
-    let mut liar = Gossip::new(config, ring, 9, now());
-    let all: Vec<BoxKey> = (0..4).map(|i| BoxKey::of(&format!("box-{i}"), 0)).collect();
+    let mut byzantine = Gossip::new(config, ring, 9, now());
+    let all: Vec<CacheNodeKey> = (0..4).map(|i| CacheNodeKey::new(&format!("box-{i}"), 0)).collect();
     let mut out = Vec::new();
-    liar.handle(now(), Event::Boxes(all.clone()), &mut out);
+    byzantine.handle(now(), Event::CacheNodes(all.clone()), &mut out);
     let mut client = peers[1].front.client();
     let (mut object, mut accused) = (0, 0);
     while accused < 40 || !peers.iter().all(|p| p.status().contains("word box-0 failing")) {
         assert!(start.elapsed() < STEP_TIMEOUT, "its words never came: {}", peers[0].status());
-        liar.handle(
+        byzantine.handle(
             now(),
-            Event::Evidence { of: all[0], kind: Kind::Failing, strength: 1.0, count: 255 },
+            Event::Evidence(Evidence {
+                node: all[0],
+                observation: Observation::Failing,
+                strength: 1.0,
+                count: 255,
+            }),
             &mut out,
         );
-        liar.handle(now(), Event::Tick, &mut out);
+        byzantine.handle(now(), Event::Tick, &mut out);
         let mut data = [0; 300];
         while let Ok((n, from)) = socket.recv_from(&mut data) {
-            liar.handle(now(), Event::Datagram { from, bytes: data[..n].to_vec() }, &mut out);
+            byzantine.handle(now(), Event::Datagram { from, bytes: data[..n].to_vec() }, &mut out);
         }
         for a in out.drain(..) {
             if let Action::Send { to, bytes } = a {
@@ -185,13 +190,13 @@
 /// The keys of a file, as a front reads them.
 fn ring(file: &Path) -> Keyring {
     let text = std::fs::read_to_string(file).expect("the keys");
-    fernslip_gossip::check_file(&text, 1, 1, 0o600).expect("good keys")
+    fernslip_gossip::parse_key_file(&text, 1, 1, 0o600).expect("good keys")
 }
 
 /// Add, switch, drop, each on every front before the next, while they talk: no datagram is refused for its key.
 #[test]
-fn keys_are_rotated_while_fronts_talk() {
-    let dir = folder("rotate");
+fn keys_are_rotated_while_fronts_gossip() {
+    let dir = temp_dir_for("rotate");
     let keys = new_keys(&dir);
     let nodes: Vec<Node> = (0..3).map(|_| Node::start()).collect();
     let boxes: Vec<&Node> = nodes.iter().collect();
@@ -225,8 +230,8 @@
 }
 
 #[test]
-fn key_files_are_made_checked_and_not_shown() {
-    let dir = folder("keys");
+fn key_files_are_created_checked_and_never_shown() {
+    let dir = temp_dir_for("keys");
     let file = new_keys(&dir);
     let secret = std::fs::read_to_string(&file).expect("the keys");
     let mode = std::fs::metadata(&file).expect("it").permissions().mode();
@@ -260,7 +265,7 @@
 /// Fronts whose gossip takes its peers from the view: no seed of gossip's own, and who ended is forgotten with the view.
 #[test]
 fn peers_of_the_view_gossip_without_seeds() {
-    let dir = folder("view");
+    let dir = temp_dir_for("view");
     let keys = new_keys(&dir);
     let node = Node::start();
     let socket = |n: usize| dir.join(format!("v{n}.sock")).display().to_string();
--- a/crates/front/src/control/discovery_watch.rs
+++ b/crates/front/src/control/discovery_watch.rs
@@ -66,7 +66,7 @@
         let starts = nodes.iter().map(|ListedNode { entry, .. }| {
             (entry.cache.clone(), Some(entry.started_ms).filter(|_| entry.phase != Phase::Out))
         });
-        gossip.news(front.queues.all(), full, starts.collect());
+        gossip.update_nodes(front.queues.all(), full, starts.collect());
     }
     let mut entries = Vec::new();
     for ListedNode { mut entry, addr } in nodes {
--- /dev/null
+++ b/crates/front/src/control/gossip/plan.rs
@@ -0,0 +1,60 @@
+//! The gossip section of the site document, read and checked.
+
+use crate::keyfile;
+use fernslip_gossip::{Config, Keyring};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+
+/// How a front gossips.
+pub struct Plan {
+    /// The instance's own settings.
+    pub config: Config,
+    /// The keys.
+    pub keys: Keyring,
+    /// The path of the local socket for operators.
+    pub control: Option<PathBuf>,
+    /// Its peers are those of the view.
+    pub from_view: bool,
+}
+
+impl Plan {
+    /// The plan of the front with this name, by the document; its keys are read and checked.
+    ///
+    /// # Errors
+    /// All that is wrong with it.
+    pub fn of(settings: &fernslip_site::Gossip, name: &str) -> Result<Plan, Vec<String>> {
+        let mut errors = Vec::new();
+        let mut address = |text: &String| {
+            let parsed = text.parse::<SocketAddr>();
+            if parsed.is_err() {
+                errors.push(format!("gossip: `{text}` is no IP address and port"));
+            }
+            parsed.ok()
+        };
+        let addr = address(&settings.listen);
+        let advertise = settings.advertise.as_ref().and_then(&mut address);
+        let seeds = settings.seeds.iter().filter_map(&mut address).collect();
+        let keys = keyfile::read(Path::new(&settings.key_file));
+        if let Err(error) = &keys {
+            errors.push(format!("gossip: {}: {error}", settings.key_file));
+        }
+        if !settings.fronts.is_empty() && !settings.fronts.iter().any(|n| n == name) {
+            errors.push(format!("gossip: this front, \"{name}\", is none of its own list of fronts"));
+        }
+        let (Some(addr), Ok(keys), true) = (addr, keys, errors.is_empty()) else { return Err(errors) };
+        let default = Config::default();
+        let config = Config {
+            name: name.into(),
+            addr,
+            seeds,
+            roster: settings.fronts.clone(),
+            advertise,
+            bytes_per_s: settings.bytes_per_s.unwrap_or(default.bytes_per_s),
+            burst_bytes: settings.burst_bytes.unwrap_or(default.burst_bytes),
+            skew_ms: settings.skew_ms.map_or(default.skew_ms, |ms| ms as f64),
+            ..default
+        };
+        let from_view = settings.peers == Some(fernslip_site::GossipPeers::View);
+        Ok(Plan { config, keys, control: settings.control.as_ref().map(Into::into), from_view })
+    }
+}
--- a/crates/front/src/control/keyfile.rs
+++ b/crates/front/src/control/keyfile.rs
@@ -1,47 +1,31 @@
-//! Key files on the disk: read with their owner and mode, made, and rotated.
+//! Key files on disk: read with their owner and mode, created, and rotated.
 
-use fernslip_gossip::{check_file, KeyError, Keyring};
-use std::fmt;
+use fernslip_gossip::{parse_key_file, KeyError, Keyring};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::os::unix::fs::{MetadataExt, OpenOptionsExt};
 use std::path::Path;
 
 /// No key file is longer: two keys and some comments.
-const MOST_BYTES: u64 = 16 * 1024;
+const MAX_FILE_BYTES: u64 = 16 * 1024;
 
 /// Why a key file can't be used or written.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum KeyFileError {
-    /// The system's own words.
-    Io(io::Error),
+    /// It can't be read or written.
+    #[error(transparent)]
+    Io(#[from] io::Error),
     /// It is not what a key file must be.
-    Key(KeyError),
-    /// There are two keys already: the rotation under way is to be ended first.
+    #[error(transparent)]
+    Key(#[from] KeyError),
+    /// There are two keys already: the rotation in progress is to be completed first.
+    #[error("it holds two keys: a rotation is under way")]
     Rotating,
-    /// No number is left for a key.
+    /// All 255 key numbers are in use.
+    #[error("no number is left for a key")]
     NoNumber,
 }
 
-impl fmt::Display for KeyFileError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            KeyFileError::Io(e) => write!(f, "{e}"),
-            KeyFileError::Key(e) => write!(f, "{e}"),
-            KeyFileError::Rotating => f.write_str("it holds two keys: a rotation is under way"),
-            KeyFileError::NoNumber => f.write_str("no number is left for a key"),
-        }
-    }
-}
-
-impl std::error::Error for KeyFileError {}
-
-impl From<io::Error> for KeyFileError {
-    fn from(e: io::Error) -> Self {
-        KeyFileError::Io(e)
-    }
-}
-
 /// A step of a rotation. Each is taken on every front, and SIGHUP sent, before the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
@@ -53,82 +37,94 @@
     Drop,
 }
 
-fn text(path: &Path) -> Result<(String, u32, u32), KeyFileError> {
-    // Owner and mode of what is read, not of what the name may mean a moment later.
-    let file = File::open(path)?;
-    let meta = file.metadata()?;
-    if !meta.is_file() || meta.len() > MOST_BYTES {
-        return Err(
-            io::Error::new(io::ErrorKind::InvalidInput, "not a plain file of a key file's length").into()
-        );
+/// A key file's text, with its owner and mode.
+struct RawKeyFile {
+    text: String,
+    owner: u32,
+    mode: u32,
+}
+
+impl RawKeyFile {
+    /// Owner and mode are those of the opened file, not of what the path may name a moment later.
+    fn read(path: &Path) -> Result<RawKeyFile, KeyFileError> {
+        let file = File::open(path)?;
+        let meta = file.metadata()?;
+        if !meta.is_file() || meta.len() > MAX_FILE_BYTES {
+            let message = "not a plain file of a key file's length";
+            return Err(io::Error::new(io::ErrorKind::InvalidInput, message).into());
+        }
+        let mut text = String::new();
+        file.take(MAX_FILE_BYTES).read_to_string(&mut text)?;
+        Ok(RawKeyFile { text, owner: meta.uid(), mode: meta.mode() })
+    }
+
+    fn parse(&self) -> Result<Keyring, KeyFileError> {
+        Ok(parse_key_file(&self.text, self.owner, process_user()?, self.mode)?)
     }
-    let mut text = String::new();
-    file.take(MOST_BYTES).read_to_string(&mut text)?;
-    Ok((text, meta.uid(), meta.mode()))
 }
 
-/// This process's user: the owner of its own entry among the processes.
-fn own_uid() -> io::Result<u32> {
+/// The user that this process runs as: the owner of its own entry in `/proc`.
+fn process_user() -> io::Result<u32> {
     std::fs::metadata("/proc/self").map(|m| m.uid())
 }
 
 /// Reads and checks a key file.
 ///
 /// # Errors
-/// What the system says, and see [`KeyError`].
+/// [`KeyFileError::Io`] and [`KeyFileError::Key`].
 pub fn read(path: &Path) -> Result<Keyring, KeyFileError> {
-    let (text, owner, mode) = text(path)?;
-    check_file(&text, owner, own_uid()?, mode).map_err(KeyFileError::Key)
+    RawKeyFile::read(path)?.parse()
 }
 
 /// The lines of a checked file that hold keys.
-fn lines(path: &Path) -> Result<Vec<String>, KeyFileError> {
-    let (text, owner, mode) = text(path)?;
-    check_file(&text, owner, own_uid()?, mode).map_err(KeyFileError::Key)?;
-    let keys = text.lines().map(|l| l.split('#').next().unwrap_or("").trim().to_string());
+fn key_lines(path: &Path) -> Result<Vec<String>, KeyFileError> {
+    let file = RawKeyFile::read(path)?;
+    file.parse()?;
+    let keys = file.text.lines().map(|l| l.split('#').next().unwrap_or("").trim().to_string());
     Ok(keys.filter(|l| !l.is_empty()).collect())
 }
 
-fn new_line(taken: &[u8]) -> Result<String, KeyFileError> {
-    let id = (1..=255).find(|id| !taken.contains(id)).ok_or(KeyFileError::NoNumber)?;
+/// A line with a new random key, of the lowest number that is not in use.
+fn new_key_line(used: &[u8]) -> Result<String, KeyFileError> {
+    let id = (1..=255).find(|id| !used.contains(id)).ok_or(KeyFileError::NoNumber)?;
     let mut secret = [0u8; 32];
     File::open("/dev/urandom")?.read_exact(&mut secret)?;
     let hex: String = secret.iter().map(|b| format!("{b:02x}")).collect();
     Ok(format!("{id} {hex}"))
 }
 
-/// Makes a file with one new key; one that is there is left alone.
+/// Creates a file with one new key; an existing file is not touched.
 ///
 /// # Errors
-/// `AlreadyExists`, and what else the system says.
+/// [`KeyFileError::Io`], of kind `AlreadyExists` if the file exists.
 pub fn create(path: &Path) -> Result<Keyring, KeyFileError> {
     let mut file = OpenOptions::new().write(true).create_new(true).mode(0o600).open(path)?;
-    writeln!(file, "# fernslip gossip keys: the first signs\n{}", new_line(&[])?)?;
+    writeln!(file, "# fernslip gossip keys: the first signs\n{}", new_key_line(&[])?)?;
     file.sync_all()?;
     read(path)
 }
 
-/// Takes a step of a rotation. The file is replaced whole.
+/// Takes a step of a rotation. The file is replaced atomically.
 ///
 /// # Errors
-/// What [`read`] says; a step that does not fit the keys that are there.
+/// Those of [`read`]; a step that does not fit the keys of the file.
 pub fn rotate(path: &Path, step: Step) -> Result<Keyring, KeyFileError> {
-    let mut keys = lines(path)?;
-    let taken = read(path)?.accepts();
+    let mut keys = key_lines(path)?;
+    let used = read(path)?.accepted_keys();
     match (step, keys.len()) {
-        (Step::Add, 1) => keys.push(new_line(&taken)?),
+        (Step::Add, 1) => keys.push(new_key_line(&used)?),
         (Step::Add, _) => return Err(KeyFileError::Rotating),
         (Step::Switch, 2) => keys.swap(0, 1),
         (Step::Drop, 2) => keys.truncate(1),
-        (_, n) => return Err(KeyFileError::Key(KeyError::Count(n))),
+        (_, count) => return Err(KeyError::Count(count).into()),
     }
     let mut name = path.file_name().unwrap_or_default().to_os_string();
     name.push(".new");
-    let beside = path.with_file_name(name);
-    let _ = std::fs::remove_file(&beside);
-    let mut file = OpenOptions::new().write(true).create_new(true).mode(0o600).open(&beside)?;
+    let replacement = path.with_file_name(name);
+    let _ = std::fs::remove_file(&replacement);
+    let mut file = OpenOptions::new().write(true).create_new(true).mode(0o600).open(&replacement)?;
     writeln!(file, "# fernslip gossip keys: the first signs\n{}", keys.join("\n"))?;
     file.sync_all()?;
-    std::fs::rename(&beside, path)?;
+    std::fs::rename(&replacement, path)?;
     read(path)
 }
--- a/crates/front/src/dispatch_host.rs
+++ b/crates/front/src/dispatch_host.rs
@@ -1,6 +1,6 @@
 //! What the decision crate's facade reaches through its host: sockets to cache nodes, peers, gossip and the log.
 
-use crate::gossip::Evidence;
+use crate::gossip::EvidenceQueue;
 use crate::peers::Peers;
 use crate::upstream::connection_pool::ConnectionPool;
 use crate::upstream::node_registry::NodeRegistry;
@@ -18,7 +18,7 @@
     pub(crate) registry: Arc<NodeRegistry>,
     /// By class, in the order of the settings.
     pub(crate) effects: Arc<[Effect]>,
-    pub(crate) evidence: Evidence,
+    pub(crate) evidence: EvidenceQueue,
     /// The kinds of cache nodes that are sources of fills: the parents' and the origin's.
     pub(crate) sources: [Option<usize>; 2],
 }
--- a/crates/front/src/shared.rs
+++ b/crates/front/src/shared.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Clock;
 use crate::discovery_watch::DiscoveryWatch;
-use crate::gossip::Talk;
+use crate::gossip::GossipService;
 use crate::invariants::Invariants;
 use crate::manual_exclusion::ManualExclusions;
 use crate::metrics::Metrics;
@@ -37,7 +37,7 @@
     /// The clients' connections.
     pub server: Server,
     /// Gossip with other fronts, if the site document has it.
-    pub gossip: Option<Arc<Talk>>,
+    pub gossip: Option<Arc<GossipService>>,
     /// The membership view of the fleet, if the site document has it.
     pub fleet: Option<Arc<Fleet>>,
     /// Messages between fronts, if there are peers.
@@ -64,7 +64,11 @@
     /// Tells the gossip which cache nodes there are, where the site document lists them.
     pub(crate) fn announce_members(&self) {
         if let (Some(gossip), Some(members)) = (&self.gossip, self.queues.members()) {
-            gossip.news(self.queues.all(), true, members.into_iter().map(|id| (id, Some(0.0))).collect());
+            gossip.update_nodes(
+                self.queues.all(),
+                true,
+                members.into_iter().map(|id| (id, Some(0.0))).collect(),
+            );
         }
     }
 
--- a/crates/front/src/startup.rs
+++ b/crates/front/src/startup.rs
@@ -9,7 +9,7 @@
 use crate::discovery_watch::{self, DiscoveryWatch};
 use crate::dispatch_host::DispatchHost;
 use crate::failure::{patiently, Failure};
-use crate::gossip::{Evidence, Talk};
+use crate::gossip::{EvidenceQueue, GossipService};
 use crate::invariants::{Invariants, Startup};
 use crate::listen::{Listener, Origin};
 use crate::loaded_config::LoadedConfig;
@@ -91,7 +91,7 @@
     reason_counts: Arc<ReasonCounts>,
     upstream: Arc<ConnectionPool>,
     /// Signs of faults on their way from the decisions to the gossip.
-    evidence: Evidence,
+    evidence: EvidenceQueue,
 }
 
 impl Core {
@@ -105,7 +105,7 @@
         let (invariants, reason_counts) =
             (Arc::new(Invariants::default()), Arc::new(ReasonCounts::default()));
         let upstream = Arc::new(ConnectionPool::new(limits, invariants.clone(), reason_counts.clone()));
-        Core { clock, invariants, reason_counts, upstream, evidence: Evidence::default() }
+        Core { clock, invariants, reason_counts, upstream, evidence: EvidenceQueue::default() }
     }
 }
 
@@ -137,12 +137,12 @@
     patiently(BIND_WITHIN, retry, |_| bind()).map_err(|e| StartError::Bind(at, e))
 }
 
-fn open_gossip(plan: &gossip::Plan, config: &Config, core: &Core) -> Result<Arc<Talk>, StartError> {
+fn open_gossip(plan: &gossip::Plan, config: &Config, core: &Core) -> Result<Arc<GossipService>, StartError> {
     let at = plan.config.addr;
-    let gossip = Talk::bind(plan, &core.clock, config.seed, core.evidence.clone());
+    let gossip = GossipService::bind(plan, &core.clock, config.seed, core.evidence.clone());
     let gossip = Arc::new(gossip.map_err(|e| StartError::Bind(at, e))?);
     if let Some(path) = &plan.control {
-        gossip.answer_at(path).map_err(|e| StartError::Control(path.clone(), e))?;
+        gossip.serve_status(path).map_err(|e| StartError::Control(path.clone(), e))?;
     }
     tracing::info!("gossip at {}", gossip.addr());
     Ok(gossip)
@@ -154,12 +154,12 @@
     plan: &view::Plan,
     config: &Config,
     clock: &Clock,
-    gossip: Option<&Talk>,
+    gossip: Option<&GossipService>,
 ) -> Result<Arc<Fleet>, StartError> {
     let opened = plan.store.as_deref().and_then(|file| Snapshot::open_with_timeout(file, random_store_id()));
     // Another number for each process: births and orders must differ where all else is the same.
     let seed = config.seed ^ unix_nanos() ^ u64::from(std::process::id()).rotate_left(32);
-    let gossip_addr = gossip.map(|g| g.told_addr());
+    let gossip_addr = gossip.map(|g| g.advertised_addr());
     let (snapshot, restored) =
         opened.map_or((None, RestoredState::default()), |(snapshot, restored)| (Some(snapshot), restored));
     let fleet = Fleet::bind(plan, clock, seed, gossip_addr, restored.peers);
@@ -227,7 +227,7 @@
 /// What a front talks to other fronts with, as far as it is configured.
 struct Services {
     peers: Option<Arc<Peers>>,
-    gossip: Option<Arc<Talk>>,
+    gossip: Option<Arc<GossipService>>,
     fleet: Option<Arc<Fleet>>,
 }
 
--- a/crates/gossip/examples/model.rs
+++ b/crates/gossip/examples/model.rs
@@ -1,29 +1,35 @@
-//! The model of `tests/model.rs` within larger bounds; prints how many moments were tried. A minute or two, some GB.
+//! The model of `tests/model.rs` within larger bounds; prints how many states were explored. A minute or two, some GB.
 //!
 //!     cargo run --release -p fernslip-gossip --example model
 
 #[path = "../tests/common/model.rs"]
 mod model;
 
-use model::{check, Talk};
+use model::{check, GossipModel};
 
 fn main() {
-    let base = Talk {
+    let base = GossipModel {
         fronts: 3,
         honest: false,
         dead: false,
-        steps: 1,
+        time_steps: 1,
         drops: 1,
         alarms: 1,
         trust: 0.95,
         fair: false,
     };
-    for (what, talk) in [
-        ("three fronts, a liar, one loss, one step of time", Talk { alarms: 0, ..base.clone() }),
-        ("the same with a dead box", Talk { dead: true, alarms: 0, ..base.clone() }),
+    for (bounds, model) in [
+        (
+            "three fronts, a byzantine peer, one loss, one step of time",
+            GossipModel { alarms: 0, ..base.clone() },
+        ),
+        ("the same with a dead box", GossipModel { dead: true, alarms: 0, ..base.clone() }),
         ("the same with a false alarm", base.clone()),
-        ("four fronts, a liar, one loss", Talk { fronts: 4, steps: 0, alarms: 0, ..base }),
+        (
+            "four fronts, a byzantine peer, one loss",
+            GossipModel { fronts: 4, time_steps: 0, alarms: 0, ..base },
+        ),
     ] {
-        println!("{what}: {} moments, all properties hold", check(talk));
+        println!("{bounds}: {} moments, all properties hold", check(model));
     }
 }
--- a/crates/gossip/src/codec.rs
+++ b/crates/gossip/src/codec.rs
@@ -1,186 +1,51 @@
-//! The wire: a header, items, and a tag, in 256 bytes at the most. Bytes in, values out; never a panic.
+//! The wire format: a header, items and a tag, in 256 bytes at the most. Decoding never panics, whatever the bytes.
 
-use sha2::{Digest, Sha256};
+use crate::message::{CacheNodeKey, FrontId, Header, HealthReport, Item, Observation, DIGEST_BUCKETS};
 use std::net::{IpAddr, SocketAddr};
 
 /// No datagram is longer.
-pub const MOST_BYTES: usize = 256;
-/// Of the message authentication code, what is sent: 128 bits, which nobody guesses within a key's life.
+pub const MAX_DATAGRAM_BYTES: usize = 256;
+/// The message authentication code, truncated to 128 bits: beyond guessing within a key's lifetime.
 pub(crate) const TAG_BYTES: usize = 16;
-pub(crate) const HEADER_BYTES: usize = 20;
-/// What is left for items.
-pub(crate) const ROOM: usize = MOST_BYTES - HEADER_BYTES - TAG_BYTES;
+const HEADER_BYTES: usize = 20;
+/// What a datagram has for its items.
+pub(crate) const ITEM_CAPACITY: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - TAG_BYTES;
+/// Bytes of one [`HealthReport`].
+pub(crate) const REPORT_BYTES: usize = 17;
+/// Bytes of [`Item::Reports`] without its reports.
+pub(crate) const REPORTS_HEADER_BYTES: usize = 6;
 const VERSION: u8 = 1;
-/// A name is cut to this many bytes; fronts are told apart by the hash of the whole.
-pub(crate) const MOST_NAME: usize = 24;
-/// Buckets of a digest: members of a fleet of 200 come to a datagram's worth each.
-pub(crate) const BUCKETS: usize = 16;
+/// Names are truncated to this many bytes; fronts are told apart by the hash of the complete name.
+const MAX_NAME_BYTES: usize = 24;
 
-/// A front, by the hash of its name.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct FrontId(pub u32);
-
-impl FrontId {
-    /// The id of a name.
-    pub fn of(name: &str) -> FrontId {
-        let h = Sha256::digest(name.as_bytes());
-        FrontId(u32::from_be_bytes([h[0], h[1], h[2], h[3]]))
-    }
-}
-
-/// A box: the hash of its id, and its start. Another start is another box.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct BoxKey {
-    /// Hash of the id.
-    pub id: u64,
-    /// Low bits of its start in Unix milliseconds; 0: long ago.
-    pub start: u32,
-}
-
-impl BoxKey {
-    /// The key of a box.
-    pub fn of(id: &str, started_unix_ms: u64) -> BoxKey {
-        let h = Sha256::digest(id.as_bytes());
-        let mut first = [0; 8];
-        first.copy_from_slice(&h[..8]);
-        BoxKey { id: u64::from_be_bytes(first), start: started_unix_ms as u32 }
-    }
-}
-
-/// What is said of a box.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
-    /// It refuses, breaks or answers with errors.
-    Failing,
-    /// It says nothing.
-    Silent,
-    /// It answers, far slower than its fellows.
-    Crawling,
-    /// It answers as it should, after something was said against it.
-    Well,
-}
-
-impl Kind {
-    const ALL: [Kind; 4] = [Kind::Failing, Kind::Silent, Kind::Crawling, Kind::Well];
-
-    fn code(self) -> u8 {
-        Kind::ALL.iter().position(|k| *k == self).unwrap_or(0) as u8
-    }
-
-    /// Whether it speaks against the box.
-    pub fn is_against(self) -> bool {
-        self != Kind::Well
-    }
-}
-
-/// One witness's word on a box.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Word {
-    /// Which box.
-    pub of: BoxKey,
-    /// What.
-    pub kind: Kind,
-    /// How sure, from 0 to 1, in steps of 1/255.
-    pub strength: f64,
-    /// Answers behind it, up to 255.
-    pub count: u8,
-    /// How long ago it was seen, in milliseconds, in steps of 100 up to 6,553,500.
-    pub age_ms: f64,
-}
-
-/// What a datagram holds.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Item {
-    /// Are you there?
-    Ping(u16),
-    /// I am.
-    Ack(u16),
-    /// Ask that front for me.
-    Ask {
-        /// Whom.
-        whom: FrontId,
-        /// The number of the ping.
-        number: u16,
-    },
-    /// A front is there, under that address.
-    Alive {
-        /// Its id.
-        id: FrontId,
-        /// Its incarnation: its own word against suspicions of it.
-        incarnation: u32,
-        /// Its address.
-        addr: SocketAddr,
-        /// Its name, perhaps cut.
-        name: String,
-    },
-    /// Somebody got no answer from it.
-    Suspect {
-        /// Whom.
-        id: FrontId,
-        /// As of that incarnation.
-        incarnation: u32,
-    },
-    /// It is taken as gone; `left`: by its own word.
-    Gone {
-        /// Whom.
-        id: FrontId,
-        /// As of that incarnation.
-        incarnation: u32,
-        /// It said so.
-        left: bool,
-    },
-    /// Hashes of the members held, by bucket.
-    Digest([u32; BUCKETS]),
-    /// A witness's words.
-    Words {
-        /// The witness.
-        witness: FrontId,
-        /// Its words.
-        words: Vec<Word>,
-    },
-    /// A witness has more words of a kind than it can send: so many of so many boxes.
-    Fold {
-        /// The witness.
-        witness: FrontId,
-        /// The kind.
-        kind: Kind,
-        /// Boxes that it says this of.
-        count: u16,
-        /// Boxes that it knows.
-        of: u16,
-        /// How long ago, in milliseconds.
-        age_ms: f64,
-    },
+/// The byte that each kind of item begins with.
+mod tag {
+    pub const PING: u8 = 1;
+    pub const ACK: u8 = 2;
+    pub const PING_REQUEST: u8 = 3;
+    pub const ALIVE_V4: u8 = 4;
+    pub const ALIVE_V6: u8 = 5;
+    pub const SUSPECT: u8 = 6;
+    pub const DEAD: u8 = 7;
+    pub const DEPARTED: u8 = 8;
+    pub const DIGEST: u8 = 9;
+    pub const REPORTS: u8 = 10;
+    pub const SUMMARY: u8 = 11;
 }
 
-/// Who sent a datagram, and when.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Header {
-    /// The key it is signed with.
-    pub key: u8,
-    /// The sender.
-    pub sender: FrontId,
-    /// When the sender started, Unix milliseconds.
-    pub epoch_ms: u64,
-    /// Its number since then.
-    pub sequence: u32,
-    /// Unix seconds of the sender's clock.
-    pub unix_s: u32,
-}
-
-/// Why bytes are no datagram of ours.
+/// Why bytes can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CodecError {
-    /// Longer than any.
-    #[error("longer than {MOST_BYTES} bytes")]
+    /// Longer than any datagram.
+    #[error("longer than {MAX_DATAGRAM_BYTES} bytes")]
     TooLong,
-    /// Shorter than what must be there.
+    /// Truncated.
     #[error("cut short")]
     Short,
-    /// Of another version.
+    /// Of another version of the format.
     #[error("of another version")]
     Version,
-    /// An item that is none.
+    /// A malformed or unknown item.
     #[error("an item that is none")]
     Item,
 }
@@ -206,196 +71,222 @@
         self.take().map(u32::from_be_bytes)
     }
 
+    fn front_id(&mut self) -> Result<FrontId, CodecError> {
+        self.u32().map(FrontId)
+    }
+
+    fn age_ms(&mut self) -> Result<f64, CodecError> {
+        self.u16().map(|code| f64::from(code) * 100.0)
+    }
+
     fn bytes(&mut self, n: usize) -> Result<&'b [u8], CodecError> {
         let (head, rest) = self.0.split_at_checked(n).ok_or(CodecError::Short)?;
         self.0 = rest;
         Ok(head)
     }
 
-    fn kind(&mut self) -> Result<Kind, CodecError> {
-        Kind::ALL.get(usize::from(self.u8()?)).copied().ok_or(CodecError::Item)
+    fn observation(&mut self) -> Result<Observation, CodecError> {
+        Observation::ALL.get(usize::from(self.u8()?)).copied().ok_or(CodecError::Item)
+    }
+
+    fn alive(&mut self, code: u8) -> Result<Item, CodecError> {
+        let (id, incarnation) = (self.front_id()?, self.u32()?);
+        let ip: IpAddr =
+            if code == tag::ALIVE_V4 { self.take::<4>()?.into() } else { self.take::<16>()?.into() };
+        let addr = SocketAddr::new(ip, self.u16()?);
+        let len = usize::from(self.u8()?);
+        if len > MAX_NAME_BYTES {
+            return Err(CodecError::Item);
+        }
+        let name = std::str::from_utf8(self.bytes(len)?).map_err(|_| CodecError::Item)?.to_string();
+        Ok(Item::Alive { id, incarnation, addr, name })
+    }
+
+    fn report(&mut self) -> Result<HealthReport, CodecError> {
+        let node = CacheNodeKey { id: u64::from_be_bytes(self.take()?), start: self.u32()? };
+        Ok(HealthReport {
+            node,
+            observation: self.observation()?,
+            strength: f64::from(self.u8()?) / 255.0,
+            count: self.u8()?,
+            age_ms: self.age_ms()?,
+        })
+    }
+
+    fn item(&mut self) -> Result<Item, CodecError> {
+        Ok(match self.u8()? {
+            tag::PING => Item::Ping(self.u16()?),
+            tag::ACK => Item::Ack(self.u16()?),
+            tag::PING_REQUEST => Item::PingRequest { target: self.front_id()?, number: self.u16()? },
+            code @ (tag::ALIVE_V4 | tag::ALIVE_V6) => self.alive(code)?,
+            tag::SUSPECT => Item::Suspect { id: self.front_id()?, incarnation: self.u32()? },
+            tag::DEAD => Item::Dead { id: self.front_id()?, incarnation: self.u32()? },
+            tag::DEPARTED => Item::Departed { id: self.front_id()?, incarnation: self.u32()? },
+            tag::DIGEST => {
+                let mut buckets = [0; DIGEST_BUCKETS];
+                for bucket in &mut buckets {
+                    *bucket = self.u32()?;
+                }
+                Item::Digest(buckets)
+            }
+            tag::REPORTS => {
+                let witness = self.front_id()?;
+                let count = self.u8()?;
+                let reports = (0..count).map(|_| self.report()).collect::<Result<_, _>>()?;
+                Item::Reports { witness, reports }
+            }
+            tag::SUMMARY => Item::Summary {
+                witness: self.front_id()?,
+                observation: self.observation()?,
+                accused: self.u16()?,
+                known: self.u16()?,
+                age_ms: self.age_ms()?,
+            },
+            _ => return Err(CodecError::Item),
+        })
+    }
+}
+
+fn encode_age(ms: f64) -> [u8; 2] {
+    ((ms / 100.0).clamp(0.0, 65535.0).round() as u16).to_be_bytes()
+}
+
+fn encode_numbered(out: &mut Vec<u8>, code: u8, number: u16) {
+    out.push(code);
+    out.extend(number.to_be_bytes());
+}
+
+fn encode_member(out: &mut Vec<u8>, code: u8, id: FrontId, incarnation: u32) {
+    out.push(code);
+    out.extend(id.0.to_be_bytes());
+    out.extend(incarnation.to_be_bytes());
+}
+
+fn encode_address(out: &mut Vec<u8>, addr: &SocketAddr) {
+    match addr.ip() {
+        IpAddr::V4(ip) => out.extend(ip.octets()),
+        IpAddr::V6(ip) => out.extend(ip.octets()),
     }
+    out.extend(addr.port().to_be_bytes());
 }
 
-fn age_code(ms: f64) -> u16 {
-    (ms / 100.0).clamp(0.0, 65535.0).round() as u16
+fn encode_name(out: &mut Vec<u8>, name: &str) {
+    let mut end = name.len().min(MAX_NAME_BYTES);
+    while !name.is_char_boundary(end) {
+        end -= 1;
+    }
+    out.push(end as u8);
+    out.extend(&name.as_bytes()[..end]);
 }
 
-/// Bytes of one word.
-pub(crate) const WORD_BYTES: usize = 17;
-/// Bytes of [`Item::Words`] without its words.
-pub(crate) const WORDS_HEAD: usize = 6;
+fn encode_report(out: &mut Vec<u8>, report: &HealthReport) {
+    out.extend(report.node.id.to_be_bytes());
+    out.extend(report.node.start.to_be_bytes());
+    out.push(report.observation.code());
+    out.push((report.strength.clamp(0.0, 1.0) * 255.0).round() as u8);
+    out.push(report.count);
+    out.extend(encode_age(report.age_ms));
+}
 
-/// Adds an item's bytes.
-pub(crate) fn put(out: &mut Vec<u8>, item: &Item) {
+/// Appends an item's bytes.
+fn encode_item(out: &mut Vec<u8>, item: &Item) {
     match item {
-        Item::Ping(n) => {
-            out.push(1);
-            out.extend(n.to_be_bytes());
-        }
-        Item::Ack(n) => {
-            out.push(2);
-            out.extend(n.to_be_bytes());
-        }
-        Item::Ask { whom, number } => {
-            out.push(3);
-            out.extend(whom.0.to_be_bytes());
+        Item::Ping(number) => encode_numbered(out, tag::PING, *number),
+        Item::Ack(number) => encode_numbered(out, tag::ACK, *number),
+        Item::PingRequest { target, number } => {
+            out.push(tag::PING_REQUEST);
+            out.extend(target.0.to_be_bytes());
             out.extend(number.to_be_bytes());
         }
         Item::Alive { id, incarnation, addr, name } => {
-            out.push(if addr.is_ipv4() { 4 } else { 5 });
-            out.extend(id.0.to_be_bytes());
-            out.extend(incarnation.to_be_bytes());
-            match addr.ip() {
-                IpAddr::V4(ip) => out.extend(ip.octets()),
-                IpAddr::V6(ip) => out.extend(ip.octets()),
-            }
-            out.extend(addr.port().to_be_bytes());
-            let mut end = name.len().min(MOST_NAME);
-            while !name.is_char_boundary(end) {
-                end -= 1;
-            }
-            out.push(end as u8);
-            out.extend(&name.as_bytes()[..end]);
-        }
-        Item::Suspect { id, incarnation } => {
-            out.push(6);
-            out.extend(id.0.to_be_bytes());
-            out.extend(incarnation.to_be_bytes());
-        }
-        Item::Gone { id, incarnation, left } => {
-            out.push(if *left { 8 } else { 7 });
-            out.extend(id.0.to_be_bytes());
-            out.extend(incarnation.to_be_bytes());
+            let code = if addr.is_ipv4() { tag::ALIVE_V4 } else { tag::ALIVE_V6 };
+            encode_member(out, code, *id, *incarnation);
+            encode_address(out, addr);
+            encode_name(out, name);
         }
+        Item::Suspect { id, incarnation } => encode_member(out, tag::SUSPECT, *id, *incarnation),
+        Item::Dead { id, incarnation } => encode_member(out, tag::DEAD, *id, *incarnation),
+        Item::Departed { id, incarnation } => encode_member(out, tag::DEPARTED, *id, *incarnation),
         Item::Digest(buckets) => {
-            out.push(9);
+            out.push(tag::DIGEST);
             buckets.iter().for_each(|b| out.extend(b.to_be_bytes()));
         }
-        Item::Words { witness, words } => {
-            out.push(10);
+        Item::Reports { witness, reports } => {
+            out.push(tag::REPORTS);
             out.extend(witness.0.to_be_bytes());
-            out.push(words.len().min(255) as u8);
-            for w in words.iter().take(255) {
-                out.extend(w.of.id.to_be_bytes());
-                out.extend(w.of.start.to_be_bytes());
-                out.push(w.kind.code());
-                out.push((w.strength.clamp(0.0, 1.0) * 255.0).round() as u8);
-                out.push(w.count);
-                out.extend(age_code(w.age_ms).to_be_bytes());
-            }
+            out.push(reports.len().min(255) as u8);
+            reports.iter().take(255).for_each(|r| encode_report(out, r));
         }
-        Item::Fold { witness, kind, count, of, age_ms } => {
-            out.push(11);
+        Item::Summary { witness, observation, accused, known, age_ms } => {
+            out.push(tag::SUMMARY);
             out.extend(witness.0.to_be_bytes());
-            out.push(kind.code());
-            out.extend(count.to_be_bytes());
-            out.extend(of.to_be_bytes());
-            out.extend(age_code(*age_ms).to_be_bytes());
+            out.push(observation.code());
+            out.extend(accused.to_be_bytes());
+            out.extend(known.to_be_bytes());
+            out.extend(encode_age(*age_ms));
         }
     }
 }
 
 /// How many bytes an item takes.
-pub(crate) fn size(item: &Item) -> usize {
+pub(crate) fn encoded_len(item: &Item) -> usize {
     let mut out = Vec::new();
-    put(&mut out, item);
+    encode_item(&mut out, item);
     out.len()
 }
 
+/// How many bytes these items take together.
+pub(crate) fn total_encoded_len(items: &[Item]) -> usize {
+    items.iter().map(encoded_len).sum()
+}
+
 /// A datagram's bytes up to its tag. The caller sees to it that the items fit.
 pub fn encode(header: &Header, items: &[Item]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(MOST_BYTES);
+    let mut out = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     out.push(VERSION);
     out.push(header.key);
     out.extend(header.sender.0.to_be_bytes());
     out.extend(&header.epoch_ms.to_be_bytes()[2..]);
     out.extend(header.sequence.to_be_bytes());
     out.extend(header.unix_s.to_be_bytes());
-    items.iter().for_each(|i| put(&mut out, i));
+    items.iter().for_each(|i| encode_item(&mut out, i));
     out
 }
 
-/// Reads the header of a datagram, whose length is checked; what follows it up to the tag.
-pub(crate) fn header(data: &[u8]) -> Result<(Header, &[u8]), CodecError> {
-    if data.len() > MOST_BYTES {
+/// Decodes a datagram's header, and returns it with the bytes of the items: what follows the header up to the tag.
+pub(crate) fn decode_header(data: &[u8]) -> Result<(Header, &[u8]), CodecError> {
+    if data.len() > MAX_DATAGRAM_BYTES {
         return Err(CodecError::TooLong);
     }
     if data.len() < HEADER_BYTES + TAG_BYTES {
         return Err(CodecError::Short);
     }
-    let mut r = Reader(&data[..data.len() - TAG_BYTES]);
-    if r.u8()? != VERSION {
+    let mut reader = Reader(&data[..data.len() - TAG_BYTES]);
+    if reader.u8()? != VERSION {
         return Err(CodecError::Version);
     }
-    let key = r.u8()?;
-    let sender = FrontId(r.u32()?);
-    let [a, b, c, d, e, f] = r.take::<6>()?;
+    let key = reader.u8()?;
+    let sender = reader.front_id()?;
+    let [a, b, c, d, e, f] = reader.take::<6>()?;
     let epoch_ms = u64::from_be_bytes([0, 0, a, b, c, d, e, f]);
-    Ok((Header { key, sender, epoch_ms, sequence: r.u32()?, unix_s: r.u32()? }, r.0))
+    Ok((Header { key, sender, epoch_ms, sequence: reader.u32()?, unix_s: reader.u32()? }, reader.0))
+}
+
+/// Decodes the items of a datagram, without its header and tag.
+pub(crate) fn decode_items(data: &[u8]) -> Result<Vec<Item>, CodecError> {
+    let mut reader = Reader(data);
+    let mut items = Vec::new();
+    while !reader.0.is_empty() {
+        items.push(reader.item()?);
+    }
+    Ok(items)
 }
 
-/// Reads a datagram, its tag unchecked.
+/// Decodes a datagram without verifying its tag.
 ///
 /// # Errors
-/// What is too long, too short, of another version, or holds an item that is none.
+/// See [`CodecError`].
 pub fn decode(data: &[u8]) -> Result<(Header, Vec<Item>), CodecError> {
-    let (head, rest) = header(data)?;
-    Ok((head, items(rest)?))
-}
-
-pub(crate) fn items(data: &[u8]) -> Result<Vec<Item>, CodecError> {
-    let mut r = Reader(data);
-    let mut out = Vec::new();
-    while !r.0.is_empty() {
-        out.push(match r.u8()? {
-            1 => Item::Ping(r.u16()?),
-            2 => Item::Ack(r.u16()?),
-            3 => Item::Ask { whom: FrontId(r.u32()?), number: r.u16()? },
-            code @ (4 | 5) => {
-                let (id, incarnation) = (FrontId(r.u32()?), r.u32()?);
-                let ip: IpAddr = if code == 4 { r.take::<4>()?.into() } else { r.take::<16>()?.into() };
-                let addr = SocketAddr::new(ip, r.u16()?);
-                let len = usize::from(r.u8()?);
-                if len > MOST_NAME {
-                    return Err(CodecError::Item);
-                }
-                let name = std::str::from_utf8(r.bytes(len)?).map_err(|_| CodecError::Item)?.to_string();
-                Item::Alive { id, incarnation, addr, name }
-            }
-            6 => Item::Suspect { id: FrontId(r.u32()?), incarnation: r.u32()? },
-            code @ (7 | 8) => Item::Gone { id: FrontId(r.u32()?), incarnation: r.u32()?, left: code == 8 },
-            9 => {
-                let mut buckets = [0; BUCKETS];
-                for b in &mut buckets {
-                    *b = r.u32()?;
-                }
-                Item::Digest(buckets)
-            }
-            10 => {
-                let witness = FrontId(r.u32()?);
-                let mut words = Vec::new();
-                for _ in 0..r.u8()? {
-                    let of = BoxKey { id: u64::from_be_bytes(r.take()?), start: r.u32()? };
-                    words.push(Word {
-                        of,
-                        kind: r.kind()?,
-                        strength: f64::from(r.u8()?) / 255.0,
-                        count: r.u8()?,
-                        age_ms: f64::from(r.u16()?) * 100.0,
-                    });
-                }
-                Item::Words { witness, words }
-            }
-            11 => Item::Fold {
-                witness: FrontId(r.u32()?),
-                kind: r.kind()?,
-                count: r.u16()?,
-                of: r.u16()?,
-                age_ms: f64::from(r.u16()?) * 100.0,
-            },
-            _ => return Err(CodecError::Item),
-        });
-    }
-    Ok(out)
+    let (header, items) = decode_header(data)?;
+    Ok((header, decode_items(items)?))
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,21 +1,24 @@
-//! Fronts tell each other what their own answers show of slow or failing boxes.
+//! Fronts tell each other what their own answers show of slow or failing cache nodes.
 //!
 //! [`Gossip`] is one front's part: it takes [`Event`]s and the time and returns [`Action`]s. It has no sockets, threads
-//! or clocks; equal inputs and seeds give equal outputs. Nobody probes a box: evidence comes from the host, which has
-//! it from answers; only fronts ask each other whether they are there.
+//! or clocks; equal inputs and seeds give equal outputs. Cache nodes are not probed: evidence comes from the host, which
+//! has it from their answers. Only fronts probe each other, by the SWIM protocol with Lifeguard-like extensions.
 //!
 //! # The contract
 //!
-//! - [`Now`] holds the host's own clock, which never runs back, and the Unix time, which may be wrong: datagrams are
-//!   good within [`Config::skew_ms`] of it.
-//! - [`Action::Send`] may be lost, late, doubled or out of order; what comes in is given as [`Event::Datagram`] as it is.
-//!   What is not signed by a known key, is too old or came before is counted and dropped, and never answered.
+//! - [`Now`] holds the host's monotonic clock and the Unix time, which may be wrong: datagrams are accepted within
+//!   [`Config::skew_ms`] of it.
+//! - [`Action::Send`] may be lost, late, duplicated or out of order; what is received is passed in as
+//!   [`Event::Datagram`] as it is. What is not signed by a known key, is too old or came before is counted and dropped,
+//!   and never answered.
 //! - All that is sent together stays under [`Config::bytes_per_s`], whatever happens: a token bucket of that rate and
-//!   [`Config::burst_bytes`]. What is most useful goes first; the rest waits for its next turn or is folded.
-//! - [`Action::Hearsay`] tells what the others' words on a box amount to, from -[`weigh::CAP`] (well) to [`weigh::CAP`]
-//!   (failing). It is advice: the host may lower a share or try sooner, and must not take a box out of use by it.
-//! - A box is known by its id and its start: words on one that was replaced or restarted are never carried over.
-//! - [`Gossip::wake_at`] tells when the next [`Event::Tick`] is due. One that comes late tells that this front is slow,
+//!   [`Config::burst_bytes`]. What is most useful goes first; the remainder waits for the next round or is summarised.
+//! - [`Action::Hearsay`] gives the score of a cache node by the other fronts' reports, from -[`aggregate::MAX_SCORE`]
+//!   (healthy) to [`aggregate::MAX_SCORE`] (failing). It is advice: the host may lower a node's share of the load or
+//!   retry it sooner, and must not eject it by the score.
+//! - A cache node is known by its id and its start: reports on one that was replaced or restarted are never carried
+//!   over.
+//! - [`Gossip::wake_at`] tells when the next [`Event::Tick`] is due. One that comes late shows that this front is slow,
 //!   which makes it slower to suspect others and its own evidence weaker.
 //!
 //! ```
@@ -48,18 +51,26 @@
 //! assert_eq!(fronts[1].members().count(), 2);
 //! ```
 
+pub mod aggregate;
 mod budget;
 mod codec;
+mod config;
 mod engine;
+mod event;
 mod keys;
 mod member;
-mod rumour;
+mod message;
+mod replay;
+mod suspicion;
 mod trust;
-pub mod weigh;
 
-pub use budget::Bucket;
-pub use codec::{decode, encode, BoxKey, CodecError, FrontId, Header, Item, Kind, Word, MOST_BYTES};
-pub use engine::{Action, Change, Config, Counts, Event, Gossip, Now};
-pub use keys::{check_file, Key, KeyError, Keyring, Rejected, Replays};
-pub use member::{MemberState, MemberView};
-pub use rumour::RumourView;
+pub use budget::TokenBucket;
+pub use codec::{decode, encode, CodecError, MAX_DATAGRAM_BYTES};
+pub use config::{Config, Now};
+pub use engine::Gossip;
+pub use event::{Action, Counters, Event, Evidence, RejectReason, TableSizes};
+pub use keys::{parse_key_file, Key, KeyError, Keyring};
+pub use member::{MemberState, MemberView, MembershipChange};
+pub use message::{CacheNodeKey, FrontId, Header, HealthReport, Item, Observation};
+pub use replay::ReplayFilter;
+pub use suspicion::Suspicion;
--- /dev/null
+++ b/crates/gossip/src/replay/tests.rs
@@ -0,0 +1,23 @@
+use super::*;
+
+#[test]
+fn each_sequence_number_is_accepted_once_in_any_order() {
+    let mut filter = ReplayFilter::default();
+    for n in [10, 12, 11, 9, 200, 73] {
+        assert!(filter.accept(5, 1, n, 0.0), "{n}");
+        assert!(!filter.accept(5, 1, n, 0.0), "{n} again");
+    }
+    assert!(!filter.accept(5, 1, 72, 0.0), "too far behind to be remembered");
+    assert!(filter.accept(5, 2, 1, 0.0), "a restart");
+    assert!(!filter.accept(5, 1, 201, 0.0), "from before the restart");
+    assert!(filter.accept(5, 2, u32::MAX, 0.0));
+}
+
+#[test]
+fn the_number_of_senders_is_bounded() {
+    let mut filter = ReplayFilter::default();
+    for n in 0..10_000 {
+        assert!(filter.accept(n, 1, 1, f64::from(n)));
+    }
+    assert_eq!(filter.0.len(), MAX_SENDERS);
+}
--- /dev/null
+++ b/crates/gossip/src/suspicion.rs
@@ -0,0 +1,229 @@
+//! Suspicions of cache nodes: what each witness reports at first hand, and the bounds on how much of it is held.
+
+use crate::message::{CacheNodeKey, FrontId, HealthReport, Observation};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A report expires after this time, in milliseconds: its weight is a sixteenth then.
+pub(crate) const REPORT_TTL_MS: f64 = 32_000.0;
+/// Witnesses held for a cache node: far more than any quorum.
+const MAX_WITNESSES_PER_NODE: usize = 16;
+/// Reports held in all.
+const MAX_REPORTS: usize = 16_384;
+/// A report that is newer than the held one by less than this is the same one: ages travel in steps of 100 ms.
+const SAME_REPORT_MS: f64 = 150.0;
+/// A change of strength up to this is none.
+const SAME_STRENGTH: f64 = 0.02;
+
+/// A report that is held; its witness and cache node are its keys.
+#[derive(Clone, Copy, Debug)]
+struct HeldReport {
+    observation: Observation,
+    strength: f64,
+    count: u8,
+    /// When it was observed, on our clock.
+    observed_ms: f64,
+}
+
+impl HeldReport {
+    fn to_report(self, node: CacheNodeKey, now_ms: f64) -> HealthReport {
+        let HeldReport { observation, strength, count, observed_ms } = self;
+        HealthReport { node, observation, strength, count, age_ms: (now_ms - observed_ms).max(0.0) }
+    }
+}
+
+/// A report that is held, for the operators.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Suspicion {
+    /// Who reports it.
+    pub witness: FrontId,
+    /// What.
+    pub report: HealthReport,
+}
+
+/// How large a fraction of all cache nodes a witness accuses, by its own count.
+#[derive(Clone, Copy, Debug)]
+struct AccusationSummary {
+    fraction: f64,
+    observed_ms: f64,
+}
+
+/// All reports of other fronts.
+#[derive(Default)]
+pub(crate) struct SuspicionTable {
+    nodes: BTreeSet<CacheNodeKey>,
+    reports: BTreeMap<CacheNodeKey, BTreeMap<FrontId, HeldReport>>,
+    len: usize,
+    /// How many cache nodes each witness accuses, by its reports held here.
+    accused_by: BTreeMap<FrontId, usize>,
+    summaries: BTreeMap<FrontId, AccusationSummary>,
+}
+
+impl SuspicionTable {
+    /// Sets the cache nodes that exist: reports on others are dropped, also those on a node that was replaced.
+    pub fn set_nodes(&mut self, nodes: impl IntoIterator<Item = CacheNodeKey>) {
+        self.nodes = nodes.into_iter().collect();
+        let removed: Vec<CacheNodeKey> =
+            self.reports.keys().filter(|node| !self.nodes.contains(node)).copied().collect();
+        for node in removed {
+            self.remove_node(node);
+        }
+    }
+
+    /// Whether this cache node exists.
+    pub fn is_known(&self, node: CacheNodeKey) -> bool {
+        self.nodes.contains(&node)
+    }
+
+    /// How many cache nodes exist.
+    pub fn node_count(&self) -> usize {
+        self.nodes.len()
+    }
+
+    fn remove_node(&mut self, node: CacheNodeKey) {
+        let witnesses: Vec<FrontId> =
+            self.reports.get(&node).into_iter().flat_map(|all| all.keys().copied()).collect();
+        for witness in witnesses {
+            self.remove(node, witness);
+        }
+    }
+
+    fn remove(&mut self, node: CacheNodeKey, witness: FrontId) {
+        let Some(reports) = self.reports.get_mut(&node) else { return };
+        let Some(removed) = reports.remove(&witness) else { return };
+        if reports.is_empty() {
+            self.reports.remove(&node);
+        }
+        self.len -= 1;
+        if removed.observation.is_accusation() {
+            if let Some(accused) = self.accused_by.get_mut(&witness) {
+                *accused -= 1;
+                if *accused == 0 {
+                    self.accused_by.remove(&witness);
+                }
+            }
+        }
+    }
+
+    /// Takes a report; whether it says something new. One on an unknown cache node is dropped.
+    pub fn insert(&mut self, witness: FrontId, report: &HealthReport, now_ms: f64) -> bool {
+        if !self.is_known(report.node) || report.age_ms >= REPORT_TTL_MS {
+            return false;
+        }
+        let observed_ms = now_ms - report.age_ms.max(0.0);
+        let old = self.reports.get(&report.node).and_then(|all| all.get(&witness)).copied();
+        if old.is_some_and(|o| observed_ms <= o.observed_ms + SAME_REPORT_MS) {
+            return false;
+        }
+        if old.is_none() && !self.make_room(report.node, observed_ms) {
+            return false;
+        }
+        self.remove(report.node, witness);
+        let HealthReport { observation, strength, count, .. } = *report;
+        let held = HeldReport { observation, strength, count, observed_ms };
+        self.reports.entry(report.node).or_default().insert(witness, held);
+        self.len += 1;
+        if observation.is_accusation() {
+            *self.accused_by.entry(witness).or_default() += 1;
+        }
+        old.is_none_or(|o| {
+            o.observation != observation
+                || (o.strength - strength).abs() > SAME_STRENGTH
+                || observed_ms > o.observed_ms
+        })
+    }
+
+    /// Sees to it that a report of a further witness on `node` stays within the bounds: the oldest report on the node
+    /// is evicted. Where none is older than the new one, the new one is not to be taken, and this returns `false`.
+    fn make_room(&mut self, node: CacheNodeKey, observed_ms: f64) -> bool {
+        let reports = self.reports.get(&node);
+        let crowded = reports.is_some_and(|all| all.len() >= MAX_WITNESSES_PER_NODE);
+        if !crowded && self.len < MAX_REPORTS {
+            return true;
+        }
+        let oldest = reports.and_then(|all| {
+            all.iter()
+                .min_by(|a, b| a.1.observed_ms.total_cmp(&b.1.observed_ms))
+                .map(|(witness, held)| (*witness, held.observed_ms))
+        });
+        match oldest {
+            Some((witness, oldest_ms)) if oldest_ms < observed_ms => {
+                self.remove(node, witness);
+                true
+            }
+            _ => false,
+        }
+    }
+
+    /// Notes that a witness accuses `accused` of the `known` cache nodes that it knows.
+    pub fn set_summary(&mut self, witness: FrontId, accused: u16, known: u16, age_ms: f64, now_ms: f64) {
+        let fraction = (f64::from(accused) / f64::from(known.max(1))).min(1.0);
+        let observed_ms = now_ms - age_ms.max(0.0);
+        self.summaries.insert(witness, AccusationSummary { fraction, observed_ms });
+    }
+
+    /// The fraction of all cache nodes that a witness accuses, by its reports held here and by its own count.
+    pub fn accused_fraction(&self, witness: FrontId, now_ms: f64) -> f64 {
+        let accused = self.accused_by.get(&witness).copied().unwrap_or(0);
+        let reported = self.smoothed_fraction(accused);
+        let summary = self.summaries.get(&witness).filter(|s| now_ms - s.observed_ms < REPORT_TTL_MS);
+        reported.max(summary.map_or(0.0, |s| s.fraction))
+    }
+
+    /// The fraction of all cache nodes that `accused` of them are. Of two or three nodes, one is no storm: the fraction
+    /// is computed as if there were a few more.
+    pub fn smoothed_fraction(&self, accused: usize) -> f64 {
+        (accused as f64 - 1.0).max(0.0) / (self.nodes.len() as f64 + 2.0)
+    }
+
+    /// The reports on a cache node, with their ages.
+    pub fn reports_on(
+        &self,
+        node: CacheNodeKey,
+        now_ms: f64,
+    ) -> impl Iterator<Item = (FrontId, HealthReport)> + '_ {
+        let reports = self.reports.get(&node).into_iter().flatten();
+        reports.map(move |(witness, held)| (*witness, held.to_report(node, now_ms)))
+    }
+
+    /// Whether any report accuses a cache node.
+    pub fn is_accused(&self, node: CacheNodeKey) -> bool {
+        self.reports.get(&node).is_some_and(|all| all.values().any(|h| h.observation.is_accusation()))
+    }
+
+    /// Cache nodes with reports on them.
+    pub fn reported_nodes(&self) -> impl Iterator<Item = CacheNodeKey> + '_ {
+        self.reports.keys().copied()
+    }
+
+    /// Every report, for the operators.
+    pub fn iter(&self, now_ms: f64) -> impl Iterator<Item = Suspicion> + '_ {
+        self.reports.iter().flat_map(move |(node, all)| {
+            all.iter().map(move |(witness, held)| Suspicion {
+                witness: *witness,
+                report: held.to_report(*node, now_ms),
+            })
+        })
+    }
+
+    /// How many reports are held.
+    pub fn len(&self) -> usize {
+        self.len
+    }
+
+    /// Drops the reports and summaries whose time is over.
+    pub fn expire(&mut self, now_ms: f64) {
+        let expired: Vec<(CacheNodeKey, FrontId)> = self
+            .reports
+            .iter()
+            .flat_map(|(node, all)| {
+                all.iter().map(move |(witness, held)| (*node, *witness, held.observed_ms))
+            })
+            .filter(|(_, _, observed_ms)| now_ms - observed_ms >= REPORT_TTL_MS)
+            .map(|(node, witness, _)| (node, witness))
+            .collect();
+        for (node, witness) in expired {
+            self.remove(node, witness);
+        }
+        self.summaries.retain(|_, s| now_ms - s.observed_ms < REPORT_TTL_MS);
+    }
+}
--- a/crates/record/src/wire.rs
+++ b/crates/record/src/wire.rs
@@ -172,7 +172,7 @@
 pub fn seal(keys: &Keyring, from: &str, items: &[Item]) -> Vec<u8> {
     let framed: Vec<(u8, Vec<u8>)> =
         items.iter().map(|i| (i.kind(), postcard::to_stdvec(i).unwrap_or_default())).collect();
-    let mut bytes = vec![VERSION, keys.signs()];
+    let mut bytes = vec![VERSION, keys.signing_key()];
     bytes.extend(postcard::to_stdvec(&(from, framed)).unwrap_or_default());
     keys.sign(&mut bytes);
     bytes
@@ -187,7 +187,7 @@
     if *version != VERSION {
         return Err(WireError::UnsupportedVersion(*version));
     }
-    if bytes.len() > MAX_DATAGRAM_BYTES || bytes.len() < TAG_BYTES + 4 || !keys.is_good(*key, bytes) {
+    if bytes.len() > MAX_DATAGRAM_BYTES || bytes.len() < TAG_BYTES + 4 || !keys.verify(*key, bytes) {
         return Err(WireError::Malformed);
     }
     let body = &bytes[2..bytes.len() - TAG_BYTES];
--- a/crates/rig/src/run/garbage.rs
+++ b/crates/rig/src/run/garbage.rs
@@ -41,8 +41,14 @@
 
 /// A message with a valid signature and random items.
 fn signed_nonsense(keys: &Keyring, rng: &mut ChaCha8Rng) -> Vec<u8> {
-    let mut message =
-        Message::new(keys.signs(), Id(rng.random()), rng.random(), rng.random(), rng.random(), vec![255; 13]);
+    let mut message = Message::new(
+        keys.signing_key(),
+        Id(rng.random()),
+        rng.random(),
+        rng.random(),
+        rng.random(),
+        vec![255; 13],
+    );
     message.items = vec![
         Item::Ack(rng.random()),
         Item::FactRequest((0..20).map(|_| Id(rng.random())).collect()),
--- a/crates/view/src/engine.rs
+++ b/crates/view/src/engine.rs
@@ -8,7 +8,7 @@
 use crate::settlement::Settlement;
 use crate::wire::{encoded_len, Item, Message, MAX_DATAGRAM_BYTES, TAG_BYTES};
 use constants::*;
-use fernslip_gossip::{Bucket, Keyring, Replays};
+use fernslip_gossip::{Keyring, ReplayFilter, TokenBucket};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -78,13 +78,13 @@
     rings_due_ms: Option<f64>,
     detector: FailureDetector,
     settlement: Settlement,
-    send_budget: Bucket,
+    send_budget: TokenBucket,
     /// The ids of the live members, in order: the positions in [`Settlement`].
     live_ids: Vec<Id>,
     updates: BTreeMap<Id, PendingUpdate>,
     deferred: BTreeMap<Id, DeferredFailure>,
     /// The messages received, by process.
-    replays: Replays<u64>,
+    replays: ReplayFilter<u64>,
     /// Pings made for other fronts, by this front's ping number.
     forwarded_pings: BTreeMap<u32, ForwardedPing>,
     history: BTreeMap<Id, VecDeque<HistoryEntry>>,
@@ -134,7 +134,7 @@
         let phase: f64 = rng.random();
         let is_admitted = config.initial_contacts().all(|s| s == config.addr);
         let mut view = View {
-            send_budget: Bucket::new(config.bytes_per_s, config.burst_bytes, now_ms),
+            send_budget: TokenBucket::new(config.bytes_per_s, config.burst_bytes, now_ms),
             keys,
             own,
             table: MemberTable::default(),
@@ -146,7 +146,7 @@
             live_ids: Vec::new(),
             updates: BTreeMap::new(),
             deferred: BTreeMap::new(),
-            replays: Replays::default(),
+            replays: ReplayFilter::default(),
             forwarded_pings: BTreeMap::new(),
             history: BTreeMap::new(),
             duplicate: None,
--- a/crates/view/src/engine/budget.rs
+++ b/crates/view/src/engine/budget.rs
@@ -14,11 +14,11 @@
     ) -> bool {
         for items in self.pack(items).into_iter().take(MAX_DATAGRAMS_PER_SEND) {
             let (digest, holders) = (self.table.digest(), self.settlement.holders().to_vec());
-            let (key, sequence) = (self.keys.signs(), self.sequence + 1);
+            let (key, sequence) = (self.keys.signing_key(), self.sequence + 1);
             let mut message = Message::new(key, self.id(), self.own.process_id, sequence, digest, holders);
             message.items = items;
             let bytes = message.seal(&self.keys);
-            if bytes.len() > MAX_DATAGRAM_BYTES || !self.send_budget.take(now_ms, bytes.len()) {
+            if bytes.len() > MAX_DATAGRAM_BYTES || !self.send_budget.try_take(now_ms, bytes.len()) {
                 self.counters.over_budget += 1;
                 return false;
             }
@@ -56,7 +56,7 @@
 
     /// Whether there is budget for what can wait: pings, answers and suspicions take precedence.
     pub(super) fn has_spare_budget(&mut self, now_ms: f64) -> bool {
-        self.send_budget.left(now_ms) as u64 > self.config.burst_bytes / 8
+        self.send_budget.available(now_ms) as u64 > self.config.burst_bytes / 8
     }
 
     pub(super) fn next_ping_number(&mut self) -> u32 {
--- a/crates/view/src/engine/receive.rs
+++ b/crates/view/src/engine/receive.rs
@@ -38,7 +38,7 @@
             return None;
         };
         if message.process_id == self.own.process_id
-            || !self.replays.is_new(message.process_id, 0, message.sequence, now_ms)
+            || !self.replays.accept(message.process_id, 0, message.sequence, now_ms)
         {
             self.counters.replayed += 1;
             return None;
--- a/crates/view/src/wire.rs
+++ b/crates/view/src/wire.rs
@@ -93,7 +93,7 @@
             return None;
         }
         // The version and the key's number come first, a byte each.
-        if bytes[0] != VERSION || !keys.is_good(bytes[1], bytes) {
+        if bytes[0] != VERSION || !keys.verify(bytes[1], bytes) {
             return None;
         }
         let body = &bytes[..bytes.len() - TAG_BYTES];
--- a/crates/view/tests/common/net.rs
+++ b/crates/view/tests/common/net.rs
@@ -111,7 +111,7 @@
         for a in actions {
             match a {
                 fernslip_gossip::Action::Send { to, bytes } => out.push((to, bytes)),
-                fernslip_gossip::Action::Member { id, change: fernslip_gossip::Change::Gone } => {
+                fernslip_gossip::Action::Member { id, change: fernslip_gossip::MembershipChange::Died } => {
                     self.failed.extend(self.gossip.members().find(|m| m.id == id).map(|m| m.name));
                 }
                 _ => {}
