--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -2,11 +2,13 @@
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
-use fernslip::json::{hex, num, opt, text, unknown, Got, JsonError, Names, IN_FLIGHT_NAMES};
+use fernslip::json::{
+    hex, number, number_or_zero, text, unknown, JsonError, JsonResult, Names, IN_FLIGHT_NAMES,
+};
 use fernslip::*;
 use serde_json::{json, Value};
 
-fn cache(v: &Value, key: &str) -> Got<CacheId> {
+fn cache(v: &Value, key: &str) -> JsonResult<CacheId> {
     text(v, key).map(CacheId::from)
 }
 
@@ -15,7 +17,7 @@
     v["nonce64"].as_u64().or_else(|| v["nonce64"].as_i64().map(|n| n as u64)).unwrap_or(0)
 }
 
-fn ending(v: &Value) -> Got<Ending> {
+fn ending(v: &Value) -> JsonResult<Ending> {
     Ok(match text(v, "ending")? {
         "completed" => Ending::Completed,
         "errored" => Ending::Errored,
@@ -30,18 +32,18 @@
     })
 }
 
-fn entries(rows: &Value, names: &Names) -> Got<Vec<Entry>> {
+fn entries(rows: &Value, names: &Names) -> JsonResult<Vec<Entry>> {
     let find = |all: &[String], v: &Value| v.as_str().and_then(|n| all.iter().position(|x| x == n));
     let rows = rows.as_array().map(Vec::as_slice).unwrap_or(&[]);
     rows.iter()
         .map(|r| {
             Ok(Entry {
                 cache: cache(r, "cache")?,
-                weight: opt(r, "nominal")?,
+                weight: number_or_zero(r, "nominal")?,
                 zone: find(&names.zones, &r["rack_zone"]),
                 kind: find(&names.kinds, &r["machine"]),
                 cell: r["pod"].as_i64().unwrap_or(0),
-                started_ms: opt(r, "born_ms")?,
+                started_ms: number_or_zero(r, "born_ms")?,
                 phase: match text(r, "phase")? {
                     "IN" => Phase::In,
                     "LAME" => Phase::Draining,
@@ -54,26 +56,26 @@
 }
 
 /// An event of one instance; `rows` is the roster it may refer to.
-pub fn event(command: &str, v: &Value, rows: &Value, names: &Names) -> Got<Event> {
+pub fn event(command: &str, v: &Value, rows: &Value, names: &Names) -> JsonResult<Event> {
     Ok(match command {
         "FLEET" => endpoints(v, rows, names)?,
         "JOB_IN" => Event::Request(request(v, names)?),
-        "OPENED" => Event::Opened { id: request_id(v)?, attempt: num(v, "try")? as u32 },
+        "OPENED" => Event::Opened { id: request_id(v)?, attempt: number(v, "try")? as u32 },
         "CLOSED_ATTEMPT" => Event::Outcome(outcome(v, names)?),
         "WITHDRAWN" => Event::Cancelled { id: request_id(v)? },
         "WAKEUP" => Event::Timer { token: v["handle"].as_u64().unwrap_or(0) },
         "CHECK_RESULT" => Event::HealthChecked { cache: cache(v, "cache")?, ending: ending(v)? },
-        "MEMO" => Event::PeerMessage { from: num(v, "who")? as u32, data: message(v)? },
+        "MEMO" => Event::PeerMessage { from: number(v, "who")? as u32, data: message(v)? },
         "REPLACED" => purge(v)?,
         other => return Err(unknown("cmd", other)),
     })
 }
 
-fn request_id(v: &Value) -> Got<RequestId> {
+fn request_id(v: &Value) -> JsonResult<RequestId> {
     hex(v, "call").map(RequestId)
 }
 
-fn endpoints(v: &Value, rows: &Value, names: &Names) -> Got<Event> {
+fn endpoints(v: &Value, rows: &Value, names: &Names) -> JsonResult<Event> {
     let kind = match text(v, "mode")? {
         "delta" => ListKind::Delta,
         "full" => ListKind::Full,
@@ -85,46 +87,50 @@
     Ok(Event::Endpoints { kind, entries })
 }
 
-fn request(v: &Value, names: &Names) -> Got<Request> {
+fn request(v: &Value, names: &Names) -> JsonResult<Request> {
     let class = text(v, "lane")?;
     Ok(Request {
         id: request_id(v)?,
         object: ObjectId(if v["content_id"].is_string() { hex(v, "content_id")? } else { 0 }),
-        part: opt(v, "range_no")? as u32,
+        part: number_or_zero(v, "range_no")? as u32,
         class: names.classes.iter().position(|c| c == class).ok_or_else(|| unknown("lane", class))?,
-        size_kb: opt(v, "size_kb")?,
-        budget_ms: num(v, "time_budget_ms")?,
-        group: opt(v, "purge_group")? as u64,
+        size_kb: number_or_zero(v, "size_kb")?,
+        budget_ms: number(v, "time_budget_ms")?,
+        group: number_or_zero(v, "purge_group")? as u64,
     })
 }
 
-fn outcome(v: &Value, names: &Names) -> Got<Outcome> {
+fn outcome(v: &Value, names: &Names) -> JsonResult<Outcome> {
     let in_flight = names.reports.iter().position(|n| IN_FLIGHT_NAMES.contains(&n.as_str()));
     Ok(Outcome {
         id: request_id(v)?,
-        attempt: num(v, "try")? as u32,
+        attempt: number(v, "try")? as u32,
         cache: cache(v, "cache")?,
         ending: ending(v)?,
-        elapsed_ms: opt(v, "spent_ms")?,
+        elapsed_ms: number_or_zero(v, "spent_ms")?,
         over: v["over"].as_bool().unwrap_or(false),
-        detail: opt(v, "detail")? as u8,
-        fill_wait_ms: opt(v, "fill_wait_ms")?,
+        detail: number_or_zero(v, "detail")? as u8,
+        fill_wait_ms: number_or_zero(v, "fill_wait_ms")?,
         reported_in_flight: in_flight.and_then(|i| v["stats"].get(i)?.as_f64()),
     })
 }
 
-fn message(v: &Value) -> Got<Vec<u8>> {
+fn message(v: &Value) -> JsonResult<Vec<u8>> {
     let decoded = STANDARD.decode(text(v, "raw")?);
     decoded.map_err(|_| JsonError::Field { key: "raw".into(), wanted: "no base64" })
 }
 
-fn purge(v: &Value) -> Got<Event> {
+fn purge(v: &Value) -> JsonResult<Event> {
     // 0 names no object: the whole group is purged.
     let object = match v["content_id"].as_str() {
         Some(_) => Some(hex(v, "content_id")?).filter(|&id| id != 0).map(ObjectId),
         None => None,
     };
-    Ok(Event::Purged { object, group: opt(v, "batch_id")? as u64, age_ms: opt(v, "age_span_ms")? })
+    Ok(Event::Purged {
+        object,
+        group: number_or_zero(v, "batch_id")? as u64,
+        age_ms: number_or_zero(v, "age_span_ms")?,
+    })
 }
 
 /// An action of one instance.
--- a/crates/fernslip/src/json.rs
+++ b/crates/fernslip/src/json.rs
@@ -30,11 +30,11 @@
     JsonError::Unknown { key: key.into(), value: value.into() }
 }
 
-fn field<T>(found: Option<T>, key: &str, wanted: &'static str) -> Got<T> {
+fn field<T>(found: Option<T>, key: &str, wanted: &'static str) -> JsonResult<T> {
     found.ok_or_else(|| JsonError::Field { key: key.into(), wanted })
 }
 
-/// Names that events use in place of numbers.
+/// Names that messages use in place of the numbers that events have.
 pub struct Names {
     /// Zones, in the order of their numbers.
     pub zones: Vec<String>,
@@ -49,42 +49,42 @@
 /// Names of the load report's count of requests in flight at a node: in the settings, and on a front's sockets.
 pub const IN_FLIGHT_NAMES: [&str; 2] = ["rif", "inflight"];
 
-/// A value read, or why not.
-pub type Got<T> = Result<T, JsonError>;
+/// A value that was read, or why it could not be.
+pub type JsonResult<T> = Result<T, JsonError>;
 
 /// A number.
-pub fn num(v: &Value, key: &str) -> Got<f64> {
+pub fn number(v: &Value, key: &str) -> JsonResult<f64> {
     field(v[key].as_f64(), key, "no number")
 }
 
-/// A number that may be left out.
-pub fn opt(v: &Value, key: &str) -> Got<f64> {
+/// A number that may be omitted: 0 then.
+pub fn number_or_zero(v: &Value, key: &str) -> JsonResult<f64> {
     if v[key].is_null() {
         return Ok(0.0);
     }
-    num(v, key)
+    number(v, key)
 }
 
 /// A text.
-pub fn text<'a>(v: &'a Value, key: &str) -> Got<&'a str> {
+pub fn text<'a>(v: &'a Value, key: &str) -> JsonResult<&'a str> {
     field(v[key].as_str(), key, "no text")
 }
 
 /// A list.
-pub fn list<'a>(v: &'a Value, key: &str) -> Got<&'a [Value]> {
+pub fn list<'a>(v: &'a Value, key: &str) -> JsonResult<&'a [Value]> {
     field(v[key].as_array().map(Vec::as_slice), key, "no list")
 }
 
 /// A number as 16 hex digits.
-pub fn hex(v: &Value, key: &str) -> Got<u64> {
+pub fn hex(v: &Value, key: &str) -> JsonResult<u64> {
     field(u64::from_str_radix(text(v, key)?, 16).ok(), key, "not 16 hex digits")
 }
 
-fn strings(v: &Value, key: &str) -> Got<Vec<String>> {
+fn strings(v: &Value, key: &str) -> JsonResult<Vec<String>> {
     list(v, key)?.iter().map(|n| field(n.as_str().map(String::from), key, "no text")).collect()
 }
 
-fn index(v: &Value, key: &str) -> Got<Option<usize>> {
+fn index(v: &Value, key: &str) -> JsonResult<Option<usize>> {
     let n = v[key].as_i64().unwrap_or(-1);
     Ok(usize::try_from(n).ok())
 }
@@ -99,7 +99,7 @@
 }
 
 /// Settings from the first message, and the names that later messages use.
-pub fn settings(info: &Value) -> Got<(Settings, Names)> {
+pub fn settings(info: &Value) -> JsonResult<(Settings, Names)> {
     let (family, permissions, rules) = (&info["family_info"], &info["permissions"], &info["rules"]);
     let zones = strings(info, "areas")?;
     let kinds = strings(info, "kinds")?;
@@ -113,32 +113,32 @@
         kinds: kinds.len(),
         parent_kind: index(family, "mid_kind")?,
         origin_kind: index(family, "origin_kind")?,
-        slot: num(info, "slot_no")? as u32,
-        routers: num(info, "group_size")? as u32,
+        slot: number(info, "slot_no")? as u32,
+        routers: number(info, "group_size")? as u32,
         straight: flag(family, "straight"),
         joins: flag(family, "collapses"),
         neighbours: neighbours(family),
         notes: note_level(family),
-        stream_kb_per_s: num(family, "stream_kb_per_s")?,
-        max_attempts: num(permissions, "max_attempts")? as u32,
-        max_in_flight: num(permissions, "max_open")? as u32,
+        stream_kb_per_s: number(family, "stream_kb_per_s")?,
+        max_attempts: number(permissions, "max_attempts")? as u32,
+        max_in_flight: number(permissions, "max_open")? as u32,
         parallel: flag(permissions, "parallel_tries"),
         cancel: flag(permissions, "cancelling"),
         peers: flag(permissions, "peers"),
         // Also where the platform says that its clients pay no heed: who is rejected gets a hint when to come back.
-        max_retry_after_ms: opt(permissions, "max_retry_after_ms")?,
+        max_retry_after_ms: number_or_zero(permissions, "max_retry_after_ms")?,
         lists_on_request: info["discovery"].as_str() == Some("on_request"),
-        tick_ms: opt(info, "tick_ms")?,
-        drain_grace_ms: num(rules, "drain_grace_ms")?,
-        slow_start_from: num(rules, "start_capacity")?,
-        slow_start_ms: num(rules, "warm_up_ms")?,
-        slow_start_multiple: num(rules, "tip_multiple")?,
-        slow_start_window_ms: num(rules, "overload_for_ms")?,
-        parent_slow_start_from: opt(family, "parent_starts_at")?,
-        parent_slow_start_ms: opt(family, "upper_cold_ms")?,
-        parent_slow_start_multiple: opt(family, "parent_breaks_at")?,
-        purge_slack_ms: opt(family, "purge_slack_ms")?,
-        purge_done_ms: opt(family, "purge_done_ms")?,
+        tick_ms: number_or_zero(info, "tick_ms")?,
+        drain_grace_ms: number(rules, "drain_grace_ms")?,
+        slow_start_from: number(rules, "start_capacity")?,
+        slow_start_ms: number(rules, "warm_up_ms")?,
+        slow_start_multiple: number(rules, "tip_multiple")?,
+        slow_start_window_ms: number(rules, "overload_for_ms")?,
+        parent_slow_start_from: number_or_zero(family, "parent_starts_at")?,
+        parent_slow_start_ms: number_or_zero(family, "upper_cold_ms")?,
+        parent_slow_start_multiple: number_or_zero(family, "parent_breaks_at")?,
+        purge_slack_ms: number_or_zero(family, "purge_slack_ms")?,
+        purge_done_ms: number_or_zero(family, "purge_done_ms")?,
         zones: zones.clone(),
         classes,
     };
@@ -148,19 +148,19 @@
     Ok((settings, Names { zones, kinds, classes, reports }))
 }
 
-fn classes(info: &Value, family: &Value) -> Got<Vec<Class>> {
+fn classes(info: &Value, family: &Value) -> JsonResult<Vec<Class>> {
     list(info, "classes")?.iter().enumerate().map(|(index, c)| class(c, index, family)).collect()
 }
 
 /// The class at `index`; some of its fields are in lists of the family, in the classes' order.
-fn class(c: &Value, index: usize, family: &Value) -> Got<Class> {
+fn class(c: &Value, index: usize, family: &Value) -> JsonResult<Class> {
     Ok(Class {
         name: text(c, "name")?.to_string(),
-        objective_ms: num(c, "objective_ms")?,
-        objective_stretch: opt(c, "aim_stretch")?,
-        deadline_ms: num(c, "deadline_ms")?,
-        priority_weight: num(c, "importance")?,
-        late_weight: opt(c, "late_worth")?,
+        objective_ms: number(c, "objective_ms")?,
+        objective_stretch: number_or_zero(c, "aim_stretch")?,
+        deadline_ms: number(c, "deadline_ms")?,
+        priority_weight: number(c, "importance")?,
+        late_weight: number_or_zero(c, "late_worth")?,
         effect: match text(c, "semantics")? {
             "idempotent" => Effect::Idempotent,
             "deduplicated" => Effect::Deduplicated,
@@ -172,7 +172,7 @@
             "zone" => DedupScope::Zone,
             _ => DedupScope::Cell,
         },
-        repeat_window_ms: opt(c, "repeat_window_ms")?,
+        repeat_window_ms: number_or_zero(c, "repeat_window_ms")?,
         write: family["class_write"].get(index).and_then(Value::as_bool).unwrap_or(false),
         fresh_ms: number_at(family, "good_for_ms", index),
         grace_ms: number_at(family, "grace_for_ms", index),
--- a/crates/front/src/control/config.rs
+++ b/crates/front/src/control/config.rs
@@ -88,7 +88,7 @@
 
 /// A duration given in milliseconds, within 1 ms to 1 h.
 fn millis(v: &Value, key: &str) -> Result<Duration, JsonError> {
-    json::num(v, key).map(|ms| Duration::from_secs_f64((ms / 1000.0).clamp(0.001, 3600.0)))
+    json::number(v, key).map(|ms| Duration::from_secs_f64((ms / 1000.0).clamp(0.001, 3600.0)))
 }
 
 impl Config {
@@ -110,8 +110,10 @@
         let (mut settings, names) = json::settings(&v["settings"])?;
         settings.check().map_err(ConfigError::Settings)?;
         let limits = &v["limits"];
-        let budget =
-            Budget::of(json::num(limits, "sockets")? as usize, json::num(limits, "memory_mb")? as usize);
+        let budget = Budget::of(
+            json::number(limits, "sockets")? as usize,
+            json::number(limits, "memory_mb")? as usize,
+        );
         settings.max_in_flight = settings.max_in_flight.min(budget.open as u32);
         let permissions = &v["settings"]["permissions"];
         let optional = |key: &str| match &v[key] {
@@ -132,9 +134,9 @@
             peers,
             peers_all: optional("peers_all")?,
             bus: Some(address(&v["bus"], "bus")?),
-            known_offset: json::num(&v["known"], "offset")? as u64,
+            known_offset: json::number(&v["known"], "offset")? as u64,
             known_events: json::list(&v["known"], "batch")?.to_vec(),
-            streams: (json::num(permissions, "streams_per_conn")? as usize).max(1),
+            streams: (json::number(permissions, "streams_per_conn")? as usize).max(1),
             connect_timeout: millis(permissions, "connect_timeout_ms")?,
             idle_timeout: millis(permissions, "conn_idle_ms")?,
             admin_listen: optional("ops")?,
--- a/crates/front/src/control/watch_event.rs
+++ b/crates/front/src/control/watch_event.rs
@@ -58,11 +58,11 @@
     let index_of = |all: &[String], name: &Value| name.as_str().and_then(|n| all.iter().position(|x| x == n));
     let entry = Entry {
         cache: CacheId::from(json::text(node, "id")?),
-        weight: json::opt(node, "weight")?,
+        weight: json::number_or_zero(node, "weight")?,
         zone: index_of(&names.zones, &node["zone"]),
         kind: index_of(&names.kinds, &node["kind"]),
         cell: node["cell"].as_i64().unwrap_or(0),
-        started_ms: json::opt(node, "started_ms")?,
+        started_ms: json::number_or_zero(node, "started_ms")?,
         phase: match json::text(node, "state")? {
             "Ready" => Phase::In,
             "Terminating" => Phase::Draining,
@@ -78,8 +78,9 @@
         Value::Null => None,
         _ => Some(ObjectId(json::hex(purge, "url")?)),
     };
-    let group = if object.is_some() { json::opt(purge, "tag")? } else { json::num(purge, "tag")? };
-    Ok(WatchEvent::Purge { object, group: group as u64, unix_ms: json::num(purge, "ts")? })
+    let group =
+        if object.is_some() { json::number_or_zero(purge, "tag")? } else { json::number(purge, "tag")? };
+    Ok(WatchEvent::Purge { object, group: group as u64, unix_ms: json::number(purge, "ts")? })
 }
 
 #[cfg(test)]
