--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Stand-ins on loopback for tests of a front with a site document: cache nodes, a client, and the program itself.
-#![allow(dead_code)] // each test file uses a part
+#![allow(dead_code, reason = "each test file uses a part")]
 
 pub mod scripted;
 
--- a/crates/fernslip/tests/common/mod.rs
+++ b/crates/fernslip/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A small bench-free set-up: one location of three caches, two parents, one origin.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test uses a part")]
 use fernslip::*;
 
 pub fn class() -> Class {
--- a/crates/fernslip/tests/common/simulation.rs
+++ b/crates/fernslip/tests/common/simulation.rs
@@ -206,7 +206,12 @@
         }
     }
 
-    #[allow(clippy::too_many_arguments)]
+    #[allow(
+        clippy::too_many_arguments,
+        clippy::too_many_lines,
+        clippy::many_single_char_names,
+        reason = "one check a rule, in the order in which an attempt can break them"
+    )]
     fn forward(
         &mut self,
         to: u32,
--- a/crates/front/src/control/manual_exclusion.rs
+++ b/crates/front/src/control/manual_exclusion.rs
@@ -116,7 +116,8 @@
 
     /// Removes files that earlier processes of this front left partly written.
     pub fn remove_abandoned(&self) {
-        let stems = [&self.own_file, &self.shared_file].map(|p| p.file_stem().map(|s| s.to_os_string()));
+        let stems =
+            [&self.own_file, &self.shared_file].map(|p| p.file_stem().map(std::ffi::OsStr::to_os_string));
         for entry in std::fs::read_dir(&self.folder).into_iter().flatten().flatten() {
             let path = entry.path();
             let is_partial = path.extension().is_some_and(|e| e.to_string_lossy().starts_with("part"));
--- a/crates/front/src/control/snapshot.rs
+++ b/crates/front/src/control/snapshot.rs
@@ -81,10 +81,10 @@
     pub fn open_with_timeout(path: &Path, new_disk_id: u64) -> Option<(Snapshot, RestoredState)> {
         let (sender, receiver) = mpsc::channel();
         let owned_path = path.to_path_buf();
-        let opener = std::thread::Builder::new().name("store-open".into()).spawn(move || {
+        let thread = std::thread::Builder::new().name("store-open".into()).spawn(move || {
             let _ = sender.send(Snapshot::open(&owned_path, new_disk_id));
         });
-        let reason = match opener.map(|_| receiver.recv_timeout(OPEN_TIMEOUT)) {
+        let reason = match thread.map(|_| receiver.recv_timeout(OPEN_TIMEOUT)) {
             Ok(Ok(Ok(opened))) => return Some(opened),
             Ok(Ok(Err(e))) => e.to_string(),
             Ok(Err(_)) => format!("not open after {} ms", OPEN_TIMEOUT.as_millis()),
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -254,6 +254,9 @@
     }
 
     /// Shuts the socket for both directions.
+    ///
+    /// # Errors
+    /// The system call failed, as on a socket that is not connected any more.
     pub fn shutdown(&self) -> io::Result<()> {
         self.socket().map_or(Ok(()), |s| s.stream.inner().shutdown(Shutdown::Both))
     }
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A simulated network, by seed: loss, delay, duplication, reordering, partitions, clocks that are off and fronts that
 //! stall, with real gossip instances. Invariants are checked at every step.
-#![allow(dead_code)] // each test and example uses a part
+#![allow(dead_code, reason = "each test and example uses a part")]
 
 use fernslip_gossip::*;
 use rand::{Rng, SeedableRng};
--- a/crates/import/src/httpd/mod.rs
+++ b/crates/import/src/httpd/mod.rs
@@ -80,7 +80,7 @@
             modjk: ModJk::default(),
             root,
             defines: defines.iter().cloned().collect(),
-            modules: MODULES.iter().map(|m| m.to_string()).collect(),
+            modules: MODULES.iter().map(ToString::to_string).collect(),
             sections: Vec::new(),
             current_server: 0,
             include_stack: Vec::new(),
--- a/crates/import/src/import.rs
+++ b/crates/import/src/import.rs
@@ -86,10 +86,10 @@
         true => servers[0].mounts.clone(),
         false => Vec::new(),
     };
-    let mut sets = Vec::new();
+    let mut rule_sets = Vec::new();
     for (index, server) in servers.iter().enumerate() {
         let is_main = index == 0;
-        let mut set = RouteRules {
+        let mut rules = RouteRules {
             hosts: if is_main { Vec::new() } else { server.hosts.clone() },
             first_match: proxy_routes(&mut ledger, server, index, &pools),
             ..RouteRules::default()
@@ -98,13 +98,13 @@
         let copied = main_mounts.iter().filter(|_| copies);
         for mount in server.mounts.iter().chain(copied) {
             let route = modjk.route(&mut ledger, &mut builder, mount);
-            set.longest_match.extend(route.map(|route| SourcedRoute { route, item: mount.item }));
+            rules.longest_match.extend(route.map(|route| SourcedRoute { route, item: mount.item }));
         }
         // Mounts of the main server are a virtual host's own only where they are copied, which is done above.
-        set.inherit = server.inherits_routes.unwrap_or(true) && !set.first_match.is_empty();
-        sets.push(set);
+        rules.inherit = server.inherits_routes.unwrap_or(true) && !rules.first_match.is_empty();
+        rule_sets.push(rules);
     }
     modjk.add_unmounted(&mut ledger, &mut builder);
-    builder.add_routes(&mut ledger, sets);
+    builder.add_routes(&mut ledger, rule_sets);
     Imported { site: builder.site, report: ledger.into_report() }
 }
--- a/crates/import/src/modjk/pools.rs
+++ b/crates/import/src/modjk/pools.rs
@@ -93,7 +93,7 @@
             let Some(worker) = worker else { continue };
             let Some(route) = worker.value("redirect") else { continue };
             let replacement = id_by_route.get(route).filter(|id| **id != membership.member);
-            membership.instead = replacement.map(|id| id.to_string());
+            membership.instead = replacement.map(ToString::to_string);
             let Some(param) = worker.own.get("redirect") else { continue };
             match &membership.instead {
                 Some(id) => {
--- a/crates/pool/benches/request.rs
+++ b/crates/pool/benches/request.rs
@@ -47,7 +47,7 @@
         });
         let routes = Routes::of(&site);
         c.bench_function(&format!("route/{members}"), |b| {
-            b.iter(|| routes.route("", "/class-7/7f3a9c21e0b4d655"))
+            b.iter(|| routes.route("", "/class-7/7f3a9c21e0b4d655"));
         });
         c.bench_function(&format!("failure/{members}"), |b| {
             b.iter(|| {
--- a/crates/pool/src/route.rs
+++ b/crates/pool/src/route.rs
@@ -181,11 +181,11 @@
         if !self.scanned.is_empty() {
             let chars: Vec<char> = path.chars().collect();
             for (pattern, rule) in &self.scanned {
-                let matches = match pattern {
+                let applies = match pattern {
                     Pattern::Regex(r) => r.is_match(path),
                     Pattern::Wildcard(w) => wildcard_matches(w, &chars),
                 };
-                if matches {
+                if applies {
                     matched.add(*rule);
                 }
             }
--- a/crates/record/src/rules.rs
+++ b/crates/record/src/rules.rs
@@ -160,6 +160,9 @@
     }
 
     /// Applies a command in the order of the log, and answers it.
+    ///
+    /// # Errors
+    /// Why the command is rejected; a command with a key that has an answer gets that answer again.
     pub fn apply(&mut self, command: &Command) -> Answer {
         if let Some((_, answer)) = self.answers.get(&command.key) {
             return answer.clone();
--- a/crates/record/tests/common/mod.rs
+++ b/crates/record/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A fleet in memory: records over a network with loss, delay and partitions, on disks that are retained, lost, or an
 //! hour old.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test uses a part")]
 
 use fernslip_gossip::{Key, Keyring};
 use fernslip_record::rules::{Answer, Command, Operation};
--- a/crates/record/tests/fleet.rs
+++ b/crates/record/tests/fleet.rs
@@ -119,9 +119,13 @@
     f.lose_disk(1);
     f.start(1);
     f.run_until(15_000.0, "added as voter", |f| {
-        f.fronts[1].record.as_ref().is_some_and(|r| r.is_voter()) && f.all_at(1)
+        f.fronts[1].record.as_ref().is_some_and(fernslip_record::Record::is_voter) && f.all_at(1)
     });
-    let voters = f.running().map(|r| r.state().voters.clone()).max_by_key(|v| v.len()).expect("some");
+    let voters = f
+        .running()
+        .map(|r| r.state().voters.clone())
+        .max_by_key(std::collections::BTreeMap::len)
+        .expect("some");
     assert_eq!(voters.len(), 3, "{voters:?}");
     assert!(voters.values().filter(|n| **n == name(1)).count() == 1);
     // It counts: with another gone, two are a majority.
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -118,7 +118,7 @@
             while !load.stopped.load(Ordering::Relaxed) {
                 match TcpStream::connect(front).await {
                     Ok(stream) => {
-                        load.run_connection(stream, requests_per_second, &mut rng, &accountable).await
+                        load.run_connection(stream, requests_per_second, &mut rng, &accountable).await;
                     }
                     Err(_) => sleep(RECONNECT_DELAY).await,
                 }
--- a/crates/rig/src/soak/inject.rs
+++ b/crates/rig/src/soak/inject.rs
@@ -22,6 +22,7 @@
 
 impl Environment {
     /// Injects one fault; returns when it is over.
+    #[allow(clippy::cognitive_complexity, reason = "one arm a kind of fault, each a few lines")]
     pub async fn inject(&self, planned: PlannedFault) -> io::Result<()> {
         let duration = planned.duration;
         match planned.kind {
--- a/crates/site/src/check.rs
+++ b/crates/site/src/check.rs
@@ -87,7 +87,7 @@
 
 /// Checks that a pool's memberships name members, each once, and replacements of the same pool.
 fn check_uses(pool: &Pool, uses: &[UseSpans], spans: &SourceSpans, problems: &mut Problems<'_>) {
-    let used: HashSet<&str> = pool.members.iter().map(|u| u.member.as_str()).collect();
+    let member_ids: HashSet<&str> = pool.members.iter().map(|u| u.member.as_str()).collect();
     let mut seen = HashSet::new();
     for (u, at) in pool.members.iter().zip(uses) {
         if !u.member.is_empty() {
@@ -99,7 +99,7 @@
         if let (Some(name), Some(span)) = (&u.instead, at.instead) {
             if *name == u.member {
                 problems.error(span, format!("`{name}` can't stand in for itself"), None);
-            } else if !used.contains(name.as_str()) {
+            } else if !member_ids.contains(name.as_str()) {
                 let hint = Some(format!("add it with: use \"{name}\" state=\"standby\""));
                 problems.error(span, format!("`{name}` is not in `{}`", pool.name), hint);
             }
--- a/crates/view/examples/compare.rs
+++ b/crates/view/examples/compare.rs
@@ -3,7 +3,7 @@
 //! Prints JSON, a row for each scenario and protocol.
 
 #[path = "../tests/common/net.rs"]
-#[allow(dead_code)]
+#[allow(dead_code, reason = "each test and example uses a part")]
 mod net;
 
 use net::{Faults, Front, Net, Swim, Viewed};
--- a/crates/view/src/engine/receive.rs
+++ b/crates/view/src/engine/receive.rs
@@ -58,11 +58,11 @@
         let mut reply = Vec::new();
         match known {
             Some((process_id, state, _)) if process_id == message.process_id && state.is_live() => {
-                self.detector.received_from(message.from, now_ms)
+                self.detector.received_from(message.from, now_ms);
             }
             // The view holds it for failed: it is notified, and refutes that with a higher incarnation.
             Some((process_id, FrontState::Failed, rank)) if process_id == message.process_id => {
-                reply.push(Item::FactRank(message.from, rank))
+                reply.push(Item::FactRank(message.from, rank));
             }
             Some((_, state, _)) if message.from != self.id() && state.is_live() => {
                 // Another process of that name: it learns which one the view holds.
@@ -94,11 +94,11 @@
                 Item::Ping(number) => reply.push(Item::Ack(*number)),
                 Item::Ack(number) => self.receive_ack(now_ms, *number, message, actions),
                 Item::PingRequest(id, process_id, number) => {
-                    self.forward_ping(now_ms, *id, *process_id, *number, from, actions)
+                    self.forward_ping(now_ms, *id, *process_id, *number, from, actions);
                 }
                 Item::Hello(fact) => self.receive_hello(now_ms, fact, message, reply, actions),
                 Item::DuplicateName(addr) if *addr != self.own.addr => {
-                    self.note_duplicate(now_ms, *addr, false, actions)
+                    self.note_duplicate(now_ms, *addr, false, actions);
                 }
                 Item::DuplicateName(_) => {}
                 Item::FullFact(fact) => {
@@ -126,7 +126,7 @@
                     }
                 }
                 Item::DifferingBuckets(buckets) => {
-                    self.answer_differing_buckets(*buckets, &message.items[i + 1..], reply)
+                    self.answer_differing_buckets(*buckets, &message.items[i + 1..], reply);
                 }
                 &Item::Suspicion { of, process_id, incarnation, number, ping, is_active, is_only_silent } => {
                     let suspicion =
--- a/crates/view/tests/faults.rs
+++ b/crates/view/tests/faults.rs
@@ -1,7 +1,7 @@
 //! Views under faults, in an in-memory network.
 
 #[path = "common/net.rs"]
-#[allow(dead_code)]
+#[allow(dead_code, reason = "each test and example uses a part")]
 mod net;
 
 use fernslip_gossip::Key;
