--- a/crates/front/src/clients/call.rs
+++ b/crates/front/src/clients/call.rs
@@ -1,10 +1,9 @@
-//! What a client's call asks for: read, and checked before any of it reaches the module or a cache node.
+//! A client's call: its fields are read and checked before any of them reaches the decision crate or a cache node.
 
 use crate::msgpack_rpc::Fields;
 use fernslip::{Class, ObjectId, Request, RequestId};
-use std::fmt;
 
-/// Of what a client waits, kept back for the way there and back.
+/// Of a client's patience, reserved for the way there and back.
 const WAY_MS: f64 = 20.0;
 /// No client waits longer, and no part is larger, in KB: what is above is a mistake.
 const MOST_PATIENCE_MS: f64 = 3_600_000.0;
@@ -13,72 +12,63 @@
 const MOST_BODY: usize = 48_000;
 const MOST_TAG: usize = 64;
 
-/// A client's request in the words that are passed on unchanged.
+/// A client's request as it is forwarded to cache nodes: text that goes on unchanged.
 #[derive(Debug, Default)]
-pub struct Ask {
+pub struct CallFields {
     /// The request's id.
     pub trace: String,
     /// Its class.
     pub class: String,
     /// The object.
-    pub item: String,
-    /// The part of it.
-    pub chunk: String,
+    pub object: String,
+    /// The part of the object.
+    pub part: String,
     /// The tag of the copy that the client holds.
-    pub known: Option<String>,
-    /// What a write brings.
+    pub known_tag: Option<String>,
+    /// A write's body.
     pub body: Vec<u8>,
 }
 
 /// Why a call can't be used.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// There is no such class.
+    /// The class is unknown.
+    #[error("no such class")]
     Class,
     /// A field is missing.
+    #[error("{0} is missing")]
     Missing(&'static str),
-    /// A field is there twice.
-    Twice,
+    /// A field occurs twice.
+    #[error("a field is there twice")]
+    Duplicate,
     /// A field's value is not of its form, or out of range.
+    #[error("{0} can't be used")]
     Field(&'static str),
-    /// A read that brings a body, or a write whose body is too long.
+    /// A read with a body, or a write whose body is too long.
+    #[error("the body does not belong there")]
     Body,
 }
 
 impl CallError {
-    /// The field that is at fault.
+    /// The field that is invalid, as the answer names it.
     pub fn field(self) -> &'static str {
         match self {
             CallError::Class => "class",
             CallError::Missing(f) | CallError::Field(f) => f,
-            CallError::Twice => "fields",
+            CallError::Duplicate => "fields",
             CallError::Body => "body",
         }
     }
 }
 
-impl fmt::Display for CallError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            CallError::Class => f.write_str("no such class"),
-            CallError::Missing(name) => write!(f, "{name} is missing"),
-            CallError::Twice => f.write_str("a field is there twice"),
-            CallError::Field(name) => write!(f, "{name} can't be used"),
-            CallError::Body => f.write_str("the body does not belong there"),
-        }
-    }
-}
-
-impl std::error::Error for CallError {}
-
 /// 16 lower-case hex digits: they go on unchanged, and cache nodes know no other form.
 fn hex(v: &str) -> Option<u64> {
     let digits = v.len() == 16 && v.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
     u64::from_str_radix(v, 16).ok().filter(|_| digits)
 }
 
-/// Digits alone: what a number's own parser takes besides (a sign, an exponent, a name) is no figure here.
-fn whole(v: &str) -> Option<u64> {
+/// Digits alone: what a number's own parser takes besides (a sign, an exponent, a name) is no number here.
+fn integer(v: &str) -> Option<u64> {
     v.parse().ok().filter(|_| v.bytes().all(|b| b.is_ascii_digit()))
 }
 
@@ -95,7 +85,7 @@
     method: &str,
     fields: Fields,
     body: Vec<u8>,
-) -> Result<(Request, Ask), CallError> {
+) -> Result<(Request, CallFields), CallError> {
     let class = classes.iter().position(|c| c.name == method).ok_or(CallError::Class)?;
     if body.len() > if classes[class].write { MOST_BODY } else { 0 } {
         return Err(CallError::Body);
@@ -105,30 +95,30 @@
     for (name, value) in fields {
         let Some(at) = names.iter().position(|n| *n == name) else { continue };
         if values[at].replace(value).is_some() {
-            return Err(CallError::Twice);
+            return Err(CallError::Duplicate);
         }
     }
-    let [trace, item, chunk, set, size, patience, known] = values;
+    let [trace, object, part, set, size, patience, known_tag] = values;
     let need = |v: Option<String>, name| v.ok_or(CallError::Missing(name));
-    let (trace, item, chunk) = (need(trace, "trace")?, need(item, "entity")?, need(chunk, "slice")?);
+    let (trace, object, part) = (need(trace, "trace")?, need(object, "entity")?, need(part, "slice")?);
     let (set, size, patience) = (need(set, "set")?, need(size, "size")?, need(patience, "patience")?);
     let bad = CallError::Field;
     let in_range = |v: Option<f64>, most: f64, name| v.filter(|n| *n <= most).ok_or(bad(name));
     let request = Request {
         id: RequestId(hex(&trace).ok_or(bad("trace"))?),
-        object: ObjectId(hex(&item).ok_or(bad("entity"))?),
-        part: whole(&chunk).and_then(|n| n.try_into().ok()).ok_or(bad("slice"))?,
+        object: ObjectId(hex(&object).ok_or(bad("entity"))?),
+        part: integer(&part).and_then(|n| n.try_into().ok()).ok_or(bad("slice"))?,
         class,
         size_kb: in_range(decimal(&size), MOST_SIZE_KB, "size")?,
         budget_ms: (in_range(decimal(&patience), MOST_PATIENCE_MS, "patience")? - WAY_MS).max(0.0),
-        group: whole(&set).filter(|n| *n <= 255).ok_or(bad("set"))?,
+        group: integer(&set).filter(|n| *n <= 255).ok_or(bad("set"))?,
     };
     // Passed on inside a list of fields: what would end a field there can't be meant.
     let tag = |k: &str| k.len() <= MOST_TAG && k.bytes().all(|b| b.is_ascii_alphanumeric());
-    if known.as_ref().is_some_and(|k| !tag(k)) {
+    if known_tag.as_ref().is_some_and(|k| !tag(k)) {
         return Err(bad("seen"));
     }
-    Ok((request, Ask { trace, class: method.to_string(), item, chunk, known, body }))
+    Ok((request, CallFields { trace, class: method.to_string(), object, part, known_tag, body }))
 }
 
 #[cfg(test)]
--- a/crates/front/src/clients/call/tests.rs
+++ b/crates/front/src/clients/call/tests.rs
@@ -60,5 +60,5 @@
 #[test]
 fn a_field_is_there_once() {
     let twice = ["4", "5"].map(|v| ("slice".to_string(), v.to_string())).to_vec();
-    assert_eq!(read(&classes(), "statement-docs", twice, Vec::new()).unwrap_err(), CallError::Twice);
+    assert_eq!(read(&classes(), "statement-docs", twice, Vec::new()).unwrap_err(), CallError::Duplicate);
 }
--- a/crates/front/src/clients/connection.rs
+++ b/crates/front/src/clients/connection.rs
@@ -117,7 +117,7 @@
     ) {
         let outcome = match answer {
             Answer::Served(_) => Some(Outcome::Answered),
-            Answer::Refused(_) => Some(Outcome::Deferred),
+            Answer::Rejected(_) => Some(Outcome::Deferred),
             Answer::Failed => Some(Outcome::Errored),
             Answer::None => None,
         };
@@ -198,7 +198,7 @@
             self.send(rpc::well(number, front.is_ready()));
             return Ok(());
         }
-        let (request, ask) = match call::read(&front.server.classes, &method, fields, body) {
+        let (request, fields) = match call::read(&front.server.classes, &method, fields, body) {
             Ok(r) => r,
             Err(why) => {
                 self.send(rpc::error(number, "Fault", &[("field", why.field())]));
@@ -206,12 +206,12 @@
             }
         };
         let class = Some(request.class);
-        let Some(queue) = front.queues.route(&ask.class, &ask.item).cloned() else {
+        let Some(queue) = front.queues.route(&fields.class, &fields.object).cloned() else {
             front.metrics.count(class, Outcome::Errored);
             self.send(rpc::error(number, "Fault", &[("route", "none")]));
             return Ok(());
         };
-        let bytes = ask.body.len();
+        let bytes = fields.body.len();
         // The front is ending or being emptied: a busy connection must fall idle and close before the process is
         // killed, so what comes on it now is rejected at once instead of being taken and lost with the process.
         if front.server.closing_idle.load(Ordering::Acquire) {
@@ -246,11 +246,11 @@
             open.accepted += 1;
         }
         front.metrics.taken();
-        let (client, front, ask) = (self.clone(), front.clone(), Arc::new(ask));
+        let (client, front, fields) = (self.clone(), front.clone(), Arc::new(fields));
         spawn(move || {
             // A defect costs its own request alone: it is answered, and what it took is given back.
             let served =
-                catch_unwind(AssertUnwindSafe(|| forward::serve(&front, &queue, request, &ask, &caller)));
+                catch_unwind(AssertUnwindSafe(|| forward::serve(&front, &queue, request, &fields, &caller)));
             let answer = served.unwrap_or(Answer::Failed);
             front.server.bodies.fetch_sub(bytes, Ordering::Relaxed);
             client.answer(&front, number, &caller, class, answer);
@@ -362,10 +362,10 @@
     Some(match answer {
         Answer::Served(r) if r.current => rpc::served(call, &[], &[("current", "1")]),
         Answer::Served(r) => rpc::served(call, &r.body, &[]),
-        Answer::Refused(pause) if pause >= 1.0 => {
+        Answer::Rejected(pause) if pause >= 1.0 => {
             rpc::error(call, "Shed", &[("pause", &(pause as u64).to_string())])
         }
-        Answer::Refused(_) => rpc::error(call, "Shed", &[]),
+        Answer::Rejected(_) => rpc::error(call, "Shed", &[]),
         Answer::Failed => rpc::error(call, "Fault", &[]),
         Answer::None => return None,
     })
--- a/crates/front/src/clients/forward.rs
+++ b/crates/front/src/clients/forward.rs
@@ -1,32 +1,32 @@
-//! A request's life: picked, tried as often as the module says, answered.
+//! Forwarding a request: it waits for its pool, is attempted as often as the decision crate says, and has one answer.
 
-use crate::call::Ask;
+use crate::call::CallFields;
 use crate::invariants::Invariant;
 use crate::reason_counts::Kind;
 use crate::shared::Shared;
 use crate::upstream::caller::Caller;
 use crate::upstream::completed_attempt::Reply;
-use crate::upstream::dispatch_queue::DispatchQueue;
+use crate::upstream::dispatch_queue::{DispatchQueue, Permit};
 use crate::upstream::pending_attempt::AttemptTimes;
 use crate::upstream::send_guard::SendGuard;
-use fernslip::facade::{AttemptResult, Decision};
+use fernslip::facade::{Attempt, AttemptResult, Decision};
 use fernslip::{Effect, Ending, Request};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Of a client's patience, what its request may wait for a place in its pool.
-const WAIT_PART: f64 = 0.5;
+/// The part of a client's patience that its request may wait for a permit of its pool.
+const MAX_WAIT_SHARE: f64 = 0.5;
 
 /// The final answer.
 #[derive(Debug)]
 pub enum Answer {
     /// Served.
     Served(Reply),
-    /// Refused, with the time after which the client may come back; 0: no advice.
-    Refused(f64),
+    /// Rejected, with a Retry-After in milliseconds; 0: none.
+    Rejected(f64),
     /// Failed.
     Failed,
-    /// The client left: none.
+    /// None: the client has disconnected or cancelled.
     None,
 }
 
@@ -46,98 +46,161 @@
     }
 }
 
-/// Sees a request through to its final answer, or to the moment in which its caller leaves.
+/// Sees a request through to its final answer, or to the moment in which its client disconnects or cancels. Yields while
+/// it waits for a permit and during each attempt.
 pub fn serve(
     front: &Shared,
     queue: &Arc<DispatchQueue>,
     request: Request,
-    ask: &Arc<Ask>,
+    call: &Arc<CallFields>,
     caller: &Arc<Caller>,
 ) -> Answer {
-    let Shared { clock, upstream, queues, .. } = front;
-    let dispatcher = &queue.dispatcher;
-    let turned_away = Answer::Refused(queues.retry_after_ms());
-    let client_until = Instant::now() + Duration::from_secs_f64(request.budget_ms / 1000.0);
-    let Some(_id) = queues.reserve(request.id) else { return turned_away };
-    // Waiting takes a part of the client's patience only: what is let in late must still be served in time.
-    let Some(permit) = queue.acquire(clock, clock.now() + request.budget_ms * WAIT_PART, caller) else {
-        return turned_away;
+    let Shared { clock, queues, .. } = front;
+    let retry_after_ms = queues.retry_after_ms();
+    let client_deadline = Instant::now() + Duration::from_secs_f64(request.budget_ms / 1000.0);
+    let Some(_reservation) = queues.reserve(request.id) else { return Answer::Rejected(retry_after_ms) };
+    // Waiting takes a part of the client's patience only: what is admitted late must still be served in time.
+    let wait_until_ms = clock.now() + request.budget_ms * MAX_WAIT_SHARE;
+    let Some(permit) = queue.acquire(clock, wait_until_ms, caller) else {
+        return Answer::Rejected(retry_after_ms);
     };
-    // Nothing yields from here to `pick`: who leaves later is known to the module.
+    // Nothing yields from here to `pick`: who disconnects later is known to the decision crate.
     if caller.is_disconnected() {
         return Answer::None;
     }
-    let effect = dispatcher.host().effect(request.class);
-    let mut may_have_run = false;
-    let request_kb = request.size_kb;
-    let ask_class = request.class;
-    let mut decision = dispatcher.pick(clock.now(), request);
-    let (mut reply, mut last) = (None, None);
-    loop {
-        match decision {
-            Decision::Forward(a) => {
-                if a.number > 0 && !permit.try_retry() {
-                    // The pool's own limit: the module is told that this attempt is not made.
-                    dispatcher.abandon(clock.now(), &a);
-                    return match may_have_run && effect != Effect::Idempotent {
-                        true => Answer::Failed,
-                        false => turned_away,
-                    };
-                }
-                // The guard for repeating: the module does not ask for this, and were it to, nothing runs twice.
-                let allowed = !may_have_run || effect != Effect::AtMostOnce;
-                if let Some(ending) = last {
-                    front.reason_counts.add(Kind::Retried, ending_name(ending));
-                }
-                let seen = || format!("trace={} n={} after one that may have run", ask.trace, a.number);
-                if !front.invariants.check(Invariant::RepeatAllowed, allowed, seen) {
-                    dispatcher.abandon(clock.now(), &a);
-                    return Answer::Failed;
-                }
-                permit.attempt_sent(&a);
-                let sent = Instant::now();
-                let deadline = permit.deadline(&a, sent, sent + clock.until(a.until_ms));
-                let begin_by = a.begin_by_ms.is_finite().then(|| sent + clock.until(a.begin_by_ms));
-                let times = AttemptTimes { deadline, begin_by };
-                let guard = Arc::new(SendGuard::new(queue, caller, ask, &a, times, client_until));
-                let end = upstream.execute(&a, &ask.trace, ask.known.clone(), times, guard.clone());
-                if let Some(begun) = end.first_byte_at {
-                    guard.verify(&front.invariants, clock, begun, front.drain_grace_ms);
-                }
-                permit.attempt_ended(&a, end.ending);
-                may_have_run |= !end.ending.never_ran();
-                last = Some(end.ending);
-                if end.fully_written {
-                    front.metrics.sent(ask_class);
+    let forwarding = Forwarding {
+        front,
+        queue,
+        call,
+        caller,
+        permit,
+        client_deadline,
+        retry_after_ms,
+        effect: queue.dispatcher.host().effect(request.class),
+        class: request.class,
+        size_kb: request.size_kb,
+        may_have_run: false,
+        last_ending: None,
+        reply: None,
+    };
+    let first = queue.dispatcher.pick(clock.now(), request);
+    forwarding.run(first)
+}
+
+/// A request that holds a permit of its pool.
+struct Forwarding<'a> {
+    front: &'a Shared,
+    queue: &'a Arc<DispatchQueue>,
+    call: &'a Arc<CallFields>,
+    caller: &'a Arc<Caller>,
+    permit: Permit,
+    /// Up to when the client waits.
+    client_deadline: Instant,
+    /// Retry-After where the front itself rejects, in milliseconds.
+    retry_after_ms: f64,
+    /// What may be repeated of the class.
+    effect: Effect,
+    class: usize,
+    size_kb: f64,
+    /// An attempt may have run at its node.
+    may_have_run: bool,
+    /// How the last attempt ended.
+    last_ending: Option<Ending>,
+    reply: Option<Reply>,
+}
+
+impl Forwarding<'_> {
+    /// Carries the decisions out until one is final.
+    fn run(mut self, first: Decision) -> Answer {
+        let mut decision = first;
+        loop {
+            match decision {
+                Decision::Forward(attempt) => {
+                    if let Err(answer) = self.check_retry(&attempt) {
+                        return answer;
+                    }
+                    decision = self.execute(attempt);
                 }
-                if end.ending == Ending::Completed {
-                    reply = end.reply;
+                Decision::Reject { retry_after_ms } => {
+                    let call = self.call;
+                    tracing::debug!(trace = %call.trace, class = %call.class, size = self.size_kb, "refused");
+                    return Answer::Rejected(retry_after_ms);
                 }
-                let elapsed_ms = sent.elapsed().as_secs_f64() * 1000.0;
-                // Off unless asked for: a line for each attempt, to be counted over all fronts.
-                tracing::debug!(
-                    trace = %ask.trace, class = %ask.class, object = %ask.item, size = request_kb, n = a.number, node = %a.cache.0,
-                    via = %a.source.as_ref().map_or("-", |s| &s.0), ending = ?end.ending, detail = end.detail,
-                    ms = elapsed_ms as u64, holds = end.reported_in_flight, "attempt"
-                );
-                let ended = AttemptResult {
-                    id: a.id,
-                    attempt: a.number,
-                    cache: a.cache,
-                    ending: end.ending,
-                    elapsed_ms,
-                    detail: end.detail,
-                    fill_wait_ms: end.fill_wait_ms,
-                    reported_in_flight: end.reported_in_flight,
-                };
-                decision = dispatcher.report(clock.now(), ended);
-            }
-            Decision::Reject { retry_after_ms } => {
-                tracing::debug!(trace = %ask.trace, class = %ask.class, size = request_kb, "refused");
-                return Answer::Refused(retry_after_ms);
+                Decision::Fail => return Answer::Failed,
+                Decision::Finished => return self.reply.map_or(Answer::None, Answer::Served),
             }
-            Decision::Fail => return Answer::Failed,
-            Decision::Finished => return reply.map_or(Answer::None, Answer::Served),
         }
     }
+
+    /// Whether that attempt may be made after those before it; if not, the decision crate is notified that it is
+    /// abandoned.
+    ///
+    /// # Errors
+    /// The final answer, where the attempt may not be made.
+    fn check_retry(&self, attempt: &Attempt) -> Result<(), Answer> {
+        let Forwarding { front, may_have_run, effect, .. } = *self;
+        let dispatcher = &self.queue.dispatcher;
+        if attempt.number > 0 && !self.permit.try_retry() {
+            // The pool's own limit.
+            dispatcher.abandon(front.clock.now(), attempt);
+            return Err(match may_have_run && effect != Effect::Idempotent {
+                true => Answer::Failed,
+                false => Answer::Rejected(self.retry_after_ms),
+            });
+        }
+        // The guard for retries: the decision crate does not ask for this, and were it to, nothing runs twice.
+        let allowed = !may_have_run || effect != Effect::AtMostOnce;
+        if let Some(ending) = self.last_ending {
+            front.reason_counts.add(Kind::Retried, ending_name(ending));
+        }
+        let detail = || format!("trace={} n={} after one that may have run", self.call.trace, attempt.number);
+        if !front.invariants.check(Invariant::RepeatAllowed, allowed, detail) {
+            dispatcher.abandon(front.clock.now(), attempt);
+            return Err(Answer::Failed);
+        }
+        Ok(())
+    }
+
+    /// Makes an attempt and reports its result; the next decision.
+    fn execute(&mut self, attempt: Attempt) -> Decision {
+        let Forwarding { front, queue, call, .. } = *self;
+        let clock = &front.clock;
+        self.permit.attempt_sent(&attempt);
+        let started = Instant::now();
+        let deadline = self.permit.deadline(&attempt, started, started + clock.until(attempt.until_ms));
+        let begin_by = attempt.begin_by_ms.is_finite().then(|| started + clock.until(attempt.begin_by_ms));
+        let times = AttemptTimes { deadline, begin_by };
+        let guard = Arc::new(SendGuard::new(queue, self.caller, call, &attempt, times, self.client_deadline));
+        let end = front.upstream.execute(&attempt, &call.trace, call.known_tag.clone(), times, guard.clone());
+        if let Some(first_byte_at) = end.first_byte_at {
+            guard.verify(&front.invariants, clock, first_byte_at, front.drain_grace_ms);
+        }
+        self.permit.attempt_ended(&attempt, end.ending);
+        self.may_have_run |= !end.ending.never_ran();
+        self.last_ending = Some(end.ending);
+        if end.fully_written {
+            front.metrics.sent(self.class);
+        }
+        if end.ending == Ending::Completed {
+            self.reply = end.reply;
+        }
+        let elapsed_ms = started.elapsed().as_secs_f64() * 1000.0;
+        // Off by default: a line for each attempt, to be counted over all fronts.
+        tracing::debug!(
+            trace = %call.trace, class = %call.class, object = %call.object, size = self.size_kb, n = attempt.number,
+            node = %attempt.cache.0, via = %attempt.source.as_ref().map_or("-", |s| &s.0), ending = ?end.ending,
+            detail = end.detail, ms = elapsed_ms as u64, holds = end.reported_in_flight, "attempt"
+        );
+        let result = AttemptResult {
+            id: attempt.id,
+            attempt: attempt.number,
+            cache: attempt.cache,
+            ending: end.ending,
+            elapsed_ms,
+            detail: end.detail,
+            fill_wait_ms: end.fill_wait_ms,
+            reported_in_flight: end.reported_in_flight,
+        };
+        queue.dispatcher.report(clock.now(), result)
+    }
 }
--- a/crates/front/src/upstream/send_guard.rs
+++ b/crates/front/src/upstream/send_guard.rs
@@ -1,7 +1,7 @@
 //! The one guard for sending: whether an attempt may begin, checked when its first byte is about to be written, however
 //! long after the decision that is; and what the attempt then looks like on the wire.
 
-use crate::call::Ask;
+use crate::call::CallFields;
 use crate::clock::Clock;
 use crate::invariants::{Invariant, Invariants, LIMIT_SLACK_MS, SEND_AFTER_LEAVING_MS};
 use crate::upstream::caller::Caller;
@@ -17,7 +17,7 @@
 pub struct SendGuard {
     queue: Arc<DispatchQueue>,
     caller: Arc<Caller>,
-    ask: Arc<Ask>,
+    ask: Arc<CallFields>,
     attempt: Attempt,
     times: AttemptTimes,
     /// The client waits until then.
@@ -29,7 +29,7 @@
     pub fn new(
         queue: &Arc<DispatchQueue>,
         caller: &Arc<Caller>,
-        ask: &Arc<Ask>,
+        ask: &Arc<CallFields>,
         attempt: &Attempt,
         times: AttemptTimes,
         client_deadline: Instant,
@@ -97,12 +97,12 @@
 }
 
 /// The fields of a request to a cache node, which has so long to answer.
-fn fields(ask: &Ask, attempt: &Attempt, remaining: Duration) -> String {
+fn fields(ask: &CallFields, attempt: &Attempt, remaining: Duration) -> String {
     let mut fields = format!(
         "cls={},item={},chunk={},limit={}",
         ask.class,
-        ask.item,
-        ask.chunk,
+        ask.object,
+        ask.part,
         (remaining.as_millis() as u64).max(1)
     );
     if let Some(source) = &attempt.source {
@@ -121,7 +121,7 @@
         (false, true) => fields += ",opts=r",
         (false, false) => {}
     }
-    if let Some(tag) = &ask.known {
+    if let Some(tag) = &ask.known_tag {
         fields += &format!(",known={tag}");
     }
     fields
