--- a/crates/front/src/control/gossip.rs
+++ b/crates/front/src/control/gossip.rs
@@ -6,6 +6,7 @@
 pub use plan::Plan;
 
 use crate::clock::Clock;
+use crate::control::evidence::{EvidenceQueue, QueuedEvidence};
 use crate::sync::lock;
 use crate::upstream::dispatch_queue::DispatchQueue;
 use crate::view::Fleet;
@@ -14,44 +15,16 @@
     Action, CacheNodeKey, Config, Event, Evidence, Gossip, Keyring, Now, Observation, MAX_DATAGRAM_BYTES,
 };
 use may::net::UdpSocket;
-use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Evidence that is queued; more is dropped: it comes again as long as it holds.
-const MAX_QUEUED_EVIDENCE: usize = 1024;
 /// Between two polls of the queue and the clock.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// The pause after a datagram could not be received.
 const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(5);
 
-/// One piece of evidence from the decision module.
-struct QueuedEvidence {
-    cache: CacheId,
-    sign: Sign,
-    strength: f64,
-}
-
-/// Evidence on its way from the decision module to the gossip. The module pushes while it decides; nothing is sent
-/// then.
-#[derive(Clone, Default)]
-pub struct EvidenceQueue(Arc<Mutex<VecDeque<QueuedEvidence>>>);
-
-impl EvidenceQueue {
-    /// Queues a piece of evidence, unless the queue is full.
-    pub fn push(&self, cache: &CacheId, sign: Sign, strength: f64) {
-        let mut queue = lock(&self.0);
-        if queue.len() < MAX_QUEUED_EVIDENCE {
-            queue.push_back(QueuedEvidence { cache: cache.clone(), sign, strength });
-        }
-    }
-
-    fn take_all(&self) -> VecDeque<QueuedEvidence> {
-        std::mem::take(&mut *lock(&self.0))
-    }
-}
-
 /// Runs the gossip of a front: two threads call [`GossipService::listen`] and [`GossipService::run`].
 pub struct GossipService {
     gossip: Mutex<Gossip>,
--- a/crates/front/src/dispatch_host.rs
+++ b/crates/front/src/dispatch_host.rs
@@ -1,6 +1,6 @@
 //! What the decision crate's facade reaches through its host: sockets to cache nodes, peers, gossip and the log.
 
-use crate::gossip::EvidenceQueue;
+use crate::control::evidence::EvidenceQueue;
 use crate::peers::Peers;
 use crate::upstream::connection_pool::ConnectionPool;
 use crate::upstream::node_registry::NodeRegistry;
--- a/crates/front/src/startup.rs
+++ b/crates/front/src/startup.rs
@@ -5,11 +5,12 @@
 
 use crate::clock::Clock;
 use crate::config::Config;
+use crate::control::evidence::EvidenceQueue;
 use crate::control::watch_event;
 use crate::discovery_watch::{self, DiscoveryWatch};
 use crate::dispatch_host::DispatchHost;
 use crate::failure::{patiently, Failure};
-use crate::gossip::{EvidenceQueue, GossipService};
+use crate::gossip::GossipService;
 use crate::invariants::{Invariants, Startup};
 use crate::listen::{Listener, Origin};
 use crate::loaded_config::LoadedConfig;
