--- a/crates/front/src/clients/call.rs
+++ b/crates/front/src/clients/call.rs
@@ -6,11 +6,11 @@
 /// Of a client's patience, reserved for the way there and back.
 const WAY_MS: f64 = 20.0;
 /// No client waits longer, and no part is larger, in KB: what is above is a mistake.
-const MOST_PATIENCE_MS: f64 = 3_600_000.0;
-const MOST_SIZE_KB: f64 = 1e9;
+const MAX_PATIENCE_MS: f64 = 3_600_000.0;
+const MAX_SIZE_KB: f64 = 1e9;
 /// A write's body.
-const MOST_BODY: usize = 48_000;
-const MOST_TAG: usize = 64;
+const MAX_BODY: usize = 48_000;
+const MAX_TAG: usize = 64;
 
 /// A client's request as it is forwarded to cache nodes: text that goes on unchanged.
 #[derive(Debug, Default)]
@@ -87,7 +87,7 @@
     body: Vec<u8>,
 ) -> Result<(Request, CallFields), CallError> {
     let class = classes.iter().position(|c| c.name == method).ok_or(CallError::Class)?;
-    if body.len() > if classes[class].write { MOST_BODY } else { 0 } {
+    if body.len() > if classes[class].write { MAX_BODY } else { 0 } {
         return Err(CallError::Body);
     }
     let names = ["trace", "entity", "slice", "set", "size", "patience", "seen"];
@@ -109,12 +109,12 @@
         object: ObjectId(hex(&object).ok_or(bad("entity"))?),
         part: integer(&part).and_then(|n| n.try_into().ok()).ok_or(bad("slice"))?,
         class,
-        size_kb: in_range(decimal(&size), MOST_SIZE_KB, "size")?,
-        budget_ms: (in_range(decimal(&patience), MOST_PATIENCE_MS, "patience")? - WAY_MS).max(0.0),
+        size_kb: in_range(decimal(&size), MAX_SIZE_KB, "size")?,
+        budget_ms: (in_range(decimal(&patience), MAX_PATIENCE_MS, "patience")? - WAY_MS).max(0.0),
         group: integer(&set).filter(|n| *n <= 255).ok_or(bad("set"))?,
     };
     // Passed on inside a list of fields: what would end a field there can't be meant.
-    let tag = |k: &str| k.len() <= MOST_TAG && k.bytes().all(|b| b.is_ascii_alphanumeric());
+    let tag = |k: &str| k.len() <= MAX_TAG && k.bytes().all(|b| b.is_ascii_alphanumeric());
     if known_tag.as_ref().is_some_and(|k| !tag(k)) {
         return Err(bad("seen"));
     }
--- a/crates/front/src/clients/connection.rs
+++ b/crates/front/src/clients/connection.rs
@@ -335,7 +335,7 @@
         if closing {
             server.closing.fetch_sub(1, Ordering::Relaxed);
         }
-        server.held.fetch_sub(1, Ordering::Relaxed);
+        server.descriptors.fetch_sub(1, Ordering::Relaxed);
         let (unanswered, open_calls) = (unanswered.len(), unanswered);
         front.reason_counts.add(Kind::ClientClosed, why.code());
         front.invariants.check(Invariant::CloseSettled, !why.is_own_choice() || unanswered == 0, || {
--- a/crates/front/src/clients/eviction.rs
+++ b/crates/front/src/clients/eviction.rs
@@ -93,8 +93,9 @@
     /// Whether the connection that was just accepted is within the limit, if need be by evicting another. Guards new clients
     /// against those that called once and stay connected.
     pub(super) fn make_capacity(&self, front: &Shared) -> bool {
-        let staying = self.held.load(Ordering::Relaxed).saturating_sub(self.closing.load(Ordering::Relaxed));
-        staying <= self.budget.clients || self.evict(front)
+        let connected =
+            self.descriptors.load(Ordering::Relaxed).saturating_sub(self.closing.load(Ordering::Relaxed));
+        connected <= self.budget.clients || self.evict(front)
     }
 
     /// Closes the connection that ranks highest for eviction: one that never sent a message, was never served, or is idle
--- a/crates/front/src/clients/listen.rs
+++ b/crates/front/src/clients/listen.rs
@@ -5,7 +5,7 @@
 //! the address again would fail with `EADDRINUSE`, so a front takes that socket; one that is no listening TCP socket
 //! is reported and the front binds as it always did.
 
-use crate::failure::{patiently, Failure};
+use crate::failure::{retry_with_backoff, Failure};
 use may::io::{CoIo, WaitIo};
 use socket2::{Domain, Socket, Type};
 use std::io::{self, ErrorKind};
@@ -14,15 +14,15 @@
 use std::time::Duration;
 
 /// The variable that names the descriptor.
-pub const PASSED: &str = "RELAY_PASSED_SOCKET";
+pub const PASSED_SOCKET_VARIABLE: &str = "RELAY_PASSED_SOCKET";
 /// The first descriptor after standard input, output and error, where handed sockets begin.
 const FIRST_PASSED: u32 = 3;
 /// Connections that wait to be accepted: thousands come at once on the hard days, and the kernel drops what
 /// does not fit.
 const BACKLOG: i32 = 4096;
 
-/// For so long an accepted connection waits for its place in the event queue.
-const REGISTERED_WITHIN: Duration = Duration::from_secs(1);
+/// Registering an accepted connection with the event queue is retried for so long.
+const REGISTER_WITHIN: Duration = Duration::from_secs(1);
 /// What a connection that can't be registered is taken to have met.
 const ENOMEM: i32 = 12;
 
@@ -36,36 +36,29 @@
 }
 
 /// Why a handed descriptor is not used.
-#[derive(Debug)]
-pub enum PassError {
+#[derive(Debug, thiserror::Error)]
+pub enum PassedSocketError {
     /// The variable holds no descriptor number of 3 or more.
+    #[error("{PASSED_SOCKET_VARIABLE}={0:?} is no descriptor of 3 or more")]
     Number(String),
-    /// It can't be had as a socket.
+    /// It can't be taken as a socket.
+    #[error("{PASSED_SOCKET_VARIABLE}: descriptor {0}: {1}")]
     Take(u32, io::Error),
     /// It is a socket, but not a listening TCP one.
+    #[error("{PASSED_SOCKET_VARIABLE}: descriptor {0} is {1}")]
     Kind(u32, &'static str),
 }
 
-impl std::fmt::Display for PassError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            PassError::Number(v) => write!(f, "{PASSED}={v:?} is no descriptor of 3 or more"),
-            PassError::Take(fd, e) => write!(f, "{PASSED}: descriptor {fd}: {e}"),
-            PassError::Kind(fd, what) => write!(f, "{PASSED}: descriptor {fd} is {what}"),
-        }
-    }
-}
-
 /// Reads the variable's value: a descriptor number, of 3 or more.
-pub fn descriptor(value: &str) -> Result<u32, PassError> {
+pub fn descriptor(value: &str) -> Result<u32, PassedSocketError> {
     match value.trim().parse::<u32>() {
         Ok(fd) if fd >= FIRST_PASSED => Ok(fd),
-        _ => Err(PassError::Number(value.into())),
+        _ => Err(PassedSocketError::Number(value.into())),
     }
 }
 
 /// Takes the handed descriptor and checks that it is a listening TCP socket.
-fn take(fd: u32) -> Result<TcpListener, PassError> {
+fn take(fd: u32) -> Result<TcpListener, PassedSocketError> {
     // The library reads the count of handed descriptors from the environment, as socket activation sets it.
     std::env::set_var("LISTEN_FDS", (fd - FIRST_PASSED + 1).to_string());
     std::env::remove_var("LISTEN_PID");
@@ -74,21 +67,21 @@
     std::env::remove_var("LISTEN_FDS");
     let listener = match taken {
         Ok(Some(l)) => l,
-        Ok(None) => return Err(PassError::Kind(fd, "not open")),
-        Err(e) => return Err(PassError::Take(fd, e)),
+        Ok(None) => return Err(PassedSocketError::Kind(fd, "not open")),
+        Err(e) => return Err(PassedSocketError::Take(fd, e)),
     };
     let socket = Socket::from(listener);
     match (socket.r#type(), socket.domain(), socket.is_listener()) {
         (Ok(Type::STREAM), Ok(Domain::IPV4 | Domain::IPV6), Ok(true)) => Ok(socket.into()),
         (Ok(Type::STREAM), Ok(Domain::IPV4 | Domain::IPV6), Ok(false)) => {
-            Err(PassError::Kind(fd, "not listening"))
+            Err(PassedSocketError::Kind(fd, "not listening"))
         }
-        (Err(e), _, _) | (_, Err(e), _) | (_, _, Err(e)) => Err(PassError::Take(fd, e)),
-        _ => Err(PassError::Kind(fd, "no TCP socket")),
+        (Err(e), _, _) | (_, Err(e), _) | (_, _, Err(e)) => Err(PassedSocketError::Take(fd, e)),
+        _ => Err(PassedSocketError::Kind(fd, "no TCP socket")),
     }
 }
 
-/// Binds the address with room for many that connect at once.
+/// Binds the address with a backlog for many that connect at once.
 pub fn bind(at: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(at), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -102,7 +95,7 @@
 /// # Errors
 /// The address can't be bound. A handed descriptor that can't be used is logged and not an error.
 pub fn clients(at: SocketAddr) -> io::Result<(Listener, Origin)> {
-    let passed = std::env::var(PASSED).ok().filter(|v| !v.trim().is_empty());
+    let passed = std::env::var(PASSED_SOCKET_VARIABLE).ok().filter(|v| !v.trim().is_empty());
     let taken = match passed.as_deref().map(|v| descriptor(v).and_then(take)) {
         Some(Ok(l)) => Some(l),
         Some(Err(why)) => {
@@ -140,7 +133,7 @@
                 return Ok(None);
             }
             match self.0.inner().accept() {
-                Ok((stream, peer)) => return Ok(Some((registered(stream)?, peer))),
+                Ok((stream, peer)) => return Ok(Some((register(stream)?, peer))),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     self.0.wait_io();
                 }
@@ -162,7 +155,7 @@
     pub fn accept_waiting(&self) -> io::Result<Option<(CoIo<TcpStream>, SocketAddr)>> {
         loop {
             match self.0.inner().accept() {
-                Ok((stream, peer)) => return Ok(Some((registered(stream)?, peer))),
+                Ok((stream, peer)) => return Ok(Some((register(stream)?, peer))),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(None),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
@@ -173,17 +166,17 @@
 
 /// Gives an accepted connection to the event queue. It is owed answers already: where the machine has no memory for a moment,
 /// it is not dropped for that.
-fn registered(stream: TcpStream) -> io::Result<CoIo<TcpStream>> {
-    let mut held = Some(stream);
-    patiently(
-        REGISTERED_WITHIN,
+fn register(stream: TcpStream) -> io::Result<CoIo<TcpStream>> {
+    let mut pending = Some(stream);
+    retry_with_backoff(
+        REGISTER_WITHIN,
         |e: &io::Error| Failure::of(e) != Failure::Remote,
         |_| {
-            let stream = held.take().ok_or_else(|| io::Error::other("taken"))?;
+            let stream = pending.take().ok_or_else(|| io::Error::other("taken"))?;
             CoIo::new(stream).map_err(|failed| {
                 // The error tells its number only when it gives the connection up.
                 let e = io::Error::from_raw_os_error(ENOMEM);
-                held = Some(failed.into_data());
+                pending = Some(failed.into_data());
                 e
             })
         },
--- a/crates/front/src/clients/listen/tests.rs
+++ b/crates/front/src/clients/listen/tests.rs
@@ -5,7 +5,7 @@
     assert_eq!(descriptor("3").ok(), Some(3));
     assert_eq!(descriptor(" 7\n").ok(), Some(7));
     for bad in ["", "2", "0", "fd3", "-3", "3.0"] {
-        assert!(matches!(descriptor(bad), Err(PassError::Number(_))), "{bad:?}");
+        assert!(matches!(descriptor(bad), Err(PassedSocketError::Number(_))), "{bad:?}");
     }
 }
 
--- a/crates/front/src/clients/msgpack_rpc.rs
+++ b/crates/front/src/clients/msgpack_rpc.rs
@@ -2,18 +2,17 @@
 
 use rmp::decode::{self, bytes::Bytes};
 use rmp::{encode, Marker};
-use std::fmt;
 
-/// A write's 48,000 bytes and the fields, with room to spare; nothing longer is a message. Bounds what one
+/// A write's 48,000 bytes and the fields, with a margin; nothing longer is a message. Bounds what one
 /// connection's buffer can hold.
-const MOST_BYTES: usize = 56 * 1024;
-const MOST_DEPTH: usize = 8;
-const MOST_FIELDS: u32 = 64;
+const MAX_MESSAGE_BYTES: usize = 56 * 1024;
+const MAX_DEPTH: usize = 8;
+const MAX_FIELDS: u32 = 64;
 
 /// Fields by name.
 pub type Fields = Vec<(String, String)>;
 
-/// What a client says.
+/// A message of a client.
 #[derive(Debug, PartialEq)]
 pub enum Message {
     /// A call; the method is the class, or `isWell`.
@@ -34,29 +33,23 @@
 }
 
 /// Why bytes are no message.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RpcError {
     /// Not MessagePack, or nested too deep.
+    #[error("not MessagePack")]
     Invalid,
     /// Longer than any message is.
+    #[error("message too long")]
     TooLong,
     /// MessagePack, but no call and no notice.
+    #[error("neither call nor notice")]
     Shape,
 }
 
-impl fmt::Display for RpcError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            RpcError::Invalid => "not MessagePack",
-            RpcError::TooLong => "message too long",
-            RpcError::Shape => "neither call nor notice",
-        })
-    }
-}
-
-impl std::error::Error for RpcError {}
-
-/// The first message and its length, once it is there whole.
+/// The first message and its length, once it is complete.
+///
+/// # Errors
+/// The bytes can't become a message.
 pub fn parse(data: &[u8]) -> Result<Option<(usize, Message)>, RpcError> {
     if data.is_empty() {
         return Ok(None);
@@ -107,7 +100,7 @@
     Some(digits.iter().fold(0, |n, b| n << 8 | usize::from(*b)))
 }
 
-/// The length of the first value, once it is there whole: markers are followed, strings and bytes passed over.
+/// The length of the first value, once it is complete: markers are followed, strings and bytes passed over.
 ///
 /// # Errors
 /// It breaks the limits or has a type that no message has, as soon as that shows.
@@ -115,12 +108,12 @@
     let mut at = 0;
     // How many values are still to come, of each array or map that has begun.
     let mut to_come = vec![1_usize];
-    while let Some(left) = to_come.last_mut() {
-        if *left == 0 {
+    while let Some(remaining) = to_come.last_mut() {
+        if *remaining == 0 {
             to_come.pop();
             continue;
         }
-        *left -= 1;
+        *remaining -= 1;
         let Some(byte) = data.get(at) else { return Ok(None) };
         at += 1;
         let (bytes, values) = match follows(Marker::from_u8(*byte))? {
@@ -137,13 +130,13 @@
         };
         at += bytes;
         // Each value that is still to come has a byte at least.
-        if at + values > MOST_BYTES {
+        if at + values > MAX_MESSAGE_BYTES {
             return Err(RpcError::TooLong);
         }
         if values > 0 {
             to_come.push(values);
         }
-        if to_come.len() > MOST_DEPTH + 1 {
+        if to_come.len() > MAX_DEPTH + 1 {
             return Err(RpcError::Invalid);
         }
     }
@@ -188,7 +181,7 @@
 }
 
 fn map(rd: &mut Bytes<'_>) -> Option<Fields> {
-    let len = decode::read_map_len(rd).ok().filter(|n| *n <= MOST_FIELDS)?;
+    let len = decode::read_map_len(rd).ok().filter(|n| *n <= MAX_FIELDS)?;
     (0..len).map(|_| Some((string(rd)?, string(rd)?))).collect()
 }
 
@@ -226,11 +219,11 @@
     })
 }
 
-/// An answer that is an error: its word and fields.
-pub fn error(id: u32, word: &str, fields: &[(&str, &str)]) -> Vec<u8> {
+/// An answer that is an error: its name and fields.
+pub fn error(id: u32, name: &str, fields: &[(&str, &str)]) -> Vec<u8> {
     answer(id, |out| {
         let _ = encode::write_array_len(out, 2);
-        let _ = encode::write_str(out, word);
+        let _ = encode::write_str(out, name);
         put_fields(out, fields);
         let _ = encode::write_nil(out);
     })
--- a/crates/front/src/clients/msgpack_rpc/tests.rs
+++ b/crates/front/src/clients/msgpack_rpc/tests.rs
@@ -33,6 +33,6 @@
         assert_eq!(parse(&call[..n]), Ok(None), "{n}");
     }
     assert_eq!(parse(&whole), Err(RpcError::Shape), "an answer is no call");
-    let deep = vec![0x91; MOST_DEPTH + 2];
+    let deep = vec![0x91; MAX_DEPTH + 2];
     assert_eq!(parse(&deep), Err(RpcError::Invalid));
 }
--- a/crates/front/src/clients/server.rs
+++ b/crates/front/src/clients/server.rs
@@ -12,8 +12,9 @@
 use crate::spawn::spawn;
 use crate::sync::lock;
 use fernslip::Class;
+use may::io::CoIo;
 use std::collections::HashMap;
-use std::net::SocketAddr;
+use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -32,7 +33,7 @@
     /// Bytes of answers that wait to be read, over all connections.
     pub(super) unread: Arc<AtomicUsize>,
     /// Descriptors that clients' connections hold.
-    pub(super) held: AtomicUsize,
+    pub(super) descriptors: AtomicUsize,
     /// Of these, how many are being closed.
     pub(super) closing: AtomicUsize,
     /// Bytes of open writes' bodies.
@@ -73,7 +74,7 @@
             clients: Mutex::default(),
             next_number: AtomicU64::new(0),
             unread: Arc::default(),
-            held: AtomicUsize::new(0),
+            descriptors: AtomicUsize::new(0),
             closing: AtomicUsize::new(0),
             bodies: AtomicUsize::new(0),
             partial: AtomicUsize::new(0),
@@ -87,7 +88,7 @@
     /// What clients hold at this moment.
     pub fn held(&self) -> Held {
         Held {
-            connections: self.held.load(Ordering::Relaxed),
+            connections: self.descriptors.load(Ordering::Relaxed),
             leaving: self.closing.load(Ordering::Relaxed),
             unread: self.unread.load(Ordering::Relaxed),
             bodies: self.bodies.load(Ordering::Relaxed),
@@ -112,7 +113,7 @@
         let mut pause = DESCRIPTOR_BACKOFF[0];
         loop {
             // Those that are closing must have given their descriptors back.
-            while self.held.load(Ordering::Relaxed)
+            while self.descriptors.load(Ordering::Relaxed)
                 >= self.budget.clients + self.budget.closing + CLOSING_RESERVE
             {
                 crate::sleep::sleep(Duration::from_millis(1));
@@ -127,26 +128,13 @@
                 Ok(None) => {}
                 Ok(Some((stream, peer))) => {
                     pause = DESCRIPTOR_BACKOFF[0];
-                    self.held.fetch_add(1, Ordering::Relaxed);
-                    if !self.make_capacity(front) {
-                        drop(stream);
-                        self.held.fetch_sub(1, Ordering::Relaxed);
-                        front.reason_counts.add(Kind::ClientClosed, Reason::TooMany.code());
-                        tracing::info!(kind = %"client", %peer, reason = %Reason::TooMany.code(), "end");
-                        continue;
-                    }
-                    // Listed at once: the next one to come is counted against it.
-                    let number = self.next_number.fetch_add(1, Ordering::Relaxed);
-                    let client = Arc::new(ClientConnection::new(self.unread.clone()));
-                    lock(&self.clients).insert(number, client.clone());
-                    let front = front.clone();
-                    spawn(move || front.server.serve(&front, number, &client, stream, peer));
+                    self.admit(front, stream, peer);
                 }
                 // Out of descriptors, or a client that left at once: the next may be fine. An idle client gives its
                 // descriptor back, and the wait grows: accept fails at once as long as none is free.
                 Err(e) => {
                     if Failure::of(&e) == Failure::Descriptors {
-                        tracing::warn!(held = self.held.load(Ordering::Relaxed), "accept: {e}");
+                        tracing::warn!(held = self.descriptors.load(Ordering::Relaxed), "accept: {e}");
                         self.evict(front);
                         crate::sleep::sleep(pause);
                         pause = (pause * 2).min(DESCRIPTOR_BACKOFF[1]);
@@ -158,12 +146,31 @@
         }
     }
 
+    /// Counts an accepted connection and starts its coroutine, or drops it where no capacity can be made.
+    fn admit(&self, front: &Arc<Shared>, stream: CoIo<TcpStream>, peer: SocketAddr) {
+        self.descriptors.fetch_add(1, Ordering::Relaxed);
+        if !self.make_capacity(front) {
+            drop(stream);
+            self.descriptors.fetch_sub(1, Ordering::Relaxed);
+            front.reason_counts.add(Kind::ClientClosed, Reason::TooMany.code());
+            tracing::info!(kind = %"client", %peer, reason = %Reason::TooMany.code(), "end");
+            return;
+        }
+        // Listed at once: the next one to come is counted against it.
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+        let client = Arc::new(ClientConnection::new(self.unread.clone()));
+        lock(&self.clients).insert(number, client.clone());
+        let front = front.clone();
+        spawn(move || front.server.serve(&front, number, &client, stream, peer));
+    }
+
+    /// Runs one connection to its end.
     fn serve(
         &self,
         front: &Arc<Shared>,
         number: u64,
         client: &Arc<ClientConnection>,
-        stream: may::io::CoIo<std::net::TcpStream>,
+        stream: CoIo<TcpStream>,
         peer: SocketAddr,
     ) {
         let mut ended = ConnectionEnd { front, number, client, peer, why: Reason::Defect };
@@ -240,7 +247,7 @@
 
     /// No connection is left.
     pub fn is_empty(&self) -> bool {
-        self.held.load(Ordering::Relaxed) == 0
+        self.descriptors.load(Ordering::Relaxed) == 0
     }
 }
 
--- a/crates/front/src/control/manual_exclusion.rs
+++ b/crates/front/src/control/manual_exclusion.rs
@@ -12,7 +12,7 @@
 //! still written, so that either version may replace the other; what this version writes there has the deployment in a
 //! line of its own, which the earlier one takes for the id of a node that does not exist.
 
-use crate::failure::patiently;
+use crate::failure::retry_with_backoff;
 use crate::sync::lock;
 use fernslip::json::Names;
 use fernslip::CacheId;
@@ -153,7 +153,7 @@
     /// Neither can be read.
     pub fn load_at_start(&self) -> Result<Vec<CacheId>, FileError> {
         let unreadable = |e: &FileError| matches!(e, FileError::Read(..));
-        let loaded = patiently(READ_RETRY_TIME, unreadable, |_| self.load());
+        let loaded = retry_with_backoff(READ_RETRY_TIME, unreadable, |_| self.load());
         loaded.or_else(|error| {
             tracing::warn!("admin: {error}; the copy beside it is used");
             let ids = self.shared_ids()?;
@@ -180,7 +180,7 @@
     /// # Errors
     /// The last error of the file system.
     pub fn save(&self, ids: &[CacheId]) -> io::Result<()> {
-        patiently(WRITE_RETRY_TIME, |_| true, |_| self.save_once(ids))
+        retry_with_backoff(WRITE_RETRY_TIME, |_| true, |_| self.save_once(ids))
     }
 
     fn save_once(&self, ids: &[CacheId]) -> io::Result<()> {
--- a/crates/front/src/control/reload.rs
+++ b/crates/front/src/control/reload.rs
@@ -2,7 +2,7 @@
 //! the front runs.
 
 use crate::config::ConfigError;
-use crate::failure::patiently;
+use crate::failure::retry_with_backoff;
 use crate::loaded_config::LoadedConfig;
 use std::io::ErrorKind;
 use std::path::PathBuf;
@@ -44,13 +44,14 @@
 /// As [`LoadedConfig::read`].
 pub fn read(config: Option<PathBuf>, site: Option<PathBuf>) -> Result<LoadedConfig, ConfigError> {
     let unreadable = |e: &ConfigError| matches!(e, ConfigError::Read(e) if e.kind() != ErrorKind::NotFound);
-    patiently(READ_RETRY_TIME, unreadable, |_| LoadedConfig::read(config.clone(), site.clone()))
+    retry_with_backoff(READ_RETRY_TIME, unreadable, |_| LoadedConfig::read(config.clone(), site.clone()))
 }
 
 /// The same for a running front, for which a missing file is one that is being replaced.
 fn read_again(config: Option<PathBuf>, site: Option<PathBuf>) -> Loaded {
     let unreadable = |e: &ConfigError| matches!(e, ConfigError::Read(_));
-    patiently(READ_RETRY_TIME, unreadable, |_| LoadedConfig::read(config.clone(), site.clone())).map(Box::new)
+    retry_with_backoff(READ_RETRY_TIME, unreadable, |_| LoadedConfig::read(config.clone(), site.clone()))
+        .map(Box::new)
 }
 
 /// Reloads the files on request, on a thread of its own: the worker must not wait for a disk.
--- a/crates/front/src/failure.rs
+++ b/crates/front/src/failure.rs
@@ -52,7 +52,7 @@
     }
 
     /// Whether the call may succeed in a moment, whatever the other side does.
-    pub fn is_for_a_moment(self) -> bool {
+    pub fn is_transient(self) -> bool {
         matches!(self, Failure::Machine | Failure::Again)
     }
 }
@@ -62,7 +62,7 @@
 ///
 /// # Errors
 /// The last one.
-pub fn patiently<T, E>(
+pub fn retry_with_backoff<T, E>(
     within: Duration,
     again: impl Fn(&E) -> bool,
     mut attempt: impl FnMut(Duration) -> Result<T, E>,
--- a/crates/front/src/failure/tests.rs
+++ b/crates/front/src/failure/tests.rs
@@ -8,7 +8,7 @@
         assert_eq!(of(n), Failure::Remote, "{n}");
     }
     for n in [ENFILE, ENOMEM, ENOBUFS, EADDRNOTAVAIL, ENETUNREACH, ECONNABORTED, EINTR] {
-        assert!(of(n).is_for_a_moment(), "{n}");
+        assert!(of(n).is_transient(), "{n}");
     }
     assert_eq!(of(EMFILE), Failure::Descriptors);
     assert_eq!(Failure::of(&io::Error::other("no number")), Failure::Remote);
@@ -17,7 +17,7 @@
 #[test]
 fn a_call_is_made_again_for_a_while_and_its_last_error_told() {
     let mut left = 3;
-    let tried = patiently(
+    let tried = retry_with_backoff(
         Duration::from_secs(30),
         |_: &i32| true,
         |_| {
@@ -30,8 +30,8 @@
         },
     );
     assert_eq!(tried, Ok("done"));
-    let refused: Result<(), i32> = patiently(Duration::from_secs(30), |_| false, |_| Err(7));
+    let refused: Result<(), i32> = retry_with_backoff(Duration::from_secs(30), |_| false, |_| Err(7));
     assert_eq!(refused, Err(7));
-    let never: Result<(), i32> = patiently(Duration::from_millis(20), |_| true, |_| Err(8));
+    let never: Result<(), i32> = retry_with_backoff(Duration::from_millis(20), |_| true, |_| Err(8));
     assert_eq!(never, Err(8));
 }
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -231,7 +231,7 @@
                 Ok(n) => remaining -= n,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => socket.stream.wait_io(),
-                Err(e) if Failure::of(&e).is_for_a_moment() => sleep::sleep(STARVATION_BACKOFF),
+                Err(e) if Failure::of(&e).is_transient() => sleep::sleep(STARVATION_BACKOFF),
                 Err(_) => return,
             }
         }
@@ -285,7 +285,7 @@
             }
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
-            Err(e) if Failure::of(&e).is_for_a_moment() => sleep::sleep(STARVATION_BACKOFF),
+            Err(e) if Failure::of(&e).is_transient() => sleep::sleep(STARVATION_BACKOFF),
             Err(_) => return Err(Reason::Reset),
         }
     }
--- a/crates/front/src/link/write_queue.rs
+++ b/crates/front/src/link/write_queue.rs
@@ -150,7 +150,7 @@
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Flush::Blocked,
                 Err(e) => {
                     // Without buffers the connection's coroutine tries again.
-                    self.starved = Failure::of(&e).is_for_a_moment();
+                    self.starved = Failure::of(&e).is_transient();
                     self.broken = !self.starved;
                     return Flush::Failed;
                 }
--- a/crates/front/src/sleep.rs
+++ b/crates/front/src/sleep.rs
@@ -13,26 +13,26 @@
 use std::time::{Duration, Instant};
 
 /// The longest step that is taken at once, and up to which steps are whole milliseconds.
-const FINE_MS: u64 = 16;
+const FINE_STEP_MS: u64 = 16;
 
-/// A wait that goes on for `left` at the most and a millisecond: one of few lengths. Whole milliseconds, as may cuts a wait
+/// A wait that goes on for `remaining` at the most and a millisecond: one of few lengths. Whole milliseconds, as may cuts a wait
 /// to them and takes 0 for 'for ever'; above 16 of them the leading four bits alone.
-fn step(left: Duration) -> Duration {
-    let ms = left.as_micros().div_ceil(1000).clamp(1, 1 << 31) as u64;
-    let cut = if ms <= FINE_MS { 0 } else { 60 - ms.leading_zeros() };
+fn step(remaining: Duration) -> Duration {
+    let ms = remaining.as_micros().div_ceil(1000).clamp(1, 1 << 31) as u64;
+    let cut = if ms <= FINE_STEP_MS { 0 } else { 60 - ms.leading_zeros() };
     Duration::from_millis(ms >> cut << cut)
 }
 
-/// Waits to be woken, for a part of `left`: who calls it looks whether it is over and calls again.
-pub fn park(blocker: &Blocker, left: Duration) {
-    if blocker.park(Some(step(left))).is_err() {
-        back_to_the_worker();
+/// Waits to be woken, for a part of `remaining`: who calls it looks whether it is over and calls again.
+pub fn park(blocker: &Blocker, remaining: Duration) {
+    if blocker.park(Some(step(remaining))).is_err() {
+        requeue_on_worker();
     }
 }
 
 /// Waits for that long.
 pub fn sleep(long: Duration) {
-    wait(long, back_to_the_worker);
+    wait(long, requeue_on_worker);
 }
 
 /// Waits for that long, and goes on on may's timer thread, beside the worker. Only for what is guarded by locks alone: it
@@ -44,18 +44,18 @@
 fn wait(long: Duration, after_each_step: impl Fn()) {
     let until = Instant::now() + long;
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = until.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return;
         }
         #[expect(clippy::disallowed_methods, reason = "the one place that knows of its lengths")]
-        may::coroutine::sleep(step(left));
+        may::coroutine::sleep(step(remaining));
         after_each_step();
     }
 }
 
 /// Puts the running coroutine into the worker's queue; a plain thread just yields.
-fn back_to_the_worker() {
+fn requeue_on_worker() {
     may::coroutine::yield_now();
 }
 
--- a/crates/front/src/startup.rs
+++ b/crates/front/src/startup.rs
@@ -9,7 +9,7 @@
 use crate::control::watch_event;
 use crate::discovery_watch::{self, DiscoveryWatch};
 use crate::dispatch_host::DispatchHost;
-use crate::failure::{patiently, Failure};
+use crate::failure::{retry_with_backoff, Failure};
 use crate::gossip::GossipService;
 use crate::invariants::{Invariants, Startup};
 use crate::listen::{Listener, Origin};
@@ -71,7 +71,7 @@
     let history = load_known_endpoints(&front, &serving);
     spawn_services(&front, &serving, history)?;
     if origin == Origin::Passed {
-        tracing::info!("the clients' socket is the one handed over in {}", listen::PASSED);
+        tracing::info!("the clients' socket is the one handed over in {}", listen::PASSED_SOCKET_VARIABLE);
         admin::follow_manual_exclusions(front.clone()).map_err(StartError::Thread)?;
     }
     open_admin(&front, &serving)?;
@@ -135,7 +135,7 @@
 /// Binds an address, and retries for a while where this machine lacks a resource, or an earlier process still has it.
 fn bind<T>(at: SocketAddr, bind: impl Fn() -> std::io::Result<T>) -> Result<T, StartError> {
     let retry = |e: &std::io::Error| Failure::of(e) != Failure::Remote;
-    patiently(BIND_WITHIN, retry, |_| bind()).map_err(|e| StartError::Bind(at, e))
+    retry_with_backoff(BIND_WITHIN, retry, |_| bind()).map_err(|e| StartError::Bind(at, e))
 }
 
 fn open_gossip(plan: &gossip::Plan, config: &Config, core: &Core) -> Result<Arc<GossipService>, StartError> {
--- a/crates/front/src/upstream/dialer.rs
+++ b/crates/front/src/upstream/dialer.rs
@@ -1,6 +1,6 @@
 //! Brings a connection up on a coroutine of its own and serves it until it ends.
 
-use crate::failure::{patiently, Failure};
+use crate::failure::{retry_with_backoff, Failure};
 use crate::log::Reason;
 use crate::reason_counts::{Kind, ReasonCounts};
 use crate::spawn::spawn;
@@ -73,9 +73,9 @@
     fn dial(&self) -> io::Result<TcpStream> {
         let retry = |e: &io::Error| {
             let awaited = self.connection.is_awaited();
-            e.kind() != ErrorKind::TimedOut && Failure::of(e).is_for_a_moment() && awaited
+            e.kind() != ErrorKind::TimedOut && Failure::of(e).is_transient() && awaited
         };
-        let (stream, handshake) = patiently(self.connect_timeout, retry, |remaining| {
+        let (stream, handshake) = retry_with_backoff(self.connect_timeout, retry, |remaining| {
             let started = Instant::now();
             let stream = TcpStream::connect_timeout(&self.addr, remaining.max(MIN_CONNECT_TIMEOUT))?;
             Ok((stream, started.elapsed()))
