--- a/crates/cli/tests/gossip.rs
+++ b/crates/cli/tests/gossip.rs
@@ -14,7 +14,7 @@
 fn temp_dir_for(name: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("fernslip-gossip-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
-    std::fs::create_dir_all(&dir).expect("a folder");
+    std::fs::create_dir_all(&dir).expect("a directory");
     dir
 }
 
@@ -25,9 +25,9 @@
 }
 
 fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
-    let by = Instant::now() + STEP_TIMEOUT;
+    let deadline = Instant::now() + STEP_TIMEOUT;
     while !done() {
-        assert!(Instant::now() < by, "never: {what}");
+        assert!(Instant::now() < deadline, "never: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -35,14 +35,14 @@
 /// A front that gossips, and its files.
 struct Peer {
     front: Front,
-    at: SocketAddr,
+    gossip_addr: SocketAddr,
     socket: String,
     keys: PathBuf,
 }
 
 impl Peer {
     /// With a copy of the keys; the first front is the others' seed.
-    fn start(dir: &Path, n: usize, boxes: &[&Node], seed: Option<SocketAddr>) -> Peer {
+    fn start(dir: &Path, n: usize, nodes: &[&Node], seed: Option<SocketAddr>) -> Peer {
         let keys = dir.join(format!("keys-{n}"));
         std::fs::copy(dir.join("keys"), &keys).expect("a copy");
         let socket = dir.join(format!("n{n}.sock")).display().to_string();
@@ -53,16 +53,16 @@
             keys.display().to_string(),
             seed.map_or(String::new(), |s| format!("seed \"{s}\""))
         );
-        for (i, b) in boxes.iter().enumerate() {
-            let kind = if i + 1 == boxes.len() { "kind=\"origin\"" } else { "" };
-            site += &format!("member \"box-{i}\" address=\"{}\" {kind}\n", b.addr);
+        for (i, node) in nodes.iter().enumerate() {
+            let kind = if i + 1 == nodes.len() { "kind=\"origin\"" } else { "" };
+            site += &format!("member \"box-{i}\" address=\"{}\" {kind}\n", node.addr);
         }
         let name = format!("{}-{n}", dir.file_name().and_then(|n| n.to_str()).expect("a name"));
         let front = Front::start(&name, &site, &[]);
         let line =
-            front.log_lines.iter().find(|l| l.contains("gossip at ")).expect("it tells where it gossips");
-        let at = line.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address");
-        Peer { front, at, socket, keys }
+            front.log_lines.iter().find(|l| l.contains("gossip at ")).expect("it logs where it gossips");
+        let gossip_addr = line.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address");
+        Peer { front, gossip_addr, socket, keys }
     }
 
     fn status(&self) -> String {
@@ -89,17 +89,17 @@
     file
 }
 
-/// Fronts n0 to n2 see a box fail; n3, which was sent nothing, hears of it, and still does not refuse or eject.
+/// Fronts n0 to n2 see a cache node fail; n3, which was sent nothing, learns of it, and still does not reject or eject.
 #[test]
 fn a_front_that_sees_little_learns_of_a_failing_node_by_gossip() {
     let dir = temp_dir_for("hears");
     new_keys(&dir);
     let nodes: Vec<Node> = (0..5).map(|_| Node::start()).collect();
-    let boxes: Vec<&Node> = nodes.iter().collect();
-    let first = Peer::start(&dir, 0, &boxes, None);
-    let seed = Some(first.at);
+    let node_refs: Vec<&Node> = nodes.iter().collect();
+    let first = Peer::start(&dir, 0, &node_refs, None);
+    let seed = Some(first.gossip_addr);
     let mut peers = vec![first];
-    peers.extend((1..4).map(|n| Peer::start(&dir, n, &boxes, seed)));
+    peers.extend((1..4).map(|n| Peer::start(&dir, n, &node_refs, seed)));
     wait_for("four fronts that know each other", || peers.iter().all(|p| p.knows(4)));
     nodes[1].state.refuses_connections.store(true, Ordering::SeqCst);
     let mut object = 0;
@@ -114,7 +114,7 @@
         peers[3].hearsay("box-1") > 0.2
     });
     assert!(["box-0", "box-2", "box-3"].iter().all(|b| peers[3].hearsay(b) <= 0.0), "{}", peers[3].status());
-    // Hearsay alone refuses nothing.
+    // Hearsay alone rejects nothing.
     let mut client = peers[3].front.client();
     let served = (0..40).filter(|n| client.call("docs", 1_000_000 + n) == Answer::Served).count();
     assert_eq!(served, 40);
@@ -128,21 +128,22 @@
     let _ = std::fs::remove_dir_all(dir);
 }
 
-/// A peer with the key that accuses a healthy box without end: no front lowers its share for it at any look.
+/// A peer with the key that accuses a healthy cache node without end: no front lowers its share for it at any time.
 #[test]
 fn a_byzantine_peer_ejects_no_healthy_node() {
-    let dir = temp_dir_for("liar");
+    let dir = temp_dir_for("byzantine");
     let keys = new_keys(&dir);
     let nodes: Vec<Node> = (0..4).map(|_| Node::start()).collect();
-    let boxes: Vec<&Node> = nodes.iter().collect();
-    let first = Peer::start(&dir, 0, &boxes, None);
-    let seed = first.at;
-    let peers = [first, Peer::start(&dir, 1, &boxes, Some(seed)), Peer::start(&dir, 2, &boxes, Some(seed))];
+    let node_refs: Vec<&Node> = nodes.iter().collect();
+    let first = Peer::start(&dir, 0, &node_refs, None);
+    let seed = first.gossip_addr;
+    let peers =
+        [first, Peer::start(&dir, 1, &node_refs, Some(seed)), Peer::start(&dir, 2, &node_refs, Some(seed))];
     let ring = ring(Path::new(&keys));
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     socket.set_read_timeout(Some(Duration::from_millis(5))).expect("a socket option");
     let addr = socket.local_addr().expect("bound");
-    let config = Config { name: "liar".into(), addr, seeds: vec![seed], ..Config::default() };
+    let config = Config { name: "byzantine".into(), addr, seeds: vec![seed], ..Config::default() };
     let start = Instant::now();
     let now = || Now {
         mono_ms: start.elapsed().as_secs_f64() * 1000.0,
@@ -183,7 +184,7 @@
     }
     let before = nodes[0].request_count();
     (0..60).for_each(|n| assert_eq!(client.call("docs", 5_000 + n), Answer::Served));
-    assert!(nodes[0].request_count() > before + 5, "the accused box has its homes still");
+    assert!(nodes[0].request_count() > before + 5, "the accused node has its homes still");
     let _ = std::fs::remove_dir_all(dir);
 }
 
@@ -193,34 +194,35 @@
     fernslip_gossip::parse_key_file(&text, 1, 1, 0o600).expect("good keys")
 }
 
-/// Add, switch, drop, each on every front before the next, while they talk: no datagram is refused for its key.
+/// Add, switch, drop, each on every front before the next, while they gossip: no datagram is rejected for its key.
 #[test]
 fn keys_are_rotated_while_fronts_gossip() {
     let dir = temp_dir_for("rotate");
     let keys = new_keys(&dir);
     let nodes: Vec<Node> = (0..3).map(|_| Node::start()).collect();
-    let boxes: Vec<&Node> = nodes.iter().collect();
-    let first = Peer::start(&dir, 0, &boxes, None);
-    let seed = Some(first.at);
-    let mut peers = vec![first, Peer::start(&dir, 1, &boxes, seed), Peer::start(&dir, 2, &boxes, seed)];
+    let node_refs: Vec<&Node> = nodes.iter().collect();
+    let first = Peer::start(&dir, 0, &node_refs, None);
+    let seed = Some(first.gossip_addr);
+    let mut peers =
+        vec![first, Peer::start(&dir, 1, &node_refs, seed), Peer::start(&dir, 2, &node_refs, seed)];
     wait_for("three fronts that know each other", || peers.iter().all(|p| p.knows(3)));
-    for (step, told) in
+    for (step, log) in
         [("add", "keys [1, 2], 1 signs"), ("switch", "keys [2, 1], 2 signs"), ("drop", "keys [2], 2 signs")]
     {
         assert_eq!(fernslip(&["keys", "rotate", &keys, "--step", step]).0, Some(0));
         for p in &mut peers {
             std::fs::copy(&keys, &p.keys).expect("a copy");
             p.front.signal("HUP");
-            p.front.wait_for_log(told);
+            p.front.wait_for_log(log);
         }
     }
-    let taken = |p: &Peer| {
+    let accepted = |p: &Peer| {
         let status = p.status();
         let line = status.lines().find_map(|l| l.strip_prefix("taken datagrams=").map(String::from));
         line.and_then(|l| l.split(' ').next()?.parse::<u64>().ok()).expect("a count")
     };
-    let before: Vec<u64> = peers.iter().map(taken).collect();
-    wait_for("talk under the new key", || peers.iter().zip(&before).all(|(p, b)| taken(p) > b + 2));
+    let before: Vec<u64> = peers.iter().map(accepted).collect();
+    wait_for("gossip under the new key", || peers.iter().zip(&before).all(|(p, b)| accepted(p) > b + 2));
     assert!(
         peers.iter().all(|p| !p.status().contains("rejected tag") && p.knows(3)),
         "{}",
@@ -248,21 +250,24 @@
         );
     }
     std::fs::set_permissions(&file, std::fs::Permissions::from_mode(0o640)).expect("a mode");
-    let (code, told) = fernslip(&["keys", "show", &file]);
-    assert!(code == Some(1) && told.contains("chmod 600"), "{told}");
+    let (code, output) = fernslip(&["keys", "show", &file]);
+    assert!(code == Some(1) && output.contains("chmod 600"), "{output}");
     let site = dir.join("site.kdl").display().to_string();
     let text = format!(
         "site \"g\" members-from=\"file\"\nfront \"n0\" listen=\"127.0.0.1:0\"\nclass \"c\" aim-ms=1 deadline-ms=2\n\
          gossip listen=\"127.0.0.1:0\" key-file={file:?} {{ front \"n1\"; }}\n"
     );
     std::fs::write(&site, text).expect("a file");
-    let (code, told) = fernslip(&["run", "--site", &site]);
-    assert!(code == Some(1) && told.contains("chmod 600") && told.contains("none of its own list"), "{told}");
+    let (code, output) = fernslip(&["run", "--site", &site]);
+    assert!(
+        code == Some(1) && output.contains("chmod 600") && output.contains("none of its own list"),
+        "{output}"
+    );
     assert_eq!(fernslip(&["gossip", "status", &dir.join("none").display().to_string()]).0, Some(1));
     let _ = std::fs::remove_dir_all(dir);
 }
 
-/// Fronts whose gossip takes its peers from the view: no seed of gossip's own, and who ended is forgotten with the view.
+/// Fronts whose gossip takes its peers from the view: no seed of gossip's own, and a front that ended is removed with the view.
 #[test]
 fn peers_of_the_view_gossip_without_seeds() {
     let dir = temp_dir_for("view");
@@ -280,12 +285,12 @@
         );
         let front = Front::start(&format!("view-{n}"), &site, &[]);
         let line =
-            front.log_lines.iter().find(|l| l.contains("view at ")).expect("it tells where its view is");
-        let at = line.rsplit(' ').next().expect("an address").to_string();
-        (front, at)
+            front.log_lines.iter().find(|l| l.contains("view at ")).expect("it logs where its view is");
+        let view_addr = line.rsplit(' ').next().expect("an address").to_string();
+        (front, view_addr)
     };
-    let (first, at) = start(0, "");
-    let seed = format!("seed \"{at}\"");
+    let (first, view_addr) = start(0, "");
+    let seed = format!("seed \"{view_addr}\"");
     let (second, _) = start(1, &seed);
     let (third, _) = start(2, &seed);
     let alive = |n: usize| {
--- a/crates/front/src/control/gossip.rs
+++ b/crates/front/src/control/gossip.rs
@@ -12,7 +12,8 @@
 use crate::view::Fleet;
 use fernslip::{CacheId, Sign};
 use fernslip_gossip::{
-    Action, CacheNodeKey, Config, Event, Evidence, Gossip, Keyring, Now, Observation, MAX_DATAGRAM_BYTES,
+    Action, CacheNodeKey, Config, Event, Evidence, Gossip, Keyring, Now, Observation, PeerAddress,
+    MAX_DATAGRAM_BYTES,
 };
 use may::net::UdpSocket;
 use std::collections::{BTreeMap, HashMap};
@@ -168,7 +169,11 @@
                 let digest = Some(fleet.digest());
                 if last_digest != digest {
                     last_digest = digest;
-                    let peers = fleet.gossip_peers().into_iter().map(|p| (p.name, p.addr)).collect();
+                    let peers = fleet
+                        .gossip_peers()
+                        .into_iter()
+                        .map(|p| PeerAddress { name: p.name, addr: p.addr })
+                        .collect();
                     self.handle(queues, Event::Peers(peers));
                 }
             }
--- a/crates/gossip/examples/byzantine_peer.rs
+++ b/crates/gossip/examples/byzantine_peer.rs
@@ -346,9 +346,9 @@
     );
 }
 
-/// What a datagram costs its receiver, by what it holds: the tag, the window, and the weighing of its words.
+/// What a datagram costs its receiver, by what it carries: the tag, the replay window, and aggregating its reports.
 fn cpu() {
-    for words in [0, 1, 11] {
+    for reports in [0, 1, 11] {
         let mut sim = Simulation::new(3, Network { loss: 0.0, duplicated: 0.0, delay_ms: (1.0, 1.0) }, 1);
         sim.feed_all(fernslip_gossip::Event::CacheNodes(common::cache_nodes(100)));
         sim.run_for(10_000.0);
@@ -358,7 +358,7 @@
             let strength = 0.2 + 0.6 * f64::from(round % 2);
             common::cache_nodes(100)
                 .iter()
-                .take(words)
+                .take(reports)
                 .for_each(|b| sim.observe(1, *b, Observation::Failing, strength));
             sim.run_for(250.0);
         }
@@ -388,9 +388,9 @@
             actions.clear();
         }
         let us = started.elapsed().as_secs_f64() * 1e6 / mine.len().max(1) as f64;
-        let taken = g.counters().accepted;
+        let accepted = g.counters().accepted;
         println!(
-            "{words} words said: {} datagrams of {} bytes, {taken} taken, {us:.1} us each",
+            "{reports} reports: {} datagrams of {} bytes, {accepted} accepted, {us:.1} us each",
             mine.len(),
             bytes / mine.len().max(1)
         );
--- a/crates/gossip/examples/model.rs
+++ b/crates/gossip/examples/model.rs
@@ -23,13 +23,13 @@
             "three fronts, a byzantine peer, one loss, one step of time",
             GossipModel { alarms: 0, ..base.clone() },
         ),
-        ("the same with a dead box", GossipModel { dead: true, alarms: 0, ..base.clone() }),
+        ("the same with a dead node", GossipModel { dead: true, alarms: 0, ..base.clone() }),
         ("the same with a false alarm", base.clone()),
         (
             "four fronts, a byzantine peer, one loss",
             GossipModel { fronts: 4, time_steps: 0, alarms: 0, ..base },
         ),
     ] {
-        println!("{bounds}: {} moments, all properties hold", check(model));
+        println!("{bounds}: {} states, all properties hold", check(model));
     }
 }
--- a/crates/gossip/src/engine.rs
+++ b/crates/gossip/src/engine.rs
@@ -46,7 +46,7 @@
     /// The number of the last datagram sent.
     sequence: u32,
     incarnation: u32,
-    has_left: bool,
+    has_departed: bool,
     members: MemberTable,
     suspicions: SuspicionTable,
     trust: TrustTable,
@@ -96,7 +96,7 @@
             sequence: 0,
             // A front that restarts comes with a higher one than it had, unless its clock was set back.
             incarnation: now.unix_s(),
-            has_left: false,
+            has_departed: false,
             members: MemberTable::default(),
             suspicions: SuspicionTable::default(),
             trust: TrustTable::default(),
@@ -147,7 +147,7 @@
     fn tick(&mut self, now: Now, actions: &mut Vec<Action>) {
         let at = now.mono_ms;
         self.note_tick_lag(at);
-        if self.has_left {
+        if self.has_departed {
             self.schedule.postpone_all(at + self.config.probe_period_ms);
             return;
         }
--- a/crates/gossip/src/engine/membership.rs
+++ b/crates/gossip/src/engine/membership.rs
@@ -4,7 +4,9 @@
 use crate::codec::{encoded_len, ITEM_CAPACITY};
 use crate::config::Now;
 use crate::event::Action;
-use crate::member::{Announcement, MemberState, MemberTable, MembershipChange, MAX_INCARNATION_LEAD_S};
+use crate::member::{
+    Announcement, MemberState, MemberTable, MembershipChange, PeerAddress, MAX_INCARNATION_LEAD_S,
+};
 use crate::message::{FrontId, Item, DIGEST_BUCKETS};
 use rand::seq::IndexedRandom;
 use std::collections::BTreeSet;
@@ -20,15 +22,10 @@
     }
 
     /// Sets the peers by the fleet's own view.
-    pub(super) fn set_listed_peers(
-        &mut self,
-        now: Now,
-        peers: Vec<(String, SocketAddr)>,
-        actions: &mut Vec<Action>,
-    ) {
-        let peers = peers.into_iter().map(|(name, addr)| (FrontId::from_name(&name), name, addr));
-        let listed: Vec<(FrontId, String, SocketAddr)> =
-            peers.filter(|(id, ..)| *id != self.id && self.is_admitted(*id)).collect();
+    pub(super) fn set_listed_peers(&mut self, now: Now, peers: Vec<PeerAddress>, actions: &mut Vec<Action>) {
+        let peers = peers.into_iter().map(|peer| (FrontId::from_name(&peer.name), peer));
+        let listed: Vec<(FrontId, PeerAddress)> =
+            peers.filter(|(id, _)| *id != self.id && self.is_admitted(*id)).collect();
         for (id, change) in self.members.set_listed(&listed, now.mono_ms) {
             actions.push(Action::Member { id, change });
         }
@@ -177,6 +174,6 @@
         for to in self.random_peers(DEPARTURE_FANOUT) {
             self.send(now, to, &items, actions);
         }
-        self.has_left = true;
+        self.has_departed = true;
     }
 }
--- a/crates/gossip/src/engine/receive.rs
+++ b/crates/gossip/src/engine/receive.rs
@@ -28,7 +28,7 @@
             return Err(RejectReason::Replay);
         }
         self.counters.accepted += 1;
-        if self.has_left {
+        if self.has_departed {
             return Ok(());
         }
         self.receive_sign_of_life(now, header.sender, actions);
--- a/crates/gossip/src/engine/status.rs
+++ b/crates/gossip/src/engine/status.rs
@@ -37,7 +37,7 @@
             name: self.config.name.clone(),
             addr: self.advertised_addr(),
             incarnation: self.incarnation,
-            state: if self.has_left { MemberState::Departed } else { MemberState::Alive },
+            state: if self.has_departed { MemberState::Departed } else { MemberState::Alive },
         };
         std::iter::once(own).chain(self.members.iter().map(|m| m.view.clone()))
     }
--- a/crates/gossip/src/event.rs
+++ b/crates/gossip/src/event.rs
@@ -1,7 +1,7 @@
 //! What goes into and comes out of [`Gossip`](crate::Gossip).
 
 use crate::keys::Keyring;
-use crate::member::MembershipChange;
+use crate::member::{MembershipChange, PeerAddress};
 use crate::message::{CacheNodeKey, FrontId, Observation};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -37,8 +37,8 @@
     CacheNodes(Vec<CacheNodeKey>),
     /// The keys from now on.
     Keys(Keyring),
-    /// By a view that the fleet maintains these fronts exist, and no others: names and addresses, without this front's.
-    Peers(Vec<(String, SocketAddr)>),
+    /// By a view that the fleet maintains these fronts exist beside this one, and no others.
+    Peers(Vec<PeerAddress>),
     /// This front leaves.
     Leave,
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -70,7 +70,7 @@
 pub use engine::Gossip;
 pub use event::{Action, Counters, Event, Evidence, RejectReason, TableSizes};
 pub use keys::{parse_key_file, Key, KeyError, Keyring};
-pub use member::{MemberState, MemberView, MembershipChange};
+pub use member::{MemberState, MemberView, MembershipChange, PeerAddress};
 pub use message::{CacheNodeKey, FrontId, Header, HealthReport, Item, Observation};
 pub use replay::ReplayFilter;
 pub use suspicion::Suspicion;
--- a/crates/gossip/src/member.rs
+++ b/crates/gossip/src/member.rs
@@ -71,6 +71,15 @@
     }
 }
 
+/// A front's name and the address that it gossips at.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PeerAddress {
+    /// The name.
+    pub name: String,
+    /// The address.
+    pub addr: SocketAddr,
+}
+
 /// A front, for the operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberView {
@@ -199,11 +208,11 @@
     /// Sets the members that exist by the fleet's own view; all others are dead. Returns who joined or died by it.
     pub fn set_listed(
         &mut self,
-        listed: &[(FrontId, String, SocketAddr)],
+        listed: &[(FrontId, PeerAddress)],
         now_ms: f64,
     ) -> Vec<(FrontId, MembershipChange)> {
         let mut changes = Vec::new();
-        for (id, name, addr) in listed {
+        for (id, PeerAddress { name, addr }) in listed {
             let full = self.members.len() >= MAX_MEMBERS;
             match self.members.get_mut(id) {
                 Some(m) if !m.view.state.is_present() => {
--- a/crates/gossip/src/suspicion.rs
+++ b/crates/gossip/src/suspicion.rs
@@ -1,22 +1,22 @@
-//! Suspicions of cache nodes: what each witness reports at first hand, and the bounds on how much of it is held.
+//! Suspicions of cache nodes: what each witness reports at first hand, and the bounds on how much of it is stored.
 
 use crate::message::{CacheNodeKey, FrontId, HealthReport, Observation};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A report expires after this time, in milliseconds: its weight is a sixteenth then.
 pub(crate) const REPORT_TTL_MS: f64 = 32_000.0;
-/// Witnesses held for a cache node: far more than any quorum.
+/// Witnesses stored for a cache node: far more than any quorum.
 const MAX_WITNESSES_PER_NODE: usize = 16;
-/// Reports held in all.
+/// Reports stored in all.
 const MAX_REPORTS: usize = 16_384;
-/// A report that is newer than the held one by less than this is the same one: ages travel in steps of 100 ms.
+/// A report that is newer than the stored one by less than this is the same one: ages travel in steps of 100 ms.
 const SAME_REPORT_MS: f64 = 150.0;
 /// A change of strength up to this is none.
 const SAME_STRENGTH: f64 = 0.02;
 
-/// A report that is held; its witness and cache node are its keys.
+/// A report that is stored; its witness and cache node are its keys.
 #[derive(Clone, Copy, Debug)]
-struct HeldReport {
+struct StoredReport {
     observation: Observation,
     strength: f64,
     count: u8,
@@ -24,14 +24,14 @@
     observed_ms: f64,
 }
 
-impl HeldReport {
+impl StoredReport {
     fn to_report(self, node: CacheNodeKey, now_ms: f64) -> HealthReport {
-        let HeldReport { observation, strength, count, observed_ms } = self;
+        let StoredReport { observation, strength, count, observed_ms } = self;
         HealthReport { node, observation, strength, count, age_ms: (now_ms - observed_ms).max(0.0) }
     }
 }
 
-/// A report that is held, for the operators.
+/// A report that is stored, for the operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Suspicion {
     /// Who reports it.
@@ -51,9 +51,9 @@
 #[derive(Default)]
 pub(crate) struct SuspicionTable {
     nodes: BTreeSet<CacheNodeKey>,
-    reports: BTreeMap<CacheNodeKey, BTreeMap<FrontId, HeldReport>>,
+    reports: BTreeMap<CacheNodeKey, BTreeMap<FrontId, StoredReport>>,
     len: usize,
-    /// How many cache nodes each witness accuses, by its reports held here.
+    /// How many cache nodes each witness accuses, by its reports stored here.
     accused_by: BTreeMap<FrontId, usize>,
     summaries: BTreeMap<FrontId, AccusationSummary>,
 }
@@ -114,13 +114,13 @@
         if old.is_some_and(|o| observed_ms <= o.observed_ms + SAME_REPORT_MS) {
             return false;
         }
-        if old.is_none() && !self.make_room(report.node, observed_ms) {
+        if old.is_none() && !self.evict_for(report.node, observed_ms) {
             return false;
         }
         self.remove(report.node, witness);
         let HealthReport { observation, strength, count, .. } = *report;
-        let held = HeldReport { observation, strength, count, observed_ms };
-        self.reports.entry(report.node).or_default().insert(witness, held);
+        let stored = StoredReport { observation, strength, count, observed_ms };
+        self.reports.entry(report.node).or_default().insert(witness, stored);
         self.len += 1;
         if observation.is_accusation() {
             *self.accused_by.entry(witness).or_default() += 1;
@@ -134,7 +134,7 @@
 
     /// Sees to it that a report of a further witness on `node` stays within the bounds: the oldest report on the node
     /// is evicted. Where none is older than the new one, the new one is not to be taken, and this returns `false`.
-    fn make_room(&mut self, node: CacheNodeKey, observed_ms: f64) -> bool {
+    fn evict_for(&mut self, node: CacheNodeKey, observed_ms: f64) -> bool {
         let reports = self.reports.get(&node);
         let crowded = reports.is_some_and(|all| all.len() >= MAX_WITNESSES_PER_NODE);
         if !crowded && self.len < MAX_REPORTS {
@@ -143,7 +143,7 @@
         let oldest = reports.and_then(|all| {
             all.iter()
                 .min_by(|a, b| a.1.observed_ms.total_cmp(&b.1.observed_ms))
-                .map(|(witness, held)| (*witness, held.observed_ms))
+                .map(|(witness, stored)| (*witness, stored.observed_ms))
         });
         match oldest {
             Some((witness, oldest_ms)) if oldest_ms < observed_ms => {
@@ -161,7 +161,7 @@
         self.summaries.insert(witness, AccusationSummary { fraction, observed_ms });
     }
 
-    /// The fraction of all cache nodes that a witness accuses, by its reports held here and by its own count.
+    /// The fraction of all cache nodes that a witness accuses, by its reports stored here and by its own count.
     pub fn accused_fraction(&self, witness: FrontId, now_ms: f64) -> f64 {
         let accused = self.accused_by.get(&witness).copied().unwrap_or(0);
         let reported = self.smoothed_fraction(accused);
@@ -182,7 +182,7 @@
         now_ms: f64,
     ) -> impl Iterator<Item = (FrontId, HealthReport)> + '_ {
         let reports = self.reports.get(&node).into_iter().flatten();
-        reports.map(move |(witness, held)| (*witness, held.to_report(node, now_ms)))
+        reports.map(move |(witness, stored)| (*witness, stored.to_report(node, now_ms)))
     }
 
     /// Whether any report accuses a cache node.
@@ -198,14 +198,14 @@
     /// Every report, for the operators.
     pub fn iter(&self, now_ms: f64) -> impl Iterator<Item = Suspicion> + '_ {
         self.reports.iter().flat_map(move |(node, all)| {
-            all.iter().map(move |(witness, held)| Suspicion {
+            all.iter().map(move |(witness, stored)| Suspicion {
                 witness: *witness,
-                report: held.to_report(*node, now_ms),
+                report: stored.to_report(*node, now_ms),
             })
         })
     }
 
-    /// How many reports are held.
+    /// How many reports are stored.
     pub fn len(&self) -> usize {
         self.len
     }
@@ -216,7 +216,7 @@
             .reports
             .iter()
             .flat_map(|(node, all)| {
-                all.iter().map(move |(witness, held)| (*node, *witness, held.observed_ms))
+                all.iter().map(move |(witness, stored)| (*node, *witness, stored.observed_ms))
             })
             .filter(|(_, _, observed_ms)| now_ms - observed_ms >= REPORT_TTL_MS)
             .map(|(node, witness, _)| (node, witness))
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -75,7 +75,7 @@
 }
 
 impl Simulation {
-    /// So many fronts, each of which is told the first two as seeds.
+    /// A simulation of `fronts` fronts, each of which has the first two as seeds.
     pub fn new(fronts: usize, net: Network, seed: u64) -> Simulation {
         Simulation::with(fronts, net, seed, Config::default())
     }
--- a/crates/gossip/tests/common/model.rs
+++ b/crates/gossip/tests/common/model.rs
@@ -184,7 +184,7 @@
                 model.honest_fronts().all(|n| model.hearsay(m, n).abs() <= MAX_SCORE && MAX_SCORE < 1.0)
             }),
             Property::always(
-                "no single word against a healthy box is heard",
+                "no single accusation of a healthy node has an effect",
                 |model: &GossipModel, m: &ModelState| {
                     model.dead || m.alarms > 0 || model.honest_fronts().all(|n| model.hearsay(m, n) <= 0.0)
                 },
@@ -197,15 +197,19 @@
                         .all(|n| m.last_success[n] != Some(m.time) || model.hearsay(m, n) <= 0.0)
                 },
             ),
-            Property::always("praise from one keeps no dead box", |model: &GossipModel, m: &ModelState| {
-                let against =
-                    |n: usize| m.received[n].iter().flatten().filter(|w| w.against && w.at == m.time).count();
-                !model.dead || model.honest_fronts().all(|n| against(n) < 2 || model.hearsay(m, n) > 0.0)
-            }),
+            Property::always(
+                "one healthy report protects no dead node",
+                |model: &GossipModel, m: &ModelState| {
+                    let against = |n: usize| {
+                        m.received[n].iter().flatten().filter(|w| w.against && w.at == m.time).count()
+                    };
+                    !model.dead || model.honest_fronts().all(|n| against(n) < 2 || model.hearsay(m, n) > 0.0)
+                },
+            ),
             Property::eventually("what all see all hear", |model: &GossipModel, m: &ModelState| {
                 !model.dead || !model.fair || model.honest_fronts().all(|n| model.hearsay(m, n) > 0.0)
             }),
-            Property::sometimes("hearsay is heard at all", |model: &GossipModel, m: &ModelState| {
+            Property::sometimes("reports have an effect at all", |model: &GossipModel, m: &ModelState| {
                 !model.dead && model.alarms == 0 || model.honest_fronts().any(|n| model.hearsay(m, n) > 0.0)
             }),
         ]
