--- a/crates/cli/tests/common/scripted.rs
+++ b/crates/cli/tests/common/scripted.rs
@@ -152,7 +152,7 @@
         let name = ["limit=", "fresh="].into_iter().find(|n| part.starts_with(n));
         match name {
             Some(n) => {
-                out += &format!("{n}_{}", &part[part.len() - usize::from(part.ends_with([',', ' ']))..])
+                out += &format!("{n}_{}", &part[part.len() - usize::from(part.ends_with([',', ' ']))..]);
             }
             None => out += part,
         }
--- a/crates/cli/tests/endings.rs
+++ b/crates/cli/tests/endings.rs
@@ -532,11 +532,11 @@
 
 /// What a node does to one answer, and what becomes of the others on that connection and of a write among them.
 fn a_connection_cut_in_an_answer_retries_reads_and_fails_writes() {
+    type Cut = fn(&mut ScriptedFront);
     let half = |front: &mut ScriptedFront, trace: &str| {
         front.step("a", ">", &format!("raw *4\r\n$16\r\n{trace}\r\n$6\r\nser"));
     };
     // Each cuts the connection under a write: it may have run, so it is not retried.
-    type Cut = fn(&mut ScriptedFront);
     let cuts: [(&str, Cut); 2] = [
         ("close", |p| drop(p.servers.get_mut("a").expect("a server").connections.remove(0))),
         ("reset", |p| {
@@ -737,7 +737,7 @@
 /// is out. What the client sends meanwhile is rejected with `Shed`, and not dropped.
 fn a_slow_reader_gets_all_answers_during_shutdown() {
     let mut front = ScriptedFront::start_with("slow-end", |c| {
-        c["settings"]["classes"][0]["deadline_ms"] = 120_000.into()
+        c["settings"]["classes"][0]["deadline_ms"] = 120_000.into();
     });
     let mut client = connect_with_small_buffer(&front);
     client.set_read_timeout(Some(STEP_TIMEOUT)).expect("a socket option");
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -16,7 +16,7 @@
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
     let report = runtime.block_on(run_soak(&options)).expect("a run");
-    assert!(report.breaches.is_empty(), "{:#?}", report);
+    assert!(report.breaches.is_empty(), "{report:#?}");
     assert!(report.counts.get("served").is_some_and(|n| *n > 50), "{:?}", report.counts);
 }
 
--- a/crates/fernslip/benches/decide.rs
+++ b/crates/fernslip/benches/decide.rs
@@ -66,7 +66,7 @@
             b.iter(|| {
                 n += 1;
                 decision(&mut rig, n % 500);
-            })
+            });
         });
     }
     for caches in sizes() {
@@ -77,7 +77,7 @@
             b.iter(|| {
                 n += 1;
                 decision_with(&mut rig, n % 500, 1.0);
-            })
+            });
         });
     }
     for caches in sizes() {
@@ -87,7 +87,7 @@
             b.iter(|| {
                 n += 1;
                 decision_with(&mut rig, n % 500, 0.001);
-            })
+            });
         });
     }
     group.finish();
@@ -102,7 +102,7 @@
                 let phase = if draining { Phase::Draining } else { Phase::In };
                 rig.now += 1.0;
                 black_box(rig.delta(fernslip::Entry { phase, ..entry("c0:1", 1, 0) }));
-            })
+            });
         });
     }
     group.finish();
@@ -120,7 +120,7 @@
                 n += 1;
                 rig.now += 0.1;
                 black_box(rig.event(Event::Purged { object: Some(ObjectId(n)), group: 3, age_ms: 0.0 }));
-            })
+            });
         });
     }
     group.finish();
@@ -136,7 +136,7 @@
             b.iter(|| {
                 rig.now += 0.01;
                 black_box(rig.event(Event::Timer { token: 0 }));
-            })
+            });
         });
     }
     group.finish();
--- a/crates/fernslip/src/api/settings_check.rs
+++ b/crates/fernslip/src/api/settings_check.rs
@@ -20,6 +20,9 @@
     ///
     /// The parts are checked in this order, and within each part field by field: zones, kinds, routers,
     /// attempts and streams, durations and slow start, classes.
+    ///
+    /// # Errors
+    /// The first field that is impossible, and why.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_zones()?;
         self.check_kinds()?;
--- a/crates/fernslip/src/facade.rs
+++ b/crates/fernslip/src/facade.rs
@@ -84,6 +84,9 @@
 
 impl<H: Host> Dispatcher<H> {
     /// A dispatcher that knows no caches yet.
+    ///
+    /// # Errors
+    /// A setting is impossible.
     pub fn new(settings: Settings, seed: u64, host: H) -> Result<Self, SettingsError> {
         let router = Router::new(settings, seed)?;
         Ok(Dispatcher { state: Mutex::new(State::new(router)), host })
--- a/crates/fernslip/src/facade/state.rs
+++ b/crates/fernslip/src/facade/state.rs
@@ -164,7 +164,7 @@
                 self.decide(id, Decision::Forward(attempt), calls);
             }
             Action::Reject { id, retry_after_ms } => {
-                self.decide(id, Decision::Reject { retry_after_ms }, calls)
+                self.decide(id, Decision::Reject { retry_after_ms }, calls);
             }
             Action::Fail { id } => self.decide(id, Decision::Fail, calls),
             Action::Cancel { id, attempt } => {
@@ -175,13 +175,13 @@
                 }
             }
             Action::Timer { delay_ms, token } => {
-                self.timers.push(Reverse(DueTimer { due_ms: now_ms + delay_ms, token }))
+                self.timers.push(Reverse(DueTimer { due_ms: now_ms + delay_ms, token }));
             }
             Action::SendToPeer { to, data } => calls.push(HostCall::SendToPeer { to, data }),
             Action::SendToAllPeers { data } => calls.push(HostCall::SendToAllPeers { data }),
             Action::Log(line) => calls.push(HostCall::Log(line)),
             Action::Evidence { cache, sign, strength } => {
-                calls.push(HostCall::Evidence { cache, sign, strength })
+                calls.push(HostCall::Evidence { cache, sign, strength });
             }
             // Fronts that use this facade are sent the list's changes without subscribing.
             Action::Subscribe => {}
--- a/crates/fernslip/src/json.rs
+++ b/crates/fernslip/src/json.rs
@@ -53,11 +53,17 @@
 pub type JsonResult<T> = Result<T, JsonError>;
 
 /// A number.
+///
+/// # Errors
+/// The key is missing, or its value is no number.
 pub fn number(v: &Value, key: &str) -> JsonResult<f64> {
     field(v[key].as_f64(), key, "no number")
 }
 
 /// A number that may be omitted: 0 then.
+///
+/// # Errors
+/// Its value is no number.
 pub fn number_or_zero(v: &Value, key: &str) -> JsonResult<f64> {
     if v[key].is_null() {
         return Ok(0.0);
@@ -66,16 +72,25 @@
 }
 
 /// A text.
+///
+/// # Errors
+/// The key is missing, or its value is no text.
 pub fn text<'a>(v: &'a Value, key: &str) -> JsonResult<&'a str> {
     field(v[key].as_str(), key, "no text")
 }
 
 /// A list.
+///
+/// # Errors
+/// The key is missing, or its value is no list.
 pub fn list<'a>(v: &'a Value, key: &str) -> JsonResult<&'a [Value]> {
     field(v[key].as_array().map(Vec::as_slice), key, "no list")
 }
 
 /// A number as 16 hex digits.
+///
+/// # Errors
+/// The key is missing, or its value is not 16 hex digits.
 pub fn hex(v: &Value, key: &str) -> JsonResult<u64> {
     field(u64::from_str_radix(text(v, key)?, 16).ok(), key, "not 16 hex digits")
 }
@@ -99,6 +114,9 @@
 }
 
 /// Settings from the first message, and the names that later messages use.
+///
+/// # Errors
+/// A key is missing or of another type, or names a zone, a kind or an effect that is unknown.
 pub fn settings(info: &Value) -> JsonResult<(Settings, Names)> {
     let (family, permissions, rules) = (&info["family_info"], &info["permissions"], &info["rules"]);
     let zones = strings(info, "areas")?;
--- a/crates/fernslip/src/policy.rs
+++ b/crates/fernslip/src/policy.rs
@@ -183,7 +183,10 @@
 }
 
 impl Router {
-    /// A router that knows nothing yet; an impossible setting is an error.
+    /// A router that knows nothing yet.
+    ///
+    /// # Errors
+    /// A setting is impossible.
     pub fn new(settings: Settings, seed: u64) -> Result<Router, SettingsError> {
         settings.check()?;
         let mean_work_ms = vec![0.0; settings.classes.len()];
--- a/crates/fernslip/tests/common/simulation.rs
+++ b/crates/fernslip/tests/common/simulation.rs
@@ -89,7 +89,7 @@
         }
         let listed = |w: f64| if d.weights { w } else { 1.0 };
         (0..d.parents).for_each(|p| {
-            list.push(Entry { weight: listed(d.parent_bandwidth), ..entry(&format!("p{p}:1"), 0, 1) })
+            list.push(Entry { weight: listed(d.parent_bandwidth), ..entry(&format!("p{p}:1"), 0, 1) });
         });
         list.push(Entry { weight: listed(d.origin_bandwidth), ..entry("o0:1", 0, 2) });
         let names: Vec<CacheId> = list.iter().map(|e| e.cache.clone()).collect();
@@ -178,7 +178,7 @@
                         .for_each(|to| self.post(r, to, data.clone()));
                 }
                 Action::Log(line) => {
-                    self.report.log.push(format!("{:.0} [{r}] {line}", self.now - self.start))
+                    self.report.log.push(format!("{:.0} [{r}] {line}", self.now - self.start));
                 }
                 _ => {}
             }
--- a/crates/fernslip/tests/deployments.rs
+++ b/crates/fernslip/tests/deployments.rs
@@ -24,7 +24,7 @@
     let d = Deployment::draw(seed);
     let mut wrong = Vec::new();
     let mut violations = |name: &str, report: &RunReport| {
-        wrong.extend(report.violations.iter().take(3).map(|b| format!("{name}: {b}")))
+        wrong.extend(report.violations.iter().take(3).map(|b| format!("{name}: {b}")));
     };
     let calm = World::new(&d).run(0.6, RUN_MS, Kind::Calm);
     violations("calm", &calm);
@@ -61,7 +61,7 @@
 /// Plays so many deployments on all cores; the seeds that fail, with what is wrong.
 fn run_all(seeds: std::ops::Range<u64>) -> Vec<(u64, Vec<String>)> {
     let (next, failed) = (AtomicU64::new(seeds.start), Mutex::new(Vec::new()));
-    let threads = std::thread::available_parallelism().map_or(4, |n| n.get());
+    let threads = std::thread::available_parallelism().map_or(4, std::num::NonZero::get);
     std::thread::scope(|s| {
         for _ in 0..threads {
             s.spawn(|| loop {
@@ -71,12 +71,12 @@
                 }
                 let wrong = faults(seed);
                 if !wrong.is_empty() {
-                    failed.lock().unwrap_or_else(|e| e.into_inner()).push((seed, wrong));
+                    failed.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push((seed, wrong));
                 }
             });
         }
     });
-    let mut failed = failed.into_inner().unwrap_or_else(|e| e.into_inner());
+    let mut failed = failed.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
     failed.sort_by_key(|f| f.0);
     failed
 }
--- a/crates/fernslip/tests/slow_start.rs
+++ b/crates/fernslip/tests/slow_start.rs
@@ -259,10 +259,10 @@
         let sends = &self.sends[which];
         let mut worst = f64::MIN;
         for (i, s) in sends.iter().enumerate() {
-            let sent =
-                sends[i..].iter().take_while(|t| t.0 < s.0 + WINDOW_MS).map(|t| t.1).sum::<f64>() / MEAN_MS;
+            let in_window = sends[i..].iter().take_while(|t| t.0 < s.0 + WINDOW_MS);
+            let calls_in_window = in_window.map(|t| t.1).sum::<f64>() / MEAN_MS;
             let n = calls(s.0 + WINDOW_MS / 2.0, WINDOW_MS);
-            worst = worst.max((sent - n) / (2.0 * n.sqrt() + 2.0));
+            worst = worst.max((calls_in_window - n) / (2.0 * n.sqrt() + 2.0));
         }
         let all: f64 = sends.iter().map(|s| s.1).sum::<f64>() / MEAN_MS;
         (worst, all / calls(STARTED_MS + SLOW_START_MS / 2.0, SLOW_START_MS))
--- a/crates/fernslip/tests/streams.rs
+++ b/crates/fernslip/tests/streams.rs
@@ -46,6 +46,10 @@
 }
 
 /// Plays one stream; the hash of all actions, and how many there were.
+#[allow(
+    clippy::too_many_lines,
+    reason = "one stream from its draw to its hash; the order of draws is recorded"
+)]
 fn replay(kind: Kind, caches: usize, seed: u64) -> (String, usize) {
     let mut draw = Draw(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let mut router = Router::new(settings(), seed).expect("settings are sound");
--- a/crates/front/src/startup.rs
+++ b/crates/front/src/startup.rs
@@ -160,7 +160,7 @@
     let opened = plan.store.as_deref().and_then(|file| Snapshot::open_with_timeout(file, random_store_id()));
     // Another number for each process: births and orders must differ where all else is the same.
     let seed = config.seed ^ unix_nanos() ^ u64::from(std::process::id()).rotate_left(32);
-    let gossip_addr = gossip.map(|g| g.advertised_addr());
+    let gossip_addr = gossip.map(super::control::gossip::GossipService::advertised_addr);
     let (snapshot, restored) =
         opened.map_or((None, RestoredState::default()), |(snapshot, restored)| (Some(snapshot), restored));
     let fleet = Fleet::bind(plan, clock, seed, gossip_addr, restored.peers);
--- a/crates/import/src/import.rs
+++ b/crates/import/src/import.rs
@@ -95,8 +95,8 @@
             ..RouteRules::default()
         };
         let copies = !is_main && (copied_everywhere || server.copies_mounts);
-        let copied = main_mounts.iter().filter(|_| copies);
-        for mount in server.mounts.iter().chain(copied) {
+        let main_mounts_here = main_mounts.iter().filter(|_| copies);
+        for mount in server.mounts.iter().chain(main_mounts_here) {
             let route = modjk.route(&mut ledger, &mut builder, mount);
             rules.longest_match.extend(route.map(|route| SourcedRoute { route, item: mount.item }));
         }
