--- a/crates/front/src/clients/call/tests.rs
+++ b/crates/front/src/clients/call/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn what_is_in_form_is_read() {
+fn a_well_formed_call_is_read() {
     let r = call("statement-docs", &[], 0).expect("good");
     assert_eq!((r.id.0, r.object.0), (0x9b1f_03aa_5c7e_2d41, 0x7f3a_9c21_e0b4_d655));
     assert_eq!((r.part, r.group, r.size_kb, r.budget_ms), (3, 17, 412.5, 1480.0));
@@ -33,7 +33,7 @@
 
 /// Guards the module's sums and the lines to cache nodes: each of these reached both once.
 #[test]
-fn what_is_not_is_told_by_its_field() {
+fn an_invalid_call_is_reported_by_its_field() {
     assert_eq!(call("no-such-class", &[], 0).unwrap_err(), CallError::Class);
     assert_eq!(call("statement-docs", &[], 1).unwrap_err(), CallError::Body);
     assert_eq!(call("contribution-change", &[], 48_001).unwrap_err(), CallError::Body);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_field_is_there_once() {
+fn a_duplicate_field_is_an_error() {
     let twice = ["4", "5"].map(|v| ("slice".to_string(), v.to_string())).to_vec();
     assert_eq!(read(&classes(), "statement-docs", twice, Vec::new()).unwrap_err(), CallError::Duplicate);
 }
--- a/crates/front/src/clients/msgpack_rpc/tests.rs
+++ b/crates/front/src/clients/msgpack_rpc/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_body_that_is_too_long_is_known_by_its_head() {
+fn a_body_that_is_too_long_is_rejected_by_its_header() {
     let head = [0x94, 0, 1, 0xa1, b'x', 0x92, 0x80, 0xc6, 1, 0, 0, 0];
     assert!(parse(&head).is_err(), "{:?}", parse(&head));
 }
--- a/crates/front/src/clients/server/tests.rs
+++ b/crates/front/src/clients/server/tests.rs
@@ -10,7 +10,7 @@
 
 /// Guards those who connect in the moment in which the front ends: they are about to ask, and are owed a word.
 #[test]
-fn who_has_just_connected_does_not_rest() {
+fn a_new_connection_is_not_idle() {
     let (fresh, stale) = (NEW_CONNECTION_GRACE / 2, NEW_CONNECTION_GRACE);
     for (age, spoke, rests) in [(fresh, false, false), (stale, false, true), (fresh, true, true)] {
         let (c, now) = client(age, |o| o.message_received = spoke);
@@ -23,7 +23,7 @@
 /// Whose place is taken first: who never said a thing, then who was never served, then who was served and rests. Who has
 /// just connected, has a call open, or has begun to ask keeps it.
 #[test]
-fn the_place_that_is_needed_least_goes_first() {
+fn silent_connections_are_evicted_first_and_served_ones_last() {
     let age = 2 * NEW_CONNECTION_GRACE;
     let (silent, now) = client(age, |_| {});
     let (heard, _) = client(age, |o| o.message_received = true);
@@ -45,7 +45,7 @@
 /// Answers that wait to be read take more than their room: the client that has read nothing for longest goes, and not the one
 /// that is being answered.
 #[test]
-fn who_reads_least_makes_room_for_answers() {
+fn the_client_that_reads_least_is_closed_when_unread_answers_exceed_their_limit() {
     let budget = Budget::of(1024, 20);
     let server = Server::new(budget, Vec::new());
     let add = |number: u64, bytes: usize| {
--- a/crates/front/src/failure/tests.rs
+++ b/crates/front/src/failure/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_call_is_made_again_for_a_while_and_its_last_error_told() {
+fn a_call_is_retried_for_a_while_and_its_last_error_returned() {
     let mut left = 3;
     let tried = retry_with_backoff(
         Duration::from_secs(30),
--- a/crates/front/src/main_loop.rs
+++ b/crates/front/src/main_loop.rs
@@ -133,7 +133,7 @@
     fn sweep_clients(&self) -> bool {
         let (front, plan) = (&self.front, &self.plan);
         let elapsed = self.shutdown_began.map(|at| at.elapsed());
-        let closing = elapsed.is_some_and(|t| t >= plan.coming);
+        let closing = elapsed.is_some_and(|t| t >= plan.accepting_for);
         let evacuated = front.server.evacuated_for().is_some_and(|t| t >= EVACUATE_GRACE);
         front.server.sweep(front, closing || evacuated);
         let (Some(began), true) = (self.shutdown_began, closing) else { return false };
@@ -147,7 +147,7 @@
     fn finish_shutdown(&self, began: Instant) {
         let front = &self.front;
         front.server.give_up(front);
-        self.close_remaining(began + self.plan.over_by);
+        self.close_remaining(began + self.plan.exit_by);
         if let Some(fleet) = &front.fleet {
             fleet.leave();
         }
--- a/crates/front/src/shutdown/tests.rs
+++ b/crates/front/src/shutdown/tests.rs
@@ -9,16 +9,20 @@
             let e = ShutdownPlan::of(longest_ms, origin);
             let kill =
                 Duration::from_secs_f64(f64::max(longest_ms, 3_000.0) / 1000.0) + Duration::from_millis(700);
-            assert!(e.coming < e.answered_by && e.answered_by < e.over_by && e.over_by < kill, "{e:?}");
+            assert!(
+                e.accepting_for < e.answered_by && e.answered_by < e.exit_by && e.exit_by < kill,
+                "{e:?}"
+            );
             // Connections come for 0.4 s, calls on them for 0.2 s more; what comes after 0.7 s must not be lost.
             if origin == Origin::Bound {
                 assert!(
-                    e.coming >= Duration::from_millis(600) && e.coming <= Duration::from_millis(700),
+                    e.accepting_for >= Duration::from_millis(600)
+                        && e.accepting_for <= Duration::from_millis(700),
                     "{e:?}"
                 );
             }
             // A graceful close reads on for 0.4 s.
-            assert!(e.over_by - e.answered_by > Duration::from_millis(400), "{e:?}");
+            assert!(e.exit_by - e.answered_by > Duration::from_millis(400), "{e:?}");
         }
     }
 }
