--- a/crates/fernslip/src/fill_limiter.rs
+++ b/crates/fernslip/src/fill_limiter.rs
@@ -25,7 +25,7 @@
     /// Of the whole location; infinite: no limit was found yet.
     pub limit: f64,
     /// LocalCount of fills that were late or failed lately.
-    late_share: f64,
+    late_fraction: f64,
     /// When the limit last shrank.
     shrunk_ms: f64,
 }
@@ -35,7 +35,7 @@
         FillLimiter {
             in_flight: LocalCount::default(),
             limit: f64::INFINITY,
-            late_share: 0.0,
+            late_fraction: 0.0,
             shrunk_ms: 0.0,
         }
     }
@@ -56,8 +56,8 @@
 
     /// One is late, or failed where its source or the links are to blame.
     pub fn record_late(&mut self, now: f64, routers: f64) {
-        self.late_share += (1.0 - self.late_share) * FILLS_LATE_STEP;
-        if self.late_share > FILLS_LATE {
+        self.late_fraction += (1.0 - self.late_fraction) * FILLS_LATE_STEP;
+        if self.late_fraction > FILLS_LATE {
             // Where there was no limit, what is in flight is too much.
             let all = self.in_flight.estimate_all(now, routers) / FILL_LIMIT_USED;
             let reached = if self.limit.is_finite() { self.limit } else { all };
@@ -74,7 +74,7 @@
         if crowded {
             self.record_late(now, routers);
         } else {
-            self.late_share -= self.late_share * FILLS_LATE_STEP;
+            self.late_fraction -= self.late_fraction * FILLS_LATE_STEP;
         }
         self.in_flight.step(now, -1.0);
         if in_time && used {
--- a/crates/fernslip/src/policy/admission.rs
+++ b/crates/fernslip/src/policy/admission.rs
@@ -32,17 +32,17 @@
         let window_ms = self.settings.slow_start_window_ms;
         let age_ms = self.now_ms - node.started_ms;
         let spent_ms = node.sent_within(self.now_ms, window_ms);
-        let ramp_share_ms = ramp.rate * ramp.capacity_fraction(age_ms) * window_ms / f64::from(routers);
+        let ramp_quota_ms = ramp.rate * ramp.capacity_fraction(age_ms) * window_ms / f64::from(routers);
         // What a router saw the node send lately it can send now, and may be requested within the same multiple.
         // One of several routers goes by that only where it knows no bandwidth: two ways at once would add up.
         let no_other_measure = routers == 1
             || !node.link.bandwidth.saturated && self.typical_bandwidth[node.role as usize] == 0.0;
         let proven_rate = if no_other_measure { node.link.delivery.rate(self.now_ms) } else { 0.0 };
-        let share_ms = ramp_share_ms.max(ramp.multiple * SLOW_START_USE * proven_rate * window_ms);
+        let quota_ms = ramp_quota_ms.max(ramp.multiple * SLOW_START_USE * proven_rate * window_ms);
         let cost_ms = self.mean_work_ms[req.request.class];
         let token_ms = self.mean_work_ms.iter().copied().fold(cost_ms, f64::max);
-        if share_ms >= token_ms {
-            return spent_ms + cost_ms <= share_ms;
+        if quota_ms >= token_ms {
+            return spent_ms + cost_ms <= quota_ms;
         }
         // Less than a request for each router: by tokens. A token is good for a window, so those of two windows
         // may meet in one.
--- a/crates/fernslip/src/policy/learning.rs
+++ b/crates/fernslip/src/policy/learning.rs
@@ -122,9 +122,9 @@
         let sibling = self.is_sibling(route);
         let reason_given = self.settings.notes == NoteLevel::All && outcome.detail != 0;
         let blame = self.blame(req, outcome, route);
-        for (id, share) in [(route.target, blame.target), (route.source, blame.source)] {
-            if share > 0.0 {
-                self.record_evidence(id, share, out);
+        for (id, strength) in [(route.target, blame.target), (route.source, blame.source)] {
+            if strength > 0.0 {
+                self.record_evidence(id, strength, out);
             }
         }
         if sibling {
--- a/crates/fernslip/src/policy/placement.rs
+++ b/crates/fernslip/src/policy/placement.rs
@@ -78,9 +78,9 @@
         if in_time(first.1) {
             return Ok(first);
         }
-        let worth_spilling =
+        let spill_gains =
             |node: &Node| self.is_slow(first.1) || self.load(node) < SPILL_GAIN * self.load(first.1);
-        let spill = candidates[1..].iter().find(|(_, node)| in_time(node) && worth_spilling(node));
+        let spill = candidates[1..].iter().find(|(_, node)| in_time(node) && spill_gains(node));
         spill.copied().ok_or(RejectReason::CachesCrowded)
     }
 
--- a/crates/front/src/control/discovery_watch.rs
+++ b/crates/front/src/control/discovery_watch.rs
@@ -121,11 +121,11 @@
     history: &mut History,
     scanned: &mut usize,
 ) -> Result<bool, Reason> {
-    let mut shows_life = false;
+    let mut proves_liveness = false;
     while let Some(at) = buffer.data()[*scanned..].iter().position(|b| *b == b'\n') {
         let end = *scanned + at;
         receive_line(front, history, &buffer.data()[..end])?;
-        shows_life |= !buffer.data()[..end].iter().all(u8::is_ascii_whitespace);
+        proves_liveness |= !buffer.data()[..end].iter().all(u8::is_ascii_whitespace);
         buffer.consume(end + 1);
         *scanned = 0;
     }
@@ -133,7 +133,7 @@
     if *scanned > MAX_LINE_BYTES {
         return Err(Reason::Malformed);
     }
-    Ok(shows_life)
+    Ok(proves_liveness)
 }
 
 /// Connects to the bus.
--- a/crates/front/src/control/view.rs
+++ b/crates/front/src/control/view.rs
@@ -101,8 +101,8 @@
                     tracing::info!(peer = %name, was, is = after.name(), by, "view");
                 }
                 Action::Settled(settled) => tracing::debug!(settled, "view"),
-                Action::DuplicateName { addr, other_is_held } => {
-                    let held = if other_is_held { "the other" } else { "this one" };
+                Action::DuplicateName { addr, other_is_suspended } => {
+                    let held = if other_is_suspended { "the other" } else { "this one" };
                     tracing::warn!(other = %addr, held, "view: two processes serve under this front's name");
                 }
             }
--- a/crates/front/src/upstream/connection_pool.rs
+++ b/crates/front/src/upstream/connection_pool.rs
@@ -269,7 +269,7 @@
     ) -> Result<Arc<Connection>, Ending> {
         let mut nodes = lock(&self.nodes);
         let nodes_in_use = nodes.values().filter(|n| !n.connections.is_empty()).count();
-        let fair_share = (self.limits.connections / (nodes_in_use + 1)).max(1);
+        let fair_quota = (self.limits.connections / (nodes_in_use + 1)).max(1);
         let node = nodes.get_mut(&attempt.cache).ok_or(Ending::ConnectionRefused)?;
         node.connections.retain(|c| !c.is_closed());
         let now = Instant::now();
@@ -284,7 +284,7 @@
             return Ok((*connection).clone());
         }
         let full = self.open_connections.load(Ordering::Relaxed) >= self.limits.connections;
-        if full || by_load.len() >= fair_share {
+        if full || by_load.len() >= fair_quota {
             by_load.sort_by_key(|(load, _)| *load);
             let least = by_load.iter().find(|(_, c)| c.admit(attempt.id, in_flight, self.limits.streams));
             if let Some((_, connection)) = least {
--- a/crates/front/src/upstream/dialer.rs
+++ b/crates/front/src/upstream/dialer.rs
@@ -54,8 +54,8 @@
         self.connection.terminate(unwritten_ending);
         self.open_connections.fetch_sub(1, Ordering::Relaxed);
         self.reason_counts.add(Kind::UpstreamClosed, reason.code());
-        let (node, addr, asked) = (&self.node.0, self.addr, self.connection.requests());
-        tracing::info!(kind = %"upstream", %node, %addr, reason = %reason.code(), asked, "end");
+        let (node, addr, requests) = (&self.node.0, self.addr, self.connection.requests());
+        tracing::info!(kind = %"upstream", %node, %addr, reason = %reason.code(), asked = requests, "end");
     }
 
     /// Brings the connection up and reads its answers until it ends.
--- a/crates/front/src/upstream/node_registry.rs
+++ b/crates/front/src/upstream/node_registry.rs
@@ -56,8 +56,8 @@
         lock(&self.nodes).extend(nodes);
     }
 
-    /// Drops the nodes whose ids don't satisfy `keep`.
-    pub(super) fn retain(&self, mut keep: impl FnMut(&Arc<str>) -> bool) {
-        lock(&self.nodes).retain(|id, _| keep(id));
+    /// Drops the nodes whose ids don't satisfy `is_listed`.
+    pub(super) fn retain(&self, mut is_listed: impl FnMut(&Arc<str>) -> bool) {
+        lock(&self.nodes).retain(|id, _| is_listed(id));
     }
 }
--- a/crates/front/src/upstream/send_guard.rs
+++ b/crates/front/src/upstream/send_guard.rs
@@ -17,7 +17,7 @@
 pub struct SendGuard {
     queue: Arc<DispatchQueue>,
     caller: Arc<Caller>,
-    ask: Arc<CallFields>,
+    call: Arc<CallFields>,
     attempt: Attempt,
     times: AttemptTimes,
     /// The client waits until then.
@@ -29,7 +29,7 @@
     pub fn new(
         queue: &Arc<DispatchQueue>,
         caller: &Arc<Caller>,
-        ask: &Arc<CallFields>,
+        call: &Arc<CallFields>,
         attempt: &Attempt,
         times: AttemptTimes,
         client_deadline: Instant,
@@ -37,7 +37,7 @@
         SendGuard {
             queue: queue.clone(),
             caller: caller.clone(),
-            ask: ask.clone(),
+            call: call.clone(),
             attempt: attempt.clone(),
             times,
             client_deadline,
@@ -48,7 +48,7 @@
     /// the client had. `drain_grace_ms` is how long after a drain an attempt may still begin.
     pub fn verify(&self, invariants: &Invariants, clock: &Clock, begun: Instant, drain_grace_ms: f64) {
         let id =
-            || format!("trace={} n={} node={}", self.ask.trace, self.attempt.number, self.attempt.cache.0);
+            || format!("trace={} n={} node={}", self.call.trace, self.attempt.number, self.attempt.cache.0);
         let ms_since = |at: Instant| begun.saturating_duration_since(at).as_secs_f64() * 1000.0;
         let disconnected_ms = self.caller.disconnected_at().map_or(0.0, ms_since);
         invariants.check(Invariant::SendForWaitingClient, disconnected_ms <= SEND_AFTER_LEAVING_MS, || {
@@ -92,17 +92,17 @@
 
     fn bytes(&self, now: Instant) -> Vec<u8> {
         let remaining = self.times.deadline.saturating_duration_since(now);
-        resp::request(&self.ask.trace, &fields(&self.ask, &self.attempt, remaining), &self.ask.body)
+        resp::request(&self.call.trace, &fields(&self.call, &self.attempt, remaining), &self.call.body)
     }
 }
 
 /// The fields of a request to a cache node, which has so long to answer.
-fn fields(ask: &CallFields, attempt: &Attempt, remaining: Duration) -> String {
+fn fields(call: &CallFields, attempt: &Attempt, remaining: Duration) -> String {
     let mut fields = format!(
         "cls={},item={},chunk={},limit={}",
-        ask.class,
-        ask.object,
-        ask.part,
+        call.class,
+        call.object,
+        call.part,
         (remaining.as_millis() as u64).max(1)
     );
     if let Some(source) = &attempt.source {
@@ -121,7 +121,7 @@
         (false, true) => fields += ",opts=r",
         (false, false) => {}
     }
-    if let Some(tag) = &ask.known_tag {
+    if let Some(tag) = &call.known_tag {
         fields += &format!(",known={tag}");
     }
     fields
--- a/crates/gossip/src/engine/evidence.rs
+++ b/crates/gossip/src/engine/evidence.rs
@@ -50,10 +50,10 @@
             self.last_healthy_ms.remove(&node);
         }
         self.compare_witnesses(now, node, observation);
-        let worth_reporting = observation.is_accusation()
+        let is_reportable = observation.is_accusation()
             || self.own_reports.contains_key(&node)
             || self.suspicions.is_accused(node);
-        if worth_reporting {
+        if is_reportable {
             self.update_own_report(now.mono_ms, evidence);
         }
         self.update_score(now, node, actions);
--- a/crates/gossip/src/engine/membership.rs
+++ b/crates/gossip/src/engine/membership.rs
@@ -32,7 +32,7 @@
     }
 
     /// Something signed by the front itself came.
-    pub(super) fn receive_sign_of_life(&mut self, now: Now, sender: FrontId, actions: &mut Vec<Action>) {
+    pub(super) fn receive_liveness(&mut self, now: Now, sender: FrontId, actions: &mut Vec<Action>) {
         if self.members.mark_reachable(sender, now.mono_ms) {
             actions.push(Action::Member { id: sender, change: MembershipChange::Joined });
             let update = self.members.get(sender).map(|m| m.state_item());
--- a/crates/gossip/src/engine/receive.rs
+++ b/crates/gossip/src/engine/receive.rs
@@ -31,7 +31,7 @@
         if self.has_departed {
             return Ok(());
         }
-        self.receive_sign_of_life(now, header.sender, actions);
+        self.receive_liveness(now, header.sender, actions);
         for item in items {
             self.receive_item(now, from, header.sender, item, actions);
         }
--- a/crates/pool/src/pool/members.rs
+++ b/crates/pool/src/pool/members.rs
@@ -27,7 +27,7 @@
         for member_spec in &spec.members {
             let in_flight = self.departed_in_flight.remove(&member_spec.id);
             let member = match old.remove(&member_spec.id) {
-                Some((old_state, member)) => self.kept_member(member, old_state, member_spec.state),
+                Some((old_state, member)) => self.retained_member(member, old_state, member_spec.state),
                 None => self.new_member(in_flight.unwrap_or(0)),
             };
             self.members.push(member);
@@ -50,7 +50,7 @@
 
     /// A member that stays in the pool. Out of service it may have been restarted: it counts as just started. The
     /// other way round would let all fronts at a cold cache node at once.
-    fn kept_member(&self, mut member: MemberState, old_state: State, state: State) -> MemberState {
+    fn retained_member(&self, mut member: MemberState, old_state: State, state: State) -> MemberState {
         if old_state == State::Stopped && state != State::Stopped {
             member.started_ms = self.now_ms;
             member.health = Health::HEALTHY;
--- a/crates/rig/src/soak/checker/attempts.rs
+++ b/crates/rig/src/soak/checker/attempts.rs
@@ -39,13 +39,13 @@
     }
 
     /// The time since then, if it is more than the limit and the slack.
-    fn overdue(&self, since: Instant, limit: Duration) -> Option<Duration> {
+    fn lateness_beyond(&self, since: Instant, limit: Duration) -> Option<Duration> {
         let lateness = self.now.saturating_duration_since(since);
         (lateness > limit + self.slack).then_some(lateness)
     }
 
     fn check_abandoned(&self, abandoned_at: Instant) -> Option<Finding> {
-        let lateness = self.overdue(abandoned_at, ABANDONED_GRACE)?;
+        let lateness = self.lateness_beyond(abandoned_at, ABANDONED_GRACE)?;
         Some(Finding { rule: Rule::Nobody, text: format!("{lateness:?} after its client had left") })
     }
 
@@ -58,13 +58,14 @@
     }
 
     fn check_out_of_service(&self, since: Instant, grace: Duration) -> Option<Finding> {
-        let lateness = self.overdue(since, grace)?;
+        let lateness = self.lateness_beyond(since, grace)?;
         Some(Finding { rule: Rule::Drain, text: format!("{lateness:?} after the front was told") })
     }
 
     fn check_purge(&self, purge: Purge, graces: Graces) -> Option<Finding> {
         let known_at = purge.known_at.unwrap_or(purge.at + ASSUMED_KNOWN_AFTER);
-        let binds = self.overdue(known_at, graces.purge).is_some() && purge.at.elapsed() < graces.purge_done;
+        let binds =
+            self.lateness_beyond(known_at, graces.purge).is_some() && purge.at.elapsed() < graces.purge_done;
         let oldest = self.number("fresh").map(Duration::from_millis);
         let since = self.now.saturating_duration_since(purge.at) + self.slack;
         let too_old = oldest.is_none_or(|oldest| oldest > since);
--- a/crates/view/src/engine/duplicate_name.rs
+++ b/crates/view/src/engine/duplicate_name.rs
@@ -56,7 +56,7 @@
         &mut self,
         now_ms: f64,
         addr: SocketAddr,
-        other_is_held: bool,
+        other_is_suspended: bool,
         actions: &mut Vec<Action>,
     ) {
         match &mut self.duplicate {
@@ -67,7 +67,7 @@
             }
             duplicate => {
                 *duplicate = Some(DuplicateProcess { addr, reported_ms: now_ms, last_seen_ms: now_ms });
-                actions.push(Action::DuplicateName { addr, other_is_held });
+                actions.push(Action::DuplicateName { addr, other_is_suspended });
             }
         }
     }
--- a/crates/view/src/engine/receive.rs
+++ b/crates/view/src/engine/receive.rs
@@ -70,9 +70,9 @@
             }
             _ if message.from != self.id() => reply.push(Item::FactRequest(vec![message.from])),
             _ => {
-                let is_held =
+                let is_suspended =
                     self.table.get(message.from).is_some_and(|k| k.fact.process_id == message.process_id);
-                self.note_duplicate(now_ms, from, is_held || !self.is_admitted, actions);
+                self.note_duplicate(now_ms, from, is_suspended || !self.is_admitted, actions);
                 reply.push(Item::FullFact(self.own.clone()));
             }
         }
--- a/crates/view/src/engine/rejoin.rs
+++ b/crates/view/src/engine/rejoin.rs
@@ -25,8 +25,8 @@
         let failed = self.table.iter().filter(|(_, m)| m.fact.state == FrontState::Failed);
         let failed = failed.map(|(_, m)| m.fact.addr);
         let unreached: Vec<SocketAddr> = seeds.chain(failed).filter(|a| !live.contains(a)).collect();
-        let share = (unreached.len() as f64 * FLEET_POLLS_PER_S / live.len().max(1) as f64).min(1.0);
-        if !unreached.is_empty() && self.rng.random::<f64>() < share {
+        let probability = (unreached.len() as f64 * FLEET_POLLS_PER_S / live.len().max(1) as f64).min(1.0);
+        if !unreached.is_empty() && self.rng.random::<f64>() < probability {
             if let Some(to) = unreached.choose(&mut self.rng).copied() {
                 self.send(now_ms, to, vec![hello], actions);
             }
--- a/crates/view/src/interface.rs
+++ b/crates/view/src/interface.rs
@@ -63,7 +63,7 @@
         /// Its address.
         addr: SocketAddr,
         /// Whether the view holds the other process.
-        other_is_held: bool,
+        other_is_suspended: bool,
     },
 }
 
