--- a/crates/site/src/fields.rs
+++ b/crates/site/src/fields.rs
@@ -20,6 +20,13 @@
     }
 }
 
+/// A text of the document, and where it stands.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Spanned<'n> {
+    pub text: &'n str,
+    pub span: SourceSpan,
+}
+
 /// One node being read.
 pub(crate) struct Fields<'n, 'p, 'a> {
     node: &'n KdlNode,
@@ -60,7 +67,7 @@
     }
 
     /// The next argument, a text that must be there.
-    pub fn arg(&mut self, what: &str) -> Option<(&'n str, SourceSpan)> {
+    pub fn arg(&mut self, what: &str) -> Option<Spanned<'n>> {
         let Some(e) = self.args.get(self.next_arg).copied() else {
             let (span, label) = (self.span(), self.label());
             self.problems.error(
@@ -72,7 +79,7 @@
         };
         self.next_arg += 1;
         match e.value() {
-            KdlValue::String(s) => Some((s, e.span())),
+            KdlValue::String(text) => Some(Spanned { text, span: e.span() }),
             _ => {
                 self.wrong_type(e, what, "a text");
                 None
@@ -81,7 +88,7 @@
     }
 
     /// All further arguments.
-    pub fn args(&mut self, what: &str) -> Vec<(&'n str, SourceSpan)> {
+    pub fn args(&mut self, what: &str) -> Vec<Spanned<'n>> {
         let mut all = Vec::new();
         while self.next_arg < self.args.len() {
             all.extend(self.arg(what));
@@ -90,10 +97,10 @@
     }
 
     /// A property with a text.
-    pub fn text(&mut self, name: &'static str) -> Option<(&'n str, SourceSpan)> {
+    pub fn text(&mut self, name: &'static str) -> Option<Spanned<'n>> {
         let e = self.entry(name)?;
         match e.value() {
-            KdlValue::String(s) => Some((s, e.span())),
+            KdlValue::String(text) => Some(Spanned { text, span: e.span() }),
             _ => {
                 self.wrong_type(e, name, "a text");
                 None
@@ -103,7 +110,7 @@
 
     /// A property with a text, copied.
     pub fn owned(&mut self, name: &'static str) -> Option<String> {
-        self.text(name).map(|t| t.0.to_string())
+        self.text(name).map(|t| t.text.to_string())
     }
 
     /// Reports a property that must be there and is not; one of a wrong value is reported already.
@@ -175,7 +182,7 @@
 
     /// A property with one of the keywords of a set.
     pub fn keyword<K: Keyword>(&mut self, name: &'static str) -> Option<K> {
-        let (text, span) = self.text(name)?;
+        let Spanned { text, span } = self.text(name)?;
         let found = K::from_keyword(text);
         if found.is_none() {
             let all: Vec<&str> = K::KEYWORDS.iter().map(|(keyword, _)| *keyword).collect();
--- a/crates/site/src/read/member.rs
+++ b/crates/site/src/read/member.rs
@@ -12,18 +12,18 @@
     let zone = f.text("zone");
     let mut m = Member {
         id,
-        address: address.map_or(String::new(), |a| a.0.into()),
+        address: address.map_or(String::new(), |a| a.text.into()),
         protocol: f.keyword("protocol"),
         path: f.owned("path"),
         kind: f.keyword("kind"),
         weight: f.number("weight", 1e-6, MAX_WEIGHT),
         state: f.keyword("state").unwrap_or(State::Ready),
-        zone: zone.map(|z| z.0.into()),
+        zone: zone.map(|z| z.text.into()),
         link_kb_per_s: f.number("link-kb-per-s", 0.001, 1e12),
         limits: MemberLimits::default(),
     };
-    spans.addresses.push(address.map_or(f.span(), |a| a.1));
-    spans.member_zones.push(zone.map(|z| z.1));
+    spans.addresses.push(address.map_or(f.span(), |a| a.span));
+    spans.member_zones.push(zone.map(|z| z.span));
     for node in f.children(&["limits"]) {
         let mut f = Fields::new(node, f.problems);
         m.limits = MemberLimits {
--- a/crates/site/src/read/mod.rs
+++ b/crates/site/src/read/mod.rs
@@ -50,8 +50,8 @@
 }
 
 fn read_site(mut f: Fields<'_, '_, '_>, site: &mut Site) {
-    if let Some((name, _)) = f.arg("a name") {
-        site.name = name.into();
+    if let Some(name) = f.arg("a name") {
+        site.name = name.text.into();
     }
     site.members_from = f.keyword("members-from");
     f.done();
--- a/crates/site/src/read/name.rs
+++ b/crates/site/src/read/name.rs
@@ -1,6 +1,6 @@
 //! Names of what nodes describe, and weights, which several kinds of node have.
 
-use crate::fields::Fields;
+use crate::fields::{Fields, Spanned};
 use miette::SourceSpan;
 use std::collections::HashMap;
 
@@ -9,7 +9,7 @@
 
 /// The name of what a node describes, which must be unique among its kind.
 pub(super) fn unique_name(f: &mut Fields<'_, '_, '_>, defined: &mut HashMap<String, SourceSpan>) -> String {
-    let Some((name, span)) = f.arg("a name") else { return String::new() };
+    let Some(Spanned { text: name, span }) = f.arg("a name") else { return String::new() };
     if name.is_empty() {
         f.problems.error(span, "a name can't be empty", None);
     } else if defined.insert(name.to_string(), span).is_some() {
--- a/crates/site/src/read/pool.rs
+++ b/crates/site/src/read/pool.rs
@@ -1,7 +1,7 @@
 //! `pool`: its members, limits, retries and recovery.
 
 use super::name::{unique_name, MAX_WEIGHT};
-use crate::fields::Fields;
+use crate::fields::{Fields, Spanned};
 use crate::model::{status_code, Pool, PoolLimits, Recovery, Retry, Site, Use};
 use crate::spans::{SourceSpans, UseSpans};
 
@@ -37,14 +37,14 @@
 fn read_use(f: &mut Fields<'_, '_, '_>) -> (Use, UseSpans) {
     let member = f.arg("a member's name");
     let instead = f.text("instead");
-    let spans = UseSpans { member: member.map_or(f.span(), |m| m.1), instead: instead.map(|i| i.1) };
+    let spans = UseSpans { member: member.map_or(f.span(), |m| m.span), instead: instead.map(|i| i.span) };
     let u = Use {
-        member: member.map_or(String::new(), |m| m.0.into()),
+        member: member.map_or(String::new(), |m| m.text.into()),
         weight: f.number("weight", 1e-6, MAX_WEIGHT),
         state: f.keyword("state"),
         tier: f.integer("tier", 0..=u64::from(u32::MAX)),
         group: f.owned("group"),
-        instead: instead.map(|i| i.0.into()),
+        instead: instead.map(|i| i.text.into()),
     };
     (u, spans)
 }
@@ -78,7 +78,7 @@
 
 /// Status codes, `"500,503"`.
 fn read_status_codes(f: &mut Fields<'_, '_, '_>) -> Vec<u16> {
-    let Some((text, span)) = f.text("fail-on") else { return Vec::new() };
+    let Some(Spanned { text, span }) = f.text("fail-on") else { return Vec::new() };
     let codes: Option<Vec<u16>> = text.split(',').map(|code| status_code(code.trim())).collect();
     if codes.is_none() {
         let hint = "write status codes with commas between them: \"500,503\"".to_string();
--- a/crates/site/src/read/routes.rs
+++ b/crates/site/src/read/routes.rs
@@ -1,6 +1,6 @@
 //! `routes`: a set of rules, and the hosts that it is for.
 
-use crate::fields::Fields;
+use crate::fields::{Fields, Spanned};
 use crate::model::{Route, RouteSet, Site, Target};
 use crate::problems::Problems;
 use crate::spans::{RouteSpans, SourceSpans};
@@ -18,7 +18,7 @@
     for node in f.children(&["host", "route"]) {
         if node.name().value() == "host" {
             let mut f = Fields::new(node, f.problems);
-            set.hosts.extend(f.args("a host").iter().map(|h| h.0.to_string()));
+            set.hosts.extend(f.args("a host").iter().map(|h| h.text.to_string()));
             f.done();
             continue;
         }
@@ -40,17 +40,17 @@
     let exclude = f.flag("exclude").unwrap_or(false);
     let rewrite = f.owned("rewrite");
     let target = match (exclude, pool) {
-        (true, p) => Target::Exclude(p.map(|p| p.0.into())),
-        (false, Some(p)) => Target::Pool(p.0.into()),
+        (true, p) => Target::Exclude(p.map(|p| p.text.into())),
+        (false, Some(p)) => Target::Pool(p.text.into()),
         (false, None) => {
             let (span, hint) = (f.span(), "write pool=\"…\" or exclude=#true".to_string());
             f.problems.error(span, "`route` leads nowhere", Some(hint));
             Target::Exclude(None)
         }
     };
-    let target_span = pool.map_or(f.span(), |p| p.1);
+    let target_span = pool.map_or(f.span(), |p| p.span);
     f.done();
-    let (pattern, span) = pattern?;
+    let Spanned { text: pattern, span } = pattern?;
     let spans = RouteSpans { pattern: span, target: target_span };
     Some((Route { pattern: pattern.into(), matching, target, rewrite }, spans))
 }
