--- a/crates/cli/tests/admin.rs
+++ b/crates/cli/tests/admin.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{members, send_admin_command, Answer, Front, Node};
+use common::{members, send_admin_command, wait_until, Answer, Front, Node};
 use std::io::Write;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -52,7 +52,12 @@
     for n in 0..3 {
         assert_eq!(client.call("docs", n), Answer::Served);
     }
-    let figures = send_admin_command(&admin, "telemetry\n");
+    // An answer is counted after it was queued, so that its client may have read it first.
+    let mut figures = String::new();
+    wait_until("the third answer is counted", || {
+        figures = send_admin_command(&admin, "telemetry\n");
+        figure(&figures, "relay.transactions.docs.answered") == Some(3)
+    });
     assert!(figures.starts_with("200 ") && figures.ends_with("EOF\n"), "{figures}");
     assert_eq!(figure(&figures, "relay.transactions.docs.answered"), Some(3), "{figures}");
     assert_eq!(
