--- a/crates/cli/tests/live.rs
+++ b/crates/cli/tests/live.rs
@@ -116,7 +116,10 @@
         (good.replace("member \"a\" address", "member \"a\" adress"), "did you mean `address`?"),
         ("member \"a".to_string(), "reload: the old one stays"),
         (good.replace("member \"a\"", "member \"a\" protocol=\"http\""), "member \"a\" speaks http"),
-        (good.clone() + "pool \"x\" { use \"a\"; }\n", "pools that come or go take a restart"),
+        (
+            good.clone() + "pool \"x\" { use \"a\"; }\n",
+            "adding, removing or renaming a pool requires a restart",
+        ),
         (
             good.replace("members-from=\"file\"", "members-from=\"bus\""),
             "needs a configuration that names the bus",
--- a/crates/front/src/dispatch_host.rs
+++ b/crates/front/src/dispatch_host.rs
@@ -1,4 +1,5 @@
-//! What the decision crate's facade reaches through its host: sockets to cache nodes, peers, gossip and the log.
+//! The host of the decision module's facade: connects it to the cache nodes' connections, the peers, the
+//! gossip and the log.
 
 use crate::control::evidence::EvidenceQueue;
 use crate::peers::Peers;
@@ -11,30 +12,31 @@
 use may::sync::Blocker;
 use std::sync::Arc;
 
-/// The facade's host: carries out what a dispatcher wants done outside of it.
+/// The facade's host: carries out what a dispatcher does outside of the decision module.
 pub struct DispatchHost {
     pub(crate) upstream: Arc<ConnectionPool>,
     pub(crate) peers: Option<Arc<Peers>>,
     pub(crate) registry: Arc<NodeRegistry>,
-    /// By class, in the order of the settings.
+    /// Whether requests may be repeated, for each class in the order of the settings.
     pub(crate) effects: Arc<[Effect]>,
     pub(crate) evidence: EvidenceQueue,
-    /// The kinds of cache nodes that are sources of fills: the parents' and the origin's.
+    /// Kinds of cache nodes that are sources of fills: that of parents and that of the origin.
     pub(crate) sources: [Option<usize>; 2],
 }
 
 impl DispatchHost {
-    /// A pool's cache node as the decision crate's endpoint list has it; `mean` is the pool's mean weight.
-    pub(crate) fn entry(&self, m: &Endpoint, mean: f64) -> Entry {
-        self.registry.entry(m, mean)
+    /// Converts a pool's endpoint into an entry of the decision module's endpoint list; `mean_weight` is
+    /// the mean weight of the pool's members.
+    pub(crate) fn endpoint_list_entry(&self, endpoint: &Endpoint, mean_weight: f64) -> Entry {
+        self.registry.endpoint_list_entry(endpoint, mean_weight)
     }
 
-    /// Whether cache nodes of that kind are parents or the origin.
+    /// Whether cache nodes of this kind are parents or the origin.
     pub(crate) fn is_source(&self, kind: Option<usize>) -> bool {
         kind.is_some() && self.sources.contains(&kind)
     }
 
-    /// What may be repeated of a class; nothing of one that is not known.
+    /// Whether requests of this class may be repeated; those of an unknown class may not.
     pub(crate) fn effect(&self, class: usize) -> Effect {
         self.effects.get(class).copied().unwrap_or(Effect::AtMostOnce)
     }
@@ -46,23 +48,23 @@
     }
 
     fn cancel(&self, id: RequestId, attempt: u32) {
-        self.upstream.cancel(id, attempt);
+        self.upstream.wake_cancelled(id, attempt);
     }
 
     fn send_to_peer(&self, to: u32, data: &[u8]) {
-        if let Some(p) = &self.peers {
-            p.send_to(to, data);
+        if let Some(peers) = &self.peers {
+            peers.send_to(to, data);
         }
     }
 
     fn send_to_all_peers(&self, data: &[u8]) {
-        if let Some(p) = &self.peers {
-            p.broadcast(data);
+        if let Some(peers) = &self.peers {
+            peers.broadcast(data);
         }
     }
 
     fn draining(&self, caches: &[CacheId]) {
-        self.upstream.drain_nodes(caches);
+        self.upstream.withdraw_attempts_of_nodes(caches);
     }
 
     fn purged(&self, requests: &[RequestId]) {
--- a/crates/front/src/invariants.rs
+++ b/crates/front/src/invariants.rs
@@ -1,9 +1,12 @@
-//! What must hold whenever the front sends, repeats, answers, closes or starts, checked at run time where it happens.
+//! Invariants that must hold whenever the front sends, retries, answers, closes or starts. They are checked
+//! at run time, where the step happens.
 //!
-//! Each kind of step passes one guard that keeps its rule: sending [`SendGuard`](crate::upstream::send_guard::SendGuard), repeating
-//! `forward::serve`, answering `ClientConnection::answer`, closing [`Link::run`](crate::link::Link::run), starting
-//! [`Startup`]. The checks here are apart from the guards: they look at what was done. A violation is counted by name, logged
-//! with the ids concerned and shown in the figures as `relay.violations.NAME`; it never ends the process.
+//! Each kind of step passes one guard that enforces its rule: sending
+//! [`SendGuard`](crate::upstream::send_guard::SendGuard), retrying `forward::serve`, answering
+//! `ClientConnection::answer`, closing [`Link::run`](crate::link::Link::run), starting [`Startup`]. The
+//! checks here are independent of the guards: they look at what was done. A violation is counted by name,
+//! logged with the ids concerned and shown in the metrics as `relay.violations.NAME`; it never ends the
+//! process.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,33 +14,39 @@
 /// A rule that is checked at run time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// An attempt begins at the latest [`SEND_AFTER_LEAVING_MS`] after its client has disconnected or cancelled.
+    /// An attempt is sent at most [`MAX_SEND_AFTER_DISCONNECT_MS`] after its client has disconnected or
+    /// cancelled.
     SendForWaitingClient,
-    /// An attempt goes to a node, and is filled from one, that was not told to drain longer ago than the grace allows.
+    /// Neither the node nor the fill source of an attempt began to drain longer ago than the grace period
+    /// allows.
     SendToServingNode,
-    /// The time passed to a node is at most what the client has left, and [`LIMIT_SLACK_MS`].
+    /// The time passed to a node exceeds the time that the client has left by at most
+    /// [`MAX_CLIENT_TIME_OVERRUN_MS`].
     SendWithinClientTime,
-    /// A request has one attempt out at a time.
+    /// A request has at most one attempt in flight.
     OneAttempt,
-    /// What may have run is attempted again only where its class allows that.
+    /// A request that may have run is attempted again only if its class allows that.
     RepeatAllowed,
-    /// A final answer is handed to its connection, unless the client has left or broken the protocol.
+    /// A final answer is passed to the client's connection, unless the client has disconnected or violated
+    /// the protocol.
     AnswerDelivered,
-    /// A connection that the front itself ends has no call open and owes no byte.
+    /// A connection that the front itself ends has no open call and no unwritten byte.
     CloseSettled,
-    /// The front serves only once its signals are caught and its kept state is restored.
+    /// The front serves only after SIGTERM and SIGHUP are caught and its saved state is restored.
     StartPrepared,
-    /// At its end the front holds nothing any more.
+    /// When the front ends, it has no connection, request or attempt left.
     EndSettled,
 }
 
-/// How long after its client has left an attempt may begin, in milliseconds: the operators' term.
-pub const SEND_AFTER_LEAVING_MS: f64 = 100.0;
-/// By how much the time passed to a node may be above what the client has left, in milliseconds: the operators' term.
-pub const LIMIT_SLACK_MS: f64 = 150.0;
+/// How long after its client has disconnected an attempt may still be sent, in milliseconds; required by
+/// the operators.
+pub const MAX_SEND_AFTER_DISCONNECT_MS: f64 = 100.0;
+/// How far the time passed to a node may exceed the time that the client has left, in milliseconds;
+/// required by the operators.
+pub const MAX_CLIENT_TIME_OVERRUN_MS: f64 = 150.0;
 
-/// All of them, in the order of their counters.
-const ALL: [Invariant; 9] = [
+/// All invariants, in the order of their counters.
+const ALL_INVARIANTS: [Invariant; 9] = [
     Invariant::SendForWaitingClient,
     Invariant::SendToServingNode,
     Invariant::SendWithinClientTime,
@@ -50,7 +59,7 @@
 ];
 
 impl Invariant {
-    /// Its name in figures and log lines.
+    /// The invariant's name in metrics and log lines.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::SendForWaitingClient => "send_for_waiting_client",
@@ -66,15 +75,15 @@
     }
 }
 
-/// Counts of violations, by rule.
+/// Numbers of violations, by invariant.
 #[derive(Debug, Default)]
 pub struct Invariants {
-    violations: [AtomicU64; ALL.len()],
+    violations: [AtomicU64; ALL_INVARIANTS.len()],
 }
 
 impl Invariants {
-    /// Counts and logs a violation where `holds` is false; `detail` names the ids concerned and what was seen. Whether it
-    /// holds.
+    /// Counts and logs a violation if `holds` is false; `detail` names the ids concerned and what was
+    /// observed. Returns `holds`.
     pub fn check<D: fmt::Display>(&self, rule: Invariant, holds: bool, detail: impl FnOnce() -> D) -> bool {
         if !holds {
             self.violations[rule as usize].fetch_add(1, Ordering::Relaxed);
@@ -83,28 +92,33 @@
         holds
     }
 
-    /// How often that rule was violated since the start.
+    /// Number of violations of the invariant since the start.
     pub fn violations(&self, rule: Invariant) -> u64 {
         self.violations[rule as usize].load(Ordering::Relaxed)
     }
 
-    /// One line a rule for the operators' figures, `relay.violations.NAME=COUNT`.
+    /// The metrics, one line for each invariant: `relay.violations.NAME=COUNT`.
     pub fn lines(&self) -> String {
-        ALL.iter().map(|r| format!("relay.violations.{}={}\n", r.name(), self.violations(*r))).collect()
+        ALL_INVARIANTS
+            .iter()
+            .map(|r| format!("relay.violations.{}={}\n", r.name(), self.violations(*r)))
+            .collect()
     }
 }
 
-/// The steps that come before a front may serve, each marked as it is done.
+/// The steps that must be done before a front may serve.
 #[derive(Debug, Default)]
 pub struct Startup {
-    /// SIGTERM and SIGHUP are caught.
+    /// Whether SIGTERM and SIGHUP are caught.
     pub signals_caught: bool,
-    /// The nodes that an earlier process had out by hand are out again, or were found to be none.
+    /// Whether the nodes that operators excluded in an earlier process are excluded again; also true if
+    /// there were none.
     pub exclusions_restored: bool,
 }
 
 impl Startup {
-    /// Whether the front may serve; what is missing is counted.
+    /// Whether all steps are done, so that the front may serve; if not, counts a violation that shows which
+    /// steps are done.
     pub fn may_serve(&self, invariants: &Invariants) -> bool {
         let prepared = self.signals_caught && self.exclusions_restored;
         invariants.check(Invariant::StartPrepared, prepared, || format!("{self:?}"))
--- a/crates/front/src/upstream/caller.rs
+++ b/crates/front/src/upstream/caller.rs
@@ -1,4 +1,4 @@
-//! Who waits for the answer to a request.
+//! The client's side of a request: whether the client still waits for the answer.
 
 use crate::sync::lock;
 use may::sync::Blocker;
@@ -6,39 +6,39 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// The client's side of one request: whether its answer is still waited for. Shared by the client's connection and the
-/// coroutine that serves the request; nothing here yields.
+/// Whether the client of one request still waits for its answer. Shared by the client's connection and the
+/// coroutine that serves the request; no method yields.
 #[derive(Default)]
 pub struct Caller {
     disconnected: AtomicBool,
-    /// When the disconnect was noticed.
+    /// When the front noticed that the client had disconnected or cancelled; `None` before that.
     disconnected_at: Mutex<Option<Instant>>,
-    /// Where the request waits for a permit of its dispatch queue.
-    queued_on: Mutex<Option<Arc<Blocker>>>,
+    /// Where the request waits for a permit from its dispatch queue.
+    queue_blocker: Mutex<Option<Arc<Blocker>>>,
 }
 
 impl Caller {
-    /// The client has disconnected or cancelled the request; a wait for a permit ends at once.
+    /// Records that the client disconnected or cancelled the request, and ends a wait for a permit at once.
     pub fn disconnect(&self) {
         lock(&self.disconnected_at).get_or_insert_with(Instant::now);
         self.disconnected.store(true, Ordering::Release);
-        if let Some(blocker) = lock(&self.queued_on).take() {
+        if let Some(blocker) = lock(&self.queue_blocker).take() {
             blocker.unpark();
         }
     }
 
-    /// Whether the answer is not waited for any more.
+    /// Whether the client has disconnected or cancelled the request.
     pub fn is_disconnected(&self) -> bool {
         self.disconnected.load(Ordering::Acquire)
     }
 
-    /// When it was noticed that the answer is not waited for; `None`: it is.
+    /// When the front noticed that the client had disconnected or cancelled; `None` while the client waits.
     pub fn disconnected_at(&self) -> Option<Instant> {
         *lock(&self.disconnected_at)
     }
 
-    /// [`Caller::disconnect`] wakes `blocker` from now on.
-    pub(super) fn set_queued_on(&self, blocker: Arc<Blocker>) {
-        *lock(&self.queued_on) = Some(blocker);
+    /// Sets the blocker that [`Caller::disconnect`] wakes.
+    pub(super) fn set_queue_blocker(&self, blocker: Arc<Blocker>) {
+        *lock(&self.queue_blocker) = Some(blocker);
     }
 }
--- a/crates/front/src/upstream/completed_attempt.rs
+++ b/crates/front/src/upstream/completed_attempt.rs
@@ -1,44 +1,44 @@
-//! How an attempt at a cache node ended, and what the node answered.
+//! The result of an attempt at a cache node: how it ended and what the node answered.
 
 use crate::upstream::resp;
 use fernslip::json::IN_FLIGHT_NAMES;
 use fernslip::Ending;
 use std::time::Instant;
 
-/// Values of an answer's `tell` field. The decision crate numbers them in this order, from 1.
-const ANSWER_NOTES: [&str; 10] =
+/// Values of an answer's `tell` field, in the order in which the decision module numbers them, from 1.
+const ANSWER_DETAILS: [&str; 10] =
     ["warm", "fill", "deep_fill", "piggy", "aged", "bounced", "dropped", "lacking", "jammed", "backfire"];
 
-/// What a cache node answered to a client's read or write.
+/// A cache node's answer to a client's read or write.
 #[derive(Debug, Default)]
 pub struct Reply {
-    /// The client's own copy is current; there is no body.
+    /// Whether the client's own copy is still current; if so, `body` is empty.
     pub current: bool,
     /// The object's bytes.
     pub body: Vec<u8>,
 }
 
-/// How an attempt ended, and with what.
+/// The result of one attempt.
 #[derive(Debug)]
 pub struct CompletedAttempt {
-    /// How it ended.
+    /// How the attempt ended.
     pub ending: Ending,
-    /// The number of the answer's note, from 1; 0: none.
+    /// Number of the answer's `tell` value, from 1; 0 if the answer has none or an unknown one.
     pub detail: u8,
-    /// Milliseconds to the fill source's first byte, as the node reported it; 0: not reported.
+    /// Time until the fill source's first byte as reported by the node, in milliseconds; 0 if not reported.
     pub fill_wait_ms: f64,
-    /// Requests in flight at the node, from its load report.
+    /// Number of requests in flight at the node, from its load report; `None` if not reported.
     pub reported_in_flight: Option<f64>,
-    /// The reply, where it was served.
+    /// The node's reply; `None` unless the request was served.
     pub reply: Option<Reply>,
-    /// When the request's first byte was written; `None`: it never was.
+    /// When the request's first byte was written; `None` if nothing was written.
     pub first_byte_at: Option<Instant>,
-    /// Whether the request's last byte was written.
+    /// Whether the request was written up to its last byte.
     pub fully_written: bool,
 }
 
 impl CompletedAttempt {
-    /// The result of an attempt that no answer of a node ended.
+    /// The result of an attempt that ended without an answer from its node.
     pub(super) fn without_answer(ending: Ending) -> CompletedAttempt {
         CompletedAttempt {
             ending,
@@ -51,7 +51,8 @@
         }
     }
 
-    /// The result that an answer stands for; `None`: its outcome is unknown or its fields are malformed.
+    /// Converts a node's answer into a result; `None` if the outcome is unknown or the fields are
+    /// malformed.
     pub(super) fn from_answer(answer: &resp::Answer<'_>) -> Option<CompletedAttempt> {
         let ending = match answer.outcome {
             "served" | "still_good" => Ending::Completed,
@@ -64,13 +65,14 @@
         if !answer.has_well_formed_fields() {
             return None;
         }
-        let note = answer.field("tell").and_then(|tell| ANSWER_NOTES.iter().position(|n| *n == tell));
+        let detail_index =
+            answer.field("tell").and_then(|tell| ANSWER_DETAILS.iter().position(|n| *n == tell));
         let current = answer.outcome == "still_good";
         let body = if current { Vec::new() } else { answer.body.to_vec() };
         Some(CompletedAttempt {
-            detail: note.map_or(0, |index| index as u8 + 1),
+            detail: detail_index.map_or(0, |index| index as u8 + 1),
             fill_wait_ms: answer.field("lag").and_then(|v| v.parse().ok()).unwrap_or(0.0),
-            reported_in_flight: IN_FLIGHT_NAMES.iter().find_map(|name| answer.load_report(name)),
+            reported_in_flight: IN_FLIGHT_NAMES.iter().find_map(|name| answer.load_report_value(name)),
             reply: (ending == Ending::Completed).then_some(Reply { current, body }),
             ..CompletedAttempt::without_answer(ending)
         })
--- a/crates/front/src/upstream/connection.rs
+++ b/crates/front/src/upstream/connection.rs
@@ -1,8 +1,8 @@
-//! One connection to a cache node, parent or the origin, shared by several attempts.
+//! A connection to a cache node, a parent or the origin, shared by several attempts.
 //!
 //! The connection's own coroutine dials it, reads its answers ([`Connection::read_answers`]) and ends it
-//! ([`Connection::terminate`]). Coroutines of attempts and the sweep call everything else. The state's lock is never held
-//! across a yield; only [`Connection::terminate`] yields.
+//! ([`Connection::terminate`]). The attempts' coroutines and the periodic sweep call all other methods. The
+//! lock on the state is never held across a yield; only [`Connection::terminate`] yields.
 
 use crate::buffer::Buffer;
 use crate::link::Link;
@@ -17,69 +17,77 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// For so long the answer to a cancelled attempt, or a second answer to one, may still come.
+/// How long after its end a cancelled attempt may still be answered, or any attempt may be answered a
+/// second time.
 const LATE_ANSWER_WINDOW: Duration = Duration::from_secs(20);
-/// A connection with attempts in flight from which nothing came for so long gets no new ones while there are others.
+/// A connection with attempts in flight that has received no answer for this long gets no new attempts
+/// while other connections are available.
 pub(super) const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(150);
-/// An answer that has begun and of which nothing more came for so long never ends: longer than a lost packet takes to be
-/// sent again.
-const ANSWER_STALL: Duration = Duration::from_millis(250);
-/// Bounds of [`cancel_delay`].
+/// An incomplete answer of which nothing more arrived for this long will never be completed. The value is
+/// longer than the retransmission of a lost packet takes.
+const ANSWER_STALL_TIMEOUT: Duration = Duration::from_millis(250);
+/// Shortest delay that [`cancel_delay`] returns.
 pub(super) const MIN_CANCEL_DELAY: Duration = Duration::from_millis(1);
+/// Longest delay that [`cancel_delay`] returns.
 const MAX_CANCEL_DELAY: Duration = Duration::from_millis(4);
 
-/// How long a cancel, or the end of a connection, may take to reach the node: as long as the connection took to come up,
-/// there and back, within bounds. A cancel and the next attempt go over two connections, and the second may be there
-/// first: for the node, or for the next one, two attempts of one request would be out.
-fn cancel_delay(handshake: Duration) -> Duration {
-    handshake.clamp(MIN_CANCEL_DELAY, MAX_CANCEL_DELAY)
+/// How long a cancel, or the end of a connection, may take to reach the node: as long as the connection
+/// took to be established (one round trip), within bounds. A cancel and the next attempt go over two
+/// connections, and the next attempt could arrive first: this node, or the next one, would then see two
+/// attempts of one request in flight at once.
+fn cancel_delay(handshake_time: Duration) -> Duration {
+    handshake_time.clamp(MIN_CANCEL_DELAY, MAX_CANCEL_DELAY)
 }
 
 /// A connection to one node, from before it is dialled until after it has ended.
 #[derive(Default)]
 pub(super) struct Connection {
-    /// The connection's bytes, in and out.
+    /// Reads and writes the connection's bytes.
     pub link: Link,
-    state: Mutex<State>,
+    state: Mutex<ConnectionState>,
 }
 
 #[derive(Default)]
-struct State {
+struct ConnectionState {
     in_flight: HashMap<RequestId, Arc<InFlightAttempt>>,
-    /// Ids that were cancelled or answered here, and when: a late or second answer may still come, so they are not used
-    /// here again.
+    /// Ids of requests that were cancelled or answered on this connection, and when. They are not used here
+    /// again, because a late or second answer may still arrive.
     retired_ids: HashMap<RequestId, Instant>,
-    /// Since when nothing is in flight; `None`: something is, or nothing ever was.
+    /// Since when no attempt is in flight; `None` while one is, or if none ever was.
     idle_since: Option<Instant>,
-    /// When a complete answer came last: bytes alone say nothing of the node.
+    /// When the last complete answer arrived. An incomplete answer says nothing about the node.
     last_answer: Option<Instant>,
-    /// An answer has come in part; when bytes came last.
+    /// When bytes of an incomplete answer last arrived; `None` if no answer is incomplete.
     partial_answer_at: Option<Instant>,
-    /// An attempt timed out and no answer came all the while: nothing new is admitted until one does.
+    /// An attempt timed out and no answer arrived while it was in flight. No new attempt is admitted until
+    /// an answer arrives.
     suspect: bool,
-    /// Attempts admitted so far.
-    requests: u64,
-    /// Nothing is admitted any more.
+    /// Number of attempts admitted so far.
+    attempts_admitted: u64,
+    /// Whether new attempts are refused.
     closed: bool,
-    /// How long the connection took to come up; zero: it has not.
-    handshake: Duration,
+    /// How long the connection took to be established; zero until then.
+    handshake_time: Duration,
 }
 
-/// How much a connection is to be avoided, the least first: an unresponsive one last, as what is sent there may never be
-/// answered; then by how many attempts share it.
+/// How strongly a connection is to be avoided; the best connection sorts first. Unresponsive connections
+/// sort last, because an attempt sent there may never be answered; then the number of attempts in flight
+/// decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Load {
-    /// Attempts are in flight and nothing has come for [`UNRESPONSIVE_AFTER`].
+pub(super) struct ConnectionLoad {
+    /// Attempts are in flight and no answer has arrived for [`UNRESPONSIVE_AFTER`].
     pub unresponsive: bool,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub in_flight: usize,
 }
 
 impl Connection {
-    /// Takes an attempt in, if the connection is usable, the id was not used on it, and fewer than `limit` are in flight.
+    /// Admits an attempt if the connection is usable, the id was not used on it before, and fewer than
+    /// `limit` attempts are in flight. Returns whether the attempt was admitted.
     pub fn admit(&self, id: RequestId, attempt: &Arc<InFlightAttempt>, limit: usize) -> bool {
         let mut state = lock(&self.state);
-        // What is to end, or failed under a write, ends in a moment: nothing sent there would be answered.
+        // A link that is closing, or on which a write failed, ends shortly: an attempt sent there would not
+        // be answered.
         let admitted = !state.closed
             && !self.link.is_closing()
             && !state.suspect
@@ -89,12 +97,12 @@
         if admitted {
             state.in_flight.insert(id, attempt.clone());
             state.idle_since = None;
-            state.requests += 1;
+            state.attempts_admitted += 1;
         }
         admitted
     }
 
-    /// Ends an attempt with that result, if it is in flight here.
+    /// Ends an attempt with this result, if it is in flight on this connection.
     pub fn complete(&self, id: RequestId, result: CompletedAttempt) {
         let attempt = {
             let mut state = lock(&self.state);
@@ -102,8 +110,8 @@
             if state.in_flight.is_empty() {
                 state.idle_since = Some(Instant::now());
             }
-            // What was served is over, and of what was retracted nothing was written; anything else may be retried, and
-            // must not meet a second answer.
+            // A served request is finished, and nothing of a retracted one was written. Any other attempt
+            // may be retried, and its second answer must not be taken for the retry's.
             if attempt.is_some() && !matches!(result.ending, Ending::Completed | Ending::Retracted) {
                 state.retired_ids.insert(id, Instant::now());
             }
@@ -114,9 +122,9 @@
         }
     }
 
-    /// Cancels an attempt: a request that has not begun is retracted, for any other the node is notified. An attempt that
-    /// has just ended otherwise keeps that result. `Some`: the node was notified, and the next attempt must not begin
-    /// before so long.
+    /// Cancels an attempt. If nothing of its request was written, the request is retracted; otherwise the
+    /// node is notified. An attempt that has just ended in another way keeps that result. If the node was
+    /// notified, returns how long the next attempt must wait.
     pub fn cancel(&self, id: RequestId, trace: &str, ending: Ending) -> Option<Duration> {
         let started = lock(&self.state).in_flight.get(&id).map(|a| a.started)?;
         if self.link.retract(id.0) {
@@ -127,18 +135,19 @@
             let mut state = lock(&self.state);
             state.suspect |= ending == Ending::TimedOut && state.last_answer.is_none_or(|at| at < started);
         }
-        // An attempt is out until the node is notified of its cancel. Where that can't be written now, ending the
-        // connection does it: the next attempt must not be out beside this one.
-        if self.link.send(resp::cancel(trace), None).is_some_and(|buffered| buffered > 0) {
+        // An attempt counts as in flight until the node is notified of its cancel. If the notification
+        // can't be written now, the end of the connection notifies the node: the next attempt must not be
+        // in flight at the same time.
+        if self.link.send(resp::encode_cancel(trace), None).is_some_and(|buffered| buffered > 0) {
             let _ = self.link.shutdown();
             self.link.close(Reason::Stuck);
         }
         self.complete(id, CompletedAttempt::without_answer(ending));
-        let handshake = lock(&self.state).handshake;
-        Some(cancel_delay(handshake))
+        let handshake_time = lock(&self.state).handshake_time;
+        Some(cancel_delay(handshake_time))
     }
 
-    /// Retracts an attempt whose first byte was not written; whether that was so.
+    /// Retracts an attempt if its first byte was not written; returns whether it was retracted.
     pub fn retract(&self, id: RequestId) -> bool {
         let retracted = self.link.retract(id.0);
         if retracted {
@@ -147,18 +156,18 @@
         retracted
     }
 
-    /// Withdraws all attempts in flight: those that have not begun end.
+    /// Withdraws all attempts in flight; those whose first byte was not written end.
     pub fn withdraw_all(&self) {
         lock(&self.state).in_flight.values().for_each(|attempt| attempt.withdraw());
     }
 
-    /// Ends the attempts that complete answers in the buffer belong to, and consumes these.
+    /// Ends the attempts whose complete answers are in the buffer, and consumes these answers.
     ///
     /// # Errors
-    /// [`Reason::Malformed`]: what came is no answer, and the connection is to end.
+    /// [`Reason::Malformed`]: the bytes are not a valid answer, and the connection is to be closed.
     pub fn read_answers(&self, buffer: &mut Buffer) -> Result<(), Reason> {
         let mut any_complete = false;
-        while let Some((len, answer)) = resp::parse(buffer.data()).map_err(|_| Reason::Malformed)? {
+        while let Some((len, answer)) = resp::parse_answer(buffer.data()).map_err(|_| Reason::Malformed)? {
             let id = RequestId(u64::from_str_radix(answer.id, 16).map_err(|_| Reason::Malformed)?);
             let result = CompletedAttempt::from_answer(&answer).ok_or(Reason::Malformed)?;
             self.check_current_copy(id, &result, &answer)?;
@@ -175,8 +184,11 @@
         Ok(())
     }
 
-    /// A client's copy counts as current only where the node names that very copy: a client that named none has none, and
-    /// an answer with another tag is another client's.
+    /// Checks an answer which says that the client's copy is current: it must name the tag of that copy. A
+    /// client that sent no tag has no copy, and an answer with another tag belongs to another client.
+    ///
+    /// # Errors
+    /// [`Reason::Malformed`]: the answer names no tag or another one.
     fn check_current_copy(
         &self,
         id: RequestId,
@@ -194,56 +206,58 @@
         }
     }
 
-    /// How much it is to be avoided now.
-    pub fn load(&self, now: Instant) -> Load {
+    /// How strongly the connection is to be avoided at `now`.
+    pub fn load(&self, now: Instant) -> ConnectionLoad {
         let state = lock(&self.state);
         let oldest = state.in_flight.values().map(|a| a.started).min();
         let silent_since = oldest.map(|at| state.last_answer.map_or(at, |answer| answer.max(at)));
-        Load {
+        ConnectionLoad {
             unresponsive: silent_since.is_some_and(|at| now.duration_since(at) > UNRESPONSIVE_AFTER),
             in_flight: state.in_flight.len(),
         }
     }
 
-    /// The connection has come up, after so long.
-    pub fn set_handshake(&self, handshake: Duration) {
-        lock(&self.state).handshake = handshake;
+    /// Records that the connection was established, and how long that took.
+    pub fn set_handshake_time(&self, handshake_time: Duration) {
+        lock(&self.state).handshake_time = handshake_time;
     }
 
-    /// Whether an attempt waits for the connection to come up.
-    pub fn is_awaited(&self) -> bool {
+    /// Whether an attempt waits for the connection to be established.
+    pub fn has_waiting_attempts(&self) -> bool {
         !lock(&self.state).in_flight.is_empty() && !self.link.is_closing()
     }
 
-    /// Whether nothing is admitted any more.
+    /// Whether the connection refuses new attempts.
     pub fn is_closed(&self) -> bool {
         lock(&self.state).closed
     }
 
-    /// Whether nothing is in flight.
+    /// Whether no attempt is in flight.
     pub fn is_unused(&self) -> bool {
         lock(&self.state).in_flight.is_empty()
     }
 
-    /// Since when it is idle, if it is and may be closed for that.
+    /// Since when the connection has been idle; `None` if it is in use, was never used, or is already
+    /// closed.
     pub fn closable_since(&self) -> Option<Instant> {
         let state = lock(&self.state);
         state.idle_since.filter(|_| !state.closed && state.in_flight.is_empty())
     }
 
-    /// Attempts admitted so far.
-    pub fn requests(&self) -> u64 {
-        lock(&self.state).requests
+    /// Number of attempts admitted so far.
+    pub fn attempts_admitted(&self) -> u64 {
+        lock(&self.state).attempts_admitted
     }
 
-    /// Admits nothing more and ends at once, for that reason.
+    /// Refuses new attempts and closes the link at once, for this reason.
     pub fn close(&self, reason: Reason) {
         lock(&self.state).closed = true;
         self.link.close(reason);
     }
 
-    /// Periodically: ends attempts whose request has waited `connect_timeout` for its first byte, forgets retired ids, and
-    /// closes the connection if it is of no further use.
+    /// Called periodically. Ends attempts whose request has waited for `connect_timeout` without a byte
+    /// written, drops retired ids after [`LATE_ANSWER_WINDOW`], and closes the connection if it is of no
+    /// further use.
     pub fn sweep(&self, now: Instant, connect_timeout: Duration, idle_timeout: Duration) {
         let stuck = now.checked_sub(connect_timeout).map_or(vec![], |t| self.link.retract_queued_before(t));
         for tag in stuck {
@@ -255,30 +269,31 @@
         }
     }
 
-    /// Why it is of no further use, if so.
+    /// Why the connection is of no further use; `None` if it is still useful.
     fn close_reason(&self, now: Instant, idle_timeout: Duration) -> Option<Reason> {
         let state = lock(&self.state);
         let exceeds = |since: Option<Instant>, limit| since.is_some_and(|at| now.duration_since(at) > limit);
         match () {
-            () if exceeds(state.partial_answer_at, ANSWER_STALL) => Some(Reason::Stalled),
+            () if exceeds(state.partial_answer_at, ANSWER_STALL_TIMEOUT) => Some(Reason::Stalled),
             () if state.suspect && state.in_flight.is_empty() => Some(Reason::Silent),
             () if exceeds(state.idle_since, idle_timeout) => Some(Reason::Idle),
             () => None,
         }
     }
 
-    /// The connection has ended: each attempt in flight on it ends. One whose request was not written completely has not
-    /// run, and ends as `unwritten_ending`. Yields.
+    /// Ends all attempts in flight after the connection has ended. An attempt whose request was not written
+    /// completely has not run, and ends as `unwritten_ending`. Yields.
     pub fn terminate(&self, unwritten_ending: Ending) {
         let unwritten = self.link.terminate();
         let delay = {
             let mut state = lock(&self.state);
             state.closed = true;
-            let came_up_in_use = !state.in_flight.is_empty() && !state.handshake.is_zero();
-            came_up_in_use.then(|| cancel_delay(state.handshake))
+            let established_in_use = !state.in_flight.is_empty() && !state.handshake_time.is_zero();
+            established_in_use.then(|| cancel_delay(state.handshake_time))
         };
-        // The node cancels what is in flight here when it sees the end, be it of this close or of a reset on the way: the
-        // next attempt, over another connection, must not be there before.
+        // The node cancels the attempts on this connection when it sees the connection's end, whether from
+        // this close or from a reset on the network path. The next attempt, over another connection, must
+        // not arrive before that.
         if let Some(delay) = delay {
             sleep::sleep(delay);
         }
@@ -289,7 +304,7 @@
         }
     }
 
-    /// Makes it look as if an answer had come at that time.
+    /// Sets the time of the last complete answer, for tests.
     #[cfg(test)]
     pub fn set_last_answer(&self, at: Instant) {
         lock(&self.state).last_answer = Some(at);
--- a/crates/front/src/upstream/connection/tests.rs
+++ b/crates/front/src/upstream/connection/tests.rs
@@ -1,66 +1,77 @@
 use super::*;
-use crate::upstream::test_support::{attempt, AlwaysAllowed};
+use crate::upstream::test_support::{first_attempt, AlwaysAllowed};
 use may::net::TcpStream;
 
-/// Guards a request that is retried against a duplicate of the answer that caused the retry: the duplicate ended the next
-/// attempt, on the same connection.
+/// Guards against a duplicate answer: the second copy of an answer that had caused a retry ended the retry,
+/// which used the same connection.
 #[test]
-fn an_id_that_was_answered_is_not_used_again_on_its_connection() {
+fn an_answered_id_is_not_admitted_again_on_the_same_connection() {
     let connection = Connection::default();
-    let in_flight = Arc::new(InFlightAttempt::new(&attempt(0), None, Arc::new(AlwaysAllowed)));
+    let in_flight = Arc::new(InFlightAttempt::new(&first_attempt(0), None, Arc::new(AlwaysAllowed)));
     let ids = [Ending::LookupMiss, Ending::Saturated, Ending::Errored].map(|e| (RequestId(e as u64), e));
     for (id, ending) in ids {
         assert!(connection.admit(id, &in_flight, 32));
         connection.complete(id, CompletedAttempt::without_answer(ending));
-        assert!(!connection.admit(id, &in_flight, 32), "{ending:?}");
+        assert!(
+            !connection.admit(id, &in_flight, 32),
+            "an id that ended as {ending:?} is not admitted again"
+        );
     }
     assert!(connection.admit(RequestId(99), &in_flight, 32));
 }
 
-/// Guards an attempt against a connection that is to close and has not closed yet: it admitted the attempt and sent nothing.
+/// Guards against losing an attempt: a connection that was to be closed but was not closed yet admitted one
+/// and never sent it.
 #[test]
-fn a_connection_that_is_to_close_admits_nothing_new() {
+fn a_closing_connection_admits_no_new_attempts() {
     let connection = Connection::default();
-    let in_flight = Arc::new(InFlightAttempt::new(&attempt(0), None, Arc::new(AlwaysAllowed)));
+    let in_flight = Arc::new(InFlightAttempt::new(&first_attempt(0), None, Arc::new(AlwaysAllowed)));
     assert!(connection.admit(RequestId(1), &in_flight, 32));
     connection.link.close(Reason::Stuck);
     assert!(!connection.admit(RequestId(2), &in_flight, 32));
 }
 
-/// What was written in part never arrived complete, so it never ran; what was written completely may have.
+/// A request that was written in part never arrived complete, so it did not run; one that was written
+/// completely may have run.
 #[test]
-fn a_partially_written_request_never_ran() {
-    let (listener, connection) =
-        (std::net::TcpListener::bind("127.0.0.1:0").expect("a port"), Connection::default());
-    let addr = listener.local_addr().expect("bound");
+fn a_partially_written_request_is_retracted_when_its_connection_ends() {
+    let (listener, connection) = (
+        std::net::TcpListener::bind("127.0.0.1:0").expect("an ephemeral port can be bound"),
+        Connection::default(),
+    );
+    let addr = listener.local_addr().expect("the listener has an address");
     let done = may::go!(move || {
-        connection.link.attach(TcpStream::connect(addr).expect("it listens"));
+        connection.link.attach(TcpStream::connect(addr).expect("the listener accepts connections"));
         let attempts = [1, 2].map(|n| {
-            (RequestId(n), Arc::new(InFlightAttempt::new(&attempt(0), None, Arc::new(AlwaysAllowed))))
+            (RequestId(n), Arc::new(InFlightAttempt::new(&first_attempt(0), None, Arc::new(AlwaysAllowed))))
         });
         for (id, in_flight) in &attempts {
             connection.admit(*id, in_flight, 32);
         }
         connection.link.send(b"complete".to_vec(), Some(1));
-        // More than the sockets on the way hold.
+        // More bytes than the socket buffers on the way can store.
         connection.link.send(vec![b'x'; 64 << 20], Some(2));
         connection.terminate(Ending::Retracted);
         attempts.map(|(_, in_flight)| in_flight.take_result().map(|e| e.ending))
     });
-    let ends = done.join().expect("no panic");
+    let ends = done.join().expect("the coroutine does not panic");
     assert_eq!(ends, [Some(Ending::ConnectionLost), Some(Ending::Retracted)]);
 }
 
-/// The node sees a connection's end as late as a cancel. The attempts on it ended at once, and the next was out beside the first (seen on a short day: 'not given up .., sent 0.553 s before').
+/// A node sees the end of a connection no sooner than a cancel. Attempts on a lost connection used to end
+/// at once, so the next attempt was in flight beside the first; in one run the first had been sent 0.553 s
+/// before and was not given up yet.
 #[test]
-fn attempts_on_a_broken_connection_end_once_the_node_can_know() {
-    let (listener, connection) =
-        (std::net::TcpListener::bind("127.0.0.1:0").expect("a port"), Connection::default());
-    let addr = listener.local_addr().expect("bound");
+fn attempts_on_a_lost_connection_end_only_after_the_cancel_delay() {
+    let (listener, connection) = (
+        std::net::TcpListener::bind("127.0.0.1:0").expect("an ephemeral port can be bound"),
+        Connection::default(),
+    );
+    let addr = listener.local_addr().expect("the listener has an address");
     let done = may::go!(move || {
-        connection.link.attach(TcpStream::connect(addr).expect("it listens"));
-        connection.set_handshake(Duration::from_millis(3));
-        let in_flight = Arc::new(InFlightAttempt::new(&attempt(1), None, Arc::new(AlwaysAllowed)));
+        connection.link.attach(TcpStream::connect(addr).expect("the listener accepts connections"));
+        connection.set_handshake_time(Duration::from_millis(3));
+        let in_flight = Arc::new(InFlightAttempt::new(&first_attempt(1), None, Arc::new(AlwaysAllowed)));
         connection.admit(RequestId(1), &in_flight, 32);
         connection.link.send(b"complete".to_vec(), Some(1));
         let started = Instant::now();
@@ -68,7 +79,10 @@
         let (waited, ended) = (started.elapsed(), in_flight.take_result().map(|e| e.ending));
         (waited, ended, connection.admit(RequestId(2), &in_flight, 32))
     });
-    let (waited, ended, takes_more) = done.join().expect("no panic");
-    assert!(waited >= Duration::from_millis(3), "ended after {waited:?}");
-    assert_eq!((ended, takes_more), (Some(Ending::ConnectionLost), false));
+    let (waited, ended, admits_more) = done.join().expect("the coroutine does not panic");
+    assert!(
+        waited >= Duration::from_millis(3),
+        "the attempt ended after {waited:?}, before the cancel delay of 3 ms"
+    );
+    assert_eq!((ended, admits_more), (Some(Ending::ConnectionLost), false));
 }
--- a/crates/front/src/upstream/connection_pool.rs
+++ b/crates/front/src/upstream/connection_pool.rs
@@ -1,8 +1,9 @@
-//! The connections to cache nodes, parents and the origin: few for each, many attempts on one.
+//! The connections to cache nodes, parents and the origin: a few for each node, each shared by many
+//! attempts.
 //!
-//! An attempt's coroutine makes it with [`ConnectionPool::execute`] and waits there for its result; each connection has a
-//! coroutine of its own (`dialer.rs`). Only `execute` yields, and no lock is held across that. Locks are taken in the
-//! order nodes, connection state, link.
+//! An attempt's coroutine sends it with [`ConnectionPool::execute`] and waits there for its result; each
+//! connection has a coroutine of its own (`dialer.rs`). Only `execute` yields, and no lock is held across a
+//! yield. Locks are taken in this order: nodes, connection state, link.
 
 use crate::invariants::{Invariant, Invariants};
 use crate::log::Reason;
@@ -10,7 +11,7 @@
 use crate::sleep;
 use crate::sync::lock;
 use crate::upstream::completed_attempt::CompletedAttempt;
-use crate::upstream::connection::{Connection, Load};
+use crate::upstream::connection::{Connection, ConnectionLoad};
 use crate::upstream::dialer::Dialer;
 use crate::upstream::in_flight_attempt::InFlightAttempt;
 use crate::upstream::pending_attempt::{AttemptTimes, PendingAttempt};
@@ -22,39 +23,39 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Part of the time after which a node closes an idle connection: closed by the front before that, no request crosses the
-/// close.
-const IDLE_FRACTION: f64 = 0.6;
-/// A connection takes so many attempts before another is made, while there may be more connections: a connection that
-/// fails ends all attempts that share it.
-const PREFERRED_STREAMS: usize = 2;
+/// The front closes an idle connection after this fraction of the time after which the node closes it, so
+/// that no request is sent while the node closes the connection.
+const IDLE_CLOSE_FRACTION: f64 = 0.6;
+/// Attempts that share a connection before another connection is opened, as long as more are allowed: a
+/// connection that fails ends all attempts that share it.
+const PREFERRED_ATTEMPTS_PER_CONNECTION: usize = 2;
 
-/// Limits of the deployment.
+/// Connection limits of the deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Attempts in flight on one connection.
+    /// Maximum number of attempts in flight on one connection.
     pub streams: usize,
-    /// A connection that is not up by then was refused.
+    /// A connection that is not established within this time counts as refused.
     pub connect_timeout: Duration,
-    /// Nodes close a connection that is idle for so long.
+    /// How long a connection may be idle before the nodes close it.
     pub idle: Duration,
-    /// Connections to all nodes together.
+    /// Maximum number of connections to all nodes together.
     pub connections: usize,
 }
 
-/// A node's own time-outs; `None`: those of the deployment.
+/// Timeouts of a single node; `None`: the deployment's value applies.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Timeouts {
-    /// A connection that is not up by then was refused.
+    /// A connection that is not established within this time counts as refused.
     pub connect: Option<Duration>,
-    /// The node closes a connection that is idle for so long.
+    /// How long a connection may be idle before the node closes it.
     pub idle: Option<Duration>,
 }
 
 /// A node and the connections to it.
 struct NodeConnections {
     addr: SocketAddr,
-    /// When the node's process started, in milliseconds of the module's clock.
+    /// When the node's process started, in milliseconds on the module's clock.
     started_ms: f64,
     connections: Vec<Arc<Connection>>,
     timeouts: Timeouts,
@@ -64,9 +65,10 @@
 pub struct ConnectionPool {
     limits: ConnectionLimits,
     nodes: Mutex<HashMap<CacheId, NodeConnections>>,
-    /// Connections to nodes that were removed or replaced; closed once nothing is in flight on them.
+    /// Connections to nodes that were removed or replaced. Each is closed once no attempt is in flight on
+    /// it.
     retired: Mutex<Vec<Arc<Connection>>>,
-    /// By the request: it has one attempt in flight at a time.
+    /// The attempt in flight of each request; a request has only one at a time.
     attempts: Mutex<HashMap<RequestId, Arc<InFlightAttempt>>>,
     open_connections: Arc<AtomicUsize>,
     invariants: Arc<Invariants>,
@@ -74,7 +76,7 @@
 }
 
 impl ConnectionPool {
-    /// A pool that knows no node yet.
+    /// Creates a pool that knows no nodes yet.
     pub fn new(
         limits: ConnectionLimits,
         invariants: Arc<Invariants>,
@@ -91,7 +93,8 @@
         }
     }
 
-    /// A node is at that address. A new address or start is a new process: the old connections are not used again.
+    /// Adds a node at this address. A new address or start time means a new process: the old connections
+    /// are not used again.
     pub fn add_node(&self, id: CacheId, addr: SocketAddr, started_ms: f64) {
         let replaced = {
             let mut nodes = lock(&self.nodes);
@@ -106,39 +109,42 @@
         self.retire(replaced);
     }
 
-    /// Sets a node's own time-outs, from its next connection on; does nothing for a node that is not known.
+    /// Sets a node's own timeouts. The connect timeout applies from the node's next connection on. Does
+    /// nothing if the node is not known.
     pub fn set_timeouts(&self, id: &CacheId, timeouts: Timeouts) {
         if let Some(node) = lock(&self.nodes).get_mut(id) {
             node.timeouts = timeouts;
         }
     }
 
-    /// A node has departed; its address may belong to another from now on.
+    /// Removes a node that has departed; another node may get its address from now on.
     pub fn remove_node(&self, id: &CacheId) {
         let removed = lock(&self.nodes).remove(id);
-        self.drain_nodes(std::slice::from_ref(id));
+        self.withdraw_attempts_of_nodes(std::slice::from_ref(id));
         self.retire(removed);
     }
 
-    /// Removes all nodes but these.
+    /// Removes all nodes except these.
     pub fn retain_nodes(&self, ids: &[CacheId]) {
         let departed: Vec<CacheId> = lock(&self.nodes).keys().filter(|k| !ids.contains(k)).cloned().collect();
         departed.iter().for_each(|id| self.remove_node(id));
     }
 
-    /// Takes a node's connections out of use: each is closed once nothing is in flight on it.
+    /// Takes a node's connections out of use. Each is closed once no attempt is in flight on it.
     fn retire(&self, node: Option<NodeConnections>) {
         let connections: Vec<Arc<Connection>> = node.into_iter().flat_map(|n| n.connections).collect();
-        // What waits there for its connection would come to whoever has the address by then.
+        // An attempt that still waits for its connection would reach whichever process has the address by
+        // then.
         for connection in &connections {
             connection.withdraw_all();
         }
         lock(&self.retired).extend(connections);
     }
 
-    /// Those nodes drain: attempts that are to go there, or to be filled from there, and have not begun are withdrawn.
-    /// Guards the grace for draining nodes, which counts to a request's first byte, against connections that come up late.
-    pub fn drain_nodes(&self, ids: &[CacheId]) {
+    /// Withdraws the attempts that go to these draining nodes, or are filled from them, and were not sent
+    /// yet. The grace period of a draining node counts to a request's first byte, and a connection may be
+    /// established only after it.
+    pub fn withdraw_attempts_of_nodes(&self, ids: &[CacheId]) {
         for attempt in lock(&self.attempts).values() {
             if ids.iter().any(|id| *id == attempt.cache || Some(id) == attempt.source.as_ref()) {
                 attempt.withdraw();
@@ -146,28 +152,31 @@
         }
     }
 
-    /// Withdraws the request's attempt if it has not begun: nobody waits for it any more, or it was decided on before a
-    /// purge of what it requests. One that has begun is the module's to cancel.
+    /// Withdraws the request's attempt if it was not sent yet, because no client waits for it any more or
+    /// because what it requests was purged after the attempt was chosen. The decision module cancels an
+    /// attempt that was sent.
     pub fn withdraw(&self, id: RequestId) {
         if let Some(attempt) = lock(&self.attempts).get(&id) {
             attempt.withdraw();
         }
     }
 
-    /// Wakes an attempt that was cancelled.
-    pub fn cancel(&self, id: RequestId, number: u32) {
+    /// Wakes the coroutine of a cancelled attempt, so that it notices the cancel; `number` is the attempt's
+    /// number in its request.
+    pub fn wake_cancelled(&self, id: RequestId, number: u32) {
         if let Some(attempt) = lock(&self.attempts).get(&id).filter(|a| a.number == number) {
             attempt.blocker.unpark();
         }
     }
 
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub fn attempts_in_flight(&self) -> usize {
         lock(&self.attempts).len()
     }
 
-    /// Makes an attempt and waits for its result, within `times`; `trace` names its request at the node, `client_tag` the
-    /// client's own copy. An attempt that still waits, and may not begin any more when it could, is not made. Yields.
+    /// Sends an attempt and waits for its result, within `times`. `trace` identifies its request at the
+    /// node, and `client_tag` is the tag of the client's own copy. An attempt that is no longer allowed by
+    /// the time it could be sent is not sent. Yields.
     pub fn execute(
         &self,
         attempt: &Attempt,
@@ -179,7 +188,7 @@
         let in_flight = Arc::new(InFlightAttempt::new(attempt, client_tag, pending));
         let other = lock(&self.attempts).insert(attempt.id, in_flight.clone());
         self.invariants.check(Invariant::OneAttempt, other.is_none(), || {
-            format!("trace={trace} n={} while another is out", attempt.number)
+            format!("trace={trace} n={}: another attempt of the same request is in flight", attempt.number)
         });
         let result = self.send_and_wait(attempt, &in_flight, trace, times);
         lock(&self.attempts).remove(&attempt.id);
@@ -191,7 +200,7 @@
         }
     }
 
-    /// Sends the attempt over a connection, if it may still begin, and waits for its result. Yields.
+    /// Sends the attempt over a connection, if it may still be sent, and waits for its result. Yields.
     fn send_and_wait(
         &self,
         attempt: &Attempt,
@@ -200,7 +209,7 @@
         mut times: AttemptTimes,
     ) -> CompletedAttempt {
         let now = Instant::now();
-        if let Err(denied) = in_flight.pending.check(now) {
+        if let Err(denied) = in_flight.pending.check_may_send(now) {
             self.reason_counts.add(Kind::Denied, denied.name());
             return CompletedAttempt::without_answer(denied.ending());
         }
@@ -208,7 +217,7 @@
             Ok(connection) => connection,
             Err(ending) => return CompletedAttempt::without_answer(ending),
         };
-        let bytes = in_flight.pending.bytes(now);
+        let bytes = in_flight.pending.encode(now);
         if connection.link.send_gated(bytes, attempt.id.0, in_flight.clone()).is_none() {
             connection.complete(attempt.id, CompletedAttempt::without_answer(Ending::Retracted));
         }
@@ -216,13 +225,14 @@
             if let Some(result) = in_flight.take_result() {
                 return result;
             }
-            self.advance(attempt, in_flight, &connection, trace, &mut times);
+            self.end_or_wait(attempt, in_flight, &connection, trace, &mut times);
         }
     }
 
-    /// One step of an attempt that has no result: ends it if it was denied, withdrawn, cancelled or has timed out, or waits
-    /// until it is woken or the next of these is due.
-    fn advance(
+    /// One step of an attempt that has no result yet. Ends the attempt if it was denied, withdrawn or
+    /// cancelled or has timed out; otherwise waits until it is woken or the next of its times is reached.
+    /// Yields.
+    fn end_or_wait(
         &self,
         attempt: &Attempt,
         in_flight: &InFlightAttempt,
@@ -237,7 +247,8 @@
         }
         let now = Instant::now();
         let remaining = times.deadline.saturating_duration_since(now);
-        // Whether it has begun is looked at once: what has begun goes on.
+        // Whether the attempt begins too late is checked only once: one whose first byte was written by
+        // then continues.
         let begins_late = times.begin_by.take_if(|by| now >= *by).is_some();
         let withdrawn = in_flight.take_withdrawal();
         if (withdrawn || begins_late) && connection.retract(attempt.id) {
@@ -257,11 +268,12 @@
         }
     }
 
-    /// Admits the attempt to a connection, be it one that is still coming up: one that few share and that is responsive, or
-    /// a new one while there may be more, or the one that fewest share.
+    /// Admits the attempt to a connection, which may still have to be established. Prefers a responsive
+    /// connection with few attempts, then a new connection as long as more are allowed, then the connection
+    /// with the fewest attempts.
     ///
     /// # Errors
-    /// How the attempt ends: its node is not known, or no connection can be had.
+    /// How the attempt ends: its node is not known, or no connection is available.
     fn checkout(
         &self,
         attempt: &Attempt,
@@ -273,12 +285,12 @@
         let node = nodes.get_mut(&attempt.cache).ok_or(Ending::ConnectionRefused)?;
         node.connections.retain(|c| !c.is_closed());
         let now = Instant::now();
-        let mut by_load: Vec<(Load, &Arc<Connection>)> =
+        let mut by_load: Vec<(ConnectionLoad, &Arc<Connection>)> =
             node.connections.iter().map(|c| (c.load(now), c)).collect();
         let preferred = by_load.iter().find(|(load, c)| {
             !load.unresponsive
-                && load.in_flight < PREFERRED_STREAMS
-                && c.admit(attempt.id, in_flight, PREFERRED_STREAMS)
+                && load.in_flight < PREFERRED_ATTEMPTS_PER_CONNECTION
+                && c.admit(attempt.id, in_flight, PREFERRED_ATTEMPTS_PER_CONNECTION)
         });
         if let Some((_, connection)) = preferred {
             return Ok((*connection).clone());
@@ -292,14 +304,14 @@
             }
         }
         if full && !close_longest_idle(&nodes) {
-            // The front's own limit: nothing to hold against the node.
+            // The front's own limit is reached, which does not count against the node.
             return Err(Ending::Retracted);
         }
         let node = nodes.get_mut(&attempt.cache).ok_or(Ending::ConnectionRefused)?;
         Ok(self.open_connection(node, attempt, in_flight))
     }
 
-    /// A new connection to the node, which is dialled beside the caller, with the attempt admitted.
+    /// Creates a connection to the node with the attempt admitted, and dials it on a coroutine of its own.
     fn open_connection(
         &self,
         node: &mut NodeConnections,
@@ -322,13 +334,14 @@
         connection
     }
 
-    /// Periodically: closes connections that are idle, of no further use or retired, and ends attempts that a stuck
-    /// connection has not begun to write in the time that a new one may take. Guards the grace for draining nodes, which
-    /// counts to a request's first byte.
+    /// Called periodically. Closes connections that are idle, of no further use or retired, and ends
+    /// attempts whose request a stuck connection has not begun to write within the connect timeout.
+    /// Otherwise such a request could be sent after the grace period of a draining node, which counts to
+    /// the first byte.
     pub fn sweep(&self) {
         let now = Instant::now();
         let idle_timeout =
-            |n: &NodeConnections| n.timeouts.idle.unwrap_or(self.limits.idle).mul_f64(IDLE_FRACTION);
+            |n: &NodeConnections| n.timeouts.idle.unwrap_or(self.limits.idle).mul_f64(IDLE_CLOSE_FRACTION);
         let connections: Vec<(Arc<Connection>, Duration)> = lock(&self.nodes)
             .values()
             .flat_map(|n| n.connections.iter().map(move |c| (c.clone(), idle_timeout(n))))
@@ -346,7 +359,8 @@
     }
 }
 
-/// Closes the connection that has been idle for longest, so that another may be made; whether there is one.
+/// Closes the connection that has been idle longest, so that another may be opened; returns whether there
+/// was one.
 fn close_longest_idle(nodes: &HashMap<CacheId, NodeConnections>) -> bool {
     let connections = nodes.values().flat_map(|node| &node.connections);
     let idle = connections.filter_map(|c| c.closable_since().map(|since| (since, c)));
--- a/crates/front/src/upstream/dialer.rs
+++ b/crates/front/src/upstream/dialer.rs
@@ -1,4 +1,4 @@
-//! Brings a connection up on a coroutine of its own and serves it until it ends.
+//! Establishes a connection on its own coroutine and serves it until it ends.
 
 use crate::failure::{retry_with_backoff, Failure};
 use crate::log::Reason;
@@ -14,39 +14,39 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A connection is given at least so long to come up.
+/// Minimum timeout of a single connect call, however little of the connect timeout is left.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// A connection that is to be dialled and served.
+/// A connection that is to be established and served.
 pub(super) struct Dialer {
-    /// The node, for the log.
+    /// The node's id, for the log.
     pub node: CacheId,
-    /// Where it is.
+    /// The node's address.
     pub addr: SocketAddr,
-    /// The connection is up within this, or was refused.
+    /// A connection that is not established within this time counts as refused.
     pub connect_timeout: Duration,
-    /// The connection, which attempts may have been admitted to already.
+    /// The connection; attempts may have been admitted to it already.
     pub connection: Arc<Connection>,
-    /// Connections in use; this one is given back when it has ended.
+    /// Number of connections in use, over all nodes; decremented when this connection has ended.
     pub open_connections: Arc<AtomicUsize>,
-    /// Counts why it ended.
+    /// Counts connections that ended, by reason.
     pub reason_counts: Arc<ReasonCounts>,
 }
 
-/// Why a connection ended, and what becomes of an attempt on it that was not written completely.
+/// Why a connection ended, and how an attempt ends whose request was not written completely on it.
 struct ConnectionEnd {
     reason: Reason,
     unwritten_ending: Ending,
 }
 
 impl Dialer {
-    /// Starts the connection's coroutine; does not yield.
+    /// Starts the coroutine that serves the connection. Does not yield.
     pub fn spawn(self) {
         spawn(move || self.run());
     }
 
-    /// Dials and serves the connection. A defect costs this connection alone: its attempts end, and it no longer
-    /// counts.
+    /// Dials and serves the connection. A panic ends only this connection: its attempts end, and it no
+    /// longer counts as open.
     fn run(&self) {
         let end = catch_unwind(AssertUnwindSafe(|| self.serve()));
         let defect = ConnectionEnd { reason: Reason::Defect, unwritten_ending: Ending::Retracted };
@@ -54,25 +54,26 @@
         self.connection.terminate(unwritten_ending);
         self.open_connections.fetch_sub(1, Ordering::Relaxed);
         self.reason_counts.add(Kind::UpstreamClosed, reason.code());
-        let (node, addr, requests) = (&self.node.0, self.addr, self.connection.requests());
-        tracing::info!(kind = %"upstream", %node, %addr, reason = %reason.code(), asked = requests, "end");
+        let (node, addr, attempts) = (&self.node.0, self.addr, self.connection.attempts_admitted());
+        tracing::info!(kind = %"upstream", %node, %addr, reason = %reason.code(), asked = attempts, "end");
     }
 
-    /// Brings the connection up and reads its answers until it ends.
+    /// Establishes the connection and reads answers from it until it ends.
     fn serve(&self) -> ConnectionEnd {
         let stream = match self.dial() {
             Ok(stream) => stream,
-            Err(e) => return ConnectionEnd::of_dial_error(&e),
+            Err(e) => return ConnectionEnd::from_dial_error(&e),
         };
         self.connection.link.attach(stream);
         let reason = self.connection.link.run(|buffer| self.connection.read_answers(buffer), |_| false);
         ConnectionEnd { reason, unwritten_ending: Ending::Retracted }
     }
 
-    /// Connects, again for a while where this machine lacks something and an attempt still waits.
+    /// Connects to the node. Retries within the connect timeout while this machine lacks a resource and an
+    /// attempt still waits.
     fn dial(&self) -> io::Result<TcpStream> {
         let retry = |e: &io::Error| {
-            let awaited = self.connection.is_awaited();
+            let awaited = self.connection.has_waiting_attempts();
             e.kind() != ErrorKind::TimedOut && Failure::of(e).is_transient() && awaited
         };
         let (stream, handshake) = retry_with_backoff(self.connect_timeout, retry, |remaining| {
@@ -80,14 +81,15 @@
             let stream = TcpStream::connect_timeout(&self.addr, remaining.max(MIN_CONNECT_TIMEOUT))?;
             Ok((stream, started.elapsed()))
         })?;
-        self.connection.set_handshake(handshake);
+        self.connection.set_handshake_time(handshake);
         Ok(stream)
     }
 }
 
 impl ConnectionEnd {
-    /// Where the connection did not come up. What this front lacks is not held against the node.
-    fn of_dial_error(e: &io::Error) -> ConnectionEnd {
+    /// The end of a connection that could not be established. A resource that this front lacks does not
+    /// count against the node.
+    fn from_dial_error(e: &io::Error) -> ConnectionEnd {
         if e.kind() == ErrorKind::TimedOut {
             return ConnectionEnd {
                 reason: Reason::ConnectTimeout,
--- a/crates/front/src/upstream/dispatch_queue.rs
+++ b/crates/front/src/upstream/dispatch_queue.rs
@@ -1,5 +1,5 @@
-//! One pool's way through the front: the pool, the decision module behind it, and the endpoint list that the pool passes
-//! on to the module. A front without a site document has a single queue without a pool.
+//! The dispatch queue of one pool: the pool, the decision module behind it, and the endpoint list that the
+//! pool passes on to the module. A front without a site document has a single queue without a pool.
 
 use crate::clock::Clock;
 use crate::dispatch_host::DispatchHost;
@@ -17,47 +17,48 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A queued request looks again after so long, should a wake be lost.
-const QUEUE_POLL: Duration = Duration::from_millis(500);
+/// How often a queued request checks for a verdict, in case a wake-up was lost.
+const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the pool decided on a queued request.
+/// The pool's decision on a queued request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Verdict {
     Admitted,
     Rejected,
 }
 
-/// Where a request waits for a permit.
+/// A request that waits for a permit.
 struct QueuedRequest {
     blocker: Arc<Blocker>,
     verdict: Mutex<Option<Verdict>>,
 }
 
-/// A pool and what the decision module was notified of it.
+/// A pool, and what its queue has published to the decision module.
 struct PoolState {
     pool: Pool,
-    /// What was published last, by id.
+    /// Endpoints as they were published last, by id.
     endpoints: BTreeMap<Arc<str>, Endpoint>,
-    /// The mean of the pool's weights: weights are relative, the module's are links.
+    /// Mean weight of the pool's members: pool weights are relative, the decision module's weights are link
+    /// bandwidths.
     mean_weight: f64,
-    /// Requests without a verdict, by number.
+    /// Requests without a verdict, by request number.
     queued: HashMap<u64, Arc<QueuedRequest>>,
 }
 
-/// One pool's way through the front.
+/// The dispatch queue of one pool.
 pub struct DispatchQueue {
-    /// The pool's name; empty: there are no pools.
+    /// The pool's name; empty if the front has no pools.
     pub name: String,
-    /// The decisions.
+    /// Decides where the queue's requests are sent.
     pub dispatcher: Dispatcher<DispatchHost>,
-    /// `None`: there are no pools. The lock is held until the module has the pool's endpoints, so that two changes reach it
-    /// in their order; never across a yield.
+    /// State of the pool; `None` if the front has no pools. The lock is held until the decision module has
+    /// the pool's endpoints, so that two changes reach it in their order; it is never held across a yield.
     state: Option<Mutex<PoolState>>,
     answer_timeouts: ArcSwap<AnswerTimeouts>,
 }
 
 impl DispatchQueue {
-    /// The queue of the pool that `make_pool` makes of this specification.
+    /// Creates the queue of the pool that `make_pool` creates from this specification.
     pub(super) fn with_pool(
         spec: Spec,
         make_pool: impl FnOnce(Spec) -> Pool,
@@ -76,19 +77,19 @@
         }
     }
 
-    /// The only queue of a front without pools.
+    /// Creates the only queue of a front without pools.
     pub(super) fn without_pool(dispatcher: Dispatcher<DispatchHost>) -> DispatchQueue {
         DispatchQueue { name: String::new(), dispatcher, state: None, answer_timeouts: ArcSwap::default() }
     }
 
-    /// Whether a pool stands before the decisions.
+    /// Whether the queue has a pool.
     pub fn has_pool(&self) -> bool {
         self.state.is_some()
     }
 
-    /// Feeds the pool, if there is one, and carries out its actions; those that are the caller's to see are returned. Does
-    /// not yield.
-    pub(super) fn feed(&self, clock: &Clock, event: Event) -> Vec<Action> {
+    /// Passes an event to the pool, if there is one, and carries out the pool's actions. Returns those that
+    /// answer a retry request, which the caller has to handle. Does not yield.
+    pub(super) fn handle_event(&self, clock: &Clock, event: Event) -> Vec<Action> {
         let Some(state) = &self.state else { return Vec::new() };
         let mut state = lock(state);
         let state = &mut *state;
@@ -100,11 +101,11 @@
                 false
             }
             Action::Admit { request } => {
-                state.decide(*request, Verdict::Admitted);
+                state.set_verdict(*request, Verdict::Admitted);
                 false
             }
             Action::Reject { request, .. } => {
-                state.decide(*request, Verdict::Rejected);
+                state.set_verdict(*request, Verdict::Rejected);
                 false
             }
             Action::Retry { .. } | Action::RetryDenied { .. } => true,
@@ -114,7 +115,10 @@
 
     /// Passes changed endpoints on to the decision module.
     fn publish(&self, clock: &Clock, state: &mut PoolState, changed: &[Endpoint]) {
-        let entries = changed.iter().map(|e| self.dispatcher.host().entry(e, state.mean_weight)).collect();
+        let entries = changed
+            .iter()
+            .map(|e| self.dispatcher.host().endpoint_list_entry(e, state.mean_weight))
+            .collect();
         self.dispatcher.update_endpoints(clock.now(), ListKind::Delta, entries);
         for endpoint in changed {
             state.endpoints.insert(endpoint.id.clone(), endpoint.clone());
@@ -122,7 +126,7 @@
         state.endpoints.retain(|_, e| e.phase != Phase::OutOfService);
     }
 
-    /// Applies a changed specification of the pool.
+    /// Applies a changed specification of the pool and its answer timeouts.
     pub(super) fn reconfigure(&self, clock: &Clock, spec: Spec, answer_timeouts: AnswerTimeouts) {
         self.answer_timeouts.store(Arc::new(answer_timeouts));
         let Some(state) = &self.state else { return };
@@ -133,33 +137,36 @@
             state.mean_weight = mean_weight;
             changed
         };
-        self.feed(clock, Event::Reconfigured(spec));
+        self.handle_event(clock, Event::Reconfigured(spec));
         if mean_changed {
-            // All links are others now, also those of members that did not change.
+            // All published weights depend on the mean weight, including those of members that did not
+            // change.
             let mut state = lock(state);
             let all: Vec<Endpoint> = state.endpoints.values().cloned().collect();
             self.publish(clock, &mut state, &all);
         }
     }
 
-    /// Takes a permit of the pool, waiting for one if the pool queues the request, until `wait_until_ms` of the module's
-    /// clock; `None`: it is rejected, or its caller has disconnected. Yields.
+    /// Takes a permit from the pool. If the pool queues the request, waits for the permit until
+    /// `wait_until_ms` on the module's clock. Returns `None` if the request is rejected or its client has
+    /// disconnected. Yields.
     pub fn acquire(
         self: &Arc<DispatchQueue>,
         clock: &Clock,
         wait_until_ms: f64,
         caller: &Caller,
     ) -> Option<Permit> {
-        static NUMBERS: AtomicU64 = AtomicU64::new(0);
-        let number = NUMBERS.fetch_add(1, Ordering::Relaxed);
+        static NEXT_REQUEST_NUMBER: AtomicU64 = AtomicU64::new(0);
+        let number = NEXT_REQUEST_NUMBER.fetch_add(1, Ordering::Relaxed);
         let permit = Permit { queue: self.clone(), number, clock: *clock };
         let Some(state) = &self.state else { return Some(permit) };
         let request = Arc::new(QueuedRequest { blocker: Blocker::current(), verdict: Mutex::default() });
         lock(state).queued.insert(number, request.clone());
-        caller.set_queued_on(request.blocker.clone());
-        self.feed(clock, Event::Arrived { request: number, wait_until_ms });
+        caller.set_queue_blocker(request.blocker.clone());
+        self.handle_event(clock, Event::Arrived { request: number, wait_until_ms });
         loop {
-            // Its position in the queue is free with that: others would wait behind a request that nobody waits for.
+            // Dropping the permit frees the position in the queue: otherwise others would wait behind a
+            // request that no client waits for.
             if caller.is_disconnected() {
                 lock(state).queued.remove(&number);
                 return None;
@@ -168,21 +175,22 @@
             if let Some(verdict) = verdict {
                 return (verdict == Verdict::Admitted).then_some(permit);
             }
-            sleep::park(&request.blocker, QUEUE_POLL);
+            sleep::park(&request.blocker, QUEUE_POLL_INTERVAL);
         }
     }
 
-    /// Requests that wait for a permit.
+    /// Number of requests that wait for a permit.
     pub fn queued_requests(&self) -> usize {
         self.state.as_ref().map_or(0, |state| lock(state).queued.len())
     }
 
-    /// Runs the timers that are due, of the pool and of the decisions; when the next is, if any, on the module's clock.
+    /// Runs the due timers of the pool and of the decision module. Returns when the next timer is due, in
+    /// milliseconds on the module's clock; `None` if there is none.
     pub fn tick(&self, clock: &Clock) -> Option<f64> {
         let pool_wake_ms = self.state.as_ref().and_then(|state| {
             let due = lock(state).pool.wake_at();
             if due.is_some_and(|at| at <= clock.now()) {
-                self.feed(clock, Event::Tick);
+                self.handle_event(clock, Event::Tick);
             }
             lock(state).pool.wake_at()
         });
@@ -191,8 +199,8 @@
 }
 
 impl PoolState {
-    /// Gives a queued request its verdict and wakes it.
-    fn decide(&mut self, number: u64, verdict: Verdict) {
+    /// Stores the verdict on a queued request and wakes the request.
+    fn set_verdict(&mut self, number: u64, verdict: Verdict) {
         if let Some(request) = self.queued.remove(&number) {
             *lock(&request.verdict) = Some(verdict);
             request.blocker.unpark();
@@ -200,13 +208,13 @@
     }
 }
 
-/// The mean weight of a pool's members; 0: it has none.
+/// Mean weight of a pool's members; 0 if it has none.
 fn mean_weight(spec: &Spec) -> f64 {
     let n = spec.members.len().max(1) as f64;
     spec.members.iter().map(|m| m.weight).sum::<f64>() / n
 }
 
-/// A request's permit of its pool, which is given back when this is dropped. Its methods do not yield.
+/// A request's permit from its pool, which is returned when this is dropped. No method yields.
 pub struct Permit {
     queue: Arc<DispatchQueue>,
     /// The request's number in the pool.
@@ -215,40 +223,43 @@
 }
 
 impl Permit {
-    /// An attempt goes out.
+    /// Notifies the pool that an attempt is about to be sent.
     pub fn attempt_sent(&self, attempt: &Attempt) {
         let id = attempt.cache.0.clone();
-        self.queue.feed(&self.clock, Event::AttemptSent { request: self.number, id });
+        self.queue.handle_event(&self.clock, Event::AttemptSent { request: self.number, id });
     }
 
-    /// It ended.
+    /// Notifies the pool that an attempt has ended.
     pub fn attempt_ended(&self, attempt: &Attempt, ending: Ending) {
-        let (id, outcome) = (attempt.cache.0.clone(), outcome(ending));
-        self.queue.feed(&self.clock, Event::AttemptEnded { request: self.number, id, outcome });
+        let (id, outcome) = (attempt.cache.0.clone(), pool_outcome(ending));
+        self.queue.handle_event(&self.clock, Event::AttemptEnded { request: self.number, id, outcome });
     }
 
-    /// When an attempt that begins now ends at the latest: by `deadline` and by the pool's and the member's own limits.
+    /// When an attempt that starts at `now` times out: at `deadline`, or earlier if the pool or the member
+    /// has an answer timeout.
     pub fn deadline(&self, attempt: &Attempt, now: Instant, deadline: Instant) -> Instant {
         let timeout_ms = self.queue.answer_timeouts.load().of_member_ms(&attempt.cache.0);
         timeout_ms.map_or(deadline, |ms| deadline.min(now + Duration::from_millis(ms)))
     }
 
-    /// Whether the pool's retry budget has a retry for this request; if so, it is taken.
+    /// Takes a retry from the pool's retry budget; returns whether there was one. Always true without a
+    /// pool.
     pub fn try_retry(&self) -> bool {
-        let actions = self.queue.feed(&self.clock, Event::RetryRequested { request: self.number });
+        let actions = self.queue.handle_event(&self.clock, Event::RetryRequested { request: self.number });
         !self.queue.has_pool() || actions.iter().any(|a| matches!(a, Action::Retry { .. }))
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.queue.feed(&self.clock, Event::Finished { request: self.number });
+        self.queue.handle_event(&self.clock, Event::Finished { request: self.number });
     }
 }
 
-/// An attempt's end as the pool sees it. A node that is overloaded, slow or in error is the decision module's to judge,
-/// which compares it with others; a pool acts on connections alone.
-fn outcome(ending: Ending) -> AttemptOutcome {
+/// Converts an attempt's ending into the pool's terms. A pool acts on refused and lost connections alone;
+/// whether a node is overloaded, slow or returns errors is judged by the decision module, which compares it
+/// with other nodes.
+fn pool_outcome(ending: Ending) -> AttemptOutcome {
     match ending {
         Ending::Completed | Ending::LookupMiss => AttemptOutcome::Success,
         Ending::ConnectionRefused => AttemptOutcome::ConnectionRefused,
--- a/crates/front/src/upstream/dispatch_queues.rs
+++ b/crates/front/src/upstream/dispatch_queues.rs
@@ -1,6 +1,8 @@
-//! All dispatch queues of a front: which one a request goes to, and how many requests are open in all of them.
+//! All dispatch queues of a front: selects the queue of each request, and limits the requests open in all
+//! queues together.
 //!
-//! Endpoint lists are applied in `endpoint_updates.rs`, reloaded site documents in `plan_updates.rs`. Nothing here yields.
+//! Endpoint lists are applied in `endpoint_updates.rs`, reloaded site documents in `plan_updates.rs`. No
+//! function here yields.
 
 mod endpoint_updates;
 pub mod plan_updates;
@@ -18,14 +20,14 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// The Retry-After of a request that its pool rejected, in milliseconds, where clients heed it: as the decision module's
-/// own hints.
+/// Retry-After hint of a request that its pool rejected, in milliseconds, for clients that honour it; the
+/// same value as the decision module's own hints.
 const RETRY_AFTER_MS: f64 = 400.0;
 
 /// The routes and the queues that they lead to.
 struct RoutingTable {
     routes: Routes,
-    /// The index of the queue of each pool that the routes name.
+    /// Index of the queue of each pool that the routes name.
     queue_of_pool: Vec<usize>,
 }
 
@@ -34,11 +36,11 @@
     queues: Vec<Arc<DispatchQueue>>,
     routing: ArcSwap<RoutingTable>,
     registry: Arc<NodeRegistry>,
-    /// The site document's members, where the front serves from them; `None`: members come from the event bus.
+    /// The site document's members; `None` if the members come from the discovery bus.
     document_members: Option<Mutex<BTreeMap<Arc<str>, PlannedMember>>>,
-    /// What the event bus has listed, for pools.
+    /// Nodes that the discovery bus has listed; recorded only for fronts with pools.
     listed_nodes: Mutex<HashMap<CacheId, Entry>>,
-    /// Requests open in any queue: an id may be open once.
+    /// Ids of the requests open in any of several queues; an id may be open only once.
     open_ids: Mutex<HashSet<RequestId>>,
     open_requests: AtomicUsize,
     max_open_requests: usize,
@@ -46,7 +48,7 @@
     max_retry_after_ms: f64,
 }
 
-/// A request's id, which no other open request has as long as this lives.
+/// Reserves a request's id: while it exists, no other open request may have the same id.
 pub struct RequestReservation<'q> {
     queues: &'q DispatchQueues,
     id: RequestId,
@@ -60,10 +62,11 @@
 }
 
 impl DispatchQueues {
-    /// The queues of a plan, or the one of a front without a plan; `host` makes the host of each.
+    /// Creates the queues of a plan, or a single queue without a pool if there is no plan. `host` creates
+    /// the host of each queue's dispatcher.
     ///
     /// # Errors
-    /// The settings are not sound.
+    /// The settings are invalid.
     pub fn new(
         base: &Settings,
         seed: u64,
@@ -103,29 +106,29 @@
         })
     }
 
-    /// Every queue.
+    /// All queues, in the order of the plan's pools.
     pub fn all(&self) -> &[Arc<DispatchQueue>] {
         &self.queues
     }
 
-    /// The ids of the site document's members, where the front serves from them.
+    /// Ids of the site document's members; `None` if the members come from the discovery bus.
     pub fn members(&self) -> Option<Vec<CacheId>> {
         let members = self.document_members.as_ref()?;
         Some(lock(members).keys().map(|id| CacheId(id.clone())).collect())
     }
 
-    /// Whether the members are the site document's.
+    /// Whether the members come from the site document.
     pub fn members_from_file(&self) -> bool {
         self.document_members.is_some()
     }
 
-    /// When a rejected request may come back, in milliseconds.
+    /// How long the client of a rejected request should wait before it tries again, in milliseconds.
     pub fn retry_after_ms(&self) -> f64 {
         RETRY_AFTER_MS.min(self.max_retry_after_ms)
     }
 
-    /// The queue of a request of that class for that object; `None`: no route leads anywhere. A request of this
-    /// protocol has no host and no path: its path is `/CLASS/OBJECT`.
+    /// The queue for a request of this class and object; `None` if no route leads to a pool. A request of
+    /// this protocol has no host and no path, so routes are matched against the path `/CLASS/OBJECT`.
     pub fn route(&self, class: &str, object: &str) -> Option<&Arc<DispatchQueue>> {
         let routing = self.routing.load();
         if routing.routes.is_empty() {
@@ -137,7 +140,8 @@
         }
     }
 
-    /// Reserves an id; `None`: it is open already, or too many requests are. One queue's module sees to both by itself.
+    /// Reserves an id; `None` if the id is open already or too many requests are open. With a single queue
+    /// the decision module checks both itself.
     pub fn reserve(&self, id: RequestId) -> Option<RequestReservation<'_>> {
         let is_single = self.queues.len() == 1;
         if !is_single && !lock(&self.open_ids).insert(id) {
@@ -161,15 +165,15 @@
     }
 }
 
-/// Settings of one queue of several: a node's capacity is shared among all that send to it, so each queue counts as a
-/// front of its own.
+/// The settings of one of `queue_count` queues. A node's capacity is divided among all that send to it, so
+/// each queue counts as a separate front.
 fn queue_settings(base: &Settings, queue_count: usize, index: usize, max_pools_per_cache: u32) -> Settings {
     let mut settings = base.clone();
     if queue_count > 1 {
         settings.routers *= queue_count as u32;
         settings.slot = settings.slot * queue_count as u32 + index as u32;
         settings.zone_routers.iter_mut().for_each(|n| *n *= max_pools_per_cache);
-        // Peers of one front's queues can't be told apart by their address.
+        // The queues of one front have the same address, so peers could not tell them apart.
         settings.peers = false;
     }
     settings
--- a/crates/front/src/upstream/dispatch_queues/endpoint_updates.rs
+++ b/crates/front/src/upstream/dispatch_queues/endpoint_updates.rs
@@ -1,5 +1,6 @@
-//! How endpoint lists reach the dispatch queues: parents and the origin go to every queue's decisions, cache nodes to the
-//! pools, which decide what their queue's decisions see of them.
+//! Applies endpoint lists to the dispatch queues. Parents and the origin go to every queue's decision
+//! module; cache nodes go to the pools, and each pool decides what its queue's decision module sees of
+//! them.
 
 use super::DispatchQueues;
 use crate::clock::Clock;
@@ -14,7 +15,8 @@
 use std::sync::Arc;
 
 impl DispatchQueues {
-    /// Begins to serve from the site document's members, if they are the front's: each queue's first list is complete.
+    /// Starts serving from the site document's members, if the members come from there: the first list of
+    /// each queue is complete. Otherwise queues with a pool start with an empty list.
     pub fn start(&self, clock: &Clock, upstream: &ConnectionPool) {
         let Some(members) = &self.document_members else {
             for queue in self.queues.iter().filter(|queue| queue.has_pool()) {
@@ -32,19 +34,19 @@
         let sources: Vec<Entry> = sources.map(|(id, m)| source_entry(id, m, 0.0)).collect();
         for queue in &self.queues {
             queue.dispatcher.update_endpoints(clock.now(), ListKind::Full, sources.clone());
-            queue.feed(clock, Event::Tick);
+            queue.handle_event(clock, Event::Tick);
         }
     }
 
-    /// Replaces what the registry knows by these members.
+    /// Replaces all nodes of the registry with these members.
     pub(super) fn register_members(&self, members: &BTreeMap<Arc<str>, PlannedMember>) {
         let attributes =
             |m: &PlannedMember| NodeAttributes { zone: m.zone, kind: m.kind, cell: 0, link: m.link };
-        self.registry.replace(members.iter().map(|(id, m)| (id.clone(), attributes(m))));
+        self.registry.replace_all(members.iter().map(|(id, m)| (id.clone(), attributes(m))));
     }
 
-    /// Applies the event bus's complete endpoint list (`full`), or changes of it; does nothing where the members are the
-    /// site document's.
+    /// Applies an endpoint list of the discovery bus, either complete (`full`) or only changes. Does
+    /// nothing if the members come from the site document.
     pub fn apply_endpoint_list(&self, clock: &Clock, full: bool, entries: Vec<Entry>) {
         if self.members_from_file() {
             return;
@@ -57,12 +59,13 @@
         }
         let changes = self.register_listed(full, entries);
         self.notify_queues(clock, &changes);
-        // Departed nodes are forgotten once the queues are notified.
+        // Departed nodes are removed from the registry only after the queues were notified.
         let listed = lock(&self.listed_nodes);
         self.registry.retain(|id| listed.contains_key(&CacheId(id.clone())));
     }
 
-    /// Records listed nodes; the changes, with those that a complete list does not name as departed.
+    /// Records the listed nodes and returns the changes. A known node that a complete list does not name is
+    /// returned as [`Phase::Out`].
     fn register_listed(&self, full: bool, entries: Vec<Entry>) -> Vec<Entry> {
         let mut changes = entries;
         let mut listed = lock(&self.listed_nodes);
@@ -85,7 +88,7 @@
         changes
     }
 
-    /// Notifies every queue: its decisions of sources, its pool of other nodes.
+    /// Notifies every queue of changed nodes: its decision module of sources, its pool of other nodes.
     pub(super) fn notify_queues(&self, clock: &Clock, entries: &[Entry]) {
         for queue in &self.queues {
             let host = queue.dispatcher.host();
@@ -100,13 +103,14 @@
                     Phase::Out => Notified::Removed,
                 };
                 let (id, started_ms) = (entry.cache.0.clone(), entry.started_ms);
-                queue.feed(clock, Event::Notified { id, state, started_ms });
+                queue.handle_event(clock, Event::Notified { id, state, started_ms });
             }
         }
     }
 }
 
-/// A parent or the origin of the site document as the decision module's endpoint list has it.
+/// Converts a parent or the origin of the site document into an entry of the decision module's endpoint
+/// list.
 pub(super) fn source_entry(id: &Arc<str>, member: &PlannedMember, started_ms: f64) -> Entry {
     Entry {
         cache: CacheId(id.clone()),
--- a/crates/front/src/upstream/dispatch_queues/plan_updates.rs
+++ b/crates/front/src/upstream/dispatch_queues/plan_updates.rs
@@ -1,4 +1,4 @@
-//! How a reloaded site document is applied to the dispatch queues, by its difference.
+//! Applies the changes in a reloaded site document to the dispatch queues.
 
 use super::endpoint_updates::source_entry;
 use super::{DispatchQueues, RoutingTable};
@@ -17,27 +17,28 @@
 /// Why a plan can't be applied to a running front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PlanRejected {
-    /// Members came from the document and come from the event bus now, or the other way round.
-    #[error("where the members come from takes a restart")]
+    /// The members came from the site document and now come from the discovery bus, or the other way round.
+    #[error("changing where the members come from requires a restart")]
     MemberOrigin,
     /// A pool was added, removed or renamed.
-    #[error("pools that come or go take a restart")]
+    #[error("adding, removing or renaming a pool requires a restart")]
     Pools,
-    /// Each queue's share of a node's capacity was set at the start.
-    #[error("a member that is in more pools than any was takes a restart")]
+    /// A member is in more pools than any member was at the start. Each queue's part of a node's capacity
+    /// was set then.
+    #[error("putting a member into more pools than any member was in at the start requires a restart")]
     PoolsPerMember,
 }
 
-/// How many of the site document's members an applied plan has changed.
+/// How many members of the site document were changed by an applied plan.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberChanges {
-    /// New members.
+    /// Number of new members.
     pub added: u32,
-    /// Members that the document names no more.
+    /// Number of members that the document no longer names.
     pub removed: u32,
-    /// Members with another address.
+    /// Number of members with a new address.
     pub moved: u32,
-    /// Members changed otherwise.
+    /// Number of members with any other change.
     pub changed: u32,
 }
 
@@ -49,10 +50,11 @@
 }
 
 impl DispatchQueues {
-    /// Applies a changed plan by its difference; what has changed of the document's members, where they are the front's.
+    /// Applies the differences between a changed plan and the current one. Returns the changes of the site
+    /// document's members, or `None` if the members come from the discovery bus.
     ///
     /// # Errors
-    /// Why it can't be applied; nothing has changed.
+    /// Why the plan can't be applied; nothing was changed.
     pub fn apply_plan(
         &self,
         clock: &Clock,
@@ -66,7 +68,7 @@
             self.queues[*index].reconfigure(clock, spec, answer_timeouts);
         }
         if let Some(members) = members {
-            // Only now is nothing sent to removed members any more.
+            // The queues were reconfigured above: only from now on is nothing sent to removed members.
             let mut members = lock(members);
             for id in members.keys().filter(|id| !plan.members.contains_key(*id)) {
                 upstream.remove_node(&CacheId(id.clone()));
@@ -81,7 +83,7 @@
         Ok(changes)
     }
 
-    /// The index of the queue of each of the plan's pools.
+    /// Checks whether the plan can be applied; returns the index of the queue of each of its pools.
     fn check_plan(&self, plan: &Plan) -> Result<Vec<usize>, PlanRejected> {
         if plan.from_file != self.members_from_file() {
             return Err(PlanRejected::MemberOrigin);
@@ -96,8 +98,8 @@
         Ok(queue_of_pool)
     }
 
-    /// Applies new members, other addresses, and sources; members of pools drain and depart with their pools'
-    /// specifications.
+    /// Applies new members, changed addresses, and sources. Members of pools drain and depart with their
+    /// pools' specifications.
     fn apply_members(
         &self,
         clock: &Clock,
@@ -117,14 +119,14 @@
                 continue;
             }
             let moved = before.is_some_and(|b| b.addr != member.addr);
-            changes.count(before.is_none(), moved);
+            changes.count_change(before.is_none(), moved);
             let cache = CacheId(id.clone());
             if before.is_none() || moved {
                 upstream.add_node(cache.clone(), member.addr, now_ms);
             }
             upstream.set_timeouts(&cache, member.timeouts);
             if member.is_source {
-                // One that is new, or was stopped, may have just started.
+                // A source that is new, or that was stopped before, may have just started.
                 let restarted = before.is_none_or(|b| b.state == State::Stopped) || moved;
                 sources.push(source_entry(id, member, if restarted { now_ms } else { 0.0 }));
             } else if moved {
@@ -145,17 +147,17 @@
         changes
     }
 
-    /// Notifies every pool that a member has started now.
+    /// Notifies every pool that a member started at `started_ms`.
     fn notify_restart(&self, clock: &Clock, id: &Arc<str>, started_ms: f64) {
         for queue in &self.queues {
-            queue.feed(clock, Event::Notified { id: id.clone(), state: Notified::Up, started_ms });
+            queue.handle_event(clock, Event::Notified { id: id.clone(), state: Notified::Up, started_ms });
         }
     }
 }
 
 impl MemberChanges {
-    /// Counts a member that is new, has moved, or has changed otherwise.
-    fn count(&mut self, added: bool, moved: bool) {
+    /// Counts one member as added, moved or changed otherwise.
+    fn count_change(&mut self, added: bool, moved: bool) {
         if added {
             self.added += 1;
         } else if moved {
--- a/crates/front/src/upstream/in_flight_attempt.rs
+++ b/crates/front/src/upstream/in_flight_attempt.rs
@@ -1,7 +1,8 @@
-//! One attempt between its admission to a connection and its result.
+//! An attempt from its admission to a connection until its result is known.
 //!
-//! The attempt's coroutine parks on [`InFlightAttempt::blocker`]; the connection's coroutine, the sweep and the facade's
-//! callbacks wake it. Locks here are held for single assignments, never across a yield.
+//! The attempt's coroutine parks on [`InFlightAttempt::blocker`]. The connection's coroutine, the periodic
+//! sweep and the facade's callbacks wake it. Locks are held for single assignments only, never across a
+//! yield.
 
 use crate::link::{SendGate, WriteDecision};
 use crate::sync::lock;
@@ -14,44 +15,45 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A request that was queued for less than this goes out as it was encoded: the remaining time that it names is right to
-/// that much. One that waited longer is encoded again.
-const ENCODED_VALID_FOR: Duration = Duration::from_millis(10);
+/// A request that was queued for less than this is sent as it was encoded: the remaining time that it names
+/// is accurate to within this value. A request that was queued for longer is encoded again.
+const MAX_ENCODED_AGE: Duration = Duration::from_millis(10);
 
-/// An attempt in flight on a connection.
+/// An attempt that was admitted to a connection.
 pub(super) struct InFlightAttempt {
-    /// Where the attempt's coroutine waits for its result.
+    /// The attempt's coroutine waits here for its result.
     pub blocker: Arc<Blocker>,
     result: Mutex<Option<CompletedAttempt>>,
-    /// When the attempt was made.
+    /// When the attempt was created, which is before it is sent.
     pub started: Instant,
-    /// The tag of the client's own copy, if the client named one.
+    /// Tag of the client's own copy, if the client sent one.
     pub client_tag: Option<String>,
-    /// The node that the attempt goes to.
+    /// The node that the attempt is sent to.
     pub cache: CacheId,
-    /// Where a miss is filled from.
+    /// The node from which a miss is filled, if any.
     pub source: Option<CacheId>,
-    /// The attempt's number in its request.
+    /// Number of the attempt in its request, from 0.
     pub number: u32,
     withdrawn: AtomicBool,
-    /// Whether it may still begin, asked right before its first byte.
+    /// Checked right before the first byte: whether the attempt may still be sent, and with which bytes.
     pub pending: Arc<dyn PendingAttempt>,
     progress: Mutex<WriteProgress>,
 }
 
-/// How far an attempt's request was written.
+/// How much of an attempt's request was written.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct WriteProgress {
-    /// Why it was kept from beginning, if it was.
+    /// Why the request was not sent; `None` if it was not denied.
     pub denied: Option<Denied>,
-    /// When its first byte was written.
+    /// When the request's first byte was written; `None` before that.
     pub first_byte_at: Option<Instant>,
-    /// Whether its last byte was written.
+    /// Whether the request's last byte was written.
     pub fully_written: bool,
 }
 
 impl InFlightAttempt {
-    /// The attempt of the calling coroutine or thread, which is the one that waits for its result.
+    /// Creates an attempt for the calling coroutine or thread, which must be the one that waits for the
+    /// result.
     pub fn new(
         attempt: &Attempt,
         client_tag: Option<String>,
@@ -71,29 +73,29 @@
         }
     }
 
-    /// Keeps the attempt from beginning; one that has begun goes on.
+    /// Withdraws the attempt, unless its first byte was already written, and wakes its coroutine.
     pub fn withdraw(&self) {
         self.withdrawn.store(true, Ordering::Release);
         self.blocker.unpark();
     }
 
-    /// Whether [`InFlightAttempt::withdraw`] was called since this was last asked.
+    /// Whether [`InFlightAttempt::withdraw`] was called since the last call of this function.
     pub fn take_withdrawal(&self) -> bool {
         self.withdrawn.swap(false, Ordering::AcqRel)
     }
 
-    /// Sets the result, unless there is one already, and wakes the attempt.
+    /// Stores the result, unless one is stored already, and wakes the attempt's coroutine.
     pub fn complete(&self, result: CompletedAttempt) {
         lock(&self.result).get_or_insert(result);
         self.blocker.unpark();
     }
 
-    /// Takes the result, once there is one.
+    /// Takes the result out; `None` if there is none yet.
     pub fn take_result(&self) -> Option<CompletedAttempt> {
         lock(&self.result).take()
     }
 
-    /// How far the request was written.
+    /// How much of the request was written so far.
     pub fn progress(&self) -> WriteProgress {
         *lock(&self.progress)
     }
@@ -103,15 +105,15 @@
     fn before_first_byte(&self, queued_at: Instant) -> WriteDecision {
         let now = Instant::now();
         let withdrawn = self.withdrawn.load(Ordering::Acquire);
-        let allowed = if withdrawn { Err(Denied::Outdated) } else { self.pending.check(now) };
+        let allowed = if withdrawn { Err(Denied::Outdated) } else { self.pending.check_may_send(now) };
         if let Err(denied) = allowed {
             lock(&self.progress).denied = Some(denied);
             self.blocker.unpark();
             return WriteDecision::Drop;
         }
-        match now.saturating_duration_since(queued_at) < ENCODED_VALID_FOR {
+        match now.saturating_duration_since(queued_at) < MAX_ENCODED_AGE {
             true => WriteDecision::AsQueued,
-            false => WriteDecision::Replace(self.pending.bytes(now)),
+            false => WriteDecision::Replace(self.pending.encode(now)),
         }
     }
 
--- a/crates/front/src/upstream/mod.rs
+++ b/crates/front/src/upstream/mod.rs
@@ -1,7 +1,9 @@
-//! The upstream side: the dispatch queue of each pool, and the connections to cache nodes, parents and the origin.
+//! The upstream side of the front: the dispatch queue of each pool, and the connections to cache nodes,
+//! parents and the origin.
 //!
-//! A request gets a permit of its pool's [`dispatch_queue`]; each of its attempts goes out through the
-//! [`connection_pool`], guarded by [`send_guard`] up to its first byte, as [`resp`] messages.
+//! A request first takes a permit from the [`dispatch_queue`] of its pool. Each of its attempts is then
+//! sent as a [`resp`] message over the [`connection_pool`]; [`send_guard`] decides, up to the attempt's
+//! first byte, whether the attempt may still be sent.
 
 pub mod caller;
 pub mod completed_attempt;
--- a/crates/front/src/upstream/node_registry.rs
+++ b/crates/front/src/upstream/node_registry.rs
@@ -1,4 +1,4 @@
-//! What is known of cache nodes beside what their pools know: where they are and how fast.
+//! Attributes of cache nodes that their pools do not store: location, kind and bandwidth.
 
 use crate::sync::lock;
 use fernslip::{CacheId, Entry};
@@ -6,28 +6,29 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 
-/// Attributes of cache nodes by id, from the site document or the endpoint list. Nothing here yields.
+/// Attributes of cache nodes by id, from the site document or the endpoint list. No method yields.
 #[derive(Default)]
 pub struct NodeRegistry {
     nodes: Mutex<HashMap<Arc<str>, NodeAttributes>>,
 }
 
-/// Attributes of a cache node that pools don't know.
+/// Attributes of a cache node that pools do not store.
 #[derive(Clone)]
 pub(super) struct NodeAttributes {
-    /// Index of its zone in the settings.
+    /// Index of the node's zone in the settings.
     pub zone: Option<usize>,
-    /// Index of its kind in the settings.
+    /// Index of the node's kind in the settings.
     pub kind: Option<usize>,
-    /// Its cell, where the endpoint list names one.
+    /// The node's cell from the endpoint list; 0 for members of the site document.
     pub cell: i64,
-    /// Bandwidth of its link, in answers at the settings' stream rate.
+    /// Bandwidth of the node's link, in answers at the settings' stream rate.
     pub link: f64,
 }
 
 impl NodeRegistry {
-    /// A pool's endpoint as the decision module's endpoint list has it; `mean_weight` is that of the pool.
-    pub fn entry(&self, endpoint: &Endpoint, mean_weight: f64) -> Entry {
+    /// Converts a pool's endpoint into an entry of the decision module's endpoint list. `mean_weight` is
+    /// the mean weight of the pool's members.
+    pub fn endpoint_list_entry(&self, endpoint: &Endpoint, mean_weight: f64) -> Entry {
         let nodes = lock(&self.nodes);
         let node = nodes.get(&endpoint.id);
         Entry {
@@ -46,17 +47,17 @@
         }
     }
 
-    /// Replaces all nodes.
-    pub(super) fn replace(&self, nodes: impl Iterator<Item = (Arc<str>, NodeAttributes)>) {
+    /// Replaces the attributes of all nodes.
+    pub(super) fn replace_all(&self, nodes: impl Iterator<Item = (Arc<str>, NodeAttributes)>) {
         *lock(&self.nodes) = nodes.collect();
     }
 
-    /// Adds nodes, or replaces those that are known.
+    /// Adds nodes; a node that is known already gets the new attributes.
     pub(super) fn extend(&self, nodes: impl Iterator<Item = (Arc<str>, NodeAttributes)>) {
         lock(&self.nodes).extend(nodes);
     }
 
-    /// Drops the nodes whose ids don't satisfy `is_listed`.
+    /// Removes the nodes whose ids do not satisfy `is_listed`.
     pub(super) fn retain(&self, mut is_listed: impl FnMut(&Arc<str>) -> bool) {
         lock(&self.nodes).retain(|id, _| is_listed(id));
     }
--- a/crates/front/src/upstream/pending_attempt.rs
+++ b/crates/front/src/upstream/pending_attempt.rs
@@ -1,32 +1,34 @@
-//! An attempt that has been decided on and has not begun, as its connection sees it: may it begin, and with which bytes.
+//! An attempt that was chosen but not yet sent, as its connection sees it: whether it may be sent, and with
+//! which bytes.
 
 use fernslip::Ending;
 use std::time::Instant;
 
-/// When an attempt ends and, where that matters, has to begin.
+/// When an attempt times out, and by when it must be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTimes {
-    /// Without a result by then it has timed out.
+    /// An attempt without a result at this time has timed out.
     pub deadline: Instant,
-    /// Its first byte is written by then, or it is retracted; `None`: it begins whenever its connection is up.
+    /// The attempt is retracted unless its first byte is written by this time; `None`: it may be sent
+    /// whenever its connection comes up.
     pub begin_by: Option<Instant>,
 }
 
-/// Why an attempt may not begin any more.
+/// Why an attempt may no longer be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
-    /// The decision module cancelled it.
+    /// The decision module cancelled the attempt.
     Cancelled,
-    /// Its client has disconnected or cancelled.
+    /// The client disconnected or cancelled the request.
     ClientDisconnected,
-    /// Since it was decided on, its node or its source drains, or what it requests was purged.
+    /// After the attempt was chosen, its node or source began to drain, or the requested object was purged.
     Outdated,
-    /// The time by which it had to begin, or its deadline, is over.
+    /// The attempt's deadline, or the time by which it had to be sent, has passed.
     TooLate,
 }
 
 impl Denied {
-    /// Its reason in the metrics.
+    /// The reason's name in the metrics.
     pub fn name(self) -> &'static str {
         match self {
             Denied::Cancelled => "called_off",
@@ -36,7 +38,7 @@
         }
     }
 
-    /// The ending that is reported of the attempt: nothing of it ran.
+    /// The ending that is reported for the denied attempt. The request did not run at the node.
     pub fn ending(self) -> Ending {
         match self {
             Denied::Cancelled => Ending::Cancelled,
@@ -46,17 +48,17 @@
     }
 }
 
-/// An attempt that has been decided on and has not begun.
+/// An attempt that was chosen but not yet sent.
 ///
-/// Called when its first byte is about to be written, with the connection's write queue locked: implementations neither
-/// yield nor call back into the connection.
+/// The methods are called when the first byte is about to be written, while the connection's write queue is
+/// locked. Implementations must neither yield nor call back into the connection.
 pub trait PendingAttempt: Send + Sync {
-    /// Whether it may begin at that moment.
+    /// Checks whether the attempt may be sent at the time `now`.
     ///
     /// # Errors
-    /// Why it may not.
-    fn check(&self, now: Instant) -> Result<(), Denied>;
+    /// Why the attempt may not be sent.
+    fn check_may_send(&self, now: Instant) -> Result<(), Denied>;
 
-    /// The request's bytes, which name the time that remains at that moment.
-    fn bytes(&self, now: Instant) -> Vec<u8>;
+    /// Encodes the request, which names the time that remains at `now`.
+    fn encode(&self, now: Instant) -> Vec<u8>;
 }
--- a/crates/front/src/upstream/resp.rs
+++ b/crates/front/src/upstream/resp.rs
@@ -1,62 +1,65 @@
-//! RESP arrays of bulk strings as cache nodes speak them: bytes in, messages out. No sockets.
+//! Parses and encodes the RESP arrays of bulk strings that cache nodes use. Works on bytes alone, without
+//! sockets.
 
 use thiserror::Error;
 
-/// Parts of an array: an answer has four.
+/// Maximum number of parts of an array; an answer has four.
 const MAX_PARTS: usize = 8;
-/// Bytes of a part: an object's 240,000, with a margin.
+/// Maximum size of one part in bytes: 240,000 for the largest object, and a margin.
 const MAX_PART_BYTES: usize = 300 * 1024;
-/// Digits of a length or count.
-const MAX_DIGITS: usize = 10;
+/// A length or count with this many digits or more is rejected.
+const DIGITS_LIMIT: usize = 10;
 
-/// An answer of a cache node; it points into the bytes it was read from.
+/// An answer of a cache node, borrowed from the bytes that it was parsed from.
 #[derive(Debug, PartialEq)]
 pub struct Answer<'a> {
-    /// The request's id, as it was sent: its trace, in hexadecimal digits.
+    /// Id of the request, as it was sent: its trace id in hexadecimal digits.
     pub id: &'a str,
-    /// The keyword of its outcome, such as `served`.
+    /// Keyword of the outcome, such as `served`.
     pub outcome: &'a str,
-    /// `name=value,name=value`, or `-`.
+    /// Fields in the form `name=value,name=value`, or `-` if there are none.
     pub fields: &'a str,
     /// The object's bytes.
     pub body: &'a [u8],
 }
 
 impl<'a> Answer<'a> {
-    /// Whether each field has a name and a value.
+    /// Whether every field has the form `name=value`.
     pub fn has_well_formed_fields(&self) -> bool {
         matches!(self.fields, "-" | "") || self.fields.split(',').all(|f| f.contains('='))
     }
 
-    /// The value of a field.
+    /// Value of the field `name`; `None` if the answer does not have it.
     pub fn field(&self, name: &str) -> Option<&'a str> {
         self.fields.split(',').find_map(|f| f.split_once('=').filter(|f| f.0 == name)).map(|f| f.1)
     }
 
-    /// A value of the load report (`meter=NAME:VALUE;NAME:VALUE`), if it is there, finite and not negative.
-    pub fn load_report(&self, name: &str) -> Option<f64> {
+    /// Value of `name` in the load report (`meter=NAME:VALUE;NAME:VALUE`); `None` if it is missing, not
+    /// finite or negative.
+    pub fn load_report_value(&self, name: &str) -> Option<f64> {
         let mut values = self.field("meter")?.split(';').filter_map(|v| v.split_once(':'));
         let value: f64 = values.find(|v| v.0 == name)?.1.parse().ok()?;
         (value.is_finite() && value >= 0.0).then_some(value)
     }
 }
 
-/// Why bytes are no answer.
+/// Why bytes are not a valid answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RespError {
-    /// A type byte, number or line end that does not belong there.
-    #[error("not RESP")]
+    /// A type byte, number or line end is not what RESP requires at its position.
+    #[error("invalid RESP: unexpected type byte, number or line end")]
     Invalid,
-    /// More parts or bytes than any answer has.
-    #[error("answer too long")]
+    /// The array has more parts or bytes than any answer has.
+    #[error("RESP array has more parts or bytes than any answer")]
     TooLong,
-    /// An array, but no answer.
-    #[error("no answer")]
+    /// The array is not an answer.
+    #[error("RESP array is not an answer: expected the UTF-8 texts id, outcome and fields, and a body")]
     Shape,
 }
 
-/// The number of a line that begins with the type byte `kind`, and what follows the line; `None`: the line is not complete.
-fn header(data: &[u8], kind: u8) -> Result<Option<(usize, &[u8])>, RespError> {
+/// Parses a line that begins with the type byte `kind`; returns its number and the bytes after the line, or
+/// `None` if the line is incomplete.
+fn parse_header(data: &[u8], kind: u8) -> Result<Option<(usize, &[u8])>, RespError> {
     let Some(&first) = data.first() else { return Ok(None) };
     if first != kind {
         return Err(RespError::Invalid);
@@ -64,7 +67,7 @@
     let digits = data[1..].iter().take_while(|b| b.is_ascii_digit()).count();
     let end = &data[1 + digits..];
     match (digits, end) {
-        (MAX_DIGITS.., _) => Err(RespError::TooLong),
+        (DIGITS_LIMIT.., _) => Err(RespError::TooLong),
         (_, []) | (1.., [b'\r']) => Ok(None),
         (1.., [b'\r', b'\n', rest @ ..]) => {
             let n = data[1..1 + digits].iter().fold(0, |n, b| n * 10 + usize::from(b - b'0'));
@@ -74,21 +77,23 @@
     }
 }
 
-/// The length of an array in bytes and its parts, which point into the bytes they were read from.
-pub type Parts<'a> = (usize, Vec<&'a [u8]>);
+/// The length of an array in bytes, and its parts, which are borrowed from the bytes that they were parsed
+/// from.
+pub type ArrayParts<'a> = (usize, Vec<&'a [u8]>);
 
-/// The first array's length and parts; `None`: it is not complete yet.
+/// Parses the first array in `data`; returns its length in bytes and its parts, or `None` if it is
+/// incomplete.
 ///
 /// # Errors
 /// The bytes are not RESP, or exceed a limit.
-pub fn parts(data: &[u8]) -> Result<Option<Parts<'_>>, RespError> {
-    let Some((count, mut rest)) = header(data, b'*')? else { return Ok(None) };
+pub fn parts(data: &[u8]) -> Result<Option<ArrayParts<'_>>, RespError> {
+    let Some((count, mut rest)) = parse_header(data, b'*')? else { return Ok(None) };
     if count > MAX_PARTS {
         return Err(RespError::TooLong);
     }
     let mut parts = Vec::with_capacity(count);
     for _ in 0..count {
-        let Some((len, behind)) = header(rest, b'$')? else { return Ok(None) };
+        let Some((len, behind)) = parse_header(rest, b'$')? else { return Ok(None) };
         if len > MAX_PART_BYTES {
             return Err(RespError::TooLong);
         }
@@ -103,11 +108,12 @@
     Ok(Some((data.len() - rest.len(), parts)))
 }
 
-/// The first answer's length and the answer; `None`: it is not complete yet.
+/// Parses the first answer in `data`; returns its length in bytes and the answer, or `None` if it is
+/// incomplete.
 ///
 /// # Errors
-/// The bytes are not RESP, exceed a limit or are no answer.
-pub fn parse(data: &[u8]) -> Result<Option<(usize, Answer<'_>)>, RespError> {
+/// The bytes are not RESP, exceed a limit, or are not an answer.
+pub fn parse_answer(data: &[u8]) -> Result<Option<(usize, Answer<'_>)>, RespError> {
     let Some((len, parts)) = parts(data)? else { return Ok(None) };
     let text = |part| std::str::from_utf8(part).map_err(|_| RespError::Shape);
     match parts[..] {
@@ -118,7 +124,7 @@
     }
 }
 
-/// The bytes of an array of those parts.
+/// Encodes an array of these parts.
 pub fn array(parts: &[&[u8]]) -> Vec<u8> {
     let mut out = Vec::with_capacity(parts.iter().map(|p| p.len() + 16).sum::<usize>() + 16);
     out.extend_from_slice(format!("*{}\r\n", parts.len()).as_bytes());
@@ -130,13 +136,13 @@
     out
 }
 
-/// The bytes of a request; `fields` as in [`Answer::fields`].
-pub fn request(id: &str, fields: &str, body: &[u8]) -> Vec<u8> {
+/// Encodes a request with this id; `fields` has the form of [`Answer::fields`], and may be empty.
+pub fn encode_request(id: &str, fields: &str, body: &[u8]) -> Vec<u8> {
     array(&[b"ASK", id.as_bytes(), if fields.is_empty() { b"-" } else { fields.as_bytes() }, body])
 }
 
-/// The bytes that cancel a request.
-pub fn cancel(id: &str) -> Vec<u8> {
+/// Encodes the cancel of the request with this id.
+pub fn encode_cancel(id: &str) -> Vec<u8> {
     array(&[b"QUIT", id.as_bytes()])
 }
 
--- a/crates/front/src/upstream/test_support.rs
+++ b/crates/front/src/upstream/test_support.rs
@@ -1,4 +1,4 @@
-//! What the tests of the upstream modules share.
+//! Helpers shared by the tests of the upstream modules.
 
 use crate::upstream::pending_attempt::{Denied, PendingAttempt};
 use crate::upstream::resp;
@@ -7,21 +7,21 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// An attempt that may always begin.
+/// A pending attempt that may always be sent.
 pub struct AlwaysAllowed;
 
 impl PendingAttempt for AlwaysAllowed {
-    fn check(&self, _: Instant) -> Result<(), Denied> {
+    fn check_may_send(&self, _: Instant) -> Result<(), Denied> {
         Ok(())
     }
 
-    fn bytes(&self, _: Instant) -> Vec<u8> {
-        resp::request("0000000000000001", "cls=x", b"")
+    fn encode(&self, _: Instant) -> Vec<u8> {
+        resp::encode_request("0000000000000001", "cls=x", b"")
     }
 }
 
-/// The first attempt of the request with that id, at the node `s-1`.
-pub fn attempt(id: u64) -> Attempt {
+/// The first attempt of the request with this id, at the node `s-1`.
+pub fn first_attempt(id: u64) -> Attempt {
     Attempt {
         id: RequestId(id),
         number: 0,
--- a/crates/front/src/upstream/waiter.rs
+++ b/crates/front/src/upstream/waiter.rs
@@ -1,10 +1,10 @@
-//! How the facade's blocking calls wait in this front.
+//! The wait that this front provides to the facade's blocking calls.
 
 use fernslip::facade::Waiter;
 use may::sync::Blocker;
 use std::sync::Arc;
 
-/// Parks the calling coroutine, or a plain thread.
+/// Parks the calling coroutine or thread until it is woken.
 pub struct BlockerWaiter(pub Arc<Blocker>);
 
 impl Waiter for BlockerWaiter {
