--- a/crates/cli/tests/handover.rs
+++ b/crates/cli/tests/handover.rs
@@ -81,7 +81,7 @@
     let site = format!("{SITE}{}", members(&[("a", &a)], &origin));
     let front = Front::start_with_env("nodesc", &site, &[], &[("RELAY_PASSED_SOCKET", "fd3")]);
     assert!(
-        front.log_lines.iter().any(|l| l.contains("is no descriptor of 3 or more")),
+        front.log_lines.iter().any(|l| l.contains("is not a descriptor number of 3 or more")),
         "{:?}",
         front.log_lines
     );
--- a/crates/front/src/buffer.rs
+++ b/crates/front/src/buffer.rs
@@ -1,13 +1,14 @@
-//! The one buffer of a connection: bytes come in at its end and are consumed at its front.
+//! Receive buffer of a connection: bytes are appended at its end and consumed from its start.
 
 use std::io::{self, Read};
 
-/// At least so many bytes are free before a read.
+/// Minimum free space before a read, in bytes.
 const MIN_FREE: usize = 4 * 1024;
-/// An emptied buffer larger than this gives its memory back: one large message must not keep it for good.
+/// An emptied buffer larger than this, in bytes, releases its memory, so that one large message does not
+/// keep it allocated for good.
 const MAX_RETAINED: usize = 64 * 1024;
 
-/// Grows as it needs and is compacted in place.
+/// Byte buffer that grows as needed and is compacted in place.
 #[derive(Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
@@ -16,14 +17,14 @@
 }
 
 impl Buffer {
-    /// What has come in and was not consumed.
+    /// Bytes received and not yet consumed.
     pub fn data(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
-    /// Drops the first `n` bytes, or all if there are fewer.
-    pub fn consume(&mut self, n: usize) {
-        self.start = self.start.saturating_add(n).min(self.end);
+    /// Drops the first `count` bytes, or all if there are fewer.
+    pub fn consume(&mut self, count: usize) {
+        self.start = self.start.saturating_add(count).min(self.end);
         if self.start == self.end {
             (self.start, self.end) = (0, 0);
             if self.bytes.len() > MAX_RETAINED {
@@ -32,13 +33,13 @@
         }
     }
 
-    /// Reads once into the free end; how many bytes came.
+    /// Reads once into the free space at the end; returns the number of bytes read.
     ///
     /// # Errors
-    /// That of the read; nothing has come.
-    pub fn read_from(&mut self, from: &mut impl Read) -> io::Result<usize> {
+    /// The read failed; nothing was added.
+    pub fn read_from(&mut self, source: &mut impl Read) -> io::Result<usize> {
         self.reserve_free();
-        let n = from.read(&mut self.bytes[self.end..])?;
+        let n = source.read(&mut self.bytes[self.end..])?;
         self.end += n;
         Ok(n)
     }
@@ -48,8 +49,8 @@
             return;
         }
         let len = self.end - self.start;
-        // Moved down only where that frees at least as much as it moves: else a slow trickle would copy the
-        // same bytes again and again.
+        // Data is moved to the start only if that frees at least as many bytes as it moves; otherwise many
+        // small reads would copy the same bytes again and again.
         if self.start >= len && self.bytes.len() - len >= MIN_FREE {
             self.bytes.copy_within(self.start..self.end, 0);
             (self.start, self.end) = (0, len);
--- a/crates/front/src/clients/budget/tests.rs
+++ b/crates/front/src/clients/budget/tests.rs
@@ -1,16 +1,22 @@
 use super::*;
 
-/// Guards the event bus, the peers and the door against idle clients: each has descriptors of its own.
+/// Idle clients must not use up the descriptors of the event bus, the peers or the admin interface: each has
+/// a reserve of its own.
 #[test]
-fn all_of_it_fits_into_the_limits() {
+fn the_budget_fits_into_the_configured_limits() {
     for (sockets, memory_mb) in [(128, 32), (256, 32), (384, 48), (1024, 192), (1024, 32), (256, 192)] {
         let b = Budget::of(sockets, memory_mb);
-        let bytes = b.open * REQUEST + b.upstream * UPSTREAM + b.unread + b.bodies + b.partial + BASE;
-        assert!(bytes <= memory_mb * MB, "{b:?}");
+        let bytes = b.open * REQUEST_MEMORY
+            + b.upstream * UPSTREAM_CONNECTION_MEMORY
+            + b.unread
+            + b.bodies
+            + b.partial
+            + IDLE_MEMORY;
+        assert!(bytes <= memory_mb * BYTES_PER_MB, "{b:?}");
         assert!(b.clients + b.upstream <= sockets * 3 / 4, "{b:?}");
-        // Four connections may be between the one and the other place at once.
-        let held = b.clients + b.closing + 4 + b.callers + b.upstream + OWN;
-        assert!(held <= sockets, "{b:?} are {held} of {sockets}");
+        // Up to four connections may be in transition from open to closing at once.
+        let needed = b.clients + b.closing + 4 + b.callers + b.upstream + OWN_DESCRIPTORS;
+        assert!(needed <= sockets, "{b:?} needs {needed} of {sockets} descriptors");
         assert!(b.clients >= sockets / 3 && b.open >= 256 && b.upstream >= 16, "{b:?}");
     }
 }
--- a/crates/front/src/clients/call.rs
+++ b/crates/front/src/clients/call.rs
@@ -1,123 +1,131 @@
-//! A client's call: its fields are read and checked before any of them reaches the decision crate or a cache node.
+//! Decodes a client's call and validates its fields before any of them reaches the decision crate or a cache
+//! node.
 
 use crate::msgpack_rpc::Fields;
 use fernslip::{Class, ObjectId, Request, RequestId};
 
-/// Of a client's patience, reserved for the way there and back.
-const WAY_MS: f64 = 20.0;
-/// No client waits longer, and no part is larger, in KB: what is above is a mistake.
+/// Part of a client's patience that is reserved for transit on the network in both directions, in
+/// milliseconds.
+const TRANSIT_RESERVE_MS: f64 = 20.0;
+/// Longest accepted patience of a client, in milliseconds; a larger value is taken for a mistake.
 const MAX_PATIENCE_MS: f64 = 3_600_000.0;
+/// Largest accepted size of a part of an object, in KB; a larger value is taken for a mistake.
 const MAX_SIZE_KB: f64 = 1e9;
-/// A write's body.
-const MAX_BODY: usize = 48_000;
-const MAX_TAG: usize = 64;
+/// Longest body of a write, in bytes.
+const MAX_BODY_BYTES: usize = 48_000;
+/// Longest tag of a copy, in bytes.
+const MAX_TAG_BYTES: usize = 64;
 
-/// A client's request as it is forwarded to cache nodes: text that goes on unchanged.
+/// Fields of a client's request that are forwarded to cache nodes unchanged.
 #[derive(Debug, Default)]
 pub struct CallFields {
-    /// The request's id.
+    /// The request's id: 16 lower-case hex digits.
     pub trace: String,
-    /// Its class.
+    /// The name of the request's class.
     pub class: String,
-    /// The object.
+    /// The object's id: 16 lower-case hex digits.
     pub object: String,
-    /// The part of the object.
+    /// The number of the requested part of the object.
     pub part: String,
-    /// The tag of the copy that the client holds.
+    /// The tag of the copy that the client already holds, if any.
     pub known_tag: Option<String>,
-    /// A write's body.
+    /// The body of a write; empty for a read.
     pub body: Vec<u8>,
 }
 
-/// Why a call can't be used.
+/// Why a call is rejected as invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// The class is unknown.
-    #[error("no such class")]
-    Class,
-    /// A field is missing.
-    #[error("{0} is missing")]
-    Missing(&'static str),
-    /// A field occurs twice.
-    #[error("a field is there twice")]
-    Duplicate,
-    /// A field's value is not of its form, or out of range.
-    #[error("{0} can't be used")]
-    Field(&'static str),
-    /// A read with a body, or a write whose body is too long.
-    #[error("the body does not belong there")]
-    Body,
+    /// The method is not the name of a class.
+    #[error("the method is not the name of a class")]
+    UnknownClass,
+    /// A required field is missing.
+    #[error("required field `{0}` is missing")]
+    MissingField(&'static str),
+    /// A field occurs more than once.
+    #[error("a field occurs more than once")]
+    DuplicateField,
+    /// The value of a field is malformed or out of range.
+    #[error("the value of field `{0}` is malformed or out of range")]
+    InvalidField(&'static str),
+    /// A read has a body, or the body of a write is too long.
+    #[error("a read has a body, or the body of a write is longer than {MAX_BODY_BYTES} bytes")]
+    InvalidBody,
 }
 
 impl CallError {
-    /// The field that is invalid, as the answer names it.
+    /// Name of the invalid field, as given in the answer to the client.
     pub fn field(self) -> &'static str {
         match self {
-            CallError::Class => "class",
-            CallError::Missing(f) | CallError::Field(f) => f,
-            CallError::Duplicate => "fields",
-            CallError::Body => "body",
+            CallError::UnknownClass => "class",
+            CallError::MissingField(f) | CallError::InvalidField(f) => f,
+            CallError::DuplicateField => "fields",
+            CallError::InvalidBody => "body",
         }
     }
 }
 
-/// 16 lower-case hex digits: they go on unchanged, and cache nodes know no other form.
-fn hex(v: &str) -> Option<u64> {
-    let digits = v.len() == 16 && v.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-    u64::from_str_radix(v, 16).ok().filter(|_| digits)
+/// Parses exactly 16 lower-case hex digits. The text is forwarded unchanged, and cache nodes accept no other
+/// form.
+fn parse_hex_id(text: &str) -> Option<u64> {
+    let digits = text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
+    u64::from_str_radix(text, 16).ok().filter(|_| digits)
 }
 
-/// Digits alone: what a number's own parser takes besides (a sign, an exponent, a name) is no number here.
-fn integer(v: &str) -> Option<u64> {
-    v.parse().ok().filter(|_| v.bytes().all(|b| b.is_ascii_digit()))
+/// Parses an integer of ASCII digits only; a sign, which `str::parse` accepts, is rejected.
+fn parse_integer(text: &str) -> Option<u64> {
+    text.parse().ok().filter(|_| text.bytes().all(|b| b.is_ascii_digit()))
 }
 
-/// Digits, and a fraction if there is one.
-fn decimal(v: &str) -> Option<f64> {
+/// Parses ASCII digits with an optional fraction. Other forms that `str::parse` accepts (a sign, an
+/// exponent, a name such as `inf`) are rejected.
+fn parse_decimal(text: &str) -> Option<f64> {
     let digits = |s: &str| !s.is_empty() && s.bytes().all(|b| b.is_ascii_digit());
-    let (int, fraction) = v.split_once('.').unwrap_or((v, "0"));
-    v.parse().ok().filter(|_| digits(int) && digits(fraction))
+    let (int, fraction) = text.split_once('.').unwrap_or((text, "0"));
+    text.parse().ok().filter(|_| digits(int) && digits(fraction))
 }
 
-/// Reads a call to one of the deployment's classes.
+/// Decodes and validates a call to one of the deployment's classes.
 ///
 /// # Errors
-/// The class is unknown, or a field is missing, occurs twice or can't be used.
-pub fn read(
+/// The class is unknown, a field is missing, duplicate or invalid, or the body is not allowed.
+pub fn parse_call(
     classes: &[Class],
     method: &str,
     fields: Fields,
     body: Vec<u8>,
 ) -> Result<(Request, CallFields), CallError> {
-    let class = classes.iter().position(|c| c.name == method).ok_or(CallError::Class)?;
-    if body.len() > if classes[class].write { MAX_BODY } else { 0 } {
-        return Err(CallError::Body);
+    let class = classes.iter().position(|c| c.name == method).ok_or(CallError::UnknownClass)?;
+    if body.len() > if classes[class].write { MAX_BODY_BYTES } else { 0 } {
+        return Err(CallError::InvalidBody);
     }
     let names = ["trace", "entity", "slice", "set", "size", "patience", "seen"];
     let mut values: [Option<String>; 7] = Default::default();
     for (name, value) in fields {
         let Some(at) = names.iter().position(|n| *n == name) else { continue };
         if values[at].replace(value).is_some() {
-            return Err(CallError::Duplicate);
+            return Err(CallError::DuplicateField);
         }
     }
     let [trace, object, part, set, size, patience, known_tag] = values;
-    let need = |v: Option<String>, name| v.ok_or(CallError::Missing(name));
+    let need = |v: Option<String>, name| v.ok_or(CallError::MissingField(name));
     let (trace, object, part) = (need(trace, "trace")?, need(object, "entity")?, need(part, "slice")?);
     let (set, size, patience) = (need(set, "set")?, need(size, "size")?, need(patience, "patience")?);
-    let bad = CallError::Field;
+    let bad = CallError::InvalidField;
     let in_range = |v: Option<f64>, most: f64, name| v.filter(|n| *n <= most).ok_or(bad(name));
     let request = Request {
-        id: RequestId(hex(&trace).ok_or(bad("trace"))?),
-        object: ObjectId(hex(&object).ok_or(bad("entity"))?),
-        part: integer(&part).and_then(|n| n.try_into().ok()).ok_or(bad("slice"))?,
+        id: RequestId(parse_hex_id(&trace).ok_or(bad("trace"))?),
+        object: ObjectId(parse_hex_id(&object).ok_or(bad("entity"))?),
+        part: parse_integer(&part).and_then(|n| n.try_into().ok()).ok_or(bad("slice"))?,
         class,
-        size_kb: in_range(decimal(&size), MAX_SIZE_KB, "size")?,
-        budget_ms: (in_range(decimal(&patience), MAX_PATIENCE_MS, "patience")? - WAY_MS).max(0.0),
-        group: integer(&set).filter(|n| *n <= 255).ok_or(bad("set"))?,
+        size_kb: in_range(parse_decimal(&size), MAX_SIZE_KB, "size")?,
+        budget_ms: (in_range(parse_decimal(&patience), MAX_PATIENCE_MS, "patience")? - TRANSIT_RESERVE_MS)
+            .max(0.0),
+        group: parse_integer(&set).filter(|n| *n <= 255).ok_or(bad("set"))?,
     };
-    // Passed on inside a list of fields: what would end a field there can't be meant.
-    let tag = |k: &str| k.len() <= MAX_TAG && k.bytes().all(|b| b.is_ascii_alphanumeric());
+    // The tag is forwarded inside a list of fields, so it must not contain a character that could end a
+    // field there.
+    let tag = |k: &str| k.len() <= MAX_TAG_BYTES && k.bytes().all(|b| b.is_ascii_alphanumeric());
     if known_tag.as_ref().is_some_and(|k| !tag(k)) {
         return Err(bad("seen"));
     }
--- a/crates/front/src/clients/call/tests.rs
+++ b/crates/front/src/clients/call/tests.rs
@@ -1,12 +1,19 @@
 use super::*;
 
-fn classes() -> Vec<Class> {
+fn example_classes() -> Vec<Class> {
     let text = include_str!("../../../../../examples/config.json");
-    let config: serde_json::Value = serde_json::from_str(text).expect("the example");
-    fernslip::json::settings(&config["settings"]).expect("its settings").0.classes
+    let config: serde_json::Value =
+        serde_json::from_str(text).expect("the example configuration is valid JSON");
+    fernslip::json::settings(&config["settings"]).expect("the example settings are valid").0.classes
 }
 
-fn call(class: &str, change: &[(&str, Option<&str>)], body: usize) -> Result<Request, CallError> {
+/// Parses a call whose fields are valid except for `change`: field names with a new value, or `None` to omit
+/// the field.
+fn parse_changed(
+    class: &str,
+    change: &[(&str, Option<&str>)],
+    body_len: usize,
+) -> Result<Request, CallError> {
     let good = [
         ("trace", "9b1f03aa5c7e2d41"),
         ("patience", "1500"),
@@ -20,28 +27,32 @@
         let changed = change.iter().find(|c| c.0 == name).map_or(Some(value), |c| c.1);
         fields.extend(changed.map(|v| (name.to_string(), v.to_string())));
     }
-    read(&classes(), class, fields, vec![0; body]).map(|r| r.0)
+    parse_call(&example_classes(), class, fields, vec![0; body_len]).map(|r| r.0)
 }
 
 #[test]
-fn a_well_formed_call_is_read() {
-    let r = call("statement-docs", &[], 0).expect("good");
-    assert_eq!((r.id.0, r.object.0), (0x9b1f_03aa_5c7e_2d41, 0x7f3a_9c21_e0b4_d655));
-    assert_eq!((r.part, r.group, r.size_kb, r.budget_ms), (3, 17, 412.5, 1480.0));
-    assert!(call("contribution-change", &[], 48_000).is_ok());
+fn a_well_formed_call_is_parsed() {
+    let request = parse_changed("statement-docs", &[], 0).expect("a well-formed call is accepted");
+    assert_eq!((request.id.0, request.object.0), (0x9b1f_03aa_5c7e_2d41, 0x7f3a_9c21_e0b4_d655));
+    assert_eq!((request.part, request.group, request.size_kb, request.budget_ms), (3, 17, 412.5, 1480.0));
+    assert!(parse_changed("contribution-change", &[], 48_000).is_ok());
 }
 
-/// Guards the module's sums and the lines to cache nodes: each of these reached both once.
+/// Each of these invalid values once reached the decision crate's arithmetic and the lines sent to cache
+/// nodes.
 #[test]
-fn an_invalid_call_is_reported_by_its_field() {
-    assert_eq!(call("no-such-class", &[], 0).unwrap_err(), CallError::Class);
-    assert_eq!(call("statement-docs", &[], 1).unwrap_err(), CallError::Body);
-    assert_eq!(call("contribution-change", &[], 48_001).unwrap_err(), CallError::Body);
+fn an_invalid_call_is_reported_with_the_name_of_its_field() {
+    assert_eq!(parse_changed("no-such-class", &[], 0).unwrap_err(), CallError::UnknownClass);
+    assert_eq!(parse_changed("statement-docs", &[], 1).unwrap_err(), CallError::InvalidBody);
+    assert_eq!(parse_changed("contribution-change", &[], 48_001).unwrap_err(), CallError::InvalidBody);
     for name in ["trace", "patience", "entity", "slice", "set", "size"] {
-        assert_eq!(call("statement-docs", &[(name, None)], 0).unwrap_err(), CallError::Missing(name));
+        assert_eq!(
+            parse_changed("statement-docs", &[(name, None)], 0).unwrap_err(),
+            CallError::MissingField(name)
+        );
         for value in ["", "x", "-1", "+3", "1e3", "nan", "inf", "0x10", "99999999999999999999999", "1 "] {
-            let got = call("statement-docs", &[(name, Some(value))], 0);
-            assert_eq!(got.unwrap_err(), CallError::Field(name), "{name}={value}");
+            let got = parse_changed("statement-docs", &[(name, Some(value))], 0);
+            assert_eq!(got.unwrap_err(), CallError::InvalidField(name), "{name}={value}");
         }
     }
     for (name, value) in [
@@ -52,13 +63,16 @@
         ("size", ".5"),
         ("size", "5."),
     ] {
-        let got = call("statement-docs", &[(name, Some(value))], 0);
-        assert_eq!(got.unwrap_err(), CallError::Field(name), "{name}={value}");
+        let got = parse_changed("statement-docs", &[(name, Some(value))], 0);
+        assert_eq!(got.unwrap_err(), CallError::InvalidField(name), "{name}={value}");
     }
 }
 
 #[test]
 fn a_duplicate_field_is_an_error() {
     let twice = ["4", "5"].map(|v| ("slice".to_string(), v.to_string())).to_vec();
-    assert_eq!(read(&classes(), "statement-docs", twice, Vec::new()).unwrap_err(), CallError::Duplicate);
+    assert_eq!(
+        parse_call(&example_classes(), "statement-docs", twice, Vec::new()).unwrap_err(),
+        CallError::DuplicateField
+    );
 }
--- a/crates/front/src/clients/connection.rs
+++ b/crates/front/src/clients/connection.rs
@@ -22,47 +22,50 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Open calls on one connection: the protocol's own figure. More are rejected, so that no client has the whole front to
-/// itself.
+/// Maximum number of open calls on one connection, as the protocol specifies. Further calls are rejected, so
+/// that no client occupies the whole front.
 const MAX_OPEN_CALLS: usize = 32;
-/// Bytes of one connection's answers that wait to be read: those of all calls that may be open, at the longest.
+/// Maximum number of bytes of unread answers on one connection: as many as the longest answers to all calls
+/// that may be open.
 const MAX_UNREAD_BYTES: usize = MAX_OPEN_CALLS * 256 * 1024;
-/// At shutdown the remainder of a message that has begun is waited for so long.
+/// Longest wait at shutdown for the remainder of a message that has begun to arrive.
 const PARTIAL_MESSAGE_GRACE: Duration = Duration::from_millis(200);
-/// A client that has connected sends a message within this time, and completes within it one that it has begun. Guards
-/// the capacity for others against clients that connect and send nothing, or part of a message.
+/// Time within which a new client must send its first message, and any client must complete a message that
+/// it has begun. Guards the capacity for others against clients that connect and send nothing, or only part
+/// of a message.
 pub(super) const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Retry-After of a call that is rejected because the front shuts down, in milliseconds: another process or front takes
-/// it at once.
-const SHUTDOWN_RETRY_AFTER: &str = "100";
-/// At the connection limit, a connection that has sent nothing yet is not evicted for so long.
+/// Retry-After, in milliseconds, of calls rejected because the front shuts down: another process or front
+/// can accept them at once.
+const SHUTDOWN_RETRY_AFTER_MS: &str = "100";
+/// How long a new connection that has sent nothing is neither evicted at the connection limit nor regarded
+/// as idle.
 pub(super) const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(200);
 
-/// A call that is open.
+/// A call that was accepted and has not been answered.
 pub(super) struct OpenCall {
     pub(super) id: RequestId,
     pub(super) queue: Arc<DispatchQueue>,
-    /// Notified when its client disconnects or cancels the call.
+    /// Notified when the client disconnects or cancels the call.
     pub(super) caller: Arc<Caller>,
 }
 
-/// What the server knows of one connection, behind one lock.
+/// State of one connection, protected by one lock.
 pub(super) struct ConnectionState {
-    /// By the call's number on this connection.
+    /// Open calls by their number on this connection.
     pub(super) calls: HashMap<u32, OpenCall>,
-    /// No call is open since then.
+    /// When the connection became idle: since then no call has been open. `None` while one is.
     pub(super) idle_since: Option<Instant>,
-    /// A message has come in part since then.
+    /// When the incomplete message in the buffer began to arrive; `None` if there is none.
     pub(super) partial_since: Option<Instant>,
-    /// Bytes of that part.
+    /// Received bytes of the incomplete message.
     pub(super) partial: usize,
-    /// Calls that were accepted so far.
+    /// Number of calls accepted so far.
     pub(super) accepted: u64,
-    /// It is closing: it counts among the clients no more.
+    /// Whether the connection is being closed; it then no longer counts towards the client limit.
     pub(super) closing: bool,
-    /// A complete message has come.
+    /// Whether a complete message has been received.
     pub(super) message_received: bool,
-    /// A request was served: a client in good standing.
+    /// Whether a request has been served on this connection; such connections are evicted last.
     pub(super) served: bool,
 }
 
@@ -73,8 +76,8 @@
 }
 
 impl ConnectionState {
-    /// Whether it may be closed where the front shuts down: no call is open, and it has not just connected, as then it is
-    /// about to send a call.
+    /// Whether the connection may be closed while the front shuts down: no call is open, and it is not so
+    /// new that its first call is still expected.
     pub(super) fn is_idle(&self, now: Instant) -> bool {
         self.idle_since
             .is_some_and(|at| self.message_received || now.duration_since(at) >= NEW_CONNECTION_GRACE)
@@ -93,20 +96,20 @@
             message_received: false,
             served: false,
         };
-        ClientConnection { link: Link::counted(unread), open: Mutex::new(open) }
+        ClientConnection { link: Link::with_shared_byte_count(unread), open: Mutex::new(open) }
     }
 
-    /// Queues an answer; whether the connection took it.
+    /// Queues an answer; returns whether the connection accepted it.
     pub(super) fn send(&self, bytes: Vec<u8>) -> bool {
         let Some(unread) = self.link.send(bytes, None) else { return false };
-        // A client that does not read must not cost the others their memory.
+        // A client that does not read its answers must not use up the memory for others.
         if unread > MAX_UNREAD_BYTES {
             self.link.close(Reason::SlowReader);
         }
         true
     }
 
-    /// Answers a call unless the client has cancelled it.
+    /// Answers a call, unless the client has cancelled it.
     pub(super) fn answer(
         &self,
         front: &Shared,
@@ -122,13 +125,14 @@
             Answer::None => None,
         };
         let served = matches!(answer, Answer::Served(_));
-        let bytes = encode(call, answer);
+        let bytes = encode_answer(call, answer);
         let idle = {
-            // Held until the answer is queued: a close that finds no call open finds it owed.
+            // The lock is held until the answer is queued, so that a close that finds no open call also
+            // finds the answer in the queue.
             let mut open = lock(&self.open);
-            // Another call may have its number by now, of a client that counts its own way.
+            // The client may have cancelled this call and reused its number for another one.
             if open.calls.get(&call).is_none_or(|c| !Arc::ptr_eq(&c.caller, caller)) {
-                front.metrics.ended(class, None);
+                front.metrics.request_ended(class, None);
                 return;
             }
             let trace = open.calls.remove(&call).map_or(0, |c| c.id.0);
@@ -140,25 +144,29 @@
             if let Some(bytes) = bytes {
                 let delivered = self.send(bytes) || self.link.is_broken();
                 front.invariants.check(Invariant::AnswerDelivered, delivered, || {
-                    format!("trace={trace:016x} answered on a connection that was closed")
+                    format!(
+                        "trace={trace:016x}: the answer was lost because its connection was already closed"
+                    )
                 });
             }
             open.calls.is_empty()
         };
-        front.metrics.ended(class, outcome);
+        front.metrics.request_ended(class, outcome);
         front.server.limit_unread_answers();
-        // The front is being emptied: a connection closes after its last answer, not only at the next sweep.
+        // While the front is ending or being evacuated, a connection closes right after its last answer
+        // instead of at the next sweep.
         if idle && front.server.closing_idle.load(Ordering::Acquire) {
-            self.finish(front, Reason::Shutdown);
+            self.start_closing(front, Reason::Shutdown);
         }
     }
 
-    /// Closes it gracefully; from now on it is not counted among the clients.
-    pub(super) fn finish(&self, front: &Shared, why: Reason) {
+    /// Closes the connection gracefully; from now on it does not count towards the client limit.
+    pub(super) fn start_closing(&self, front: &Shared, why: Reason) {
         if !std::mem::replace(&mut lock(&self.open).closing, true) {
             front.server.closing.fetch_add(1, Ordering::Relaxed);
         }
-        // Where many close at once the descriptors are worth more than the last bytes on the way.
+        // While too many connections are closing, releasing their descriptors matters more than delivering
+        // the last bytes in transit.
         if front.server.closing.load(Ordering::Relaxed) > front.server.budget.closing
             && why == Reason::TooMany
         {
@@ -168,25 +176,27 @@
         }
     }
 
-    /// Whether it goes on although it was to be closed: something came in that very moment.
-    pub(super) fn resumes(&self, front: &Shared, why: Reason) -> bool {
+    /// Whether the connection stays open although it was to be closed, because a call or part of one arrived
+    /// in the meantime.
+    pub(super) fn stays_open(&self, front: &Shared, why: Reason) -> bool {
         let mut open = lock(&self.open);
         let shutdown = why == Reason::Shutdown;
         let begun = open
             .partial_since
             .is_some_and(|at| at.elapsed() < if shutdown { PARTIAL_MESSAGE_GRACE } else { MESSAGE_TIMEOUT });
-        let resumes = !open.calls.is_empty() || begun && why != Reason::TooMany;
-        if resumes && std::mem::take(&mut open.closing) {
+        let stays_open = !open.calls.is_empty() || begun && why != Reason::TooMany;
+        if stays_open && std::mem::take(&mut open.closing) {
             front.server.closing.fetch_sub(1, Ordering::Relaxed);
         }
-        resumes
+        stays_open
     }
 
-    /// Reads a call and starts a coroutine for it, or rejects it at once.
+    /// Decodes a call and starts a coroutine for it, or answers it at once if it is invalid or exceeds a
+    /// limit.
     ///
     /// # Errors
-    /// The protocol is broken: the connection ends for that reason.
-    fn call(
+    /// The client broke the protocol; the connection ends for that reason.
+    fn handle_call(
         self: &Arc<Self>,
         front: &Arc<Shared>,
         number: u32,
@@ -195,30 +205,31 @@
         body: Vec<u8>,
     ) -> Result<(), Reason> {
         if method == "isWell" {
-            self.send(rpc::well(number, front.is_ready()));
+            self.send(rpc::encode_health(number, front.is_ready()));
             return Ok(());
         }
-        let (request, fields) = match call::read(&front.server.classes, &method, fields, body) {
+        let (request, fields) = match call::parse_call(&front.server.classes, &method, fields, body) {
             Ok(r) => r,
             Err(why) => {
-                self.send(rpc::error(number, "Fault", &[("field", why.field())]));
+                self.send(rpc::encode_error(number, "Fault", &[("field", why.field())]));
                 return Ok(());
             }
         };
         let class = Some(request.class);
         let Some(queue) = front.queues.route(&fields.class, &fields.object).cloned() else {
-            front.metrics.count(class, Outcome::Errored);
-            self.send(rpc::error(number, "Fault", &[("route", "none")]));
+            front.metrics.count_outcome(class, Outcome::Errored);
+            self.send(rpc::encode_error(number, "Fault", &[("route", "none")]));
             return Ok(());
         };
         let bytes = fields.body.len();
-        // The front is ending or being emptied: a busy connection must fall idle and close before the process is
-        // killed, so what comes on it now is rejected at once instead of being taken and lost with the process.
+        // While the front is ending or being evacuated, new calls are rejected at once: a busy connection
+        // has to become idle and close before the process is killed, and a call accepted now would be lost
+        // with the process.
         if front.server.closing_idle.load(Ordering::Acquire) {
-            front.metrics.count(class, Outcome::Deferred);
-            self.send(rpc::error(number, "Shed", &[("pause", SHUTDOWN_RETRY_AFTER)]));
+            front.metrics.count_outcome(class, Outcome::Deferred);
+            self.send(rpc::encode_error(number, "Shed", &[("pause", SHUTDOWN_RETRY_AFTER_MS)]));
             if lock(&self.open).calls.is_empty() {
-                self.finish(front, Reason::Shutdown);
+                self.start_closing(front, Reason::Shutdown);
             }
             return Ok(());
         }
@@ -234,9 +245,9 @@
                 || bodies.load(Ordering::Relaxed) + bytes > front.server.budget.bodies
             {
                 drop(open);
-                front.metrics.count(class, Outcome::Deferred);
+                front.metrics.count_outcome(class, Outcome::Deferred);
                 let pause = (front.queues.retry_after_ms() as u64).to_string();
-                self.send(rpc::error(number, "Shed", &[("pause", &pause)]));
+                self.send(rpc::encode_error(number, "Shed", &[("pause", &pause)]));
                 return Ok(());
             }
             bodies.fetch_add(bytes, Ordering::Relaxed);
@@ -245,10 +256,11 @@
             open.idle_since = None;
             open.accepted += 1;
         }
-        front.metrics.taken();
+        front.metrics.request_accepted();
         let (client, front, fields) = (self.clone(), front.clone(), Arc::new(fields));
         spawn(move || {
-            // A defect costs its own request alone: it is answered, and what it took is given back.
+            // A panic affects only its own request: the call is answered, and the resources that it took are
+            // released.
             let served =
                 catch_unwind(AssertUnwindSafe(|| forward::serve(&front, &queue, request, &fields, &caller)));
             let answer = served.unwrap_or(Answer::Failed);
@@ -258,7 +270,7 @@
         Ok(())
     }
 
-    /// The client does not wait for that call any more.
+    /// Cancels a call that the client no longer waits for.
     fn cancel_call(&self, front: &Shared, call: u32) {
         let cancelled = {
             let mut open = lock(&self.open);
@@ -273,23 +285,25 @@
         }
     }
 
-    /// Handles the complete messages in the buffer, and accounts for the remainder.
+    /// Handles all complete messages in the buffer and accounts for the bytes of an incomplete one.
     ///
     /// # Errors
-    /// The protocol is broken: the connection ends for that reason.
+    /// The client broke the protocol; the connection ends for that reason.
     pub(super) fn read_messages(
         self: &Arc<Self>,
         front: &Arc<Shared>,
         buffer: &mut Buffer,
     ) -> Result<(), Reason> {
         let mut received = false;
-        while let Some((len, message)) = rpc::parse(buffer.data()).map_err(|_| Reason::Malformed)? {
+        while let Some((len, message)) = rpc::parse_message(buffer.data()).map_err(|_| Reason::Malformed)? {
             received = true;
             buffer.consume(len);
             match message {
-                Message::Call { id, method, fields, body } => self.call(front, id, method, fields, body)?,
-                Message::Forget(call) => self.cancel_call(front, call),
-                Message::Other => {}
+                Message::Call { id, method, fields, body } => {
+                    self.handle_call(front, id, method, fields, body)?;
+                }
+                Message::Cancel(call) => self.cancel_call(front, call),
+                Message::UnknownNotice => {}
             }
         }
         let (mut open, now) = (lock(&self.open), Instant::now());
@@ -302,17 +316,17 @@
         open.partial_since = (partial > 0).then(|| open.partial_since.unwrap_or(now));
         let total = replace_contribution(&front.server.partial, &mut open.partial, partial);
         drop(open);
-        // Clients that begin long messages and don't end them must not cost the others their memory.
+        // Clients that begin long messages and do not complete them must not use up the memory for others.
         if partial > 0 && total > front.server.budget.partial {
-            front.server.close_heaviest(Reason::NoRoom, ClientConnection::partial_message_weight);
+            front.server.close_highest_weight(Reason::MemoryLimit, ClientConnection::partial_message_weight);
         }
         Ok(())
     }
 }
 
-/// A connection whose end is settled when this is dropped, also where a defect unwinds its coroutine: capacity that is
-/// never released is lost for good.
-pub(super) struct ConnectionEnd<'a> {
+/// Releases everything that a connection holds when this is dropped, even if a panic unwinds its coroutine:
+/// capacity that is not released would be lost for good.
+pub(super) struct ConnectionCleanup<'a> {
     pub(super) front: &'a Shared,
     pub(super) number: u64,
     pub(super) client: &'a ClientConnection,
@@ -320,9 +334,9 @@
     pub(super) why: Reason,
 }
 
-impl Drop for ConnectionEnd<'_> {
+impl Drop for ConnectionCleanup<'_> {
     fn drop(&mut self) {
-        let ConnectionEnd { front, number, client, peer, why } = self;
+        let ConnectionCleanup { front, number, client, peer, why } = self;
         let server = &front.server;
         client.link.terminate();
         lock(&server.clients).remove(number);
@@ -339,7 +353,7 @@
         let (unanswered, open_calls) = (unanswered.len(), unanswered);
         front.reason_counts.add(Kind::ClientClosed, why.code());
         front.invariants.check(Invariant::CloseSettled, !why.is_own_choice() || unanswered == 0, || {
-            format!("{peer} closed as {} with {unanswered} calls open", why.code())
+            format!("{peer}: connection closed for reason {} while {unanswered} calls were open", why.code())
         });
         tracing::info!(kind = %"client", %peer, reason = %why.code(), taken = accepted, unanswered, "end");
         for call in open_calls.into_values() {
@@ -349,7 +363,8 @@
 }
 
 impl OpenCall {
-    /// Its client does not wait any more: no attempt begins for it from now on, wherever it is queued.
+    /// Cancels the call because its client no longer waits: no further attempt begins, wherever the call is
+    /// queued.
     pub(super) fn cancel(self, front: &Shared) {
         self.caller.disconnect();
         self.queue.dispatcher.client_disconnected(front.clock.now(), self.id);
@@ -357,23 +372,23 @@
     }
 }
 
-/// The bytes of a final answer; `None`: none is owed.
-fn encode(call: u32, answer: Answer) -> Option<Vec<u8>> {
+/// Encodes a final answer; `None` if no answer is due.
+fn encode_answer(call: u32, answer: Answer) -> Option<Vec<u8>> {
     Some(match answer {
-        Answer::Served(r) if r.current => rpc::served(call, &[], &[("current", "1")]),
-        Answer::Served(r) => rpc::served(call, &r.body, &[]),
+        Answer::Served(r) if r.current => rpc::encode_success(call, &[], &[("current", "1")]),
+        Answer::Served(r) => rpc::encode_success(call, &r.body, &[]),
         Answer::Rejected(pause) if pause >= 1.0 => {
-            rpc::error(call, "Shed", &[("pause", &(pause as u64).to_string())])
+            rpc::encode_error(call, "Shed", &[("pause", &(pause as u64).to_string())])
         }
-        Answer::Rejected(_) => rpc::error(call, "Shed", &[]),
-        Answer::Failed => rpc::error(call, "Fault", &[]),
+        Answer::Rejected(_) => rpc::encode_error(call, "Shed", &[]),
+        Answer::Failed => rpc::encode_error(call, "Fault", &[]),
         Answer::None => return None,
     })
 }
 
-/// Replaces one connection's contribution to a total; returns the total.
-fn replace_contribution(all: &AtomicUsize, part: &mut usize, now: usize) -> usize {
-    let before = std::mem::replace(part, now);
-    all.fetch_add(now, Ordering::Relaxed);
-    all.fetch_sub(before, Ordering::Relaxed) - before
+/// Replaces one connection's contribution to a total and returns the new total.
+fn replace_contribution(total: &AtomicUsize, contribution: &mut usize, new: usize) -> usize {
+    let before = std::mem::replace(contribution, new);
+    total.fetch_add(new, Ordering::Relaxed);
+    total.fetch_sub(before, Ordering::Relaxed) - before
 }
--- a/crates/front/src/clients/eviction.rs
+++ b/crates/front/src/clients/eviction.rs
@@ -1,4 +1,5 @@
-//! Which client's connection is closed where a limit is reached, and which have timed out.
+//! Chooses the client connections to close: those that have timed out, and one when a shared limit is
+//! reached.
 
 use super::connection::{ClientConnection, MESSAGE_TIMEOUT, NEW_CONNECTION_GRACE};
 use super::server::Server;
@@ -8,29 +9,32 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// A client that has answers waiting and took no byte of them for so long reads no more.
+/// Time after which a client that reads nothing of its waiting answers is disconnected.
 const UNREAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// An idle connection is closed; clients close theirs after 4 s, but some keep it for good.
+/// Time after which an idle connection is closed. Clients close theirs after 4 s, but some keep them open
+/// indefinitely.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl ClientConnection {
-    /// How many bytes of partial messages closing it would release; a connection with an open call goes last.
+    /// Weight by the bytes of incomplete messages that closing the connection releases; one with an open
+    /// call weighs less than any without. `None` if no message is incomplete.
     pub(super) fn partial_message_weight(&self, _: Instant) -> Option<(bool, Duration, usize)> {
         let open = lock(&self.open);
         (open.partial > 0).then_some((open.calls.is_empty(), Duration::ZERO, open.partial))
     }
 
-    /// How many bytes of unread answers closing it would release; one that has read nothing for longest goes first.
+    /// Weight by how long the client has read nothing, then by the bytes of unread answers that closing the
+    /// connection releases. `None` if no answer is unread.
     pub(super) fn unread_weight(&self, now: Instant) -> Option<(bool, Duration, usize)> {
         self.link.stalled_for(now).map(|stalled| (true, stalled, self.link.unwritten_bytes()))
     }
 
-    /// Why it is to be closed, if it is.
+    /// The reason for which the connection has timed out; `None` if it has not.
     pub(super) fn timeout_reason(&self, now: Instant) -> Option<Reason> {
         let open = lock(&self.open);
         let timed_out = |at: Option<Instant>, limit| at.is_some_and(|at| now.duration_since(at) >= limit);
         match () {
-            // Who waits for an answer gets it first.
+            // A client that waits for an answer gets it before it is disconnected.
             () if timed_out(open.partial_since, MESSAGE_TIMEOUT)
                 && open.calls.is_empty()
                 && self.link.is_drained() =>
@@ -40,7 +44,7 @@
             () if !open.message_received && timed_out(open.idle_since, MESSAGE_TIMEOUT) => {
                 Some(Reason::NoRequest)
             }
-            // A part that has come is the beginning of a call.
+            // An incomplete message is the beginning of a call, so its connection is not idle.
             () if open.partial == 0 && timed_out(open.idle_since, IDLE_TIMEOUT) && self.link.is_drained() => {
                 Some(Reason::Idle)
             }
@@ -49,7 +53,8 @@
         }
     }
 
-    /// How readily it is evicted for another: by kind, then by the time without an open call. `None`: it is not.
+    /// Rank for eviction, the highest first: by kind (0: has been served, 1: has only sent messages, 2: has
+    /// sent nothing), then by the time without an open call. `None`: the connection is not evicted.
     pub(super) fn eviction_rank(&self, now: Instant) -> Option<(u8, Duration)> {
         let open = lock(&self.open);
         if open.closing || self.link.is_closing() {
@@ -67,9 +72,10 @@
 }
 
 impl Server {
-    /// Closes, for that reason, the connection of the client that weighs most, if there is one: a shared limit is reached,
-    /// and whoever happens to exceed it next is not the one at fault.
-    pub(super) fn close_heaviest(
+    /// Closes the connection with the highest weight, if any has one, for the given reason. Used where a
+    /// shared limit is reached, because the client that happens to exceed it is not necessarily the one at
+    /// fault.
+    pub(super) fn close_highest_weight(
         &self,
         why: Reason,
         weight: impl Fn(&ClientConnection, Instant) -> Option<(bool, Duration, usize)>,
@@ -83,23 +89,25 @@
         }
     }
 
-    /// Where unread answers exceed their limit, the client that reads least is closed.
+    /// If unread answers exceed their limit, closes the connection whose client has read nothing for
+    /// longest.
     pub(super) fn limit_unread_answers(&self) {
         if self.unread.load(Ordering::Relaxed) > self.budget.unread {
-            self.close_heaviest(Reason::SlowReader, ClientConnection::unread_weight);
+            self.close_highest_weight(Reason::SlowReader, ClientConnection::unread_weight);
         }
     }
 
-    /// Whether the connection that was just accepted is within the limit, if need be by evicting another. Guards new clients
-    /// against those that called once and stay connected.
+    /// Ensures that a connection that was just accepted is within the limit, if necessary by evicting
+    /// another; returns whether it is. Protects new clients against those that called once and stay
+    /// connected.
     pub(super) fn make_capacity(&self, front: &Shared) -> bool {
         let connected =
             self.descriptors.load(Ordering::Relaxed).saturating_sub(self.closing.load(Ordering::Relaxed));
         connected <= self.budget.clients || self.evict(front)
     }
 
-    /// Closes the connection that ranks highest for eviction: one that never sent a message, was never served, or is idle
-    /// for longest. Whether there was one.
+    /// Closes the connection with the highest rank for eviction: one that never sent a message, else one
+    /// that was never served, else the one that has been idle for longest. Returns whether there was one.
     pub(super) fn evict(&self, front: &Shared) -> bool {
         let now = Instant::now();
         let evicted = {
@@ -109,7 +117,7 @@
         };
         match evicted {
             Some(client) => {
-                client.finish(front, Reason::TooMany);
+                client.start_closing(front, Reason::TooMany);
                 true
             }
             None => false,
--- a/crates/front/src/clients/forward.rs
+++ b/crates/front/src/clients/forward.rs
@@ -1,4 +1,5 @@
-//! Forwarding a request: it waits for its pool, is attempted as often as the decision crate says, and has one answer.
+//! Forwards a request: waits for a permit of its pool, makes the attempts that the decision crate orders,
+//! and returns one final answer.
 
 use crate::call::CallFields;
 use crate::invariants::Invariant;
@@ -14,24 +15,24 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The part of a client's patience that its request may wait for a permit of its pool.
-const MAX_WAIT_SHARE: f64 = 0.5;
+/// Largest fraction of the client's patience that a request may wait for a permit of its pool.
+const MAX_WAIT_FRACTION: f64 = 0.5;
 
-/// The final answer.
+/// The final answer to a call.
 #[derive(Debug)]
 pub enum Answer {
-    /// Served.
+    /// The request was served, with this reply.
     Served(Reply),
-    /// Rejected, with a Retry-After in milliseconds; 0: none.
+    /// The request was rejected; the value is the Retry-After in milliseconds, or 0 for none.
     Rejected(f64),
-    /// Failed.
+    /// The request failed.
     Failed,
-    /// None: the client has disconnected or cancelled.
+    /// No answer is due: the client has disconnected or cancelled the call.
     None,
 }
 
-/// How an attempt ended, as a figure's name.
-fn ending_name(ending: Ending) -> &'static str {
+/// Name of an ending in metrics.
+fn ending_metric_name(ending: Ending) -> &'static str {
     match ending {
         Ending::Completed => "completed",
         Ending::Errored => "errored",
@@ -46,7 +47,7 @@
     }
 }
 
-/// Sees a request through to its final answer, or to the moment in which its client disconnects or cancels. Yields while
+/// Processes a request until its final answer, or until its client disconnects or cancels it. Yields while
 /// it waits for a permit and during each attempt.
 pub fn serve(
     front: &Shared,
@@ -59,12 +60,14 @@
     let retry_after_ms = queues.retry_after_ms();
     let client_deadline = Instant::now() + Duration::from_secs_f64(request.budget_ms / 1000.0);
     let Some(_reservation) = queues.reserve(request.id) else { return Answer::Rejected(retry_after_ms) };
-    // Waiting takes a part of the client's patience only: what is admitted late must still be served in time.
-    let wait_until_ms = clock.now() + request.budget_ms * MAX_WAIT_SHARE;
+    // The wait is limited to a part of the client's patience, so that a request admitted late can still be
+    // served in time.
+    let wait_until_ms = clock.now() + request.budget_ms * MAX_WAIT_FRACTION;
     let Some(permit) = queue.acquire(clock, wait_until_ms, caller) else {
         return Answer::Rejected(retry_after_ms);
     };
-    // Nothing yields from here to `pick`: who disconnects later is known to the decision crate.
+    // Nothing yields between this check and `pick`, so the decision crate is notified of clients that
+    // disconnect later.
     if caller.is_disconnected() {
         return Answer::None;
     }
@@ -87,30 +90,30 @@
     forwarding.run(first)
 }
 
-/// A request that holds a permit of its pool.
+/// State of a request that holds a permit of its pool.
 struct Forwarding<'a> {
     front: &'a Shared,
     queue: &'a Arc<DispatchQueue>,
     call: &'a Arc<CallFields>,
     caller: &'a Arc<Caller>,
     permit: Permit,
-    /// Up to when the client waits.
+    /// Time until which the client waits.
     client_deadline: Instant,
-    /// Retry-After where the front itself rejects, in milliseconds.
+    /// Retry-After of rejections by the front itself, in milliseconds.
     retry_after_ms: f64,
-    /// What may be repeated of the class.
+    /// Whether a request of this class may be repeated after an attempt that may have run.
     effect: Effect,
     class: usize,
     size_kb: f64,
-    /// An attempt may have run at its node.
+    /// Whether an attempt may have run at its cache node.
     may_have_run: bool,
-    /// How the last attempt ended.
+    /// How the last attempt ended; `None` before the first one ends.
     last_ending: Option<Ending>,
     reply: Option<Reply>,
 }
 
 impl Forwarding<'_> {
-    /// Carries the decisions out until one is final.
+    /// Carries out decisions until one of them is final.
     fn run(mut self, first: Decision) -> Answer {
         let mut decision = first;
         loop {
@@ -132,28 +135,34 @@
         }
     }
 
-    /// Whether that attempt may be made after those before it; if not, the decision crate is notified that it is
-    /// abandoned.
+    /// Checks whether the attempt may be made after the earlier ones. If not, the decision crate is notified
+    /// that it is abandoned.
     ///
     /// # Errors
-    /// The final answer, where the attempt may not be made.
+    /// The final answer, if the attempt may not be made.
     fn check_retry(&self, attempt: &Attempt) -> Result<(), Answer> {
         let Forwarding { front, may_have_run, effect, .. } = *self;
         let dispatcher = &self.queue.dispatcher;
         if attempt.number > 0 && !self.permit.try_retry() {
-            // The pool's own limit.
+            // The pool's own limit on retries is reached.
             dispatcher.abandon(front.clock.now(), attempt);
             return Err(match may_have_run && effect != Effect::Idempotent {
                 true => Answer::Failed,
                 false => Answer::Rejected(self.retry_after_ms),
             });
         }
-        // The guard for retries: the decision crate does not ask for this, and were it to, nothing runs twice.
+        // A second safeguard against running a request twice: the decision crate does not order such a
+        // retry, but if it did, the request would fail here instead.
         let allowed = !may_have_run || effect != Effect::AtMostOnce;
         if let Some(ending) = self.last_ending {
-            front.reason_counts.add(Kind::Retried, ending_name(ending));
+            front.reason_counts.add(Kind::Retried, ending_metric_name(ending));
         }
-        let detail = || format!("trace={} n={} after one that may have run", self.call.trace, attempt.number);
+        let detail = || {
+            format!(
+                "trace={} n={}: retry of a request that may have run and must run at most once",
+                self.call.trace, attempt.number
+            )
+        };
         if !front.invariants.check(Invariant::RepeatAllowed, allowed, detail) {
             dispatcher.abandon(front.clock.now(), attempt);
             return Err(Answer::Failed);
@@ -161,7 +170,7 @@
         Ok(())
     }
 
-    /// Makes an attempt and reports its result; the next decision.
+    /// Makes an attempt and reports its result; returns the next decision.
     fn execute(&mut self, attempt: Attempt) -> Decision {
         let Forwarding { front, queue, call, .. } = *self;
         let clock = &front.clock;
@@ -179,16 +188,18 @@
         self.may_have_run |= !end.ending.never_ran();
         self.last_ending = Some(end.ending);
         if end.fully_written {
-            front.metrics.sent(self.class);
+            front.metrics.attempt_sent(self.class);
         }
         if end.ending == Ending::Completed {
             self.reply = end.reply;
         }
         let elapsed_ms = started.elapsed().as_secs_f64() * 1000.0;
-        // Off by default: a line for each attempt, to be counted over all fronts.
+        // Debug level, off by default: one line per attempt, so that attempts can be counted over all
+        // fronts.
         tracing::debug!(
-            trace = %call.trace, class = %call.class, object = %call.object, size = self.size_kb, n = attempt.number,
-            node = %attempt.cache.0, via = %attempt.source.as_ref().map_or("-", |s| &s.0), ending = ?end.ending,
+            trace = %call.trace, class = %call.class, object = %call.object, size = self.size_kb,
+            n = attempt.number, node = %attempt.cache.0,
+            via = %attempt.source.as_ref().map_or("-", |s| &s.0), ending = ?end.ending,
             detail = end.detail, ms = elapsed_ms as u64, holds = end.reported_in_flight, "attempt"
         );
         let result = AttemptResult {
--- a/crates/front/src/clients/listen.rs
+++ b/crates/front/src/clients/listen.rs
@@ -1,9 +1,9 @@
-//! The clients' listening socket: one that the platform hands over, or one of the front's own.
+//! The listening socket for clients: one inherited from the platform, or one that the front binds itself.
 //!
-//! Where the platform replaces a process while it serves, it holds the clients' address itself and every process
-//! inherits the listening socket, named by its descriptor number in `$RELAY_PASSED_SOCKET` (3 in practice). Binding
-//! the address again would fail with `EADDRINUSE`, so a front takes that socket; one that is no listening TCP socket
-//! is reported and the front binds as it always did.
+//! A platform that replaces a running process holds the clients' address itself, and every process inherits
+//! the listening socket; `$RELAY_PASSED_SOCKET` holds its descriptor number (3 in practice). Binding the
+//! address again would fail with `EADDRINUSE`. If the descriptor is not a listening TCP socket, the front
+//! logs that and binds the address itself.
 
 use crate::failure::{retry_with_backoff, Failure};
 use may::io::{CoIo, WaitIo};
@@ -13,136 +13,140 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// The variable that names the descriptor.
+/// Environment variable that holds the descriptor number of the inherited listening socket.
 pub const PASSED_SOCKET_VARIABLE: &str = "RELAY_PASSED_SOCKET";
-/// The first descriptor after standard input, output and error, where handed sockets begin.
-const FIRST_PASSED: u32 = 3;
-/// Connections that wait to be accepted: thousands come at once on the hard days, and the kernel drops what
-/// does not fit.
-const BACKLOG: i32 = 4096;
-
-/// Registering an accepted connection with the event queue is retried for so long.
-const REGISTER_WITHIN: Duration = Duration::from_secs(1);
-/// What a connection that can't be registered is taken to have met.
+/// Lowest descriptor number that can be inherited: 0 to 2 are standard input, output and error.
+const MIN_PASSED_DESCRIPTOR: u32 = 3;
+/// Length of the kernel's queue of connections that wait to be accepted. At peak load thousands of clients
+/// connect at once, and the kernel drops those that do not fit.
+const LISTEN_BACKLOG: i32 = 4096;
+
+/// Longest time for which registering an accepted connection with the event queue is retried.
+const REGISTER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Linux's `ENOMEM`, reported for a connection that can't be registered with the event queue.
 const ENOMEM: i32 = 12;
 
-/// Where the clients' socket came from.
+/// Where the clients' listening socket comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// Bound by this process.
+    /// This process bound the address itself.
     Bound,
-    /// Handed over by the platform; other processes may accept on it too.
+    /// Inherited from the platform; other processes may accept connections on it too.
     Passed,
 }
 
-/// Why a handed descriptor is not used.
+/// Why the descriptor in `$RELAY_PASSED_SOCKET` can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum PassedSocketError {
-    /// The variable holds no descriptor number of 3 or more.
-    #[error("{PASSED_SOCKET_VARIABLE}={0:?} is no descriptor of 3 or more")]
-    Number(String),
-    /// It can't be taken as a socket.
-    #[error("{PASSED_SOCKET_VARIABLE}: descriptor {0}: {1}")]
-    Take(u32, io::Error),
-    /// It is a socket, but not a listening TCP one.
+    /// The value is not a descriptor number of 3 or more.
+    #[error("{PASSED_SOCKET_VARIABLE}={0:?} is not a descriptor number of 3 or more")]
+    InvalidNumber(String),
+    /// A system call on the descriptor failed.
+    #[error("{PASSED_SOCKET_VARIABLE}: descriptor {0} can't be used as a listening socket: {1}")]
+    Io(u32, io::Error),
+    /// The descriptor is not a listening TCP socket; the text says what it is instead.
     #[error("{PASSED_SOCKET_VARIABLE}: descriptor {0} is {1}")]
-    Kind(u32, &'static str),
+    WrongKind(u32, &'static str),
 }
 
-/// Reads the variable's value: a descriptor number, of 3 or more.
+/// Parses the value of `$RELAY_PASSED_SOCKET`: a descriptor number of 3 or more.
 ///
 /// # Errors
-/// It is no number, or a smaller one.
-pub fn descriptor(value: &str) -> Result<u32, PassedSocketError> {
+/// The value is not a number, or is less than 3.
+pub fn parse_descriptor(value: &str) -> Result<u32, PassedSocketError> {
     match value.trim().parse::<u32>() {
-        Ok(fd) if fd >= FIRST_PASSED => Ok(fd),
-        _ => Err(PassedSocketError::Number(value.into())),
+        Ok(fd) if fd >= MIN_PASSED_DESCRIPTOR => Ok(fd),
+        _ => Err(PassedSocketError::InvalidNumber(value.into())),
     }
 }
 
-/// Takes the handed descriptor and checks that it is a listening TCP socket.
-fn take(fd: u32) -> Result<TcpListener, PassedSocketError> {
-    // The library reads the count of handed descriptors from the environment, as socket activation sets it.
-    std::env::set_var("LISTEN_FDS", (fd - FIRST_PASSED + 1).to_string());
+/// Takes over the inherited descriptor and checks that it is a listening TCP socket.
+fn take_passed_socket(fd: u32) -> Result<TcpListener, PassedSocketError> {
+    // `listenfd` reads the number of inherited descriptors from the environment, as socket activation sets
+    // it.
+    std::env::set_var("LISTEN_FDS", (fd - MIN_PASSED_DESCRIPTOR + 1).to_string());
     std::env::remove_var("LISTEN_PID");
     let mut fds = listenfd::ListenFd::from_env();
-    let taken = fds.take_tcp_listener((fd - FIRST_PASSED) as usize);
+    let taken = fds.take_tcp_listener((fd - MIN_PASSED_DESCRIPTOR) as usize);
     std::env::remove_var("LISTEN_FDS");
     let listener = match taken {
         Ok(Some(l)) => l,
-        Ok(None) => return Err(PassedSocketError::Kind(fd, "not open")),
-        Err(e) => return Err(PassedSocketError::Take(fd, e)),
+        Ok(None) => return Err(PassedSocketError::WrongKind(fd, "not open")),
+        Err(e) => return Err(PassedSocketError::Io(fd, e)),
     };
     let socket = Socket::from(listener);
     match (socket.r#type(), socket.domain(), socket.is_listener()) {
         (Ok(Type::STREAM), Ok(Domain::IPV4 | Domain::IPV6), Ok(true)) => Ok(socket.into()),
         (Ok(Type::STREAM), Ok(Domain::IPV4 | Domain::IPV6), Ok(false)) => {
-            Err(PassedSocketError::Kind(fd, "not listening"))
+            Err(PassedSocketError::WrongKind(fd, "not listening"))
         }
-        (Err(e), _, _) | (_, Err(e), _) | (_, _, Err(e)) => Err(PassedSocketError::Take(fd, e)),
-        _ => Err(PassedSocketError::Kind(fd, "no TCP socket")),
+        (Err(e), _, _) | (_, Err(e), _) | (_, _, Err(e)) => Err(PassedSocketError::Io(fd, e)),
+        _ => Err(PassedSocketError::WrongKind(fd, "not a TCP socket")),
     }
 }
 
-/// Binds the address with a backlog for many that connect at once.
+/// Binds a listening TCP socket to the address, with a backlog for thousands of clients that connect at
+/// once.
 ///
 /// # Errors
 /// The address can't be bound.
-pub fn bind(at: SocketAddr) -> io::Result<TcpListener> {
-    let socket = Socket::new(Domain::for_address(at), Type::STREAM, None)?;
+pub fn bind_listener(addr: SocketAddr) -> io::Result<TcpListener> {
+    let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
-    socket.bind(&at.into())?;
-    socket.listen(BACKLOG)?;
+    socket.bind(&addr.into())?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(socket.into())
 }
 
-/// The clients' listener: the handed one where `$RELAY_PASSED_SOCKET` names a usable one, else one bound to `at`.
+/// Opens the clients' listening socket: the one in `$RELAY_PASSED_SOCKET` if it is usable, else one bound to
+/// `addr`.
 ///
 /// # Errors
-/// The address can't be bound. A handed descriptor that can't be used is logged and not an error.
-pub fn clients(at: SocketAddr) -> io::Result<(Listener, Origin)> {
+/// The address can't be bound. An inherited descriptor that can't be used is only logged.
+pub fn clients(addr: SocketAddr) -> io::Result<(Listener, Origin)> {
     let passed = std::env::var(PASSED_SOCKET_VARIABLE).ok().filter(|v| !v.trim().is_empty());
-    let taken = match passed.as_deref().map(|v| descriptor(v).and_then(take)) {
+    let taken = match passed.as_deref().map(|v| parse_descriptor(v).and_then(take_passed_socket)) {
         Some(Ok(l)) => Some(l),
-        Some(Err(why)) => {
-            tracing::warn!("{why}; binding {at} instead");
+        Some(Err(error)) => {
+            tracing::warn!("inherited listening socket is not used: {error}; binding {addr} instead");
             None
         }
         None => None,
     };
     let (listener, origin) = match taken {
         Some(l) => (l, Origin::Passed),
-        None => (bind(at)?, Origin::Bound),
+        None => (bind_listener(addr)?, Origin::Bound),
     };
     let co = CoIo::new(listener).map_err(io::Error::from)?;
     Ok((Listener(co), origin))
 }
 
-/// A listener of the standard library's that coroutines wait on.
+/// Listening TCP socket on which coroutines wait for connections.
 pub struct Listener(CoIo<TcpListener>);
 
 impl Listener {
-    /// Its address.
+    /// The address that the socket is bound to.
     ///
     /// # Errors
-    /// As `getsockname(2)`.
+    /// `getsockname(2)` failed.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.0.inner().local_addr()
     }
 
-    /// The next connection, waiting in the coroutine for one; `None` once `stop` is set. A handed socket is shared
-    /// with the process that replaces this one, so what is not accepted here is accepted there: nothing is taken
-    /// only to be dropped.
+    /// Waits in the calling coroutine for the next connection; returns `None` once `stop` is set.
+    ///
+    /// An inherited socket is shared with the process that replaces this one: a connection that is not
+    /// accepted here is accepted there, so none is accepted only to be dropped.
     ///
     /// # Errors
-    /// As `accept(2)`: out of descriptors, or a client that left at once.
+    /// `accept(2)` failed, for example because no descriptor is left or the client has already disconnected.
     pub fn accept(&self, stop: &AtomicBool) -> io::Result<Option<(CoIo<TcpStream>, SocketAddr)>> {
         loop {
             if stop.load(Ordering::Acquire) {
                 return Ok(None);
             }
             match self.0.inner().accept() {
-                Ok((stream, peer)) => return Ok(Some((register(stream)?, peer))),
+                Ok((stream, peer)) => return Ok(Some((register_with_event_queue(stream)?, peer))),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     self.0.wait_io();
                 }
@@ -152,19 +156,19 @@
         }
     }
 
-    /// Wakes the coroutine that waits for a connection, so that it looks at its `stop`.
+    /// Handle that wakes the coroutine in [`Listener::accept`], so that it checks `stop` again.
     pub fn waker(&self) -> may::io::WaitIoWaker {
         self.0.waker()
     }
 
-    /// A connection that waits already; `None`: none does.
+    /// Accepts a connection that is already pending, without waiting; `None` if there is none.
     ///
     /// # Errors
-    /// As [`Listener::accept`].
-    pub fn accept_waiting(&self) -> io::Result<Option<(CoIo<TcpStream>, SocketAddr)>> {
+    /// As for [`Listener::accept`].
+    pub fn try_accept(&self) -> io::Result<Option<(CoIo<TcpStream>, SocketAddr)>> {
         loop {
             match self.0.inner().accept() {
-                Ok((stream, peer)) => return Ok(Some((register(stream)?, peer))),
+                Ok((stream, peer)) => return Ok(Some((register_with_event_queue(stream)?, peer))),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(None),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
@@ -173,17 +177,20 @@
     }
 }
 
-/// Gives an accepted connection to the event queue. It is owed answers already: where the machine has no memory for a moment,
-/// it is not dropped for that.
-fn register(stream: TcpStream) -> io::Result<CoIo<TcpStream>> {
+/// Registers an accepted connection with the event queue. The client already expects answers, so a temporary
+/// shortage of memory is retried instead of dropping the connection.
+fn register_with_event_queue(stream: TcpStream) -> io::Result<CoIo<TcpStream>> {
     let mut pending = Some(stream);
     retry_with_backoff(
-        REGISTER_WITHIN,
+        REGISTER_TIMEOUT,
         |e: &io::Error| Failure::of(e) != Failure::Remote,
         |_| {
-            let stream = pending.take().ok_or_else(|| io::Error::other("taken"))?;
+            let stream = pending.take().ok_or_else(|| {
+                io::Error::other("accepted connection was already handed to the event queue")
+            })?;
             CoIo::new(stream).map_err(|failed| {
-                // The error tells its number only when it gives the connection up.
+                // The error number is lost when the connection is taken back from the error; `ENOMEM` stands
+                // in for it.
                 let e = io::Error::from_raw_os_error(ENOMEM);
                 pending = Some(failed.into_data());
                 e
--- a/crates/front/src/clients/metrics.rs
+++ b/crates/front/src/clients/metrics.rs
@@ -1,56 +1,57 @@
-//! What the front counts for its operators: counted where each thing happens, from process start.
+//! Counters of requests and attempts for operators, counted from the start of the process.
 
 use std::fmt::Write;
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 
-/// How a request ended, as the figures count it.
+/// How a request ended, as metrics count it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The request was served.
     Answered,
-    /// Refused: `Shed`, with or without a pause.
+    /// The request was rejected with `Shed`, with or without a pause.
     Deferred,
-    /// Failed: `Fault`.
+    /// The request failed with `Fault`.
     Errored,
 }
 
 #[derive(Default)]
-struct Class {
+struct ClassCounters {
     answered: AtomicU64,
     deferred: AtomicU64,
     errored: AtomicU64,
     sends: AtomicU64,
 }
 
-/// The counts, by class in the order of the settings.
+/// Counters of requests, by class in the order of the settings.
 pub struct Metrics {
     names: Vec<String>,
-    classes: Vec<Class>,
+    classes: Vec<ClassCounters>,
     current: AtomicI64,
 }
 
 impl Metrics {
-    /// All at 0, for these classes.
+    /// Creates counters at 0 for the classes with these names.
     pub fn new(names: Vec<String>) -> Metrics {
-        let classes = names.iter().map(|_| Class::default()).collect();
+        let classes = names.iter().map(|_| ClassCounters::default()).collect();
         Metrics { names, classes, current: AtomicI64::new(0) }
     }
 
-    /// A request was taken.
-    pub fn taken(&self) {
+    /// Counts a request that was accepted.
+    pub fn request_accepted(&self) {
         self.current.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// A request that was taken ended, with an answer of that class, or with none where its client had left.
-    pub fn ended(&self, class: Option<usize>, outcome: Option<Outcome>) {
+    /// Counts the end of an accepted request, with its outcome, or with none if its client had left.
+    pub fn request_ended(&self, class: Option<usize>, outcome: Option<Outcome>) {
         self.current.fetch_sub(1, Ordering::Relaxed);
         if let Some(o) = outcome {
-            self.count(class, o);
+            self.count_outcome(class, o);
         }
     }
 
-    /// A request was answered that was never taken: refused at the door or with a field that can't be read.
-    pub fn count(&self, class: Option<usize>, outcome: Outcome) {
+    /// Counts only an outcome: for requests that were never accepted, because they were rejected on arrival
+    /// or had an invalid field. An outcome without a known class is not counted.
+    pub fn count_outcome(&self, class: Option<usize>, outcome: Outcome) {
         let Some(c) = class.and_then(|c| self.classes.get(c)) else { return };
         let counter = match outcome {
             Outcome::Answered => &c.answered,
@@ -60,19 +61,20 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// An attempt of that class was written whole to a cache node.
-    pub fn sent(&self, class: usize) {
+    /// Counts an attempt of this class that was completely written to a cache node.
+    pub fn attempt_sent(&self, class: usize) {
         if let Some(c) = self.classes.get(class) {
             c.sends.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Requests taken and not yet ended.
+    /// Number of requests accepted and not yet ended.
     pub fn current(&self) -> i64 {
         self.current.load(Ordering::Relaxed).max(0)
     }
 
-    /// The figures as `name=value` lines, with the cache nodes listed and of them those avoided.
+    /// All metrics as `name=value` lines, with the number of listed cache nodes and how many of these are
+    /// avoided.
     pub fn lines(&self, listed: usize, avoided: usize) -> String {
         let mut out = String::new();
         for (name, c) in self.names.iter().zip(&self.classes) {
--- a/crates/front/src/clients/metrics/tests.rs
+++ b/crates/front/src/clients/metrics/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 
 #[test]
-fn counts_stand_under_their_class_and_current_follows_what_is_open() {
-    let f = Metrics::new(vec!["docs".into(), "pay".into()]);
-    f.taken();
-    f.taken();
-    f.ended(Some(1), Some(Outcome::Answered));
-    f.count(Some(0), Outcome::Deferred);
-    f.sent(1);
-    f.count(None, Outcome::Errored);
-    let lines = f.lines(7, 2);
+fn outcomes_are_counted_by_class_and_current_counts_open_requests() {
+    let metrics = Metrics::new(vec!["docs".into(), "pay".into()]);
+    metrics.request_accepted();
+    metrics.request_accepted();
+    metrics.request_ended(Some(1), Some(Outcome::Answered));
+    metrics.count_outcome(Some(0), Outcome::Deferred);
+    metrics.attempt_sent(1);
+    metrics.count_outcome(None, Outcome::Errored);
+    let lines = metrics.lines(7, 2);
     for want in [
         "relay.transactions.pay.answered=1",
         "relay.transactions.docs.deferred=1",
@@ -19,6 +19,6 @@
         "relay.cluster_size=7",
         "relay.cluster_unhealthy=2",
     ] {
-        assert!(lines.lines().any(|l| l == want), "{want} in {lines}");
+        assert!(lines.lines().any(|l| l == want), "the line `{want}` is missing in {lines}");
     }
 }
--- a/crates/front/src/clients/mod.rs
+++ b/crates/front/src/clients/mod.rs
@@ -1,4 +1,5 @@
-//! What clients see: connections taken, calls read, requests carried to their one answer, and what is counted of them.
+//! Client side of the front: accepting connections, decoding calls, forwarding requests and counting
+//! results.
 
 pub mod budget;
 pub mod call;
--- a/crates/front/src/clients/msgpack_rpc/tests.rs
+++ b/crates/front/src/clients/msgpack_rpc/tests.rs
@@ -1,38 +1,42 @@
 use super::*;
 
 #[test]
-fn a_body_that_is_too_long_is_rejected_by_its_header() {
+fn a_body_that_is_too_long_is_rejected_as_soon_as_its_length_is_received() {
     let head = [0x94, 0, 1, 0xa1, b'x', 0x92, 0x80, 0xc6, 1, 0, 0, 0];
-    assert!(parse(&head).is_err(), "{:?}", parse(&head));
+    assert!(parse_message(&head).is_err(), "{:?}", parse_message(&head));
 }
 
-/// Every marker that there is, alone and behind the head of a call, whole and cut: an error or a wish for more, and no panic.
+/// Parses every marker, alone and after the start of a call, with up to 19 bytes after it. Each must give an
+/// error, a message or a wait for more bytes, never a panic.
 #[test]
-fn no_bytes_make_the_parser_panic() {
+fn the_parser_does_not_panic_on_any_marker() {
     for marker in 0..=u8::MAX {
-        for behind in 0..20 {
-            let odd = [&[marker][..], &vec![5; behind]].concat();
+        for following in 0..20 {
+            let value = [&[marker][..], &vec![5; following]].concat();
             for head in [&[][..], &[0x94, 0x00], &[0x94, 0x00, 0x01, 0xa1, b'x', 0x92, 0x81, 0xa1, b'k']] {
-                let _ = parse(&[head, &odd].concat());
+                let _ = parse_message(&[head, &value].concat());
             }
         }
     }
 }
 
-/// What no call has is malformed as soon as its marker is there; what is not whole yet may become a call.
+/// A type that no call contains is an error as soon as its marker is received; an incomplete call is not an
+/// error.
 #[test]
-fn extension_types_are_malformed_and_parts_of_calls_are_not() {
+fn extension_types_are_rejected_and_incomplete_calls_are_not() {
     for marker in [0xc1, 0xc7, 0xc8, 0xc9, 0xd4, 0xd5, 0xd6, 0xd7, 0xd8] {
-        assert_eq!(parse(&[0x94, 0x00, marker]), Err(RpcError::Invalid), "{marker:x}");
+        assert_eq!(parse_message(&[0x94, 0x00, marker]), Err(RpcError::Invalid), "{marker:x}");
     }
-    let whole = served(1, b"body", &[("a", "b")]);
+    let answer = encode_success(1, b"body", &[("a", "b")]);
     let call =
         [&[0x94, 0x00, 0x01, 0xa1, b'x', 0x92, 0x81, 0xa1, b'k', 0xa1, b'v', 0xc4, 0x02][..], b"ab"].concat();
-    assert!(matches!(parse(&call), Ok(Some((len, Message::Call { id: 1, .. }))) if len == call.len()));
+    assert!(
+        matches!(parse_message(&call), Ok(Some((len, Message::Call { id: 1, .. }))) if len == call.len())
+    );
     for n in 0..call.len() {
-        assert_eq!(parse(&call[..n]), Ok(None), "{n}");
+        assert_eq!(parse_message(&call[..n]), Ok(None), "{n}");
     }
-    assert_eq!(parse(&whole), Err(RpcError::Shape), "an answer is no call");
-    let deep = vec![0x91; MAX_DEPTH + 2];
-    assert_eq!(parse(&deep), Err(RpcError::Invalid));
+    assert_eq!(parse_message(&answer), Err(RpcError::UnexpectedShape), "an answer is not accepted as a call");
+    let deep = vec![0x91; MAX_NESTING_DEPTH + 2];
+    assert_eq!(parse_message(&deep), Err(RpcError::Invalid));
 }
--- a/crates/front/src/clients/server.rs
+++ b/crates/front/src/clients/server.rs
@@ -1,6 +1,7 @@
-//! All clients' connections: accepting them, what they hold together, and closing them at the end.
+//! Manages all client connections: accepts them, limits the resources that they use together, and closes
+//! them at shutdown.
 
-use super::connection::{ClientConnection, ConnectionEnd};
+use super::connection::{ClientConnection, ConnectionCleanup};
 use super::msgpack_rpc as rpc;
 use crate::budget::Budget;
 use crate::failure::Failure;
@@ -19,54 +20,58 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Connections above the budget for clients that are just being closed; more wait to be accepted.
+/// Connections allowed beyond the budgets for open and closing clients, as a margin while some are just
+/// being closed. Further clients wait in the listen queue.
 const CLOSING_RESERVE: usize = 4;
-/// Backoff between two attempts to accept where no descriptor is left: the first, and the longest.
+/// First and longest wait before accepting again when no descriptor was left.
 const DESCRIPTOR_BACKOFF: [Duration; 2] = [Duration::from_millis(5), Duration::from_millis(80)];
 
-/// All clients' connections.
+/// All client connections and the limits that they share.
 pub struct Server {
     pub(super) budget: Budget,
     pub(super) classes: Vec<Class>,
     pub(super) clients: Mutex<HashMap<u64, Arc<ClientConnection>>>,
     pub(super) next_number: AtomicU64,
-    /// Bytes of answers that wait to be read, over all connections.
+    /// Bytes of answers that are queued and not yet written, over all connections.
     pub(super) unread: Arc<AtomicUsize>,
-    /// Descriptors that clients' connections hold.
+    /// Number of descriptors held by client connections.
     pub(super) descriptors: AtomicUsize,
-    /// Of these, how many are being closed.
+    /// Number of these connections that are being closed.
     pub(super) closing: AtomicUsize,
-    /// Bytes of open writes' bodies.
+    /// Bytes of the bodies of open write calls.
     pub(super) bodies: AtomicUsize,
-    /// Bytes of messages that have not come completely.
+    /// Bytes of messages that have been received only in part.
     pub(super) partial: AtomicUsize,
-    /// No client is accepted any more.
+    /// Set once no further client is accepted.
     pub(super) closed: AtomicBool,
-    /// Since `evacuate`, until `activate`.
+    /// When the evacuation of the front began; `None` unless it is being evacuated.
     pub(super) evacuated: Mutex<Option<Instant>>,
-    /// Connections are closed as they fall idle.
+    /// Whether connections are closed as soon as they are idle.
     pub(super) closing_idle: AtomicBool,
-    /// When the process ends at the latest: what is taken from now on is to be answered well before.
+    /// Latest time at which the process ends, if that is known; calls accepted from now on are to be
+    /// answered well before it.
     pub(super) end_by: Mutex<Option<Instant>>,
 }
 
-/// Resources in use by clients; all 0 when none is connected. Logged as it is when the front has shut down.
+/// Resources in use by clients; all 0 when no client is connected. The `Debug` form is logged when the front
+/// has shut down.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Held {
-    /// Descriptors of connections.
+    /// Number of descriptors held by client connections.
     pub connections: usize,
-    /// Of these, those that are being closed.
+    /// Number of these connections that are being closed.
     pub leaving: usize,
-    /// Bytes of answers that wait to be read.
+    /// Bytes of answers that clients have not read yet.
     pub unread: usize,
-    /// Bytes of open writes' bodies.
+    /// Bytes of the bodies of open write calls.
     pub bodies: usize,
-    /// Bytes of messages that have not come completely.
+    /// Bytes of messages that have been received only in part.
     pub partial: usize,
 }
 
 impl Server {
-    /// No client yet; what they may hold, and the classes they ask for.
+    /// Creates a server without clients, with the limits for what they may use and the classes that they may
+    /// call.
     pub fn new(budget: Budget, classes: Vec<Class>) -> Server {
         Server {
             budget,
@@ -85,7 +90,7 @@
         }
     }
 
-    /// What clients hold at this moment.
+    /// Resources that clients use at this moment.
     pub fn held(&self) -> Held {
         Held {
             connections: self.descriptors.load(Ordering::Relaxed),
@@ -96,23 +101,25 @@
         }
     }
 
-    /// The process ends by then: what is taken from now on is answered before.
+    /// Sets the time by which the process ends; calls accepted from now on must be answered before it.
     pub fn end_by(&self, at: Instant) {
         *lock(&self.end_by) = Some(at);
     }
 
-    /// Time until shutdown for a call that is accepted now, in milliseconds.
+    /// Time until the process ends, in milliseconds; infinite if no end is scheduled. Limits the time of a
+    /// call that is accepted now.
     pub(super) fn remaining_ms(&self) -> f64 {
         let remaining = |at: Instant| at.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
         lock(&self.end_by).map_or(f64::INFINITY, remaining)
     }
 
-    /// Accepts clients until the front shuts down. A handed socket is then left to the other process; one of the front's own
-    /// is read to its end first, so that whoever has connected gets an answer.
+    /// Accepts clients until the front shuts down. An inherited socket is then left to the other process. On
+    /// a socket that this process bound, all pending connections are accepted first, so that every connected
+    /// client gets an answer.
     pub fn run(&self, front: &Arc<Shared>, listener: Listener, origin: Origin) {
         let mut pause = DESCRIPTOR_BACKOFF[0];
         loop {
-            // Those that are closing must have given their descriptors back.
+            // Wait until closing connections have released their descriptors.
             while self.descriptors.load(Ordering::Relaxed)
                 >= self.budget.clients + self.budget.closing + CLOSING_RESERVE
             {
@@ -120,7 +127,7 @@
             }
             let accepted = match (self.closed.load(Ordering::Acquire), origin) {
                 (true, Origin::Passed) => Ok(None),
-                (true, Origin::Bound) => listener.accept_waiting(),
+                (true, Origin::Bound) => listener.try_accept(),
                 (false, _) => listener.accept(&self.closed),
             };
             match accepted {
@@ -130,8 +137,9 @@
                     pause = DESCRIPTOR_BACKOFF[0];
                     self.admit(front, stream, peer);
                 }
-                // Out of descriptors, or a client that left at once: the next may be fine. An idle client gives its
-                // descriptor back, and the wait grows: accept fails at once as long as none is free.
+                // If no descriptor is left, an idle client is closed to release one, and the wait grows,
+                // because accept fails at once as long as none is free. Any other error concerns a single
+                // client that disconnected early, so the next one may succeed.
                 Err(e) => {
                     if Failure::of(&e) == Failure::Descriptors {
                         tracing::warn!(held = self.descriptors.load(Ordering::Relaxed), "accept: {e}");
@@ -146,7 +154,7 @@
         }
     }
 
-    /// Counts an accepted connection and starts its coroutine, or drops it where no capacity can be made.
+    /// Counts an accepted connection and starts its coroutine, or drops it if no capacity can be freed.
     fn admit(&self, front: &Arc<Shared>, stream: CoIo<TcpStream>, peer: SocketAddr) {
         self.descriptors.fetch_add(1, Ordering::Relaxed);
         if !self.make_capacity(front) {
@@ -156,16 +164,16 @@
             tracing::info!(kind = %"client", %peer, reason = %Reason::TooMany.code(), "end");
             return;
         }
-        // Listed at once: the next one to come is counted against it.
+        // Added at once, so that the limit check for the next connection counts this one.
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let client = Arc::new(ClientConnection::new(self.unread.clone()));
         lock(&self.clients).insert(number, client.clone());
         let front = front.clone();
-        spawn(move || front.server.serve(&front, number, &client, stream, peer));
+        spawn(move || front.server.serve_connection(&front, number, &client, stream, peer));
     }
 
-    /// Runs one connection to its end.
-    fn serve(
+    /// Runs one connection until it ends.
+    fn serve_connection(
         &self,
         front: &Arc<Shared>,
         number: u64,
@@ -173,29 +181,34 @@
         stream: CoIo<TcpStream>,
         peer: SocketAddr,
     ) {
-        let mut ended = ConnectionEnd { front, number, client, peer, why: Reason::Defect };
+        let mut ended = ConnectionCleanup { front, number, client, peer, why: Reason::Defect };
         client.link.attach(Stream::Std(stream));
-        ended.why =
-            client.link.run(|buffer| client.read_messages(front, buffer), |why| client.resumes(front, why));
+        ended.why = client
+            .link
+            .run(|buffer| client.read_messages(front, buffer), |why| client.stays_open(front, why));
     }
 
-    /// Closes connections that nobody uses; all that are idle where the front is ending.
+    /// Closes connections that have timed out, and all idle ones if the front is ending or being evacuated
+    /// (`ending`).
     pub fn sweep(&self, front: &Shared, ending: bool) {
         self.closing_idle.store(ending, Ordering::Release);
         let now = Instant::now();
         let all: Vec<Arc<ClientConnection>> = lock(&self.clients).values().cloned().collect();
-        for c in all {
-            c.link.sweep(now);
-            let idle = || lock(&c.open).is_idle(now) && c.link.is_drained();
-            match c.timeout_reason(now).or_else(|| (ending && idle()).then_some(Reason::Shutdown)) {
-                Some(why @ (Reason::Idle | Reason::Shutdown | Reason::NoRequest)) => c.finish(front, why),
-                Some(why) => c.link.close(why),
+        for client in all {
+            client.link.sweep(now);
+            let idle = || lock(&client.open).is_idle(now) && client.link.is_drained();
+            match client.timeout_reason(now).or_else(|| (ending && idle()).then_some(Reason::Shutdown)) {
+                Some(why @ (Reason::Idle | Reason::Shutdown | Reason::NoRequest)) => {
+                    client.start_closing(front, why);
+                }
+                Some(why) => client.link.close(why),
                 None => {}
             }
         }
     }
 
-    /// Empties the front, or ends that: readiness is no meanwhile, and connections close as they fall idle.
+    /// Starts (`true`) or ends (`false`) the evacuation of the front. Meanwhile it reports itself as not
+    /// ready, and connections are closed as they become idle.
     pub fn evacuate(&self, on: bool) {
         let mut evacuated = lock(&self.evacuated);
         *evacuated = if on { Some(evacuated.unwrap_or_else(Instant::now)) } else { None };
@@ -204,38 +217,39 @@
         }
     }
 
-    /// Whether the front is being emptied.
+    /// Whether the front is being evacuated.
     pub fn is_evacuated(&self) -> bool {
         lock(&self.evacuated).is_some()
     }
 
-    /// How long the front has been emptied for.
+    /// Time since the evacuation began; `None` if the front is not being evacuated.
     pub fn evacuated_for(&self) -> Option<Duration> {
         lock(&self.evacuated).map(|at| at.elapsed())
     }
 
-    /// No client is taken in any more.
+    /// Stops accepting clients.
     pub fn close(&self) {
         self.closed.store(true, Ordering::Release);
     }
 
-    /// Every answer has been written, and no call is open.
+    /// Whether no call is open and every answer has been written.
     pub fn is_done(&self) -> bool {
         lock(&self.clients).values().all(|c| lock(&c.open).calls.is_empty() && c.link.is_drained())
     }
 
-    /// The process ends: calls that are still open are answered with an error that promises nothing, and cancelled. Guards the
-    /// calls of clients that wait longer than their class allows: they would be lost with the process.
+    /// Answers all open calls with an error and cancels them, because the process ends. The error does not
+    /// say whether a call took effect. Without it, calls of clients that wait longer than their class allows
+    /// would be lost with the process.
     pub fn give_up(&self, front: &Shared) {
         let all: Vec<Arc<ClientConnection>> = lock(&self.clients).values().cloned().collect();
         for client in all {
             let calls = {
-                // Held until the answers are queued, as in `ClientConnection::answer`.
+                // The lock is held until the answers are queued, as in `ClientConnection::answer`.
                 let mut open = lock(&client.open);
                 open.idle_since.get_or_insert_with(Instant::now);
                 let calls = std::mem::take(&mut open.calls);
                 for number in calls.keys() {
-                    client.send(rpc::error(*number, "Fault", &[]));
+                    client.send(rpc::encode_error(*number, "Fault", &[]));
                 }
                 calls
             };
@@ -245,7 +259,7 @@
         }
     }
 
-    /// No connection is left.
+    /// Whether no client connection is left.
     pub fn is_empty(&self) -> bool {
         self.descriptors.load(Ordering::Relaxed) == 0
     }
--- a/crates/front/src/failure.rs
+++ b/crates/front/src/failure.rs
@@ -1,25 +1,25 @@
-//! Failures of system calls, sorted by whose they are: this machine's, to be tried again, or the other side's. Only the other
-//! side's is held against it.
+//! Classifies failures of system calls: those of this machine, which are retried, and those of the other
+//! side. Only the latter count against the other side.
 
 use crate::sleep;
 use std::io;
 use std::time::{Duration, Instant};
 
-/// Whose a failure is.
+/// The cause of a failed system call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The process has no descriptor left.
+    /// No descriptor is left to the process.
     Descriptors,
-    /// The machine wants for something: descriptors of all processes, ports, buffers, memory, a route. It may have it in a
-    /// moment.
+    /// This machine lacks a resource, perhaps only briefly: descriptors of all processes, ports, buffers,
+    /// memory or a route.
     Machine,
-    /// Nothing failed: the call is to be made again.
+    /// The call was interrupted or would have blocked, and is to be made again.
     Again,
-    /// The other side's, or the way's to it.
+    /// The other side or the network path to it failed.
     Remote,
 }
 
-// Linux's numbers, as `errno(3)` and `asm-generic/errno.h` have them.
+// Error numbers of Linux, as in `errno(3)` and `asm-generic/errno.h`.
 const EINTR: i32 = 4;
 const EAGAIN: i32 = 11;
 const ENOMEM: i32 = 12;
@@ -33,16 +33,16 @@
 const ECONNABORTED: i32 = 103;
 const ENOBUFS: i32 = 105;
 
-/// Between two tries of what the machine wants for: the first wait, and the longest.
-const PAUSE: [Duration; 2] = [Duration::from_millis(1), Duration::from_millis(40)];
+/// First and longest wait between two attempts of a call for which this machine lacks a resource.
+const RETRY_BACKOFF: [Duration; 2] = [Duration::from_millis(1), Duration::from_millis(40)];
 
 impl Failure {
-    /// Sorts an error of a socket's call.
-    pub fn of(e: &io::Error) -> Failure {
-        match e.raw_os_error() {
+    /// Classifies an error of a system call on a socket.
+    pub fn of(error: &io::Error) -> Failure {
+        match error.raw_os_error() {
             Some(EMFILE) => Failure::Descriptors,
             Some(EINTR | EAGAIN) => Failure::Again,
-            // ENOSPC: the limit on watched descriptors, `epoll_ctl(2)`.
+            // `ENOSPC` is the limit on watched descriptors, see `epoll_ctl(2)`.
             Some(
                 ENFILE | ENOMEM | ENOBUFS | ENOSPC | EADDRINUSE | EADDRNOTAVAIL | ENETDOWN | ENETUNREACH
                 | ECONNABORTED,
@@ -51,29 +51,29 @@
         }
     }
 
-    /// Whether the call may succeed in a moment, whatever the other side does.
+    /// Whether the call may succeed shortly, whatever the other side does.
     pub fn is_transient(self) -> bool {
         matches!(self, Failure::Machine | Failure::Again)
     }
 }
 
-/// Makes a call again, with growing waits, for as long as `again` says of its error and `within` allows. `attempt` is given
-/// the time that is left.
+/// Repeats a call with increasing waits for as long as `again` accepts its error and `within` has not
+/// passed. `attempt` is given the remaining time.
 ///
 /// # Errors
-/// The last one.
+/// The error of the last attempt.
 pub fn retry_with_backoff<T, E>(
     within: Duration,
     again: impl Fn(&E) -> bool,
     mut attempt: impl FnMut(Duration) -> Result<T, E>,
 ) -> Result<T, E> {
     let until = Instant::now() + within;
-    let mut pause = PAUSE[0];
+    let mut pause = RETRY_BACKOFF[0];
     loop {
         match attempt(until.saturating_duration_since(Instant::now())) {
             Err(e) if again(&e) && Instant::now() + pause < until => {
                 sleep::sleep(pause);
-                pause = (pause * 2).min(PAUSE[1]);
+                pause = (pause * 2).min(RETRY_BACKOFF[1]);
             }
             other => return other,
         }
--- a/crates/front/src/failure/tests.rs
+++ b/crates/front/src/failure/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn only_the_other_sides_failures_are_held_against_it() {
+fn failures_of_this_machine_are_not_attributed_to_the_other_side() {
     let of = |n| Failure::of(&io::Error::from_raw_os_error(n));
     let (connection_refused, connection_reset, timed_out, host_unreachable) = (111, 104, 110, 113);
     for n in [connection_refused, connection_reset, timed_out, host_unreachable] {
@@ -11,13 +11,13 @@
         assert!(of(n).is_transient(), "{n}");
     }
     assert_eq!(of(EMFILE), Failure::Descriptors);
-    assert_eq!(Failure::of(&io::Error::other("no number")), Failure::Remote);
+    assert_eq!(Failure::of(&io::Error::other("error without a number")), Failure::Remote);
 }
 
 #[test]
-fn a_call_is_retried_for_a_while_and_its_last_error_returned() {
+fn a_call_is_retried_until_it_succeeds_or_its_time_is_over() {
     let mut left = 3;
-    let tried = retry_with_backoff(
+    let retried = retry_with_backoff(
         Duration::from_secs(30),
         |_: &i32| true,
         |_| {
@@ -29,7 +29,7 @@
             }
         },
     );
-    assert_eq!(tried, Ok("done"));
+    assert_eq!(retried, Ok("done"));
     let refused: Result<(), i32> = retry_with_backoff(Duration::from_secs(30), |_| false, |_| Err(7));
     assert_eq!(refused, Err(7));
     let never: Result<(), i32> = retry_with_backoff(Duration::from_millis(20), |_| true, |_| Err(8));
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -1,10 +1,11 @@
-//! A connection: its socket, what waits to be written, and the loop that reads and writes.
+//! A connection: its socket, the queue of messages to write, and the loop that reads and writes.
 //!
-//! One coroutine runs the loop ([`Link::run`]); any other may send. Bytes are written at once where the socket takes them,
-//! by whoever sends; the remainder goes out as the socket drains, so that a slow reader stops nobody else. A may socket
-//! wakes one waiting coroutine only, so reading and writing share the one wait.
+//! One coroutine runs the loop ([`Link::run`]); any other may send. The sender writes at once as many bytes
+//! as the socket takes; the remainder is written as the socket becomes writable, so that a slow reader
+//! blocks nobody else. A may socket wakes only one waiting coroutine, so reading and writing share one wait.
 //!
-//! Only [`Link::run`] yields. No lock is held across a yield; the socket's lock is released before the queue's is taken.
+//! Only [`Link::run`] yields. No lock is held across a yield; the socket's lock is released before the
+//! queue's is taken.
 
 mod stream;
 mod write_queue;
@@ -25,14 +26,14 @@
 use std::time::{Duration, Instant};
 use write_queue::{Close, Flush, WriteQueue};
 
-/// Bytes read from one connection before other coroutines run.
+/// Number of bytes read from one connection before other coroutines run.
 const READ_QUANTUM: usize = 256 * 1024;
-/// A graceful close reads on for so long at the most: many times the way there and back, and the 50 ms in which a
-/// request may cross a close.
-const LINGER: Duration = Duration::from_millis(400);
-/// The bytes that it reads and drops at the most: guards against those who go on sending.
-const LINGER_BYTES: usize = 128 * 1024;
-/// Where the machine has no buffers for a moment, what is to be read or written is tried again after this.
+/// Longest time for which a graceful close reads on: many round trips, and the 50 ms within which a request
+/// may cross a close.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Maximum number of bytes that a graceful close reads and drops, in case the other side goes on sending.
+const MAX_LINGER_BYTES: usize = 128 * 1024;
+/// Wait before a read or write is repeated when the machine temporarily has no buffers.
 const STARVATION_BACKOFF: Duration = Duration::from_millis(2);
 
 struct Socket {
@@ -40,32 +41,33 @@
     waker: WaitIoWaker,
 }
 
-/// A connection, from before it has come up until after it has ended.
+/// A connection, from before it is established until after it has ended.
 #[derive(Default)]
 pub struct Link {
-    /// Dropped as soon as the connection has ended: who still refers to the link holds no descriptor.
+    /// Dropped as soon as the connection has ended, so that other references to the link do not hold its
+    /// descriptor.
     socket: Mutex<Option<Arc<Socket>>>,
     queue: Mutex<WriteQueue>,
 }
 
 impl Link {
-    /// A link whose unwritten bytes count in a sum over several.
-    pub fn counted(total_bytes: Arc<AtomicUsize>) -> Link {
-        Link { queue: Mutex::new(WriteQueue::counted(total_bytes)), ..Link::default() }
+    /// Creates a link whose unwritten bytes also count towards a total over several links.
+    pub fn with_shared_byte_count(total_bytes: Arc<AtomicUsize>) -> Link {
+        Link { queue: Mutex::new(WriteQueue::with_shared_byte_count(total_bytes)), ..Link::default() }
     }
 
     fn socket(&self) -> Option<Arc<Socket>> {
         lock(&self.socket).clone()
     }
 
-    /// Wakes the connection's coroutine, if the connection is up.
+    /// Wakes the coroutine of the connection, if the connection is established.
     fn wake(&self) {
         if let Some(socket) = self.socket() {
             socket.waker.wakeup();
         }
     }
 
-    /// Gives the link its socket and writes what has waited for it.
+    /// Sets the socket of the link and writes the messages that were queued before.
     pub fn attach(&self, stream: impl Into<Stream>) {
         let stream = stream.into();
         let _ = stream.inner().set_nodelay(true);
@@ -74,14 +76,15 @@
         self.flush();
     }
 
-    /// Sends; `tag` names the message for [`Link::retract`]. How many bytes are unwritten now; `None`: the link takes nothing
-    /// any more.
+    /// Queues a message and writes as much as the socket takes; `tag` identifies the message for
+    /// [`Link::retract`]. Returns the number of unwritten bytes, or `None` if the link no longer accepts
+    /// messages.
     pub fn send(&self, bytes: Vec<u8>, tag: Option<u64>) -> Option<usize> {
         self.enqueue(bytes, tag, None)
     }
 
-    /// Sends a message that the gate is asked about when its first byte is about to be written. Otherwise as
-    /// [`Link::send`].
+    /// Like [`Link::send`], but asks `gate` whether the message may go out when its first byte is about to
+    /// be written.
     pub fn send_gated(&self, bytes: Vec<u8>, tag: u64, gate: Arc<dyn SendGate>) -> Option<usize> {
         self.enqueue(bytes, Some(tag), Some(gate))
     }
@@ -94,25 +97,28 @@
         Some(lock(&self.queue).bytes())
     }
 
-    /// Retracts the message with that tag if not a byte of it was written; whether that was so.
+    /// Removes the message with this tag if none of its bytes was written; returns whether it was removed.
     pub fn retract(&self, tag: u64) -> bool {
         lock(&self.queue).retract(tag)
     }
 
-    /// Retracts all messages that have a tag, were queued before then and have not begun; their tags.
+    /// Removes all tagged messages that were queued before this time and of which no byte was written;
+    /// returns their tags.
     pub fn retract_queued_before(&self, before: Instant) -> Vec<u64> {
         lock(&self.queue).retract_queued_before(before)
     }
 
-    /// Ends the connection at once, for that reason.
+    /// Ends the connection at once, for this reason.
     pub fn close(&self, reason: Reason) {
         lock(&self.queue).request_close(Close { reason, graceful: false });
         self.wake();
     }
 
-    /// Ends the connection gracefully: what is queued goes out, however long the other side takes, and what comes meanwhile is
-    /// received; then the sending half is shut, and the remainder is read and dropped within a bound. Guards the last answer: a
-    /// close over unread bytes resets the connection, and what the other side has not read yet is lost with it.
+    /// Ends the connection gracefully, for this reason. Queued messages are written first, however long the
+    /// other side takes, and messages that arrive meanwhile are received. Then the sending half is shut
+    /// down, and further input is read and dropped within limits. This protects the last answer: closing a
+    /// socket with unread input resets the connection, and answers that the other side has not read yet are
+    /// lost.
     pub fn close_gracefully(&self, reason: Reason) {
         lock(&self.queue).request_close(Close { reason, graceful: true });
         self.wake();
@@ -123,28 +129,29 @@
         lock(&self.queue).is_closing()
     }
 
-    /// Whether the socket failed, or the connection is to end at once or was ended by the other side: what is sent is lost.
+    /// Whether sent messages are lost: the socket failed, the connection is to end at once, or it has no
+    /// socket.
     pub fn is_broken(&self) -> bool {
         lock(&self.queue).is_broken() || self.socket().is_none()
     }
 
-    /// Whether nothing is left to be written.
+    /// Whether all queued messages have been written.
     pub fn is_drained(&self) -> bool {
         self.unwritten_bytes() == 0
     }
 
-    /// Bytes that wait to be written.
+    /// Number of bytes that are queued and not yet written.
     pub fn unwritten_bytes(&self) -> usize {
         lock(&self.queue).bytes()
     }
 
-    /// For how long bytes have waited and none were written; `None`: none wait.
+    /// How long bytes have been waiting without any being written; `None` if none wait.
     pub fn stalled_for(&self, now: Instant) -> Option<Duration> {
         let since = lock(&self.queue).stalled_since()?;
         Some(now.saturating_duration_since(since))
     }
 
-    /// Periodically: ends a graceful close whose time is over.
+    /// Ends a graceful close that has reached its time limit. To be called periodically.
     pub fn sweep(&self, now: Instant) {
         let expired = lock(&self.queue).linger_until.is_some_and(|at| now >= at);
         if expired {
@@ -152,14 +159,14 @@
         }
     }
 
-    /// Writes what the socket takes. Does not yield.
+    /// Writes as many queued bytes as the socket takes. Does not yield.
     fn flush(&self) {
         let Some(socket) = self.socket() else { return };
         let mut queue = lock(&self.queue);
         let wake = match queue.write_to(socket.stream.inner()) {
             Flush::Blocked => false,
             Flush::Failed => true,
-            // A graceful close waits for this.
+            // A graceful close waits until everything is written.
             Flush::Drained => queue.has_close_requested(),
         };
         if wake {
@@ -167,7 +174,7 @@
         }
     }
 
-    /// Where the machine had no buffers for what is to be written, waits a moment and writes it. Yields.
+    /// Repeats writes that failed because the machine had no buffers, after a short wait each. Yields.
     fn retry_starved_writes(&self) {
         loop {
             let starved = lock(&self.queue).take_starved();
@@ -179,9 +186,10 @@
         }
     }
 
-    /// Reads and writes until the connection ends; `receive` is given the buffer whenever something came, and
-    /// consumes what it can. Before a graceful close, and after all that had come by then, `keeps_open` says whether there is
-    /// reason to go on after all. Only after [`Link::attach`]; the owner calls [`Link::terminate`] afterwards. Yields.
+    /// Reads and writes until the connection ends; returns the reason. `receive` is given the buffer
+    /// whenever bytes arrived, and consumes the messages that it can decode. Before a graceful close, after
+    /// everything that had arrived by then, `keeps_open` says whether the connection goes on after all. May
+    /// only be called after [`Link::attach`]; the owner calls [`Link::terminate`] afterwards. Yields.
     pub fn run(
         &self,
         mut receive: impl FnMut(&mut Buffer) -> Result<(), Reason>,
@@ -197,7 +205,7 @@
                 Ok(graceful_close) => graceful_close,
                 Err(reason) => return reason,
             };
-            if let Err(reason) = read_available(&socket, &mut buffer, &mut receive) {
+            if let Err(reason) = receive_available(&socket, &mut buffer, &mut receive) {
                 return reason;
             }
             match graceful_close {
@@ -207,23 +215,24 @@
                     self.linger(&socket);
                     return reason;
                 }
-                // What is queued goes out first, and what comes meanwhile is still received.
+                // Queued messages are written before the close, and incoming ones are still received.
                 Some(_) | None => socket.stream.wait_io(),
             }
         }
     }
 
-    /// Queues nothing more if nothing is queued; whether that is so.
+    /// Stops accepting messages if none is queued; returns whether it has stopped.
     fn close_if_drained(&self) -> bool {
         lock(&self.queue).close_if_drained()
     }
 
-    /// Shuts the sending half, nothing being queued, and reads and drops what comes, within bounds. Yields.
+    /// Shuts down the sending half, once nothing is queued, and reads and drops input within limits of time
+    /// and bytes. Yields.
     fn linger(&self, socket: &Socket) {
-        lock(&self.queue).linger_until = Some(Instant::now() + LINGER);
+        lock(&self.queue).linger_until = Some(Instant::now() + LINGER_TIMEOUT);
         let _ = socket.stream.inner().shutdown(Shutdown::Write);
         let mut dropped = [0; 4096];
-        let mut remaining = LINGER_BYTES;
+        let mut remaining = MAX_LINGER_BYTES;
         while !self.linger_is_over() {
             match socket.stream.inner().read(&mut dropped) {
                 Ok(0) => return,
@@ -242,8 +251,8 @@
         queue.linger_until.is_some_and(|at| Instant::now() >= at) || queue.is_broken()
     }
 
-    /// The connection has ended: nothing is queued any more, and its descriptor and what is queued are released. The tags
-    /// of the messages that were not written to their last byte.
+    /// Releases the descriptor and the queued messages of a connection that has ended; no message is
+    /// accepted any more. Returns the tags of the messages that were not completely written.
     pub fn terminate(&self) -> Vec<u64> {
         let unwritten = lock(&self.queue).terminate();
         let socket = lock(&self.socket).take();
@@ -253,20 +262,21 @@
         unwritten
     }
 
-    /// Shuts the socket for both directions.
+    /// Shuts down both directions of the socket.
     ///
     /// # Errors
-    /// The system call failed, as on a socket that is not connected any more.
+    /// The system call failed, for example because the socket is not connected any more.
     pub fn shutdown(&self) -> io::Result<()> {
         self.socket().map_or(Ok(()), |s| s.stream.inner().shutdown(Shutdown::Both))
     }
 }
 
-/// Reads what has come and has it taken, until the socket has no more. Yields between portions of [`READ_QUANTUM`].
+/// Reads until the socket has no more input and passes it to `receive`. Yields between portions of
+/// [`READ_QUANTUM`].
 ///
 /// # Errors
-/// Why the connection ends.
-fn read_available(
+/// The reason for which the connection ends.
+fn receive_available(
     socket: &Socket,
     buffer: &mut Buffer,
     receive: &mut impl FnMut(&mut Buffer) -> Result<(), Reason>,
--- a/crates/front/src/link/stream.rs
+++ b/crates/front/src/link/stream.rs
@@ -3,12 +3,13 @@
 use may::io::{CoIo, WaitIo, WaitIoWaker};
 use may::net::TcpStream;
 
-/// A connection's socket: one of may's, or one of the standard library's that was accepted on a listener handed to the
-/// process, which may's own types can't adopt without `unsafe`.
+/// The socket of a connection: one of may's, or one of the standard library's that the clients' listener
+/// accepted. That listener may be inherited, and may's own types can't adopt an inherited socket without
+/// `unsafe`.
 pub enum Stream {
-    /// Dialled, or accepted on a listener of may's.
+    /// A socket of may's: dialled, or accepted on one of its listeners.
     May(TcpStream),
-    /// Accepted on a listener of the standard library's, and waited on by may.
+    /// A socket that the clients' listener accepted; coroutines wait for it through may.
     Std(CoIo<std::net::TcpStream>),
 }
 
@@ -19,7 +20,7 @@
 }
 
 impl Stream {
-    /// The socket itself, which does not block.
+    /// The underlying socket, in non-blocking mode.
     pub(super) fn inner(&self) -> &std::net::TcpStream {
         match self {
             Stream::May(s) => s.inner(),
@@ -27,7 +28,7 @@
         }
     }
 
-    /// What wakes the coroutine in [`Stream::wait_io`].
+    /// Handle that wakes the coroutine in [`Stream::wait_io`].
     pub(super) fn waker(&self) -> WaitIoWaker {
         match self {
             Stream::May(s) => s.waker(),
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Yields until the socket is ready or the waker is used. One coroutine waits at a time.
+    /// Yields until the socket is ready or the waker is used. Only one coroutine may wait at a time.
     pub(super) fn wait_io(&self) {
         match self {
             Stream::May(s) => s.wait_io(),
--- a/crates/front/src/link/write_queue.rs
+++ b/crates/front/src/link/write_queue.rs
@@ -1,6 +1,4 @@
-//! What a connection has yet to write, and how it is to end.
-//!
-//! No method yields; gates are called with the queue's lock held, so they must not call back into the link.
+//! Messages that a connection has yet to write, and how the connection is to end.
 
 use crate::failure::Failure;
 use crate::log::Reason;
@@ -11,29 +9,29 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// What becomes of a message whose first byte is about to be written.
+/// What to do with a message whose first byte is about to be written.
 pub enum WriteDecision {
-    /// It goes out as it was queued.
+    /// Write the message as it was queued.
     AsQueued,
-    /// These bytes go out in its place.
+    /// Write these bytes instead of the message.
     Replace(Vec<u8>),
-    /// It does not go out.
+    /// Do not write the message.
     Drop,
 }
 
-/// Decides, last of all, whether a queued message may go out, and is notified of how far it was written.
+/// Decides immediately before writing whether a queued message may go out, and is notified of its progress.
 ///
-/// Called with the queue's lock held: it neither yields nor calls back into the link.
+/// Called with the queue's lock held: it must neither yield nor call back into the link.
 pub trait SendGate: Send + Sync {
-    /// The first byte is about to be written; the message was queued at `queued_at`.
+    /// Called when the first byte is about to be written; the message was queued at `queued_at`.
     fn before_first_byte(&self, queued_at: Instant) -> WriteDecision;
-    /// The first byte was written.
+    /// Called when the first byte has been written.
     fn first_byte_written(&self);
-    /// The last byte was written.
+    /// Called when the last byte has been written.
     fn last_byte_written(&self);
 }
 
-/// A message that is not written completely.
+/// A queued message that is not completely written.
 struct QueuedMessage {
     bytes: Vec<u8>,
     written: usize,
@@ -42,54 +40,54 @@
     gate: Option<Arc<dyn SendGate>>,
 }
 
-/// Why a connection is to end, and how.
+/// The reason for which a connection is to end, and whether gracefully.
 #[derive(Clone, Copy)]
 pub(super) struct Close {
     pub reason: Reason,
-    /// What is queued still goes out.
+    /// Whether queued messages are still written.
     pub graceful: bool,
 }
 
-/// How far [`WriteQueue::write_to`] got.
+/// Result of [`WriteQueue::write_to`].
 pub(super) enum Flush {
-    /// Nothing is left to be written.
+    /// Everything queued was written.
     Drained,
-    /// The socket takes no more for now.
+    /// The socket takes no more bytes for now.
     Blocked,
-    /// The socket failed, or the machine has no buffers: the connection's coroutine is to look at it.
+    /// The socket failed, or the machine has no buffers; the connection's coroutine must handle it.
     Failed,
 }
 
-/// The messages that wait to be written on one connection.
+/// Messages that wait to be written on one connection.
 pub(super) struct WriteQueue {
     messages: VecDeque<QueuedMessage>,
-    /// Unwritten bytes of these messages.
+    /// Unwritten bytes of all queued messages.
     bytes: usize,
-    /// Unwritten bytes on all links that share this count.
+    /// Unwritten bytes on all links that share this total.
     total_bytes: Arc<AtomicUsize>,
-    /// The connection is to end like this.
+    /// How the connection is to end, once a close was requested.
     closing: Option<Close>,
-    /// Nothing is queued any more.
+    /// Whether no further message is accepted.
     closed: bool,
-    /// The socket failed: what is queued can't be written.
+    /// Whether the socket failed, so that queued messages can't be written.
     broken: bool,
-    /// The machine had no buffers for what is queued.
+    /// Whether a write failed because the machine had no buffers.
     starved: bool,
-    /// When bytes were written last, or the queue ceased to be empty.
+    /// When bytes were last written, or a message was added to an empty queue.
     last_progress: Instant,
-    /// A graceful close has shut the sending half, and ends by then.
+    /// Time by which a graceful close that has shut down the sending half ends.
     pub linger_until: Option<Instant>,
 }
 
 impl Default for WriteQueue {
     fn default() -> WriteQueue {
-        WriteQueue::counted(Arc::default())
+        WriteQueue::with_shared_byte_count(Arc::default())
     }
 }
 
 impl WriteQueue {
-    /// A queue whose unwritten bytes count in a sum over several.
-    pub fn counted(total_bytes: Arc<AtomicUsize>) -> WriteQueue {
+    /// Creates a queue whose unwritten bytes also count towards a total over several queues.
+    pub fn with_shared_byte_count(total_bytes: Arc<AtomicUsize>) -> WriteQueue {
         WriteQueue {
             messages: VecDeque::new(),
             bytes: 0,
@@ -103,7 +101,8 @@
         }
     }
 
-    /// Queues a message; whether it was taken. A graceful close still sends what is owed; what ends at once takes nothing.
+    /// Queues a message; returns whether it was accepted. After a request for a graceful close messages are
+    /// still accepted; after one for an immediate close they are not.
     pub fn push(&mut self, bytes: Vec<u8>, tag: Option<u64>, gate: Option<Arc<dyn SendGate>>) -> bool {
         if self.closed || self.is_broken() {
             return false;
@@ -116,7 +115,7 @@
         true
     }
 
-    /// Removes the message with that tag if not a byte of it was written; whether that was so.
+    /// Removes the message with this tag if none of its bytes was written; returns whether it was removed.
     pub fn retract(&mut self, tag: u64) -> bool {
         let at = self.messages.iter().position(|m| m.tag == Some(tag) && m.written == 0);
         let retracted = at.and_then(|at| self.messages.remove(at));
@@ -124,7 +123,8 @@
         retracted.is_some()
     }
 
-    /// Removes the messages that have a tag, were queued before then and have not begun; their tags.
+    /// Removes all tagged messages that were queued before this time and of which no byte was written;
+    /// returns their tags.
     pub fn retract_queued_before(&mut self, before: Instant) -> Vec<u64> {
         let mut tags = Vec::new();
         let mut bytes = 0;
@@ -140,16 +140,16 @@
         tags
     }
 
-    /// Writes what the socket takes.
+    /// Writes as many queued bytes as the socket takes.
     pub fn write_to(&mut self, mut socket: &TcpStream) -> Flush {
         while self.admit_first() {
             let Some(message) = self.messages.front() else { break };
             match socket.write(&message.bytes[message.written..]) {
-                Ok(n) => self.wrote(n),
+                Ok(n) => self.record_written(n),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Flush::Blocked,
                 Err(e) => {
-                    // Without buffers the connection's coroutine tries again.
+                    // If the machine has no buffers, the connection's coroutine tries again.
                     self.starved = Failure::of(&e).is_transient();
                     self.broken = !self.starved;
                     return Flush::Failed;
@@ -159,7 +159,8 @@
         Flush::Drained
     }
 
-    /// Asks the gates of queued messages whether these go out, up to the first that does; whether there is one.
+    /// Asks the gates of queued messages, and drops messages until one may be written; returns whether there
+    /// is one.
     fn admit_first(&mut self) -> bool {
         while let Some(message) = self.messages.front_mut() {
             let gate = message.gate.as_ref().filter(|_| message.written == 0);
@@ -182,36 +183,36 @@
         false
     }
 
-    /// So many bytes of the first message were written.
-    fn wrote(&mut self, n: usize) {
+    /// Accounts for `count` written bytes of the first message.
+    fn record_written(&mut self, count: usize) {
         let Some(message) = self.messages.front_mut() else { return };
         let gate = message.gate.as_ref();
-        if let Some(gate) = gate.filter(|_| message.written == 0 && n > 0) {
+        if let Some(gate) = gate.filter(|_| message.written == 0 && count > 0) {
             gate.first_byte_written();
         }
-        message.written += n;
+        message.written += count;
         let complete = message.written == message.bytes.len();
         if let Some(gate) = gate.filter(|_| complete) {
             gate.last_byte_written();
         }
         self.last_progress = Instant::now();
-        self.remove_bytes(n);
+        self.remove_bytes(count);
         if complete {
             self.messages.pop_front();
         }
     }
 
-    /// The connection is to end like that. What must end at once is not held up by a graceful close that has begun.
+    /// Requests a close. An immediate close overrides a graceful one that was requested before.
     pub fn request_close(&mut self, close: Close) {
         if self.closing.is_none_or(|c| c.graceful && !close.graceful) {
             self.closing = Some(close);
         }
     }
 
-    /// Why a graceful close is to be made, if one is.
+    /// The reason for a graceful close, if one was requested.
     ///
     /// # Errors
-    /// The connection is to end at once, for that reason.
+    /// The connection is to end at once, for this reason.
     pub fn close_due(&self) -> Result<Option<Reason>, Reason> {
         match self.closing {
             Some(close) if !close.graceful => Err(close.reason),
@@ -225,25 +226,25 @@
         self.closing.is_some()
     }
 
-    /// Takes a graceful close back.
+    /// Cancels a graceful close that was requested.
     pub fn cancel_graceful_close(&mut self) {
         self.closing = self.closing.filter(|c| !c.graceful);
     }
 
-    /// Closes the queue if nothing is queued; whether it is closed.
+    /// Closes the queue to further messages if none is queued; returns whether it is closed.
     pub fn close_if_drained(&mut self) -> bool {
         self.closed |= self.bytes == 0;
         self.closed
     }
 
-    /// Closes and empties the queue; the tags of the messages that were not written completely.
+    /// Closes and empties the queue; returns the tags of the messages that were not completely written.
     pub fn terminate(&mut self) -> Vec<u64> {
         self.closed = true;
         self.remove_bytes(self.bytes);
         std::mem::take(&mut self.messages).into_iter().filter_map(|m| m.tag).collect()
     }
 
-    /// Whether the machine had no buffers for what is queued since this was last asked.
+    /// Whether a write failed for lack of buffers since the last call of this function.
     pub fn take_starved(&mut self) -> bool {
         std::mem::take(&mut self.starved)
     }
@@ -258,24 +259,24 @@
         self.broken || self.closing.is_some_and(|c| !c.graceful)
     }
 
-    /// Unwritten bytes.
+    /// Number of unwritten bytes of all queued messages.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// When bytes were written last; `None`: nothing is queued.
+    /// When bytes were last written; `None` if nothing is queued.
     pub fn stalled_since(&self) -> Option<Instant> {
         (self.bytes > 0).then_some(self.last_progress)
     }
 
-    fn add_bytes(&mut self, n: usize) {
-        self.bytes += n;
-        self.total_bytes.fetch_add(n, Ordering::Relaxed);
+    fn add_bytes(&mut self, count: usize) {
+        self.bytes += count;
+        self.total_bytes.fetch_add(count, Ordering::Relaxed);
     }
 
-    fn remove_bytes(&mut self, n: usize) {
-        self.bytes -= n;
-        self.total_bytes.fetch_sub(n, Ordering::Relaxed);
+    fn remove_bytes(&mut self, count: usize) {
+        self.bytes -= count;
+        self.total_bytes.fetch_sub(count, Ordering::Relaxed);
     }
 }
 
--- a/crates/front/src/log.rs
+++ b/crates/front/src/log.rs
@@ -1,7 +1,8 @@
-//! Lines for the operators on standard error, written by a thread of their own: a full pipe must not stop a worker.
+//! Log lines for operators on standard error, written by a thread of their own, so that a full pipe does not
+//! block a worker.
 //!
-//! Parts of the front say what happens as `tracing` events, never as spans: coroutines take turns on one thread, and
-//! a span that is entered when one gives way would be the next one's too.
+//! Parts of the front emit `tracing` events, never spans: coroutines take turns on one thread, and a span
+//! entered by one coroutine would still be active in the next one after a yield.
 
 use std::sync::OnceLock;
 use tracing::level_filters::LevelFilter;
@@ -10,29 +11,29 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::util::TryInitError;
 
-/// Lines that wait to be written; more are dropped and counted.
-const WAITING: usize = 4096;
+/// Maximum number of lines that wait to be written; further lines are dropped and counted.
+const MAX_QUEUED_LINES: usize = 4096;
 
 static DROPPED: OnceLock<ErrorCounter> = OnceLock::new();
 
-/// The form of a line.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// For people: time, level, what happens, and its fields as `name=value`.
+    /// Text for people: time, level, message, and fields as `name=value`.
     #[default]
     Text,
-    /// One JSON object a line, its fields beside `timestamp`, `level` and `message`.
+    /// One JSON object per line, with the fields beside `timestamp`, `level` and `message`.
     Json,
 }
 
-/// Begins to write what parts of the process say, from that level up. The rest of what waits is written when the
-/// guard is dropped.
+/// Starts logging events of the process at level `least` and above. Lines that still wait are written when
+/// the guard is dropped.
 ///
 /// # Errors
-/// Something in the process writes already.
+/// A logger is already installed in this process.
 pub fn install(format: Format, least: LevelFilter) -> Result<WorkerGuard, TryInitError> {
     let (to, guard) = NonBlockingBuilder::default()
-        .buffered_lines_limit(WAITING)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
         .thread_name("log")
         .finish(std::io::stderr());
     let _ = DROPPED.set(to.error_counter());
@@ -44,60 +45,61 @@
     Ok(guard)
 }
 
-/// How many lines were dropped so far since too many waited.
+/// Number of lines dropped so far because too many were waiting.
 pub fn dropped() -> usize {
     DROPPED.get().map_or(0, ErrorCounter::dropped_lines)
 }
 
-/// Why a connection ended: the code in its log line.
+/// Why a connection ended; logged as a code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The other side closed it.
+    /// The other side closed the connection.
     PeerClosed,
-    /// It was reset or failed.
+    /// The connection was reset, or reading or writing failed.
     Reset,
-    /// It was idle for too long.
+    /// The connection was idle for too long.
     Idle,
-    /// What came was not the protocol.
+    /// The other side violated the protocol.
     Malformed,
     /// The other side does not read its answers.
     SlowReader,
-    /// The machine refused it.
+    /// The other side refused the connection.
     Refused,
-    /// The machine did not take it up in time.
+    /// The connection was not established in time.
     ConnectTimeout,
-    /// There are as many connections as may be, and this one needed its place least.
+    /// The connection limit was reached, and this connection was the least needed.
     TooMany,
-    /// It was made and nothing was asked.
+    /// The client connected and sent no request in time.
     NoRequest,
-    /// A message was begun and not ended.
+    /// A message was begun and not completed in time.
     Stalled,
-    /// Memory has no room for what comes.
-    NoRoom,
-    /// The machine left the list.
+    /// Memory for incomplete messages is exhausted.
+    MemoryLimit,
+    /// The cache node was removed from the endpoint list.
     Retired,
-    /// This front is ending.
+    /// This front shuts down.
     Shutdown,
-    /// What gives a request up could not be written at once.
+    /// The cancellation of a request could not be written at once.
     Stuck,
-    /// Nothing came for too long where something should.
+    /// Nothing was received for too long although something was expected.
     Silent,
-    /// Events are missing.
+    /// Watch events are missing.
     Gap,
-    /// The other side has a new address.
+    /// The address of the other side has changed.
     Moved,
-    /// No descriptor was left for it.
+    /// No descriptor was left for the connection.
     NoDescriptor,
-    /// The other side's numbers begin anew.
+    /// The other side restarted the numbering of its events.
     Renumbered,
-    /// A defect of this program ended what served it.
+    /// A panic in this program ended the coroutine of the connection.
     Defect,
-    /// This machine had no port, buffer, memory or route for it.
+    /// This machine had no port, buffer, memory or route for the connection.
     NoRoute,
 }
 
 impl Reason {
-    /// Whether the front ends a connection for this of its own accord, with nobody at fault: it then owes nothing there.
+    /// Whether the front ends a connection for this reason of its own accord, with nobody at fault; it must
+    /// then owe no answer on it.
     pub fn is_own_choice(self) -> bool {
         matches!(
             self,
@@ -105,7 +107,7 @@
         )
     }
 
-    /// The code in the log.
+    /// The code of the reason in log lines and metrics.
     pub fn code(self) -> &'static str {
         match self {
             Reason::PeerClosed => "peer_closed",
@@ -118,7 +120,7 @@
             Reason::TooMany => "too_many",
             Reason::NoRequest => "no_request",
             Reason::Stalled => "stalled",
-            Reason::NoRoom => "no_room",
+            Reason::MemoryLimit => "no_room",
             Reason::Retired => "retired",
             Reason::Shutdown => "shutdown",
             Reason::Stuck => "stuck",
--- a/crates/front/src/reason_counts.rs
+++ b/crates/front/src/reason_counts.rs
@@ -1,27 +1,27 @@
-//! Why things happened, counted by kind and reason: connections closed, attempts repeated or kept from beginning, requests
-//! given up. One line each in the operators' figures, `relay.KIND.REASON=COUNT`.
+//! Counters by kind of event and reason: connections closed, attempts retried, and attempts that were not
+//! begun. Metrics list each as `relay.KIND.REASON=COUNT`.
 
 use crate::sync::lock;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
-/// What is counted by reason.
+/// The kind of event that is counted by reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// A client's connection ended.
+    /// A connection of a client ended.
     ClientClosed,
-    /// A cache node's connection ended.
+    /// A connection to a cache node ended.
     UpstreamClosed,
-    /// The discovery bus's connection ended.
+    /// A connection to the discovery bus ended.
     BusClosed,
-    /// A further attempt was made after one that ended so.
+    /// A request was attempted again; the reason is how the attempt before it ended.
     Retried,
-    /// An attempt that was decided on did not begin.
+    /// An attempt that the decision crate ordered was not begun.
     Denied,
 }
 
 impl Kind {
-    /// Its name in the figures.
+    /// The name of the kind in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Kind::ClientClosed => "client_closed",
@@ -33,24 +33,24 @@
     }
 }
 
-/// The counts since the process started.
+/// Number of events by kind and reason since the start of the process.
 #[derive(Debug, Default)]
 pub struct ReasonCounts(Mutex<BTreeMap<(Kind, &'static str), u64>>);
 
 impl ReasonCounts {
-    /// One more, for that reason.
+    /// Counts one event with this reason.
     pub fn add(&self, kind: Kind, reason: &'static str) {
         *lock(&self.0).entry((kind, reason)).or_default() += 1;
     }
 
-    /// One line for each kind and reason that occurred.
+    /// One metrics line for each kind and reason that occurred.
     pub fn lines(&self) -> String {
         let all = lock(&self.0);
         all.iter().map(|((kind, reason), n)| format!("relay.{}.{reason}={n}\n", kind.name())).collect()
     }
 }
 
-/// A reason in words as a figure's name.
+/// Converts a reason in words to a name in metrics: lower case, with `_` in place of other characters.
 pub fn figure(reason: &str) -> String {
     reason.chars().map(|c| if c.is_ascii_alphanumeric() { c.to_ascii_lowercase() } else { '_' }).collect()
 }
--- a/crates/front/src/reason_counts/tests.rs
+++ b/crates/front/src/reason_counts/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn reasons_are_counted_under_their_kind() {
+fn reasons_are_counted_by_kind_and_spelled_as_metric_names() {
     let reason_counts = ReasonCounts::default();
     reason_counts.add(Kind::ClientClosed, "idle");
     reason_counts.add(Kind::ClientClosed, "idle");
