--- a/crates/front/src/clients/call.rs
+++ b/crates/front/src/clients/call.rs
@@ -72,7 +72,7 @@
     u64::from_str_radix(text, 16).ok().filter(|_| digits)
 }
 
-/// Parses an integer of ASCII digits only; a sign, which `str::parse` accepts, is rejected.
+/// Parses an integer of ASCII digits only; a leading `+`, which `str::parse` accepts, is rejected.
 fn parse_integer(text: &str) -> Option<u64> {
     text.parse().ok().filter(|_| text.bytes().all(|b| b.is_ascii_digit()))
 }
--- a/crates/front/src/clients/eviction.rs
+++ b/crates/front/src/clients/eviction.rs
@@ -16,20 +16,20 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl ClientConnection {
-    /// Weight by the bytes of incomplete messages that closing the connection releases; one with an open
-    /// call weighs less than any without. `None` if no message is incomplete.
+    /// Weight for closing the connection: the bytes of incomplete messages that this releases. A connection
+    /// with an open call weighs less than any without; `None` if no message is incomplete.
     pub(super) fn partial_message_weight(&self, _: Instant) -> Option<(bool, Duration, usize)> {
         let open = lock(&self.open);
         (open.partial > 0).then_some((open.calls.is_empty(), Duration::ZERO, open.partial))
     }
 
-    /// Weight by how long the client has read nothing, then by the bytes of unread answers that closing the
-    /// connection releases. `None` if no answer is unread.
+    /// Weight for closing the connection: the time for which its client has read nothing, then the bytes of
+    /// unread answers that this releases. `None` if no answer is unread.
     pub(super) fn unread_weight(&self, now: Instant) -> Option<(bool, Duration, usize)> {
         self.link.stalled_for(now).map(|stalled| (true, stalled, self.link.unwritten_bytes()))
     }
 
-    /// The reason for which the connection has timed out; `None` if it has not.
+    /// The reason to close the connection because a timeout has passed; `None` if none has.
     pub(super) fn timeout_reason(&self, now: Instant) -> Option<Reason> {
         let open = lock(&self.open);
         let timed_out = |at: Option<Instant>, limit| at.is_some_and(|at| now.duration_since(at) >= limit);
--- a/crates/front/src/clients/forward.rs
+++ b/crates/front/src/clients/forward.rs
@@ -31,7 +31,7 @@
     None,
 }
 
-/// Name of an ending in metrics.
+/// Name in metrics of the way in which an attempt ended.
 fn ending_metric_name(ending: Ending) -> &'static str {
     match ending {
         Ending::Completed => "completed",
@@ -144,7 +144,7 @@
         let Forwarding { front, may_have_run, effect, .. } = *self;
         let dispatcher = &self.queue.dispatcher;
         if attempt.number > 0 && !self.permit.try_retry() {
-            // The pool's own limit on retries is reached.
+            // The limit on retries of the pool itself is reached.
             dispatcher.abandon(front.clock.now(), attempt);
             return Err(match may_have_run && effect != Effect::Idempotent {
                 true => Answer::Failed,
--- a/crates/front/src/clients/listen.rs
+++ b/crates/front/src/clients/listen.rs
@@ -62,8 +62,7 @@
 
 /// Takes over the inherited descriptor and checks that it is a listening TCP socket.
 fn take_passed_socket(fd: u32) -> Result<TcpListener, PassedSocketError> {
-    // `listenfd` reads the number of inherited descriptors from the environment, as socket activation sets
-    // it.
+    // `listenfd` reads the number of inherited descriptors from these variables, as for socket activation.
     std::env::set_var("LISTEN_FDS", (fd - MIN_PASSED_DESCRIPTOR + 1).to_string());
     std::env::remove_var("LISTEN_PID");
     let mut fds = listenfd::ListenFd::from_env();
--- a/crates/front/src/failure.rs
+++ b/crates/front/src/failure.rs
@@ -10,8 +10,8 @@
 pub enum Failure {
     /// No descriptor is left to the process.
     Descriptors,
-    /// This machine lacks a resource, perhaps only briefly: descriptors of all processes, ports, buffers,
-    /// memory or a route.
+    /// This machine lacks a resource, perhaps only briefly: system-wide descriptors, ports, buffers, memory
+    /// or a network route.
     Machine,
     /// The call was interrupted or would have blocked, and is to be made again.
     Again,
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -2,7 +2,8 @@
 //!
 //! One coroutine runs the loop ([`Link::run`]); any other may send. The sender writes at once as many bytes
 //! as the socket takes; the remainder is written as the socket becomes writable, so that a slow reader
-//! blocks nobody else. A may socket wakes only one waiting coroutine, so reading and writing share one wait.
+//! blocks nobody else. A socket of the `may` crate wakes only one waiting coroutine, so reading and writing
+//! share one wait.
 //!
 //! Only [`Link::run`] yields. No lock is held across a yield; the socket's lock is released before the
 //! queue's is taken.
--- a/crates/front/src/link/stream.rs
+++ b/crates/front/src/link/stream.rs
@@ -3,13 +3,14 @@
 use may::io::{CoIo, WaitIo, WaitIoWaker};
 use may::net::TcpStream;
 
-/// The socket of a connection: one of may's, or one of the standard library's that the clients' listener
-/// accepted. That listener may be inherited, and may's own types can't adopt an inherited socket without
+/// The socket of a connection: a socket of the `may` crate, or one of the standard library that the clients'
+/// listener accepted. That listener may be inherited, and `may` can't adopt an inherited socket without
 /// `unsafe`.
 pub enum Stream {
-    /// A socket of may's: dialled, or accepted on one of its listeners.
+    /// A socket of the `may` crate: dialled, or accepted on one of its listeners.
     May(TcpStream),
-    /// A socket that the clients' listener accepted; coroutines wait for it through may.
+    /// A socket of the standard library that the clients' listener accepted; coroutines wait for it through
+    /// `may`.
     Std(CoIo<std::net::TcpStream>),
 }
 
--- a/crates/front/src/link/tests.rs
+++ b/crates/front/src/link/tests.rs
@@ -4,7 +4,7 @@
 use std::net::TcpListener;
 use std::sync::atomic::Ordering;
 
-/// The two ends of a connection: the front's as a may socket, and the other side's.
+/// The two ends of a connection: the front's as a socket of the `may` crate, and the other side's.
 fn connected_pair() -> (TcpStream, std::net::TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
     let front = TcpStream::connect(listener.local_addr().expect("a bound listener has an address"))
@@ -57,7 +57,7 @@
 /// The queued answer is delivered, and the other side sees the end of the stream and no reset, even if it
 /// sends calls that cross the close: before the front closes or after.
 #[test]
-fn a_graceful_close_loses_no_answer() {
+fn a_graceful_close_delivers_the_last_answer() {
     for crossing in ["nothing", "before", "after"] {
         let (front, mut other) = connected_pair();
         if crossing == "before" {
@@ -91,7 +91,7 @@
 /// Input that arrived before a graceful close is received and may cancel the close; an immediate close
 /// ignores it.
 #[test]
-fn a_graceful_close_that_a_call_crosses_is_cancelled() {
+fn a_graceful_close_can_be_cancelled_by_a_call_that_arrived_before_it() {
     for (graceful, stays_open) in [(true, true), (true, false), (false, false)] {
         let (front, mut other) = connected_pair();
         other.write_all(b"a call").expect("the other side can send a call");
