--- a/crates/fernslip/src/api.rs
+++ b/crates/fernslip/src/api.rs
@@ -1,6 +1,6 @@
-//! The interface between a router and the decision crate: settings, events, actions.
+//! The interface between the decision logic and its caller: settings, events and actions.
 //!
-//! Times are milliseconds as `f64` on the caller's one clock, which never runs back.
+//! Times are `f64` milliseconds on a single monotonic clock, which the caller supplies.
 
 mod actions;
 mod endpoints;
@@ -17,20 +17,20 @@
 
 use std::sync::Arc;
 
-/// A cache, parent or origin, by the address that the discovery list gives it.
+/// Identifies a cache, parent or origin by its address in the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CacheId(pub Arc<str>);
 
 impl From<&str> for CacheId {
-    fn from(s: &str) -> Self {
-        CacheId(Arc::from(s))
+    fn from(address: &str) -> Self {
+        CacheId(Arc::from(address))
     }
 }
 
-/// One request of a client; never reused, not by its retry either.
+/// Identifies one request of a client. An id is never reused, and a retry by the client gets a new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// An object with all its parts.
+/// Identifies an object, which may have several parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ObjectId(pub u64);
--- a/crates/fernslip/src/api/actions.rs
+++ b/crates/fernslip/src/api/actions.rs
@@ -1,94 +1,96 @@
-//! Actions: what a router is to do.
+//! Actions that the caller executes for the router.
 
 use super::{CacheId, RequestId};
 
-/// What a router's own answers show of a node.
+/// A node's condition, as the answers that this router received from it show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sign {
-    /// It refuses connections, loses them or answers with errors.
+    /// The node refuses connections, loses them or answers with errors.
     Failing,
-    /// It answers nothing.
+    /// The node does not answer.
     Silent,
-    /// It answers, far slower than its peers.
+    /// The node answers far more slowly than its peers.
     Crawling,
-    /// It answers as it should, after there was evidence against it.
+    /// The node answers normally after earlier evidence against it.
     Well,
 }
 
-/// What the router is to do, in the order given.
+/// An instruction to the caller. The actions of one event are executed in the order returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to a cache node, which fills a miss from `source`.
+    /// Makes an attempt: sends the request to a cache node, which fills a miss from `source`.
     Forward {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// Where it goes.
+        /// The cache node that the attempt is sent to.
         cache: CacheId,
-        /// Where a miss is filled from; the cache itself: nowhere.
+        /// The node that a miss is filled from. Equal to `cache` if a miss is not to be filled.
         source: CacheId,
-        /// Clock time at which the attempt times out, in milliseconds.
+        /// Time at which the attempt times out, in milliseconds on the events' clock.
         until_ms: f64,
-        /// Clock time by which its first byte is written, or it is not made: after it a repeat would run anew. Infinite
-        /// for all that may begin at any time.
+        /// Time by which the attempt's first byte must be written; otherwise the attempt is dropped, because
+        /// the nodes would no longer recognise it as a repeat and would run it again. Infinite without such a
+        /// limit.
         begin_by_ms: f64,
-        /// 0: pass through; 1 to 3: keep at that rank.
+        /// Rank at which the cache stores the object, from 1 to 3; 0: the cache does not store it.
         rank: u8,
-        /// Age of the oldest copy that will do, in milliseconds; 0: the class's fresh time.
+        /// Maximum age of an acceptable copy, in milliseconds; 0: the `fresh_ms` of the request's class.
         age_ms: f64,
-        /// Join a fill in flight, if what it brings is young enough for `age_ms`.
+        /// Whether the request may join a fill in flight whose copy will be young enough for `age_ms`.
         join: bool,
-        /// Renew an ageing copy behind the answer.
+        /// Whether the cache refreshes an ageing copy in the background after it has answered.
         renew: bool,
     },
-    /// Cancel an attempt; its outcome still comes.
+    /// Cancels an attempt. The caller still reports its outcome.
     Cancel {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt in its request, from 0.
         attempt: u32,
     },
-    /// Final answer: rejected; retrying is harmless.
+    /// Ends the request with a rejection, after which the client may safely retry.
     Reject {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// Retry-After hint in milliseconds; 0: none.
+        /// Retry-After hint for the client, in milliseconds; 0: no hint.
         retry_after_ms: f64,
     },
-    /// Final answer: failed; promises nothing.
+    /// Ends the request with a failure. The request may have run, so a retry may run it twice.
     Fail {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
     },
-    /// Send an [`crate::Event::Timer`] after `delay_ms`.
+    /// Sets a timer: the caller passes one [`crate::Event::Timer`] after `delay_ms`.
     Timer {
-        /// From now, in milliseconds.
+        /// Delay from the time of the current event, in milliseconds.
         delay_ms: f64,
-        /// Comes back with the event.
+        /// Value that the timer's event carries.
         token: u64,
     },
-    /// Send at most 256 bytes to one router.
+    /// Sends a message of at most 256 bytes to one other router.
     SendToPeer {
-        /// Its number.
+        /// Number of the receiving router.
         to: u32,
-        /// The bytes.
+        /// Encoded message.
         data: Vec<u8>,
     },
-    /// Send at most 256 bytes to every other router.
+    /// Sends a message of at most 256 bytes to every other router.
     SendToAllPeers {
-        /// The bytes.
+        /// Encoded message.
         data: Vec<u8>,
     },
-    /// Subscribe to changes of the list.
+    /// Subscribes to changes of the endpoint list.
     Subscribe,
-    /// A line for the operators.
+    /// Writes a line to the operators' log.
     Log(String),
-    /// What this router's own answers show of a node, for the others; only after [`crate::Router::enable_evidence`].
+    /// Passes evidence on a node, from this router's own attempts, to the other routers. Returned only after
+    /// [`crate::Router::enable_evidence`].
     Evidence {
-        /// The node.
+        /// The node that the evidence is about.
         cache: CacheId,
-        /// What they show.
+        /// Condition that the node's answers show.
         sign: Sign,
-        /// How sure, from 0 to 1.
+        /// Confidence in the evidence, from 0 to 1.
         strength: f64,
     },
 }
--- a/crates/fernslip/src/api/endpoints.rs
+++ b/crates/fernslip/src/api/endpoints.rs
@@ -1,47 +1,49 @@
-//! The endpoint list, as discovery gives it.
+//! The endpoint list, as received from discovery.
 
 use super::CacheId;
 
-/// State of a list entry.
+/// Service state of a node in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// In service.
+    /// The node is in service.
     #[default]
     In,
-    /// Draining: nothing new.
+    /// The node is draining: it finishes its work and gets no new attempts.
     Draining,
-    /// Removed.
+    /// The node was removed from the list.
     Out,
 }
 
-/// One entry of the endpoint list.
+/// One node of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// Which cache node.
+    /// Address of the node.
     pub cache: CacheId,
-    /// What its link carries, in transfers at full pace, beside the others'; above 0, 1 where nothing is known.
+    /// Capacity of the node's link, in transfers at [`crate::Settings::stream_kb_per_s`]. Above 0; 1 for all
+    /// nodes if no capacity is known.
     pub weight: f64,
-    /// Its zone; `None` where the settings do not know it.
+    /// Index of the node's zone in [`crate::Settings::zones`]; `None` if the settings do not list the zone.
     pub zone: Option<usize>,
-    /// Its kind.
+    /// Index of the node's kind, below [`crate::Settings::kinds`]; `None` if the settings do not list the
+    /// kind.
     pub kind: Option<usize>,
-    /// Its cell.
+    /// Number of the node's cell, a group of nodes for [`crate::DedupScope::Cell`].
     pub cell: i64,
-    /// When it last started, in milliseconds on the events' clock; 0: long ago.
+    /// Time at which the node last started, in milliseconds on the events' clock; 0: long ago.
     pub started_ms: f64,
-    /// Its state.
+    /// Service state of the node.
     pub phase: Phase,
 }
 
-/// What an endpoint event brings.
+/// What the entries of an endpoint event are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// Only the entries that changed.
     Delta,
-    /// The complete list.
+    /// The complete current list.
     Full,
-    /// The complete list as last cached, perhaps old.
+    /// A complete list from a local cache, which may be out of date.
     Cached,
-    /// The request for a list failed; no entries.
+    /// The request for a list failed: there are no entries, and known nodes are kept.
     Failed,
 }
--- a/crates/fernslip/src/api/errors.rs
+++ b/crates/fernslip/src/api/errors.rs
@@ -1,13 +1,14 @@
-//! What can be wrong with what a router is given.
+//! Errors in the input of a router.
 
-/// A setting that cannot be.
+/// A setting with an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("setting {field}: {why}")]
+#[error("setting {field}: {reason}")]
 pub struct SettingsError {
-    /// The field's name in error messages, below `classes[i].` for one of a class. These names are stable, so that log
-    /// searches keep working; some are older than the fields' names in [`crate::Settings`] and [`crate::Class`]
-    /// (`cold_ms` is `slow_start_ms`, `aim_ms` is `objective_ms`, `worth` is `priority_weight`).
+    /// Name of the field in error messages, prefixed with `classes[i].` for a field of a class. The names are
+    /// stable, so that existing log searches match; some differ from the field names of [`crate::Settings`]
+    /// and [`crate::Class`] (`cold_ms` is `slow_start_ms`, `aim_ms` is `objective_ms`, `worth` is
+    /// `priority_weight`).
     pub field: String,
-    /// What is wrong with it.
-    pub why: &'static str,
+    /// Which values are valid, or what is wrong with this one.
+    pub reason: &'static str,
 }
--- a/crates/fernslip/src/api/events.rs
+++ b/crates/fernslip/src/api/events.rs
@@ -1,143 +1,143 @@
-//! Events: what the decision crate is notified of.
+//! Events that the caller passes to the router.
 
 use super::{CacheId, Entry, ListKind, ObjectId, RequestId};
 use std::fmt;
 
-/// What has happened at a router.
+/// Something that happened at a router, and that its decisions depend on.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A change of the endpoint list, or a complete list.
+    /// The endpoint list, or changes of it.
     Endpoints {
-        /// What the entries are.
+        /// Whether the entries are a complete list or changes.
         kind: ListKind,
-        /// The entries.
+        /// Nodes of the list; empty for [`ListKind::Failed`].
         entries: Vec<Entry>,
     },
-    /// A client's request has come.
+    /// A client's request arrived.
     Request(Request),
-    /// A streamed answer has begun: the attempt belongs to the client now.
+    /// An attempt's answer began to stream to the client, so the client is bound to this attempt.
     Opened {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt in its request, from 0.
         attempt: u32,
     },
     /// An attempt ended.
     Outcome(Outcome),
-    /// The client has disconnected, or the answer would be too late: no answer is due any more.
+    /// The client disconnected, or an answer would be too late for it: the request needs no answer any more.
     Cancelled {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
     },
-    /// A timer has expired.
+    /// A timer set by [`crate::Action::Timer`] expired.
     Timer {
-        /// The value given when it was set.
+        /// Token of the action that set the timer.
         token: u64,
     },
-    /// A health check ended; the decision crate requests none and ignores it.
+    /// A health check ended. The router requests no health checks and ignores their results.
     HealthChecked {
-        /// The cache.
+        /// The node that was checked.
         cache: CacheId,
-        /// How it ended.
+        /// Result of the check.
         ending: Ending,
     },
-    /// A message of another router.
+    /// A message from another router arrived.
     PeerMessage {
-        /// Number of the sender.
+        /// Number of the sending router.
         from: u32,
-        /// The bytes.
+        /// Encoded message.
         data: Vec<u8>,
     },
-    /// What other routers' gossip on a node amounts to now.
+    /// Gossip of other routers changed the suspicion of a node.
     PeerSuspicion {
-        /// The node.
+        /// The node that the suspicion is about.
         cache: CacheId,
-        /// Suspicion from -1 (well) to 1 (failing); 0: no gossip.
+        /// Suspicion, from -1 (healthy) to 1 (failing); 0: no gossip about the node.
         amount: f64,
     },
-    /// An object, or a whole group, was purged.
+    /// An object or a purge group was purged.
     Purged {
-        /// The object; `None`: all of the group.
+        /// The purged object; `None`: all objects of the group.
         object: Option<ObjectId>,
-        /// The group.
+        /// Purge group of the object, or the group that was purged.
         group: u64,
-        /// How long ago, in milliseconds.
+        /// Time since the purge, in milliseconds.
         age_ms: f64,
     },
 }
 
-/// A client's request.
+/// A request of a client.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// The object it names.
+    /// The requested object.
     pub object: ObjectId,
-    /// The part of it.
+    /// Number of the requested part of the object.
     pub part: u32,
-    /// Index into [`crate::Settings::classes`].
+    /// Index of the request's class in [`crate::Settings::classes`].
     pub class: usize,
-    /// Size of the part in KB; 0: not known.
+    /// Size of the part in KB; 0: unknown.
     pub size_kb: f64,
-    /// How long the client waits for this request from now, in milliseconds.
+    /// Time that the client will wait for its answer, in milliseconds from the time of the event.
     pub budget_ms: f64,
-    /// Purge group of the object.
+    /// Purge group that the object belongs to.
     pub group: u64,
 }
 
-/// How an attempt ended, in full.
+/// The end of an attempt, with the data that its answer gave.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
-    /// Number of the attempt, in the order sent, from 0.
+    /// Number of the attempt in its request, from 0 in the order sent.
     pub attempt: u32,
-    /// The node that it was sent to.
+    /// The node that the attempt was sent to.
     pub cache: CacheId,
-    /// How it ended.
+    /// How the attempt ended.
     pub ending: Ending,
-    /// Time since it was sent, in milliseconds.
+    /// Time from the send of the attempt to its end, in milliseconds.
     pub elapsed_ms: f64,
-    /// The request has finished: it needs no further attempt.
+    /// Whether the request has finished and needs no further attempt.
     pub over: bool,
-    /// How it was filled or why not, by the number of the wire note; 0: not given.
+    /// How the node got the answer, or why it could not, as the code in the node's response; 0: not given.
     pub detail: u8,
-    /// Time to the source's first byte or failure in milliseconds; 0: not given.
+    /// Time until the source's first byte or failure, in milliseconds; 0: not given.
     pub fill_wait_ms: f64,
-    /// Load report: requests of all routers in flight at the cache node, as its answer gives it; late and not exact.
+    /// Load report of the cache node: requests of all routers in flight there when it answered, so late and
+    /// not exact. `None`: its answer gave no report.
     pub reported_in_flight: Option<f64>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// Served.
+    /// The request was served.
     Completed,
-    /// An error; it may have run.
+    /// The node answered with an error. The request may have run.
     Errored,
-    /// Rejected before it was handled, or its source rejected it or was not reached.
+    /// The node rejected the attempt before handling it, or the source rejected the fill or was not reached.
     Saturated,
-    /// It timed out; it may have run.
+    /// The attempt timed out. The request may have run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection to the node could be made. The request never ran.
     ConnectionRefused,
-    /// The connection broke; it may have run.
+    /// The connection was lost during the attempt. The request may have run.
     ConnectionLost,
-    /// Cancelled; it may have run.
+    /// The router cancelled the attempt. The request may have run.
     Cancelled,
-    /// The node says that the request is over: its client has
-    /// disconnected, its time has expired, or it had all its attempts.
-    /// It never ran, and no further attempt will.
+    /// The node reports that the request is over: its client disconnected, its time expired, or its attempts
+    /// are used up. The attempt never ran, and no further one will.
     Superseded,
-    /// The front withdrew it before its first byte: its node or source drains, or its connection ended or never was. It
-    /// may go elsewhere.
+    /// The front withdrew the attempt before its first byte was sent, because the node or the source drains,
+    /// or the connection ended or was never established. The request may be sent to another node.
     Retracted,
-    /// The node has no suitable copy.
+    /// The node has no acceptable copy of the object.
     LookupMiss,
 }
 
 impl Ending {
-    /// The name in log lines, which is stable: it is the one that operators' searches and alerts know.
+    /// The name in log lines. It is stable, because operators' searches and alerts match it.
     fn log_name(self) -> &'static str {
         match self {
             Ending::Completed => "Completed",
@@ -153,20 +153,20 @@
         }
     }
 
-    /// Whether it proves that the request never ran.
+    /// Whether this ending proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         self.never_sent()
             || matches!(self, Ending::Saturated | Ending::ConnectionRefused | Ending::LookupMiss)
     }
 
-    /// Whether no node has had anything to do with it, nor is one to blame.
+    /// Whether the attempt was ended without any node being involved or at fault.
     pub fn never_sent(self) -> bool {
         matches!(self, Ending::Superseded | Ending::Retracted)
     }
 }
 
 impl fmt::Debug for Ending {
-    /// Log lines print an ending in this form, so it gives the stable name of one.
+    /// Writes the stable log name, because log lines print endings in their `Debug` form.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.log_name())
     }
--- a/crates/fernslip/src/api/settings.rs
+++ b/crates/fernslip/src/api/settings.rs
@@ -1,145 +1,147 @@
-//! Settings: all that a router is given when it starts. Which values are possible is in `settings_check.rs`.
+//! Settings that a router is created with. `settings_check.rs` defines the valid values.
 
-/// What a class allows to be repeated.
+/// Whether and how the requests of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// May be repeated and rejected freely.
+    /// Requests may be repeated and rejected without restriction.
     Idempotent,
-    /// Repeats are dropped by a group of caches for a while.
+    /// A group of caches drops repeats of a request for [`Class::repeat_window_ms`].
     Deduplicated,
-    /// May run once at most.
+    /// A request may run at most once.
     AtMostOnce,
 }
 
-/// Which caches share the memory of keyed requests.
+/// The group of caches that share their record of requests already run, and so drop repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All of them.
+    /// All caches.
     All,
-    /// Those of one zone.
+    /// The caches of one zone.
     Zone,
-    /// Those of one cell.
+    /// The caches of one cell ([`crate::Entry::cell`]).
     Cell,
 }
 
-/// A class of requests.
+/// A class of requests, with its latency objective and its rules for repeats.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name; for the caller only.
+    /// Name of the class, for the caller. The router does not use it.
     pub name: String,
-    /// Latency objective: answers within this time, in milliseconds, earn the full priority weight.
+    /// Latency objective in milliseconds: an answer within this time earns the full priority weight.
     pub objective_ms: f64,
-    /// The objective grows by this multiple of the request's own sending time.
+    /// Addition to the objective, as a multiple of the time that sending the answer takes at the full rate.
     pub objective_stretch: f64,
-    /// How long a client waits at most, over all its attempts, in milliseconds; above 0.
+    /// Longest time that a client waits for its answer, over all attempts, in milliseconds. Above 0.
     pub deadline_ms: f64,
-    /// What answering a request is worth beside other classes.
+    /// Priority weight: value of an answer to this class relative to the other classes.
     pub priority_weight: f64,
-    /// Share of the priority weight that an answer after the objective still earns.
+    /// Fraction of the priority weight that an answer after the objective still earns.
     pub late_weight: f64,
-    /// What may be repeated.
+    /// Whether and how requests may be repeated.
     pub effect: Effect,
-    /// Group that drops repeats, for [`Effect::Deduplicated`].
+    /// Group of caches that drops repeats, for [`Effect::Deduplicated`].
     pub scope: DedupScope,
-    /// How long it drops them, in milliseconds from the send of the first attempt that may have run.
+    /// How long that group drops repeats, in milliseconds from the send of the first attempt that may have
+    /// run.
     pub repeat_window_ms: f64,
-    /// Never cached: runs at the origin.
+    /// Whether requests are writes, which run at the origin and are never cached.
     pub write: bool,
-    /// How long a copy is fresh, in milliseconds; 0: until purged.
+    /// How long a copy is fresh, in milliseconds; 0: until it is purged.
     pub fresh_ms: f64,
-    /// How long past fresh a copy may still be served, in milliseconds.
+    /// How long a copy may still be served after it is no longer fresh, in milliseconds.
     pub grace_ms: f64,
 }
 
-/// Which caches may be named as the source of a fill.
+/// Which caches may be the source of a fill at another cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Neighbours {
-    /// No cache.
+    /// No cache may be a source.
     None,
-    /// Caches of the own location.
+    /// Caches of the router's own location may be sources.
     Location,
-    /// Any cache.
+    /// Any cache may be a source.
     Any,
 }
 
-/// How much an outcome's `detail` tells.
+/// Which outcomes give a [`crate::Outcome::detail`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoteLevel {
-    /// Everything, failures included.
+    /// All outcomes, including failures.
     All,
-    /// Only how an answer came about.
+    /// Only served requests: whether the answer was a hit or a fill.
     Hit,
-    /// Nothing.
+    /// No outcomes.
     None,
 }
 
-/// All that a router is given when it starts. Figures are finite and not negative unless said otherwise.
+/// Configuration of a router. Numbers are finite and not negative unless the field says otherwise.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Names of the zones; locations and hubs.
+    /// Names of the zones, which are locations and hubs.
     pub zones: Vec<String>,
-    /// The zone of this router.
+    /// Index of this router's zone in `zones`.
     pub zone: usize,
-    /// By zone: how many routers serve it.
+    /// Number of routers that serve each zone, in the order of `zones`.
     pub zone_routers: Vec<u32>,
-    /// By zone: what its link for fills carries, KB a second; 0: not known.
+    /// Capacity of each zone's link for fills, in KB/s, in the order of `zones`; 0: unknown.
     pub link_in_kb_per_s: Vec<f64>,
-    /// Number of node kinds.
+    /// Number of kinds of nodes. Entries of the endpoint list name a kind by its index.
     pub kinds: usize,
-    /// The kind that parents are of, if there are any.
+    /// Kind of the parents; `None`: the deployment has no parents.
     pub parent_kind: Option<usize>,
-    /// The kind that the origin is of.
+    /// Kind of the origin; `None`: the deployment has no origin.
     pub origin_kind: Option<usize>,
-    /// Number of this router, from 0.
+    /// Number of this router, from 0 to `routers - 1`.
     pub slot: u32,
-    /// How many routers there are.
+    /// Number of routers in the deployment.
     pub routers: u32,
-    /// The classes, at least one; events name them by index.
+    /// The request classes, at least one. Events name a class by its index.
     pub classes: Vec<Class>,
-    /// Requests may go straight to a parent or the origin.
+    /// Whether requests may be sent directly to a parent or the origin.
     pub straight: bool,
-    /// A request may join a fill in flight (request coalescing).
+    /// Whether a request may join a fill in flight (request coalescing).
     pub joins: bool,
-    /// Caches that may be sources.
+    /// Which caches may be the source of a fill at another cache.
     pub neighbours: Neighbours,
-    /// How much outcomes tell.
+    /// Which outcomes give a [`crate::Outcome::detail`].
     pub notes: NoteLevel,
-    /// Pace of one answer, KB a second, above 0; the unit of weights.
+    /// Full rate of one transfer, in KB/s. Above 0. The weights of the endpoint list count transfers at this
+    /// rate.
     pub stream_kb_per_s: f64,
-    /// Attempts allowed for a request, at least one.
+    /// Highest number of attempts for a request. At least 1.
     pub max_attempts: u32,
-    /// Requests in flight at the same time.
+    /// Highest number of requests in flight at the same time. Further ones are rejected.
     pub max_in_flight: u32,
-    /// Hedged requests: two attempts at once are allowed.
+    /// Whether a request may have two attempts in flight at once (hedged requests).
     pub parallel: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Messages to other routers are allowed.
+    /// Whether messages to other routers are allowed.
     pub peers: bool,
-    /// Longest Retry-After hint that clients honour, in milliseconds; 0: none do.
+    /// Longest Retry-After hint that clients honour, in milliseconds; 0: clients honour none.
     pub max_retry_after_ms: f64,
-    /// Endpoint lists come only on request.
+    /// Whether endpoint lists arrive only on request.
     pub lists_on_request: bool,
-    /// Least interval between two batches of events, in milliseconds.
+    /// Shortest interval between two batches of events, in milliseconds.
     pub tick_ms: f64,
-    /// Grace for sends to a draining cache, in milliseconds.
+    /// Time after a cache begins to drain in which an attempt may still begin there, in milliseconds.
     pub drain_grace_ms: f64,
-    /// Slow start: least share of its capacity with which a cache starts.
+    /// Slow start: lowest fraction of its full capacity that a cache has when it starts.
     pub slow_start_from: f64,
-    /// Slow start: a cache is warm after this time, in milliseconds.
+    /// Slow start: time after which a cache has its full capacity, in milliseconds.
     pub slow_start_ms: f64,
-    /// Slow start: multiple of its present capacity that a warming cache stands.
+    /// Slow start: load that a cache that is warming up can bear, as a multiple of its present capacity.
     pub slow_start_multiple: f64,
-    /// Slow start: for how long it stands that, in milliseconds; a cache and a parent alike.
+    /// Slow start: how long a cache or a parent can bear that load, in milliseconds.
     pub slow_start_window_ms: f64,
-    /// As `slow_start_from`, for a parent.
+    /// Slow start of parents: as [`Settings::slow_start_from`].
     pub parent_slow_start_from: f64,
-    /// As `slow_start_ms`, for a parent.
+    /// Slow start of parents: as [`Settings::slow_start_ms`].
     pub parent_slow_start_ms: f64,
-    /// As `slow_start_multiple`, for a parent.
+    /// Slow start of parents: as [`Settings::slow_start_multiple`].
     pub parent_slow_start_multiple: f64,
-    /// Grace for copies from before a purge, in milliseconds.
+    /// Time after a purge in which copies from before it may still be served, in milliseconds.
     pub purge_slack_ms: f64,
-    /// After this long no older copy is left anywhere, in milliseconds.
+    /// Time after a purge from which no copy from before it is left on any node, in milliseconds.
     pub purge_done_ms: f64,
 }
--- a/crates/fernslip/src/api/settings_check.rs
+++ b/crates/fernslip/src/api/settings_check.rs
@@ -1,28 +1,28 @@
-//! Which settings are possible. The names are those of error messages: see [`SettingsError::field`].
+//! Checks that settings are valid. Fields have the stable names described at [`SettingsError::field`].
 
 use super::{Class, Settings, SettingsError};
 
-/// Rejects a setting by its name in error messages, and says what is wrong with it.
-fn rejected(field: &str, why: &'static str) -> Result<(), SettingsError> {
-    Err(SettingsError { field: field.to_string(), why })
+/// The error for an invalid setting; `field` is its name in error messages.
+fn invalid_setting(field: &str, reason: &'static str) -> Result<(), SettingsError> {
+    Err(SettingsError { field: field.to_string(), reason })
 }
 
-/// Rejects a figure that is negative, infinite or not a number.
+/// Returns an error if a value is negative, infinite or not a number.
 fn check_non_negative(field: &str, value: f64) -> Result<(), SettingsError> {
     if !(value.is_finite() && value >= 0.0) {
-        return rejected(field, "negative or not a number");
+        return invalid_setting(field, "must be a finite number that is not negative");
     }
     Ok(())
 }
 
 impl Settings {
-    /// Checks all fields; the error names the first one that is impossible.
+    /// Checks all fields.
     ///
-    /// The parts are checked in this order, and within each part field by field: zones, kinds, routers,
-    /// attempts and streams, durations and slow start, classes.
+    /// The groups of fields are checked in this order: zones, kinds, routers, attempts and streams, durations
+    /// and slow start, classes.
     ///
     /// # Errors
-    /// The first field that is impossible, and why.
+    /// The first field with an invalid value, and the reason.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_zones()?;
         self.check_kinds()?;
@@ -32,54 +32,54 @@
         self.check_classes()
     }
 
-    /// The own zone exists, and each per-zone list has one value for each zone.
+    /// Checks that this router's zone exists and that each list by zone has one valid value for each zone.
     fn check_zones(&self) -> Result<(), SettingsError> {
         if self.zone >= self.zones.len() {
-            return rejected("zone", "no such zone");
+            return invalid_setting("zone", "must be the index of a zone in zones");
         }
         for (name, len) in
             [("zone_routers", self.zone_routers.len()), ("link_in_kb_per_s", self.link_in_kb_per_s.len())]
         {
             if len != self.zones.len() {
-                return rejected(name, "needs one value for each zone");
+                return invalid_setting(name, "must have one value for each zone");
             }
         }
         if self.link_in_kb_per_s.iter().any(|v| !(v.is_finite() && *v >= 0.0)) {
-            return rejected("link_in_kb_per_s", "negative or not a number");
+            return invalid_setting("link_in_kb_per_s", "must be a finite number that is not negative");
         }
         Ok(())
     }
 
-    /// The parent and origin kinds are among the kinds.
+    /// Checks that the kinds of parents and of the origin exist.
     fn check_kinds(&self) -> Result<(), SettingsError> {
         for (name, kind) in [("parent_kind", self.parent_kind), ("origin_kind", self.origin_kind)] {
             if kind.is_some_and(|k| k >= self.kinds) {
-                return rejected(name, "no such kind");
+                return invalid_setting(name, "must be below the number of kinds");
             }
         }
         Ok(())
     }
 
-    /// This router's slot is among the routers.
+    /// Checks that there is a router and that this router's number is below the number of routers.
     fn check_routers(&self) -> Result<(), SettingsError> {
         if self.routers == 0 || self.slot >= self.routers {
-            return rejected("slot", "not among the routers");
+            return invalid_setting("slot", "must be below the number of routers");
         }
         Ok(())
     }
 
-    /// At least one attempt is allowed, and streams have a rate above 0.
+    /// Checks that at least one attempt is allowed and that the rate of streams is finite and above 0.
     fn check_attempts_and_streams(&self) -> Result<(), SettingsError> {
         if self.max_attempts == 0 {
-            return rejected("max_attempts", "no attempt is allowed");
+            return invalid_setting("max_attempts", "must be at least 1");
         }
         if !(self.stream_kb_per_s.is_finite() && self.stream_kb_per_s > 0.0) {
-            return rejected("stream_kb_per_s", "must be above 0");
+            return invalid_setting("stream_kb_per_s", "must be a finite number above 0");
         }
         Ok(())
     }
 
-    /// Durations, slow-start figures and purge times are finite and not negative.
+    /// Checks that durations, slow-start values and purge times are finite and not negative.
     fn check_durations(&self) -> Result<(), SettingsError> {
         for (name, value) in [
             ("max_retry_after_ms", self.max_retry_after_ms),
@@ -100,10 +100,10 @@
         Ok(())
     }
 
-    /// There is at least one class, and each class is sound.
+    /// Checks that there is at least one class and that each class is valid.
     fn check_classes(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
-            return rejected("classes", "no class");
+            return invalid_setting("classes", "must have at least one class");
         }
         for (index, class) in self.classes.iter().enumerate() {
             class.check(index)?;
@@ -113,11 +113,12 @@
 }
 
 impl Class {
-    /// The class at `index` of [`Settings::classes`] has a deadline above 0 and no negative figure.
+    /// Checks that the class at `index` of [`Settings::classes`] has a deadline above 0 and no negative
+    /// value.
     fn check(&self, index: usize) -> Result<(), SettingsError> {
         let name = |field: &str| format!("classes[{index}].{field}");
         if !(self.deadline_ms.is_finite() && self.deadline_ms > 0.0) {
-            return rejected(&name("deadline_ms"), "must be above 0");
+            return invalid_setting(&name("deadline_ms"), "must be a finite number above 0");
         }
         for (field, value) in [
             ("aim_ms", self.objective_ms),
--- a/crates/fernslip/src/bootstrap.rs
+++ b/crates/fernslip/src/bootstrap.rs
@@ -1,37 +1,40 @@
-//! What a router sends to one of its location that has just started: what it has learned of the location's nodes. One
-//! message, rough and bounded; the keys that caches have follow as ordinary filter changes.
+//! The bootstrap message, with which a router tells another one of its location that has just started what it
+//! has learned of the nodes. It is one message of limited size with rounded values. The keys that caches have
+//! follow as ordinary filter changes.
 //!
-//! A router that starts knows no bandwidth, no pace and no failure. It takes its location's link for as wide as known
-//! links let expect, sends to nodes that others know to fail, and fills without a limit until its own fills are late.
+//! A router that starts knows no bandwidth, pace or failure rate of any node. Without a bootstrap it
+//! estimates its location's bandwidth from the known links, sends requests to nodes that other routers know
+//! to be failing, and fills without a limit until its own fills are late.
 
 use crate::bandwidth::Bandwidth;
 use crate::state::Node;
 
-/// Bytes of a message's header, and of a node in it.
+/// Length of the message header, in bytes.
 const HEADER_BYTES: usize = 5;
+/// Length of one node's entry in a message, in bytes: its tag, a byte of flags and five quantized values.
 const NODE_BYTES: usize = 3 + 6;
 const VERSION: u8 = 3;
 
-/// What a message says of a node.
+/// What a bootstrap message tells of one node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeState {
-    /// The first bytes of its tag.
+    /// First bytes of the node's tag.
     pub tag: [u8; 3],
-    /// See [`crate::bandwidth::Link`].
+    /// The node's bandwidth, as in [`crate::bandwidth::Link`].
     pub bandwidth: Bandwidth,
-    /// The same of what it was seen to send.
+    /// The bandwidth that the node was seen to deliver, as in [`crate::bandwidth::Link`].
     pub proven: Bandwidth,
-    /// Its pace.
+    /// Moving average of how many times its time at full rate an answer of the node takes.
     pub pace: f64,
-    /// The pace of its quicker answers.
+    /// The same average for the node's quicker answers.
     pub quick_pace: f64,
-    /// Its failure rate, from 0 to 1.
+    /// Moving average of the fraction of the node's attempts that failed, from 0 to 1.
     pub failure_rate: f64,
 }
 
 impl NodeState {
-    /// What is known of a node.
-    pub fn of(node: &Node, now: f64) -> NodeState {
+    /// The state of a node as this router knows it at the time `now`.
+    pub fn from_node(node: &Node, now: f64) -> NodeState {
         let tag = node.tag.to_be_bytes();
         NodeState {
             tag: [tag[0], tag[1], tag[2]],
@@ -43,8 +46,8 @@
         }
     }
 
-    /// Adopts it as what this router has seen itself. Whether it fails too often is for its own failures to say: one
-    /// more is then enough.
+    /// Sets the node's values as if this router had measured them. It does not eject a failing node: that
+    /// takes a failure of this router's own attempts, and one is then enough.
     pub fn apply(&self, node: &mut Node, now: f64) {
         node.link.bandwidth = self.bandwidth;
         node.link.proven = self.proven;
@@ -55,27 +58,29 @@
     }
 }
 
-/// What a router has learned.
+/// What a router has learned of the nodes of its location.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bootstrap {
-    /// Over how long, in milliseconds.
+    /// How long the router has been learning, in milliseconds.
     pub known_ms: f64,
-    /// How many fills the location may have in flight; infinite: no limit was found yet.
+    /// Number of fills that the location may have in flight; infinite: no limit was found yet.
     pub fill_limit: f64,
-    /// Nodes, the most useful first; those for which there is no space are omitted.
+    /// States of the nodes, the most useful ones first. Encoding omits those that do not fit in the message.
     pub nodes: Vec<NodeState>,
 }
 
-/// Quantises a figure: steps of a twelfth of an octave, from 2^-10 to 2^11; 0 stands for none.
-fn code(v: f64) -> u8 {
-    if v.is_finite() && v > 0.0 {
-        (v.log2() * 12.0 + 128.0).round().clamp(1.0, 255.0) as u8
+/// Quantizes a value from 2^-10 to 2^11 to a byte, in steps of a twelfth of an octave. 0 stands for a value
+/// that is not finite or not above 0.
+fn quantize(value: f64) -> u8 {
+    if value.is_finite() && value > 0.0 {
+        (value.log2() * 12.0 + 128.0).round().clamp(1.0, 255.0) as u8
     } else {
         0
     }
 }
 
-fn value(code: u8) -> f64 {
+/// The value that a quantized byte stands for; 0.0 for the byte 0.
+fn dequantize(code: u8) -> f64 {
     if code == 0 {
         0.0
     } else {
@@ -84,7 +89,7 @@
 }
 
 impl Bootstrap {
-    /// What is known of nodes: caches first, then parents, then the origin.
+    /// Collects the states of the nodes: caches first, then parents, then the origin.
     pub fn of<'a>(
         all: impl Iterator<Item = &'a Node>,
         now: f64,
@@ -96,34 +101,34 @@
         Bootstrap {
             known_ms,
             fill_limit,
-            nodes: all.into_iter().map(|node| NodeState::of(node, now)).collect(),
+            nodes: all.into_iter().map(|node| NodeState::from_node(node, now)).collect(),
         }
     }
 
-    /// Adopts what is said of nodes that were there then. One that has started since, and since `first_event_ms`, is
-    /// not the one that was seen.
+    /// Applies the states to nodes that were running when the sender learned them. A node that started after
+    /// both that and `first_event_ms` is skipped, because its state is that of its earlier run.
     pub fn apply<'a>(&self, all: impl Iterator<Item = &'a mut Node>, now: f64, first_event_ms: f64) {
         for node in all.filter(|node| node.started_ms <= (now - self.known_ms).max(first_event_ms)) {
-            if let Some(m) = self.nodes.iter().find(|m| node.tag.to_be_bytes().starts_with(&m.tag)) {
-                m.apply(node, now);
+            if let Some(state) = self.nodes.iter().find(|m| node.tag.to_be_bytes().starts_with(&m.tag)) {
+                state.apply(node, now);
             }
         }
     }
 
-    /// Its bytes, at most `max_bytes`.
+    /// Encodes the bootstrap as a message of at most `max_bytes` bytes from a router in `zone`.
     pub fn encode(&self, zone: u8, max_bytes: usize) -> Vec<u8> {
-        let mut out = vec![VERSION, zone, 1, code(self.known_ms / 1000.0), code(self.fill_limit)];
+        let mut out = vec![VERSION, zone, 1, quantize(self.known_ms / 1000.0), quantize(self.fill_limit)];
         for m in self.nodes.iter().take(max_bytes.saturating_sub(HEADER_BYTES) / NODE_BYTES) {
             out.extend(m.tag);
             out.push(u8::from(m.bandwidth.saturated) | u8::from(m.proven.saturated) << 1);
             out.extend(
-                [m.bandwidth.capacity, m.proven.capacity, m.pace, m.quick_pace, m.failure_rate].map(code),
+                [m.bandwidth.capacity, m.proven.capacity, m.pace, m.quick_pace, m.failure_rate].map(quantize),
             );
         }
         out
     }
 
-    /// Decodes one and its sender's location; `None`: it is malformed.
+    /// Decodes a bootstrap and the zone of its sender. `None`: the message is malformed.
     pub fn read(data: &[u8]) -> Option<(u8, Bootstrap)> {
         let [VERSION, zone, 1, known, fill_limit, rest @ ..] = data else { return None };
         if rest.len() % NODE_BYTES != 0 {
@@ -131,15 +136,15 @@
         }
         let node = |b: &[u8]| NodeState {
             tag: [b[0], b[1], b[2]],
-            bandwidth: Bandwidth { capacity: value(b[4]), saturated: b[3] & 1 > 0 },
-            proven: Bandwidth { capacity: value(b[5]), saturated: b[3] & 2 > 0 },
-            pace: value(b[6]),
-            quick_pace: value(b[7]),
-            failure_rate: value(b[8]).min(1.0),
+            bandwidth: Bandwidth { capacity: dequantize(b[4]), saturated: b[3] & 1 > 0 },
+            proven: Bandwidth { capacity: dequantize(b[5]), saturated: b[3] & 2 > 0 },
+            pace: dequantize(b[6]),
+            quick_pace: dequantize(b[7]),
+            failure_rate: dequantize(b[8]).min(1.0),
         };
-        let fill_limit = if *fill_limit == 0 { f64::INFINITY } else { value(*fill_limit) };
+        let fill_limit = if *fill_limit == 0 { f64::INFINITY } else { dequantize(*fill_limit) };
         let nodes = rest.chunks_exact(NODE_BYTES).map(node).collect();
-        Some((*zone, Bootstrap { known_ms: 1000.0 * value(*known), fill_limit, nodes }))
+        Some((*zone, Bootstrap { known_ms: 1000.0 * dequantize(*known), fill_limit, nodes }))
     }
 }
 
--- a/crates/fernslip/src/bootstrap/tests.rs
+++ b/crates/fernslip/src/bootstrap/tests.rs
@@ -1,14 +1,15 @@
 use super::*;
 
 #[test]
-fn a_bootstrap_round_trips_to_a_few_percent() {
+fn a_bootstrap_round_trips_with_errors_below_three_percent() {
     let bandwidth = Bandwidth { capacity: 7.3, saturated: true };
     let proven = Bandwidth { capacity: 0.0, saturated: false };
-    let m = NodeState { tag: [1, 2, 3], bandwidth, proven, pace: 1.4, quick_pace: 0.9, failure_rate: 0.02 };
-    let w = Bootstrap { known_ms: 12_000.0, fill_limit: f64::INFINITY, nodes: vec![m; 40] };
-    let data = w.encode(4, 256);
+    let state =
+        NodeState { tag: [1, 2, 3], bandwidth, proven, pace: 1.4, quick_pace: 0.9, failure_rate: 0.02 };
+    let bootstrap = Bootstrap { known_ms: 12_000.0, fill_limit: f64::INFINITY, nodes: vec![state; 40] };
+    let data = bootstrap.encode(4, 256);
     assert!(data.len() <= 256);
-    let (zone, read) = Bootstrap::read(&data).expect("it");
+    let (zone, read) = Bootstrap::read(&data).expect("the encoded bootstrap can be decoded");
     assert_eq!((zone, read.nodes.len(), read.fill_limit), (4, 27, f64::INFINITY));
     let r = read.nodes[26];
     assert_eq!((r.tag, r.bandwidth.saturated, r.proven), ([1, 2, 3], true, proven));
@@ -19,16 +20,20 @@
         (r.failure_rate, 0.02),
         (read.known_ms, 12e3),
     ] {
-        assert!((is / was - 1.0).abs() < 0.03, "{is} {was}");
+        assert!((is / was - 1.0).abs() < 0.03, "value {was} is decoded as {is}, expected an error below 3%");
     }
 }
 
 #[test]
-fn malformed_bootstraps_are_ignored_also_by_earlier_versions() {
-    let w = Bootstrap { known_ms: 1.0, fill_limit: 3.0, nodes: Vec::new() };
-    let data = w.encode(4, 256);
+fn malformed_bootstraps_are_rejected_and_version_2_routers_ignore_bootstraps() {
+    let bootstrap = Bootstrap { known_ms: 1.0, fill_limit: 3.0, nodes: Vec::new() };
+    let data = bootstrap.encode(4, 256);
     assert!(Bootstrap::read(&data).is_some());
     assert_eq!(Bootstrap::read(&data[..4]), None);
     assert_eq!(Bootstrap::read(&[&data[..], &[1]].concat()), None);
-    assert_eq!(crate::message::read(&data, 16384), None, "their version is 2");
+    assert_eq!(
+        crate::message::read(&data, 16384),
+        None,
+        "routers that know only message version 2 ignore a bootstrap"
+    );
 }
--- a/crates/fernslip/src/facade.rs
+++ b/crates/fernslip/src/facade.rs
@@ -1,22 +1,24 @@
-//! The decision crate in blocking style: [`Dispatcher::pick`], [`Dispatcher::report`], [`Dispatcher::tick`].
+//! A blocking interface to the decision logic: [`Dispatcher::pick`], [`Dispatcher::report`],
+//! [`Dispatcher::tick`].
 //!
-//! A front hands a request to `pick`, which returns what to do with it; it reports how each attempt ended, which
-//! returns what to do next. Events and actions stay in here. There are no sockets, threads or clocks: time is passed in,
-//! and what cannot wait for a return value goes to the front's [`Host`].
+//! A front passes a request to `pick`, which returns what to do with it. It then passes the end of each
+//! attempt to `report`, which returns what to do next. The dispatcher handles the router's events and actions
+//! internally. It uses no sockets, threads or clocks: the caller passes the time, and actions that cannot be
+//! returned to the caller go to the front's [`Host`].
 //!
 //! ```
 //! use fernslip::{facade::*, *};
 //! use std::sync::Arc;
 //!
 //! /// A front with one thread, no peers and no log.
-//! struct Alone;
-//! impl Waiter for Alone {
+//! struct SingleThreadedFront;
+//! impl Waiter for SingleThreadedFront {
 //!     fn wait(&self) {}
 //!     fn wake(&self) {}
 //! }
-//! impl Host for Alone {
+//! impl Host for SingleThreadedFront {
 //!     fn waiter(&self) -> Arc<dyn Waiter> {
-//!         Arc::new(Alone)
+//!         Arc::new(SingleThreadedFront)
 //!     }
 //!     fn cancel(&self, _: RequestId, _: u32) {}
 //!     fn send_to_peer(&self, _: u32, _: &[u8]) {}
@@ -24,9 +26,10 @@
 //!     fn log(&self, _: &str) {}
 //! }
 //!
-//! let config: serde_json::Value = serde_json::from_str(&std::fs::read_to_string("../../examples/config.json")?)?;
+//! let config: serde_json::Value =
+//!     serde_json::from_str(&std::fs::read_to_string("../../examples/config.json")?)?;
 //! let (settings, names) = json::settings(&config["settings"])?;
-//! let dispatcher = Dispatcher::new(settings, 42, Alone)?;
+//! let dispatcher = Dispatcher::new(settings, 42, SingleThreadedFront)?;
 //! let entry = |name: &str, zone, kind| Entry {
 //!     cache: name.into(),
 //!     weight: 1.0,
@@ -51,14 +54,25 @@
 //! let mut now = 5.0;
 //! let mut decision = dispatcher.pick(now, request);
 //! while let Decision::Forward(a) = decision {
-//!     // Here a front asks `a.cache`, to fill a miss from `a.source`, until `a.until_ms` at the longest.
+//!     // Here a front sends the request to `a.cache`, which fills a miss from `a.source`. The attempt times
+//!     // out at `a.until_ms`.
 //!     now += 20.0;
 //!     let (id, attempt, cache) = (a.id, a.number, a.cache);
 //!     let ending = Ending::Completed;
-//!     let ended = AttemptResult { id, attempt, cache, ending, elapsed_ms: 20.0, detail: 2, fill_wait_ms: 0.0, reported_in_flight: None };
+//!     let ended = AttemptResult {
+//!         id,
+//!         attempt,
+//!         cache,
+//!         ending,
+//!         elapsed_ms: 20.0,
+//!         detail: 2,
+//!         fill_wait_ms: 0.0,
+//!         reported_in_flight: None,
+//!     };
 //!     decision = dispatcher.report(now, ended);
 //! }
-//! assert!(matches!(decision, Decision::Finished)); // served: no answer is due any more
+//! // The request was served, so it needs no further answer.
+//! assert!(matches!(decision, Decision::Finished));
 //! dispatcher.tick(now);
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
@@ -76,23 +90,23 @@
 use state::{HostCall, NextTimer, OpenRequest, State};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// The decisions of one router, for callers that wait for them.
+/// A thread-safe router whose callers block until it has decided on their request.
 pub struct Dispatcher<H: Host> {
     state: Mutex<State>,
     host: H,
 }
 
 impl<H: Host> Dispatcher<H> {
-    /// A dispatcher that knows no caches yet.
+    /// Creates a dispatcher with an empty endpoint list.
     ///
     /// # Errors
-    /// A setting is impossible.
+    /// A setting is invalid.
     pub fn new(settings: Settings, seed: u64, host: H) -> Result<Self, SettingsError> {
         let router = Router::new(settings, seed)?;
         Ok(Dispatcher { state: Mutex::new(State::new(router)), host })
     }
 
-    /// The front that hosts it.
+    /// The front that embeds this dispatcher.
     pub fn host(&self) -> &H {
         &self.host
     }
@@ -101,24 +115,25 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a request and decides what to do with it; waits until the router has decided.
+    /// Accepts a request, waits until the router has decided on it, and returns the decision.
     pub fn pick(&self, now_ms: f64, request: Request) -> Decision {
         let id = request.id;
         let calls = {
             let mut state = self.lock();
-            // An id that is open already names another request: this one can't be distinguished from it. Guards against
-            // a client that reuses ids; without it the first would lose its answer.
+            // The id of an open request cannot name a second one, because the two could not be distinguished.
+            // If a client reuses an id, the first request would otherwise lose its answer.
             if state.open.contains_key(&id) {
                 return Decision::Reject { retry_after_ms: 0.0 };
             }
             state.open.insert(id, OpenRequest::new(&request));
             state.handle(now_ms, Event::Request(request))
         };
-        self.carry_out(calls);
-        self.decided(id)
+        self.make_host_calls(calls);
+        self.wait_for_decision(id)
     }
 
-    /// Takes how an attempt ended and decides what to do with its request now; waits until the router has decided.
+    /// Reports the end of an attempt, waits until the router has decided how its request continues, and
+    /// returns the decision.
     pub fn report(&self, now_ms: f64, ended: AttemptResult) -> Decision {
         let AttemptResult {
             id,
@@ -149,12 +164,12 @@
             };
             state.handle(now_ms, Event::Outcome(outcome))
         };
-        self.carry_out(calls);
-        self.decided(id)
+        self.make_host_calls(calls);
+        self.wait_for_decision(id)
     }
 
-    /// An attempt that [`Decision::Forward`] called for is not made, and no other is wanted: the front itself ends its
-    /// request, for a limit of its own. No answer is due for it here any more.
+    /// Reports that the front did not make the attempt of a [`Decision::Forward`] and ends the request
+    /// itself, because of a limit of its own. The dispatcher makes no further decision on the request.
     pub fn abandon(&self, now_ms: f64, attempt: &Attempt) {
         let Attempt { id, number, cache, .. } = attempt;
         let calls = {
@@ -175,10 +190,10 @@
             };
             state.handle(now_ms, Event::Outcome(outcome))
         };
-        self.carry_out(calls);
+        self.make_host_calls(calls);
     }
 
-    /// The client of a request has disconnected: no answer is due.
+    /// Reports that the client of a request disconnected, so that the request needs no answer.
     pub fn client_disconnected(&self, now_ms: f64, id: RequestId) {
         let (waiter, calls) = {
             let mut state = self.lock();
@@ -188,74 +203,78 @@
             let waiter = open.waiter.take();
             (waiter, state.handle(now_ms, Event::Cancelled { id }))
         };
-        self.carry_out(calls);
-        if let Some(w) = waiter {
-            w.wake();
+        self.make_host_calls(calls);
+        if let Some(waiter) = waiter {
+            waiter.wake();
         }
     }
 
-    /// Whether an attempt is still wanted: its request is open, and its object was not purged since it was
-    /// decided on. To be checked again after the attempt is where [`Host::purged`] finds it, and when its first byte is about
-    /// to be written.
+    /// Whether an attempt is still to be made: its request is open, and its object was not purged since the
+    /// decision. The front checks this once the attempt is where [`Host::purged`] can find it, and again
+    /// right before it writes the first byte.
     pub fn is_wanted(&self, attempt: &Attempt) -> bool {
         let state = self.lock();
         state.open.get(&attempt.id).is_some_and(|open| !open.over && !open.outdated)
     }
 
-    /// Whether an attempt's cache and its source are in service; to be checked as [`Dispatcher::is_wanted`], for the sake of
-    /// [`Host::draining`].
+    /// Whether an attempt's cache and source are in service. The front checks this once the attempt is where
+    /// [`Host::draining`] can find it, and again right before it writes the first byte.
     pub fn is_in_service(&self, attempt: &Attempt) -> bool {
         let state = self.lock();
         let serves = |cache: &CacheId| state.exclusions.is_in_service(cache);
         serves(&attempt.cache) && attempt.source.as_ref().is_none_or(serves)
     }
 
-    /// Since when a cache is not to be sent anything new, in the time of the events; `None`: it may be.
+    /// When a cache left service, in milliseconds on the events' clock. `None`: it is in service, was never
+    /// listed, or left service more than an hour ago.
     pub fn out_of_service_since(&self, cache: &CacheId) -> Option<f64> {
         self.lock().exclusions.out_of_service_since(cache)
     }
 
-    /// Runs the timers that are due; returns when the next one will be, in milliseconds, if any.
+    /// Runs the timers that are due, and returns when the next one is due, in milliseconds on the events'
+    /// clock, if there is one.
     pub fn tick(&self, now_ms: f64) -> Option<f64> {
         loop {
             let next = self.lock().next_timer(now_ms);
             match next {
-                NextTimer::Due { token } => self.feed(now_ms, Event::Timer { token }),
+                NextTimer::Due { token } => self.handle_event(now_ms, Event::Timer { token }),
                 NextTimer::Later(due_ms) => return due_ms,
             }
         }
     }
 
-    /// An endpoint list or a change of it. Nodes excluded manually are draining in it.
+    /// Applies an endpoint list or a change of it. Manually excluded nodes count as draining.
     pub fn update_endpoints(&self, now_ms: f64, kind: ListKind, mut entries: Vec<Entry>) {
         let (draining, calls) = {
             let mut state = self.lock();
-            state.exclusions.rewrite(now_ms, kind, &mut entries);
-            let drain = |e: &&Entry| e.phase != Phase::In;
-            let draining: Vec<CacheId> = entries.iter().filter(drain).map(|e| e.cache.clone()).collect();
+            state.exclusions.apply_to_list(now_ms, kind, &mut entries);
+            let is_draining = |e: &&Entry| e.phase != Phase::In;
+            let draining: Vec<CacheId> =
+                entries.iter().filter(is_draining).map(|e| e.cache.clone()).collect();
             (draining, state.handle(now_ms, Event::Endpoints { kind, entries }))
         };
-        self.carry_out(calls);
+        self.make_host_calls(calls);
         if !draining.is_empty() {
             self.host.draining(&draining);
         }
     }
 
-    /// Excludes a listed node manually: from now on it is draining for this router, whatever the list says,
-    /// until [`Dispatcher::include`]. Whether a cache of that id is listed; `false` changes nothing.
+    /// Excludes a listed node manually: it counts as draining for this router, whatever the endpoint list
+    /// says, until [`Dispatcher::include`]. Returns `false` and changes nothing if no node with that id is
+    /// listed.
     pub fn exclude(&self, now_ms: f64, cache: &CacheId) -> bool {
         let calls = {
             let mut state = self.lock();
             let Some(entry) = state.exclusions.exclude(now_ms, cache) else { return false };
             state.handle(now_ms, Event::Endpoints { kind: ListKind::Delta, entries: vec![entry] })
         };
-        self.carry_out(calls);
+        self.make_host_calls(calls);
         self.host.draining(std::slice::from_ref(cache));
         true
     }
 
-    /// Includes a manually excluded node again, as the list last gave it. Whether the id is listed or was excluded;
-    /// `false` changes nothing.
+    /// Ends the manual exclusion of a node, which then has the state of the endpoint list again. Returns
+    /// `false` and changes nothing if the node is neither listed nor excluded.
     pub fn include(&self, now_ms: f64, cache: &CacheId) -> bool {
         let calls = {
             let mut state = self.lock();
@@ -267,32 +286,32 @@
                 }
             }
         };
-        self.carry_out(calls);
+        self.make_host_calls(calls);
         true
     }
 
-    /// Whether a cache of that id is listed.
+    /// Whether a node with that id is in the endpoint list.
     pub fn is_listed(&self, cache: &CacheId) -> bool {
         self.lock().exclusions.is_listed(cache)
     }
 
-    /// Excludes nodes before they are listed: the set that a front persisted across its restart.
+    /// Excludes nodes that need not be listed yet: the set that a front persisted across its restart.
     pub fn restore(&self, caches: impl IntoIterator<Item = CacheId>) {
         self.lock().exclusions.restore(caches);
     }
 
-    /// The nodes excluded manually, in order.
+    /// The manually excluded nodes, in ascending order of their ids.
     pub fn excluded(&self) -> Vec<CacheId> {
         self.lock().exclusions.excluded().cloned().collect()
     }
 
-    /// How many nodes are listed, and how many of them get nothing new.
+    /// Counts the listed nodes, and those of them that get no new attempts.
     pub fn endpoint_counts(&self) -> EndpointCounts {
         let state = self.lock();
-        EndpointCounts { listed: state.exclusions.listed_count(), avoided: state.exclusions.avoided_count() }
+        EndpointCounts { listed: state.exclusions.listed_count(), avoided: state.exclusions.draining_count() }
     }
 
-    /// An object, or with `None` a whole group, was purged so long ago.
+    /// Reports that an object, or with `None` a whole purge group, was purged `age_ms` milliseconds ago.
     pub fn purged(&self, now_ms: f64, object: Option<ObjectId>, group: u64, age_ms: f64) {
         let (ids, calls) = {
             let mut state = self.lock();
@@ -305,49 +324,49 @@
             ids.sort_unstable();
             (ids, state.handle(now_ms, Event::Purged { object, group, age_ms }))
         };
-        self.carry_out(calls);
+        self.make_host_calls(calls);
         if !ids.is_empty() {
             self.host.purged(&ids);
         }
     }
 
-    /// What other fronts' gossip on a node amounts to, from -1 (well) to 1 (failing).
+    /// Reports how suspect a node is by other fronts' gossip, from -1 (healthy) to 1 (failing).
     pub fn peer_suspicion(&self, now_ms: f64, cache: CacheId, amount: f64) {
-        self.feed(now_ms, Event::PeerSuspicion { cache, amount });
+        self.handle_event(now_ms, Event::PeerSuspicion { cache, amount });
     }
 
-    /// From now on the host is notified of what answers show of nodes.
+    /// Enables calls of [`Host::evidence`], which are off at first.
     pub fn enable_evidence(&self) {
         self.lock().router.enable_evidence();
     }
 
-    /// A message of a peer.
+    /// Handles a message from the peer with the number `from`.
     pub fn peer_message(&self, now_ms: f64, from: u32, data: Vec<u8>) {
-        self.feed(now_ms, Event::PeerMessage { from, data });
+        self.handle_event(now_ms, Event::PeerMessage { from, data });
     }
 
-    /// How many messages of peers were malformed or came from no router of the tier; they changed nothing.
+    /// Number of peer messages that were ignored because they were malformed or came from an unknown router.
     pub fn malformed_messages(&self) -> u64 {
         self.lock().router.malformed_messages()
     }
 
-    /// Requests that got no further attempt since the start, by reason.
+    /// Number of requests since the start that got no further attempt, by reason.
     pub fn given_up(&self) -> Vec<(&'static str, u64)> {
-        self.lock().router.rejections.totals().iter().map(|(why, n)| (*why, *n)).collect()
+        self.lock().router.rejections.totals().iter().map(|(reason, count)| (*reason, *count)).collect()
     }
 
-    /// How many requests are open.
+    /// Number of requests that have no final answer yet.
     pub fn open_requests(&self) -> usize {
         self.lock().open.len()
     }
 
-    fn feed(&self, now_ms: f64, event: Event) {
+    fn handle_event(&self, now_ms: f64, event: Event) {
         let calls = self.lock().handle(now_ms, event);
-        self.carry_out(calls);
+        self.make_host_calls(calls);
     }
 
-    /// Makes, without the lock, the calls to the host that the router's actions stand for.
-    fn carry_out(&self, calls: Vec<HostCall>) {
+    /// Makes the host calls that result from the router's actions. The caller must not hold the lock.
+    fn make_host_calls(&self, calls: Vec<HostCall>) {
         for call in calls {
             match call {
                 HostCall::Wake(waiter) => waiter.wake(),
@@ -360,18 +379,18 @@
         }
     }
 
-    /// Waits for the decision on a request.
-    fn decided(&self, id: RequestId) -> Decision {
+    /// Waits until there is a decision on a request, and returns it.
+    fn wait_for_decision(&self, id: RequestId) -> Decision {
         loop {
             let waiter = {
                 let mut state = self.lock();
                 let Some(open) = state.open.get_mut(&id) else { return Decision::Finished };
-                let done = if open.over { Some(Decision::Finished) } else { open.decided.take() };
-                if let Some(d) = done {
-                    if !matches!(d, Decision::Forward(_)) {
+                let decision = if open.over { Some(Decision::Finished) } else { open.decided.take() };
+                if let Some(decision) = decision {
+                    if !matches!(decision, Decision::Forward(_)) {
                         state.open.remove(&id);
                     }
-                    return d;
+                    return decision;
                 }
                 open.waiter.get_or_insert_with(|| self.host.waiter()).clone()
             };
--- a/crates/fernslip/src/facade/answers.rs
+++ b/crates/fernslip/src/facade/answers.rs
@@ -1,79 +1,80 @@
-//! What a front is to do with a request, and what it reports back.
+//! Decisions that the dispatcher returns to a front, and the results that the front reports.
 
 use crate::api::*;
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 
-/// One attempt that is to be made.
+/// An attempt that the front is to make.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
     /// Number of the attempt in its request, from 0.
     pub number: u32,
-    /// Where it goes.
+    /// The cache node that the attempt is sent to.
     pub cache: CacheId,
-    /// Where a miss is filled from; `None`: nowhere.
+    /// The node that a miss is filled from; `None`: a miss is not to be filled.
     pub source: Option<CacheId>,
-    /// Time at which it times out, in milliseconds on the events' clock.
+    /// Time at which the attempt times out, in milliseconds on the events' clock.
     pub until_ms: f64,
-    /// Time by which its first byte is written, or it is withdrawn and reported as [`Ending::Retracted`]. Infinite
-    /// where it may begin at any time.
+    /// Time by which the attempt's first byte must be written; otherwise the front withdraws the attempt and
+    /// reports [`Ending::Retracted`]. Infinite without such a limit.
     pub begin_by_ms: f64,
-    /// 0: pass through; 1 to 3: keep at that rank.
+    /// Rank at which the cache stores the object, from 1 to 3; 0: the cache does not store it.
     pub rank: u8,
-    /// Age of the oldest copy that will do, in milliseconds; 0: the class's fresh time.
+    /// Maximum age of an acceptable copy, in milliseconds; 0: the `fresh_ms` of the request's class.
     pub age_ms: f64,
-    /// Join a fill in flight.
+    /// Whether the request may join a fill in flight.
     pub join: bool,
-    /// Renew an ageing copy behind the answer.
+    /// Whether the cache refreshes an ageing copy in the background after it has answered.
     pub renew: bool,
-    /// Set once the attempt was cancelled, be it before the front has begun with it.
+    /// Set when the attempt is cancelled, which may happen before the front begins it.
     pub cancelled: Arc<AtomicBool>,
 }
 
-/// What to do with a request now.
+/// What the front is to do with a request next.
 #[derive(Clone, Debug)]
 pub enum Decision {
-    /// Make this attempt and report its end.
+    /// The front makes this attempt and reports its end.
     Forward(Attempt),
-    /// Final answer: rejected; retrying is harmless.
+    /// The front rejects the request, after which the client may safely retry.
     Reject {
-        /// Retry-After hint in milliseconds; 0: none.
+        /// Retry-After hint for the client, in milliseconds; 0: no hint.
         retry_after_ms: f64,
     },
-    /// Final answer: failed; promises nothing.
+    /// The front answers with a failure. The request may have run, so a retry may run it twice.
     Fail,
-    /// No answer is due any more: it was served, or the client has disconnected.
+    /// The request needs no answer any more: it was served, or its client disconnected.
     Finished,
 }
 
-/// How an attempt ended.
+/// The end of an attempt, as the front reports it.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
-    /// Number of the attempt.
+    /// Number of the attempt in its request, from 0.
     pub attempt: u32,
-    /// Where it went.
+    /// The cache node that the attempt was sent to.
     pub cache: CacheId,
-    /// How it ended.
+    /// How the attempt ended.
     pub ending: Ending,
-    /// Time since it was sent, in milliseconds.
+    /// Time from the send of the attempt to its end, in milliseconds.
     pub elapsed_ms: f64,
-    /// How it was filled or why not, by the number of the wire note; 0: not given.
+    /// How the node got the answer, or why it could not, as the code in the node's response; 0: not given.
     pub detail: u8,
-    /// Time to the source's first byte or failure in milliseconds; 0: not given.
+    /// Time until the source's first byte or failure, in milliseconds; 0: not given.
     pub fill_wait_ms: f64,
-    /// Load report: requests of all fronts in flight at the cache node, where its answer gives it.
+    /// Load report of the cache node: requests of all fronts in flight there. `None`: its answer gave no
+    /// report.
     pub reported_in_flight: Option<f64>,
 }
 
-/// Nodes of the endpoint list.
+/// Numbers of nodes in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// In service or draining.
+    /// Nodes that are in service or draining.
     pub listed: usize,
-    /// Of those, the ones that get nothing new: excluded manually, or draining by the list.
+    /// Listed nodes that get no new attempts: excluded manually, or draining in the endpoint list.
     pub avoided: usize,
 }
--- a/crates/fernslip/src/facade/host.rs
+++ b/crates/fernslip/src/facade/host.rs
@@ -1,38 +1,42 @@
-//! What the dispatcher needs of the front that embeds it.
+//! Callbacks that the front which embeds the dispatcher provides.
 
 #[cfg(doc)]
 use super::{Attempt, Dispatcher};
 use crate::api::*;
 use std::sync::Arc;
 
-/// What the dispatcher requests of the front that hosts it. It holds no lock while it calls these, but for `waiter`.
+/// Callbacks to the front that embeds the dispatcher. The dispatcher holds its lock only while it calls
+/// `waiter`.
 pub trait Host: Send + Sync {
-    /// What the caller of `pick` or `report` waits on while its request has no decision.
+    /// Creates the object on which a caller of `pick` or `report` waits until its request has a decision.
     fn waiter(&self) -> Arc<dyn Waiter>;
-    /// Cancels an attempt; its end is still to be reported. [`Attempt::cancelled`] is set already.
+    /// Cancels an attempt, whose end the front still reports. [`Attempt::cancelled`] is set before this call.
     fn cancel(&self, id: RequestId, attempt: u32);
-    /// Sends a message to one peer; it may be lost.
+    /// Sends a message to one peer. The message may be lost.
     fn send_to_peer(&self, to: u32, data: &[u8]);
-    /// Sends a message to all peers; it may be lost.
+    /// Sends a message to all peers. The message may be lost at some of them.
     fn send_to_all_peers(&self, data: &[u8]);
-    /// A line for the operators.
+    /// Writes a line to the operators' log.
     fn log(&self, line: &str);
-    /// These caches drain or are removed from now on: an attempt to one of them, or filled from one, that has not begun is
-    /// withdrawn and reported as [`Ending::Retracted`]. The rule on drains counts to the first byte that is sent, and
-    /// a connection may come up long after its attempt was decided on.
+    /// Announces that caches now drain or are removed. The front withdraws each attempt at one of them, or
+    /// with one as its source, whose first byte was not sent, and reports it as [`Ending::Retracted`]. A
+    /// drain forbids attempts that have not sent a byte, and a connection may be established long after the
+    /// decision on its attempt.
     fn draining(&self, _caches: &[CacheId]) {}
-    /// The objects of these open requests were purged: an attempt that has not begun is withdrawn, reported as
-    /// [`Ending::Retracted`], and decided on anew. It names the oldest copy that will do as that was before the purge, and
-    /// the rule on purges, too, counts to the first byte.
+    /// Announces that the objects of these open requests were purged. The front withdraws each of their
+    /// attempts whose first byte was not sent and reports it as [`Ending::Retracted`], upon which the
+    /// dispatcher decides again. The attempt's maximum age of a copy dates from before the purge, and a
+    /// purge, too, applies until the first byte.
     fn purged(&self, _requests: &[RequestId]) {}
-    /// What this front's own answers show of a node, for other fronts; after [`Dispatcher::enable_evidence`].
+    /// Passes evidence on a node, from this front's own attempts, for other fronts; `strength` is the
+    /// confidence, from 0 to 1. Called only after [`Dispatcher::enable_evidence`].
     fn evidence(&self, _cache: &CacheId, _sign: Sign, _strength: f64) {}
 }
 
-/// A one-shot wait, of the front's own kind of thread.
+/// A one-shot wait, implemented for the kind of threads that the front uses.
 pub trait Waiter: Send + Sync {
-    /// Returns once [`Waiter::wake`] was called, be it before; it may also return early.
+    /// Blocks until [`Waiter::wake`] is called, or returns at once if it already was. May also return early.
     fn wait(&self);
-    /// Ends the wait.
+    /// Ends the present or next [`Waiter::wait`].
     fn wake(&self);
 }
--- a/crates/fernslip/src/facade/state.rs
+++ b/crates/fernslip/src/facade/state.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's state: the router, the open requests and their decisions, timers and manual exclusions.
+//! State of the dispatcher: the router, open requests and their decisions, timers and manual exclusions.
 
 use super::{Attempt, Decision, Waiter};
 use crate::api::*;
@@ -9,22 +9,22 @@
 use std::sync::atomic::{AtomicBool, Ordering as MemoryOrdering};
 use std::sync::Arc;
 
-/// A request that the front has handed over and that has no final answer yet.
+/// A request that was passed to the dispatcher and has no final answer yet.
 pub(super) struct OpenRequest {
     pub(super) object: ObjectId,
-    /// Purge group of the object.
+    /// Purge group that the object belongs to.
     pub(super) group: u64,
-    /// How many attempts were decided on; the next one gets this number.
+    /// Number of attempts decided on so far, which is the number of the next attempt.
     pub(super) attempts: u32,
-    /// It was served, or its client has disconnected.
+    /// Whether the request was served or its client disconnected.
     pub(super) over: bool,
-    /// Its object was purged since its attempt was decided on.
+    /// Whether the object was purged since the decision on the latest attempt.
     pub(super) outdated: bool,
-    /// The decision that its caller has not taken yet.
+    /// The latest decision, until the caller that waits for it takes it.
     pub(super) decided: Option<Decision>,
-    /// What its caller waits on.
+    /// What the caller waits on, if it waits for a decision.
     pub(super) waiter: Option<Arc<dyn Waiter>>,
-    /// The flag of the attempt that is out: see [`Attempt::cancelled`].
+    /// The [`Attempt::cancelled`] flag of the attempt in flight.
     pub(super) cancelled: Option<Arc<AtomicBool>>,
 }
 
@@ -45,37 +45,37 @@
 }
 
 /// A timer, ordered by its due time and then its token.
-struct DueTimer {
+struct ScheduledTimer {
     due_ms: f64,
     token: u64,
 }
 
-impl PartialEq for DueTimer {
+impl PartialEq for ScheduledTimer {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
-impl Eq for DueTimer {}
-impl PartialOrd for DueTimer {
+impl Eq for ScheduledTimer {}
+impl PartialOrd for ScheduledTimer {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for DueTimer {
+impl Ord for ScheduledTimer {
     fn cmp(&self, other: &Self) -> Ordering {
         self.due_ms.total_cmp(&other.due_ms).then(self.token.cmp(&other.token))
     }
 }
 
-/// All that is behind the dispatcher's lock.
+/// State that the dispatcher's lock protects.
 pub(super) struct State {
     pub(super) router: Router,
     pub(super) open: HashMap<RequestId, OpenRequest>,
-    timers: BinaryHeap<Reverse<DueTimer>>,
+    timers: BinaryHeap<Reverse<ScheduledTimer>>,
     pub(super) exclusions: ManualExclusions,
 }
 
-/// What is to be done once the lock is released.
+/// A call to the host or a waiter, made after the lock is released.
 pub(super) enum HostCall {
     Wake(Arc<dyn Waiter>),
     Cancel { id: RequestId, attempt: u32 },
@@ -85,14 +85,14 @@
     Evidence { cache: CacheId, sign: Sign, strength: f64 },
 }
 
-/// What [`State::next_timer`] found.
+/// Result of [`State::next_timer`].
 pub(super) enum NextTimer {
-    /// A timer is due; it is taken.
+    /// A timer is due and was removed from the queue.
     Due {
-        /// The value that comes back with its event.
+        /// Value that the timer's event carries.
         token: u64,
     },
-    /// None is due; when the next will be, if any.
+    /// No timer is due. Holds the time at which the next one is due, if there is one.
     Later(Option<f64>),
 }
 
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Takes the next timer that is due by `now_ms`; otherwise when the next one will be, if any.
+    /// Removes and returns the next timer that is due by `now_ms`, or returns when the next one is due.
     pub(super) fn next_timer(&mut self, now_ms: f64) -> NextTimer {
         match self.timers.peek() {
             Some(Reverse(timer)) if timer.due_ms <= now_ms => {
@@ -118,27 +118,28 @@
         }
     }
 
-    /// Feeds an event to the router under the lock that the caller holds, so that nothing comes between what the caller
-    /// noted and what the router decides. Returns what is to be done without the lock.
+    /// Passes an event to the router, and returns the calls to make after the lock is released. The caller
+    /// still holds the lock under which it updated the state, so that no other change comes before the
+    /// router's decision.
     pub(super) fn handle(&mut self, now_ms: f64, event: Event) -> Vec<HostCall> {
         let (mut actions, mut calls) = (Vec::new(), Vec::new());
         self.router.handle(now_ms, event, &mut actions);
         for action in actions {
-            self.carry_out(now_ms, action, &mut calls);
+            self.apply_action(now_ms, action, &mut calls);
         }
         calls
     }
 
-    /// Hands a decision to the caller that waits for it, unless the request is over.
-    fn decide(&mut self, id: RequestId, decision: Decision, calls: &mut Vec<HostCall>) {
+    /// Stores a decision and wakes the caller that waits for it, unless the request is over.
+    fn deliver_decision(&mut self, id: RequestId, decision: Decision, calls: &mut Vec<HostCall>) {
         if let Some(open) = self.open.get_mut(&id).filter(|o| !o.over) {
             open.decided = Some(decision);
             calls.extend(open.waiter.take().map(HostCall::Wake));
         }
     }
 
-    /// Carries an action out in the state, and adds what is to be done once the lock is released.
-    fn carry_out(&mut self, now_ms: f64, action: Action, calls: &mut Vec<HostCall>) {
+    /// Applies an action to the state, and adds the calls to make after the lock is released.
+    fn apply_action(&mut self, now_ms: f64, action: Action, calls: &mut Vec<HostCall>) {
         match action {
             Action::Forward { id, cache, source, until_ms, begin_by_ms, rank, age_ms, join, renew } => {
                 let Some(open) = self.open.get_mut(&id) else { return };
@@ -161,12 +162,12 @@
                     renew,
                     cancelled,
                 };
-                self.decide(id, Decision::Forward(attempt), calls);
+                self.deliver_decision(id, Decision::Forward(attempt), calls);
             }
             Action::Reject { id, retry_after_ms } => {
-                self.decide(id, Decision::Reject { retry_after_ms }, calls);
+                self.deliver_decision(id, Decision::Reject { retry_after_ms }, calls);
             }
-            Action::Fail { id } => self.decide(id, Decision::Fail, calls),
+            Action::Fail { id } => self.deliver_decision(id, Decision::Fail, calls),
             Action::Cancel { id, attempt } => {
                 let flag = self.open.get(&id).filter(|o| o.attempts == attempt + 1);
                 if let Some(flag) = flag.and_then(|o| o.cancelled.as_ref()) {
@@ -175,7 +176,7 @@
                 }
             }
             Action::Timer { delay_ms, token } => {
-                self.timers.push(Reverse(DueTimer { due_ms: now_ms + delay_ms, token }));
+                self.timers.push(Reverse(ScheduledTimer { due_ms: now_ms + delay_ms, token }));
             }
             Action::SendToPeer { to, data } => calls.push(HostCall::SendToPeer { to, data }),
             Action::SendToAllPeers { data } => calls.push(HostCall::SendToAllPeers { data }),
@@ -183,7 +184,7 @@
             Action::Evidence { cache, sign, strength } => {
                 calls.push(HostCall::Evidence { cache, sign, strength });
             }
-            // Fronts that use this facade are sent the list's changes without subscribing.
+            // Fronts that use this facade receive changes of the endpoint list without subscribing.
             Action::Subscribe => {}
         }
     }
--- a/crates/fernslip/src/json.rs
+++ b/crates/fernslip/src/json.rs
@@ -1,149 +1,156 @@
-//! What the platform writes as JSON wherever it starts a router: the settings, and how their fields are read.
-//! The simulator's first message and a front's configuration hold the same object.
+//! Parses router settings from JSON, and typed fields of JSON objects.
+//!
+//! The simulator's first message and a front's configuration file hold the settings as the same JSON object.
 
 use crate::api::*;
 use serde_json::Value;
 
-/// Why a JSON value could not be used.
+/// An error in a field of a JSON object.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JsonError {
-    /// A field is missing or of another type.
-    #[error("{key} is missing or {wanted}")]
+    /// A field is missing or has a value of the wrong type.
+    #[error("{key} is missing or {problem}")]
     Field {
-        /// Which field.
+        /// Name of the field.
         key: String,
-        /// What it is not.
-        wanted: &'static str,
+        /// What is wrong with the value if there is one, for example "not a number".
+        problem: &'static str,
     },
-    /// A keyword that stands for nothing known.
-    #[error("{key} {value:?} is unknown")]
+    /// A field has a keyword that is not defined for it.
+    #[error("{key} has the unknown value {value:?}")]
     Unknown {
-        /// Which field.
+        /// Name of the field.
         key: String,
-        /// The keyword.
+        /// The unknown keyword.
         value: String,
     },
 }
 
-/// The error for a keyword that stands for nothing known.
+/// Creates the error for a field with an unknown keyword.
 pub fn unknown(key: &str, value: &str) -> JsonError {
     JsonError::Unknown { key: key.into(), value: value.into() }
 }
 
-fn field<T>(found: Option<T>, key: &str, wanted: &'static str) -> JsonResult<T> {
-    found.ok_or_else(|| JsonError::Field { key: key.into(), wanted })
+fn require_field<T>(found: Option<T>, key: &str, problem: &'static str) -> JsonResult<T> {
+    found.ok_or_else(|| JsonError::Field { key: key.into(), problem })
 }
 
-/// Names that messages use in place of the numbers that events have.
+/// Names that messages use in place of the indexes that events use.
 pub struct Names {
-    /// Zones, in the order of their numbers.
+    /// Names of the zones, by zone index.
     pub zones: Vec<String>,
-    /// Kinds of nodes.
+    /// Names of the kinds of nodes, by kind index.
     pub kinds: Vec<String>,
-    /// Classes of requests.
+    /// Names of the request classes, by class index.
     pub classes: Vec<String>,
-    /// Values of a load report, in order.
+    /// Names of the values of a load report, in the order of the values.
     pub reports: Vec<String>,
 }
 
-/// Names of the load report's count of requests in flight at a node: in the settings, and on a front's sockets.
+/// Names under which load reports give the number of requests in flight at a node, in the settings and in the
+/// responses that a front receives.
 pub const IN_FLIGHT_NAMES: [&str; 2] = ["rif", "inflight"];
 
-/// A value that was read, or why it could not be.
+/// A parsed value, or the error in its field.
 pub type JsonResult<T> = Result<T, JsonError>;
 
-/// A number.
+/// Reads a number.
 ///
 /// # Errors
-/// The key is missing, or its value is no number.
-pub fn number(v: &Value, key: &str) -> JsonResult<f64> {
-    field(v[key].as_f64(), key, "no number")
+/// The field is missing, or its value is not a number.
+pub fn number(object: &Value, key: &str) -> JsonResult<f64> {
+    require_field(object[key].as_f64(), key, "not a number")
 }
 
-/// A number that may be omitted: 0 then.
+/// Reads an optional number; 0 if the field is missing or null.
 ///
 /// # Errors
-/// Its value is no number.
-pub fn number_or_zero(v: &Value, key: &str) -> JsonResult<f64> {
-    if v[key].is_null() {
+/// The value is not a number.
+pub fn number_or_zero(object: &Value, key: &str) -> JsonResult<f64> {
+    if object[key].is_null() {
         return Ok(0.0);
     }
-    number(v, key)
+    number(object, key)
 }
 
-/// A text.
+/// Reads a string.
 ///
 /// # Errors
-/// The key is missing, or its value is no text.
-pub fn text<'a>(v: &'a Value, key: &str) -> JsonResult<&'a str> {
-    field(v[key].as_str(), key, "no text")
+/// The field is missing, or its value is not a string.
+pub fn text<'a>(object: &'a Value, key: &str) -> JsonResult<&'a str> {
+    require_field(object[key].as_str(), key, "not a string")
 }
 
-/// A list.
+/// Reads an array.
 ///
 /// # Errors
-/// The key is missing, or its value is no list.
-pub fn list<'a>(v: &'a Value, key: &str) -> JsonResult<&'a [Value]> {
-    field(v[key].as_array().map(Vec::as_slice), key, "no list")
+/// The field is missing, or its value is not an array.
+pub fn list<'a>(object: &'a Value, key: &str) -> JsonResult<&'a [Value]> {
+    require_field(object[key].as_array().map(Vec::as_slice), key, "not an array")
 }
 
-/// A number as 16 hex digits.
+/// Reads a 64-bit number written as hexadecimal digits.
 ///
 /// # Errors
-/// The key is missing, or its value is not 16 hex digits.
-pub fn hex(v: &Value, key: &str) -> JsonResult<u64> {
-    field(u64::from_str_radix(text(v, key)?, 16).ok(), key, "not 16 hex digits")
+/// The field is missing, or its value is not a string of hexadecimal digits that fits 64 bits.
+pub fn hex(object: &Value, key: &str) -> JsonResult<u64> {
+    require_field(u64::from_str_radix(text(object, key)?, 16).ok(), key, "not 16 hex digits")
 }
 
-fn strings(v: &Value, key: &str) -> JsonResult<Vec<String>> {
-    list(v, key)?.iter().map(|n| field(n.as_str().map(String::from), key, "no text")).collect()
+fn string_list(object: &Value, key: &str) -> JsonResult<Vec<String>> {
+    list(object, key)?
+        .iter()
+        .map(|n| require_field(n.as_str().map(String::from), key, "not an array of strings"))
+        .collect()
 }
 
-fn index(v: &Value, key: &str) -> JsonResult<Option<usize>> {
-    let n = v[key].as_i64().unwrap_or(-1);
+fn optional_index(object: &Value, key: &str) -> JsonResult<Option<usize>> {
+    let n = object[key].as_i64().unwrap_or(-1);
     Ok(usize::try_from(n).ok())
 }
 
-fn flag(v: &Value, key: &str) -> bool {
-    v[key].as_bool().unwrap_or(false)
+fn flag_or_false(object: &Value, key: &str) -> bool {
+    object[key].as_bool().unwrap_or(false)
 }
 
-/// The number at a position of a list; 0 where there is none.
-fn number_at(v: &Value, key: &str, index: usize) -> f64 {
-    v[key].get(index).and_then(Value::as_f64).unwrap_or(0.0)
+/// Reads the number at `index` of an array; 0 if there is none.
+fn number_at_or_zero(object: &Value, key: &str, index: usize) -> f64 {
+    object[key].get(index).and_then(Value::as_f64).unwrap_or(0.0)
 }
 
-/// Settings from the first message, and the names that later messages use.
+/// Parses the settings, and the names that later messages use.
 ///
 /// # Errors
-/// A key is missing or of another type, or names a zone, a kind or an effect that is unknown.
+/// A field is missing or of the wrong type, or names an unknown zone or effect.
 pub fn settings(info: &Value) -> JsonResult<(Settings, Names)> {
     let (family, permissions, rules) = (&info["family_info"], &info["permissions"], &info["rules"]);
-    let zones = strings(info, "areas")?;
-    let kinds = strings(info, "kinds")?;
-    let classes = classes(info, family)?;
-    let by_zone = |key: &str| -> Vec<f64> { (0..zones.len()).map(|z| number_at(family, key, z)).collect() };
+    let zones = string_list(info, "areas")?;
+    let kinds = string_list(info, "kinds")?;
+    let classes = parse_classes(info, family)?;
+    let by_zone =
+        |key: &str| -> Vec<f64> { (0..zones.len()).map(|z| number_at_or_zero(family, key, z)).collect() };
     let zone = text(info, "zone")?;
     let settings = Settings {
         zone: zones.iter().position(|z| z == zone).ok_or_else(|| unknown("zone", zone))?,
         zone_routers: by_zone("zone_balancers").into_iter().map(|n| n as u32).collect(),
         link_in_kb_per_s: by_zone("link_in_kb_per_s"),
         kinds: kinds.len(),
-        parent_kind: index(family, "mid_kind")?,
-        origin_kind: index(family, "origin_kind")?,
+        parent_kind: optional_index(family, "mid_kind")?,
+        origin_kind: optional_index(family, "origin_kind")?,
         slot: number(info, "slot_no")? as u32,
         routers: number(info, "group_size")? as u32,
-        straight: flag(family, "straight"),
-        joins: flag(family, "collapses"),
-        neighbours: neighbours(family),
-        notes: note_level(family),
+        straight: flag_or_false(family, "straight"),
+        joins: flag_or_false(family, "collapses"),
+        neighbours: parse_neighbours(family),
+        notes: parse_note_level(family),
         stream_kb_per_s: number(family, "stream_kb_per_s")?,
         max_attempts: number(permissions, "max_attempts")? as u32,
         max_in_flight: number(permissions, "max_open")? as u32,
-        parallel: flag(permissions, "parallel_tries"),
-        cancel: flag(permissions, "cancelling"),
-        peers: flag(permissions, "peers"),
-        // Also where the platform says that its clients pay no heed: who is rejected gets a hint when to come back.
+        parallel: flag_or_false(permissions, "parallel_tries"),
+        cancel: flag_or_false(permissions, "cancelling"),
+        peers: flag_or_false(permissions, "peers"),
+        // Read even if the platform says that its clients ignore the hint: a rejected client is always told
+        // when to retry.
         max_retry_after_ms: number_or_zero(permissions, "max_retry_after_ms")?,
         lists_on_request: info["discovery"].as_str() == Some("on_request"),
         tick_ms: number_or_zero(info, "tick_ms")?,
@@ -162,42 +169,43 @@
     };
     let classes = settings.classes.iter().map(|c| c.name.clone()).collect();
     let report = &info["report"];
-    let reports = if report["fields"].is_array() { strings(report, "fields")? } else { vec![] };
+    let reports = if report["fields"].is_array() { string_list(report, "fields")? } else { vec![] };
     Ok((settings, Names { zones, kinds, classes, reports }))
 }
 
-fn classes(info: &Value, family: &Value) -> JsonResult<Vec<Class>> {
-    list(info, "classes")?.iter().enumerate().map(|(index, c)| class(c, index, family)).collect()
+fn parse_classes(info: &Value, family: &Value) -> JsonResult<Vec<Class>> {
+    list(info, "classes")?.iter().enumerate().map(|(index, c)| parse_class(c, index, family)).collect()
 }
 
-/// The class at `index`; some of its fields are in lists of the family, in the classes' order.
-fn class(c: &Value, index: usize, family: &Value) -> JsonResult<Class> {
+/// Parses the class at `index`. Some of its fields are in arrays of `family_info`, in the order of the
+/// classes.
+fn parse_class(class: &Value, index: usize, family: &Value) -> JsonResult<Class> {
     Ok(Class {
-        name: text(c, "name")?.to_string(),
-        objective_ms: number(c, "objective_ms")?,
-        objective_stretch: number_or_zero(c, "aim_stretch")?,
-        deadline_ms: number(c, "deadline_ms")?,
-        priority_weight: number(c, "importance")?,
-        late_weight: number_or_zero(c, "late_worth")?,
-        effect: match text(c, "semantics")? {
+        name: text(class, "name")?.to_string(),
+        objective_ms: number(class, "objective_ms")?,
+        objective_stretch: number_or_zero(class, "aim_stretch")?,
+        deadline_ms: number(class, "deadline_ms")?,
+        priority_weight: number(class, "importance")?,
+        late_weight: number_or_zero(class, "late_worth")?,
+        effect: match text(class, "semantics")? {
             "idempotent" => Effect::Idempotent,
             "deduplicated" => Effect::Deduplicated,
             "at_most_once" => Effect::AtMostOnce,
             other => return Err(unknown(&format!("classes[{index}].semantics"), other)),
         },
-        scope: match c["dedup_scope"].as_str().unwrap_or("cell") {
+        scope: match class["dedup_scope"].as_str().unwrap_or("cell") {
             "all" => DedupScope::All,
             "zone" => DedupScope::Zone,
             _ => DedupScope::Cell,
         },
-        repeat_window_ms: number_or_zero(c, "repeat_window_ms")?,
+        repeat_window_ms: number_or_zero(class, "repeat_window_ms")?,
         write: family["class_write"].get(index).and_then(Value::as_bool).unwrap_or(false),
-        fresh_ms: number_at(family, "good_for_ms", index),
-        grace_ms: number_at(family, "grace_for_ms", index),
+        fresh_ms: number_at_or_zero(family, "good_for_ms", index),
+        grace_ms: number_at_or_zero(family, "grace_for_ms", index),
     })
 }
 
-fn neighbours(family: &Value) -> Neighbours {
+fn parse_neighbours(family: &Value) -> Neighbours {
     match family["neighbours"].as_str() {
         Some("location") => Neighbours::Location,
         Some("any") => Neighbours::Any,
@@ -205,7 +213,7 @@
     }
 }
 
-fn note_level(family: &Value) -> NoteLevel {
+fn parse_note_level(family: &Value) -> NoteLevel {
     match family["note_level"].as_str() {
         Some("all") => NoteLevel::All,
         Some("hit") => NoteLevel::Hit,
--- a/crates/fernslip/src/lib.rs
+++ b/crates/fernslip/src/lib.rs
@@ -1,23 +1,27 @@
-//! fernslip decides, for a router, where objects are served, cached and filled from.
+//! Decision logic of a request router for object caches: which cache node serves a request, and which source
+//! a miss is filled from.
 //!
-//! It does no input or output. A router hands [`Router::handle`] one [`Event`] at a time, with its clock, and carries
-//! out the [`Action`]s that come back, in their order and before the next event. Equal settings, seed and events give
-//! equal actions.
+//! The crate does no I/O. The caller passes [`Router::handle`] one [`Event`] at a time with the current time,
+//! and executes the returned [`Action`]s in order before it passes the next event. The same settings, seed
+//! and events always give the same actions.
 //!
 //! # The contract
 //!
-//! - Time never runs back; a clock that does is taken to stand still.
-//! - The first event is a complete list ([`ListKind::Cached`] or [`ListKind::Full`]); each later event comes in the
-//!   order in which the router saw it. A request that comes while no cache is known is rejected.
-//! - An action takes effect at the time of its event. Each [`Action::Forward`] is answered by exactly one
-//!   [`Event::Outcome`] that carries the number of the attempt, counted from 0 in each request. The router enforces
-//!   `until_ms` and reports [`Ending::TimedOut`].
-//! - The first [`Ending::Completed`] reaches the client by itself. Otherwise the router ends each request by one
-//!   [`Action::Reject`] or [`Action::Fail`], unless [`Event::Cancelled`] or an outcome with `over` came first; it
-//!   sends nothing more for it then, though it may still cancel an attempt.
-//! - Each [`Action::Timer`] comes back as one [`Event::Timer`]. [`Action::SendToPeer`] and [`Action::SendToAllPeers`] may be lost.
-//! - Never returned: an attempt at a cache of another location, at one that drains or is removed, or, where
-//!   [`Settings::parallel`] is false, a second attempt while one is out.
+//! - Time is monotonic. If the caller's clock goes back, the router's clock stands still.
+//! - The first event is a complete list ([`ListKind::Cached`] or [`ListKind::Full`]). Later events are passed
+//!   in the order in which the caller observed them. A request that arrives while no cache is known is
+//!   rejected.
+//! - An action takes effect at the time of its event. For each [`Action::Forward`] the caller passes exactly
+//!   one [`Event::Outcome`] with the number of the attempt, counted from 0 in each request. The caller
+//!   enforces `until_ms` and reports [`Ending::TimedOut`].
+//! - The caller sends the first [`Ending::Completed`] answer to the client without a further action.
+//!   Otherwise each request ends with one [`Action::Reject`] or [`Action::Fail`], unless [`Event::Cancelled`]
+//!   or an outcome with `over` came first. After that, the only action for the request may be the
+//!   cancellation of an attempt.
+//! - The caller answers each [`Action::Timer`] with one [`Event::Timer`]. Messages of [`Action::SendToPeer`]
+//!   and [`Action::SendToAllPeers`] may be lost.
+//! - The router never returns an attempt at a cache of another location, or at one that is draining or
+//!   removed, and, where [`Settings::parallel`] is false, never a second attempt while one is in flight.
 //!
 //! # Example
 //!
@@ -97,10 +101,12 @@
 //! router.handle(5.0, Event::Request(request), &mut actions);
 //! match &actions[0] {
 //!     Action::Forward { cache, source, .. } => {
-//!         assert_eq!(&*cache.0, "10.0.0.1:80"); // home: the only cache of the location
-//!         assert_eq!(&*source.0, "10.0.1.1:80"); // no filter shows the object: its first parent
+//!         // The only cache of the location is the object's home.
+//!         assert_eq!(&*cache.0, "10.0.0.1:80");
+//!         // No filter shows the object, so it is filled from its first parent.
+//!         assert_eq!(&*source.0, "10.0.1.1:80");
 //!     }
-//!     other => panic!("{other:?}"),
+//!     other => panic!("expected Action::Forward, got {other:?}"),
 //! }
 //! # Ok::<(), SettingsError>(())
 //! ```
--- a/crates/fernslip/src/manual_exclusion.rs
+++ b/crates/fernslip/src/manual_exclusion.rs
@@ -1,39 +1,40 @@
-//! Cache nodes excluded manually: from the operators' `exclude` until their `include`, a node counts as draining
-//! for this router, whatever the list says meanwhile.
+//! Manual exclusion of cache nodes: from an operator's `exclude` to the next `include`, a node counts as
+//! draining for this router, whatever the endpoint list says.
 //!
-//! The set sits between the list and the decisions: every list passes through [`ManualExclusions::rewrite`], which
-//! retains the latest entry of each node and turns `In` into `Draining` for excluded ones. Calls are not counted:
-//! two `exclude` need one `include`. Deterministic and without I/O; persisting the set across a restart is the host's.
+//! Every endpoint list passes through [`ManualExclusions::apply_to_list`] before the router sees it. That
+//! stores the latest entry of each node and changes `In` to `Draining` for excluded nodes. Exclusions are not
+//! counted: one `include` ends any number of `exclude` calls. The code is deterministic and does no I/O; the
+//! host persists the set across restarts.
 
 use crate::api::{CacheId, Entry, ListKind, Phase};
 use std::collections::{BTreeSet, HashMap};
 
-/// For how long it is retained since when a node is out of service, in milliseconds: longer than any attempt waits.
+/// How long it is retained when a node left service, in milliseconds. Longer than any attempt lasts.
 const OUT_OF_SERVICE_RETENTION_MS: f64 = 3_600_000.0;
 
-/// The manually excluded nodes, and the latest list entry of each node.
+/// The manually excluded nodes, and the latest endpoint-list entry of each node.
 #[derive(Default)]
 pub struct ManualExclusions {
     excluded: BTreeSet<CacheId>,
     listed: HashMap<CacheId, Entry>,
-    /// Since when nothing new is to go to a node, in the time of the events; nodes in service are not in it.
+    /// When each node that is not in service left it, in milliseconds on the events' clock.
     out_of_service: HashMap<CacheId, f64>,
 }
 
-/// What became of the inclusion of a node.
+/// The result of including a node again.
 #[derive(Clone, Debug)]
 pub enum Inclusion {
-    /// The id is neither listed nor excluded: nothing has changed.
+    /// The node is neither listed nor excluded, so nothing has changed.
     Unknown,
-    /// It is excluded no more, and not listed.
+    /// The node is no longer excluded. It is not listed.
     NotListed,
-    /// It is excluded no more; its entry as the list last gave it.
+    /// The node is no longer excluded. Holds the latest entry of the endpoint list for it.
     Listed(Entry),
 }
 
 impl ManualExclusions {
-    /// Takes a list in and rewrites it: excluded nodes are draining in it.
-    pub fn rewrite(&mut self, now_ms: f64, kind: ListKind, entries: &mut [Entry]) {
+    /// Stores an endpoint list or a change of it, and changes the entries of excluded nodes to draining.
+    pub fn apply_to_list(&mut self, now_ms: f64, kind: ListKind, entries: &mut [Entry]) {
         match kind {
             ListKind::Failed => return,
             ListKind::Full | ListKind::Cached => {
@@ -61,22 +62,24 @@
         self.out_of_service.retain(|_, since| now_ms - *since < OUT_OF_SERVICE_RETENTION_MS);
     }
 
-    /// Whether something new may go to that node.
+    /// Whether new attempts may be sent to that node.
     pub fn is_in_service(&self, id: &CacheId) -> bool {
         self.listed.get(id).is_some_and(|e| e.phase == Phase::In) && !self.excluded.contains(id)
     }
 
-    /// Since when nothing new is to go to that node; `None`: it may, or it is too long ago.
+    /// When the node left service, in milliseconds on the events' clock. `None`: it is in service, was never
+    /// listed, or left service more than an hour ago.
     pub fn out_of_service_since(&self, id: &CacheId) -> Option<f64> {
         self.out_of_service.get(id).copied()
     }
 
-    /// Whether a node of that id is listed.
+    /// Whether a node with that id is in the endpoint list.
     pub fn is_listed(&self, id: &CacheId) -> bool {
         self.listed.contains_key(id)
     }
 
-    /// Excludes a node; the rewritten entry for the router, or `None` where no node of that id is listed.
+    /// Excludes a node, and returns its changed entry for the router. `None`: no node with that id is listed,
+    /// and nothing has changed.
     pub fn exclude(&mut self, now_ms: f64, id: &CacheId) -> Option<Entry> {
         let entry = self.listed.get(id)?;
         self.excluded.insert(id.clone());
@@ -85,7 +88,7 @@
         Some(Entry { phase, ..entry.clone() })
     }
 
-    /// Includes a node again.
+    /// Ends the exclusion of a node.
     pub fn include(&mut self, id: &CacheId) -> Inclusion {
         let was_excluded = self.excluded.remove(id);
         if self.is_in_service(id) {
@@ -98,23 +101,23 @@
         }
     }
 
-    /// Excludes nodes before they are listed, as a restarted front does with the set that it persisted.
+    /// Excludes nodes that need not be listed yet, for a restarted front that persisted its set.
     pub fn restore(&mut self, ids: impl IntoIterator<Item = CacheId>) {
         self.excluded.extend(ids);
     }
 
-    /// The excluded nodes, in order.
+    /// The excluded nodes, in ascending order of their ids.
     pub fn excluded(&self) -> impl Iterator<Item = &CacheId> {
         self.excluded.iter()
     }
 
-    /// Nodes listed and not removed: in service or draining.
+    /// Number of nodes that are listed and not removed: in service or draining.
     pub fn listed_count(&self) -> usize {
         self.listed.len()
     }
 
-    /// Listed nodes that are excluded, or draining by the list.
-    pub fn avoided_count(&self) -> usize {
+    /// Number of listed nodes that get no new attempts: excluded manually, or draining in the endpoint list.
+    pub fn draining_count(&self) -> usize {
         self.listed.values().filter(|e| e.phase != Phase::In || self.excluded.contains(&e.cache)).count()
     }
 }
--- a/crates/fernslip/src/manual_exclusion/tests.rs
+++ b/crates/fernslip/src/manual_exclusion/tests.rs
@@ -8,46 +8,49 @@
 fn an_excluded_node_stays_draining_whatever_the_list_says() {
     let mut exclusions = ManualExclusions::default();
     let mut list = vec![entry("a", Phase::In), entry("b", Phase::In)];
-    exclusions.rewrite(0.0, ListKind::Full, &mut list);
+    exclusions.apply_to_list(0.0, ListKind::Full, &mut list);
     assert_eq!(exclusions.exclude(0.0, &"a".into()).map(|e| e.phase), Some(Phase::Draining));
     let mut again = vec![entry("a", Phase::In)];
-    exclusions.rewrite(0.0, ListKind::Delta, &mut again);
+    exclusions.apply_to_list(0.0, ListKind::Delta, &mut again);
     assert_eq!(again[0].phase, Phase::Draining);
     let mut full = vec![entry("a", Phase::In), entry("b", Phase::In)];
-    exclusions.rewrite(0.0, ListKind::Full, &mut full);
+    exclusions.apply_to_list(0.0, ListKind::Full, &mut full);
     assert_eq!((full[0].phase, full[1].phase), (Phase::Draining, Phase::In));
-    assert_eq!((exclusions.listed_count(), exclusions.avoided_count()), (2, 1));
+    assert_eq!((exclusions.listed_count(), exclusions.draining_count()), (2, 1));
 }
 
 #[test]
-fn two_exclusions_need_one_inclusion_and_unknown_ids_are_rejected() {
+fn one_inclusion_ends_two_exclusions_and_unknown_ids_are_rejected() {
     let mut exclusions = ManualExclusions::default();
-    exclusions.rewrite(0.0, ListKind::Full, &mut [entry("a", Phase::In)]);
+    exclusions.apply_to_list(0.0, ListKind::Full, &mut [entry("a", Phase::In)]);
     assert!(exclusions.exclude(0.0, &"a".into()).is_some());
     assert!(exclusions.exclude(0.0, &"a".into()).is_some());
     assert!(exclusions.exclude(0.0, &"nobody".into()).is_none());
     assert!(matches!(exclusions.include(&"nobody".into()), Inclusion::Unknown));
     let included = exclusions.include(&"a".into());
-    assert!(matches!(included, Inclusion::Listed(Entry { phase: Phase::In, .. })), "{included:?}");
+    assert!(
+        matches!(included, Inclusion::Listed(Entry { phase: Phase::In, .. })),
+        "expected a listed node in service, got {included:?}"
+    );
     let mut list = [entry("a", Phase::In)];
-    exclusions.rewrite(0.0, ListKind::Delta, &mut list);
+    exclusions.apply_to_list(0.0, ListKind::Delta, &mut list);
     assert_eq!(list[0].phase, Phase::In);
 }
 
 #[test]
-fn a_restored_set_binds_nodes_listed_later() {
+fn a_restored_exclusion_applies_to_a_node_that_is_listed_later() {
     let mut exclusions = ManualExclusions::default();
     exclusions.restore(["a".into()]);
     let mut list = [entry("a", Phase::In)];
-    exclusions.rewrite(0.0, ListKind::Full, &mut list);
+    exclusions.apply_to_list(0.0, ListKind::Full, &mut list);
     assert_eq!(list[0].phase, Phase::Draining);
     assert_eq!(exclusions.excluded().count(), 1);
 }
 
 #[test]
-fn a_failed_list_changes_nothing() {
+fn a_failed_list_request_leaves_the_listed_nodes_unchanged() {
     let mut exclusions = ManualExclusions::default();
-    exclusions.rewrite(0.0, ListKind::Full, &mut [entry("a", Phase::In)]);
-    exclusions.rewrite(0.0, ListKind::Failed, &mut []);
+    exclusions.apply_to_list(0.0, ListKind::Full, &mut [entry("a", Phase::In)]);
+    exclusions.apply_to_list(0.0, ListKind::Failed, &mut []);
     assert_eq!(exclusions.listed_count(), 1);
 }
--- a/crates/fernslip/src/message.rs
+++ b/crates/fernslip/src/message.rs
@@ -1,49 +1,52 @@
-//! What routers send each other, as bytes: a version, the sender's location, and a greeting or one cache's changes.
+//! Binary encoding of the messages between routers: a version, the sender's zone, and a greeting or the
+//! filter changes of one cache node.
 
 use crate::filter::{decode, encode, Change};
 
-/// Bytes of a cache's tag in messages; a mistaken one is a wrong guess only.
+/// Length of a cache node's tag in messages, in bytes. If two nodes share a tag, the only harm is a wrong
+/// guess at which of them has a key.
 pub const TAG_BYTES: usize = 3;
 const VERSION: u8 = 2;
 
-/// A message that makes sense.
+/// A decoded message.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Message {
-    /// Announces which location its sender serves.
+    /// Announces the sender's zone, for example when its router has just started.
     Greeting {
-        /// Whether the receiver is to reply with its own.
+        /// Whether the receiver is to reply with a greeting of its own.
         wants_reply: bool,
     },
-    /// What changed in the filter of a cache node.
+    /// Changes of the filter of one cache node.
     Changes {
-        /// The first bytes of the node's tag.
+        /// First bytes of the node's tag.
         tag: [u8; TAG_BYTES],
-        /// The changes, at least one.
+        /// Changes of the filter's counters, at least one.
         changes: Vec<Change>,
     },
 }
 
-/// A greeting.
+/// Encodes a greeting of a router in `zone`.
 pub fn greeting(zone: u8, wants_reply: bool) -> Vec<u8> {
     vec![VERSION, zone, u8::from(wants_reply)]
 }
 
-/// The bytes before the coded changes of a cache.
-pub fn header(zone: u8, tag: [u8; TAG_BYTES]) -> Vec<u8> {
+/// Encodes the start of a [`Message::Changes`], which the encoded changes follow.
+pub fn changes_header(zone: u8, tag: [u8; TAG_BYTES]) -> Vec<u8> {
     [&[VERSION, zone][..], &tag].concat()
 }
 
-/// Messages of at most `max_bytes` bytes each with the changes of the cache with that tag.
+/// Encodes the filter changes of the cache node with that tag, as messages of at most `max_bytes` bytes each.
 pub fn changes(zone: u8, tag: u64, changes: &[Change], max_bytes: usize) -> Vec<Vec<u8>> {
     let tag = tag.to_be_bytes();
-    let header = header(zone, [tag[0], tag[1], tag[2]]);
+    let header = changes_header(zone, [tag[0], tag[1], tag[2]]);
     encode(changes, max_bytes - header.len())
         .into_iter()
         .map(|piece| [&header[..], &piece].concat())
         .collect()
 }
 
-/// Reads a message and its sender's location, for filters of `counters`; `None`: it makes no sense.
+/// Decodes a message and the zone of its sender. `counters` is the number of counters in a filter. `None`:
+/// the message is malformed.
 pub fn read(data: &[u8], counters: usize) -> Option<(u8, Message)> {
     let [VERSION, zone, rest @ ..] = data else { return None };
     let message = match rest {
--- a/crates/fernslip/src/message/tests.rs
+++ b/crates/fernslip/src/message/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 
 #[test]
-fn messages_round_trip_and_malformed_ones_are_ignored() {
+fn messages_round_trip_and_malformed_ones_are_rejected() {
     let changes: Vec<Change> = (0..60).map(|n| Change { at: n * 9, up: n % 4 > 0 }).collect();
     let piece = encode(&changes, 251).remove(0);
-    let data = [header(7, [1, 2, 3]), piece].concat();
+    let data = [changes_header(7, [1, 2, 3]), piece].concat();
     assert_eq!(read(&data, 16384), Some((7, Message::Changes { tag: [1, 2, 3], changes })));
     for wants_reply in [false, true] {
         assert_eq!(read(&greeting(7, wants_reply), 16384), Some((7, Message::Greeting { wants_reply })));
     }
-    let odd: [&[u8]; 7] =
+    let malformed: [&[u8]; 7] =
         [&[], &[2], &[2, 7], &[2, 7, 2], &[2, 7, 1, 2, 3], &[3, 7, 1], &[2, 7, 1, 2, 3, 255, 255]];
-    for data in odd {
-        assert_eq!(read(data, 16384), None, "{data:?}");
+    for data in malformed {
+        assert_eq!(read(data, 16384), None, "malformed message {data:?} is rejected");
     }
-    assert_eq!(read(&data, 16), None, "places that the filter does not have");
+    assert_eq!(read(&data, 16), None, "changes of counters beyond the 16 of the filter are rejected");
 }
