--- a/crates/fernslip/src/bandwidth.rs
+++ b/crates/fernslip/src/bandwidth.rs
@@ -1,25 +1,30 @@
-//! How many transfers at full pace a node's link carries, learned from what its answers took.
+//! Estimates of how many concurrent transfers at the full stream rate a node's link carries, from the
+//! duration of its answers.
 //!
-//! A link that is shared evenly by more transfers than fit at full pace serves each slower by just that much. An answer
-//! that took `stretch` times its sending time, while on average `open` were in flight there, thus shows a link that
-//! carries `open / stretch` of them: exactly so when it was full, and that at the least when it was not. This is the
-//! measure of BBR (delivery rate, with what is limited by its sender marked as such) put into transfers.
+//! A link that divides its bandwidth evenly among more transfers than fit slows each of them in proportion.
+//! If an answer took `stretch` times its transfer time while `open` transfers were in flight on average, the
+//! link carries `open / stretch` of them. This is exact if the link was full and a lower bound otherwise. The
+//! method is that of BBR (delivery rate, with sender-limited samples marked), applied to transfers.
 
-/// An answer that took this many times its sending time found the link full: small ones vary by less.
+/// An answer that took at least this multiple of its transfer time is taken to show a full link; small
+/// answers vary by less.
 const SATURATED_STRETCH: f64 = 1.25;
-/// Weight of an answer that took long beside what it takes besides its sending.
+/// Maximum weight of one answer in the estimate, approached by answers with a long transfer time.
 const ANSWER_WEIGHT: f64 = 0.1;
-/// Time besides its sending at which an answer counts by half, in milliseconds.
-const HALF_WEIGHT_MS: f64 = 50.0;
-/// Part of the bandwidth from which a link counts as used: answers in time above it may raise the bandwidth.
-const USED: f64 = 0.8;
-/// What an answer in time on a used link raises the bandwidth by, as a part of it: a link that was slow for a while, or
-/// was taken to be, is found to be wider in some ten answers.
-const RISE: f64 = 0.02;
+/// Transfer time in milliseconds at which an answer counts with half of `ANSWER_WEIGHT`; longer answers count
+/// more.
+const HALF_WEIGHT_WORK_MS: f64 = 50.0;
+/// Fraction of the estimated capacity from which a link counts as used, so that answers in time may raise the
+/// estimate.
+const USED_CAPACITY_FRACTION: f64 = 0.8;
+/// Relative increase of the estimate after a large answer that was in time on a used link. After a link was
+/// slow, or was wrongly taken to be slow, some ten answers show that it carries more.
+const CAPACITY_RISE: f64 = 0.02;
 
 impl crate::api::Settings {
-    /// By role, the least that known links let expect of a node's bandwidth, in a location of so many caches; 0: none
-    /// are known. Caches that keep anything send more than their link brings in; a parent feeds a location or more.
+    /// By role, the lower bound on a node's bandwidth that the configured links imply for a location with
+    /// `caches` cache nodes, in concurrent transfers; 0 if no link is known. Cache nodes that hold anything
+    /// send more than the location's link brings in, and a parent feeds at least one location.
     pub(crate) fn expected_bandwidth(&self, caches: usize) -> [f64; 3] {
         let links = self.link_in_kb_per_s.iter().map(|kb| kb / self.stream_kb_per_s);
         let listed: Vec<f64> = links.clone().filter(|l| *l > 0.0).collect();
@@ -28,58 +33,61 @@
     }
 }
 
-/// What is known of a link's bandwidth, in transfers at full pace.
+/// Estimated bandwidth of a link, in concurrent transfers at the full stream rate.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Bandwidth {
-    /// What it was seen to carry; 0: nothing was seen yet.
+    /// Transfers that the link was seen to carry; 0 before the first measurement.
     pub capacity: f64,
-    /// It was seen full: `capacity` is what it can do, not only what it had to.
+    /// Whether the link was seen full, so that `capacity` is its limit and not only the load it has had.
     pub saturated: bool,
 }
 
 impl Bandwidth {
-    /// Begins with the listed weight, which is a figure where it is not 1: lists that know none give 1 for all.
+    /// Starts from the listed weight, unless it is 1: lists without known weights give 1 for all nodes.
     pub fn set_initial(&mut self, listed: f64) {
         if self.capacity == 0.0 && listed != 1.0 {
             *self = Bandwidth { capacity: listed, saturated: true };
         }
     }
 
-    /// Takes an answer in: its sending time, what it took in all, and how many were in flight on average while it was.
-    /// Times are in milliseconds; `base_ms` is what any answer takes besides its sending.
-    pub fn record_answer(&mut self, work_ms: f64, took_ms: f64, base_ms: f64, open: f64) {
+    /// Updates the estimate with one answer: its transfer time `work_ms`, its duration `took_ms`, the fixed
+    /// part `overhead_ms` of that duration, and the mean number of transfers in flight `open`. All times are
+    /// in milliseconds.
+    pub fn record_answer(&mut self, work_ms: f64, took_ms: f64, overhead_ms: f64, open: f64) {
         if !(work_ms > 0.0 && took_ms.is_finite() && open.is_finite()) {
             return;
         }
-        let stretch = ((took_ms - base_ms) / work_ms).max(1.0);
+        let stretch = ((took_ms - overhead_ms) / work_ms).max(1.0);
         let shown = open.max(1.0) / stretch;
-        let weight = ANSWER_WEIGHT * work_ms / (work_ms + HALF_WEIGHT_MS);
+        let weight = ANSWER_WEIGHT * work_ms / (work_ms + HALF_WEIGHT_WORK_MS);
         let crowded = stretch > SATURATED_STRETCH;
         if self.capacity == 0.0 {
             self.capacity = shown;
         } else if crowded || shown > self.capacity {
             self.capacity += weight * (shown - self.capacity);
-        } else if open >= USED * self.capacity {
-            self.capacity *= 1.0 + RISE * weight / ANSWER_WEIGHT;
+        } else if open >= USED_CAPACITY_FRACTION * self.capacity {
+            self.capacity *= 1.0 + CAPACITY_RISE * weight / ANSWER_WEIGHT;
         }
         self.saturated |= crowded;
     }
 }
 
-/// Deliveries are averaged over so long, in milliseconds: some answers of a node in light use.
+/// Averaging window of the delivery rate, in milliseconds, long enough for several answers of a lightly used
+/// node.
 const DELIVERY_WINDOW_MS: f64 = 500.0;
 
-/// Work that a node was seen to send of late, a moving average: what it can do at the least.
+/// Moving average of the rate at which a node was recently seen to deliver, a lower bound on what it can
+/// deliver.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DeliveryRate {
-    /// The moving average at the time `updated_ms`.
+    /// Moving average at time `updated_ms`.
     rate: f64,
     updated_ms: f64,
 }
 
 impl DeliveryRate {
-    /// An answer of `work_ms` of sending has come complete at the time `now`, `took_ms` after it was requested: of one
-    /// that took long, only the last part came of late.
+    /// Records an answer with `work_ms` of transfer time that ended at time `now` after `took_ms`. Of a long
+    /// answer, only the last part was delivered within the window.
     pub fn record(&mut self, now: f64, work_ms: f64, took_ms: f64) {
         if work_ms > 0.0 && took_ms >= 0.0 {
             let rate = self.rate(now) + work_ms / took_ms.max(DELIVERY_WINDOW_MS);
@@ -87,51 +95,53 @@
         }
     }
 
-    /// In transfers at full pace at the time `now`, this router's own alone.
+    /// Delivery rate to this router at time `now`, in concurrent transfers at the full stream rate.
     pub fn rate(&self, now: f64) -> f64 {
         self.rate * (-(now - self.updated_ms).max(0.0) / DELIVERY_WINDOW_MS).exp()
     }
 }
 
-/// A node's link, as its answers show it.
+/// Bandwidth of a node's link, as measured from its answers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Link {
-    /// What it carries of all that is in flight there. Transfers that wait for their source count too, so that it is
-    /// what the load there is to be compared with.
+    /// Bandwidth relative to all transfers in flight at the node. Transfers that wait for their source are
+    /// included, as they are in the load that it is compared with.
     pub bandwidth: Bandwidth,
-    /// What it was seen to send, counted by what came complete: what the budget of a node in slow start may go by.
+    /// Bandwidth counted by completed answers only, from which the budget of a node in slow start is
+    /// computed.
     pub proven: Bandwidth,
-    /// What this router saw it send lately.
+    /// Rate at which the node recently delivered to this router.
     pub delivery: DeliveryRate,
 }
 
 impl Link {
-    /// Begins with the listed weight.
+    /// Starts both bandwidth estimates from the listed weight.
     pub fn set_initial(&mut self, listed: f64) {
         self.bandwidth.set_initial(listed);
         self.proven.set_initial(listed);
     }
 
-    /// Takes an answer in as [`Bandwidth::record_answer`] does; `routers` send to it, each taken to see as much as this one.
-    pub fn record_answer(&mut self, now: f64, answer: Answer, routers: f64) {
-        let Answer { work_ms, took_ms, base_ms, open } = answer;
-        self.bandwidth.record_answer(work_ms, took_ms, base_ms, open);
-        let stretch = ((took_ms - base_ms) / work_ms).max(1.0);
+    /// Updates both estimates with one answer, as [`Bandwidth::record_answer`] does. Each of the `routers`
+    /// that use the node is assumed to receive as much from it as this one.
+    pub fn record_answer(&mut self, now: f64, answer: AnswerSample, routers: f64) {
+        let AnswerSample { work_ms, took_ms, overhead_ms, open } = answer;
+        self.bandwidth.record_answer(work_ms, took_ms, overhead_ms, open);
+        let stretch = ((took_ms - overhead_ms) / work_ms).max(1.0);
         let sent = self.delivery.rate(now) * routers * stretch;
-        self.proven.record_answer(work_ms, took_ms, base_ms, open.min(sent));
+        self.proven.record_answer(work_ms, took_ms, overhead_ms, open.min(sent));
     }
 }
 
-/// An answer, as [`Bandwidth::record_answer`] takes it.
+/// Measurements of one answer, for [`Link::record_answer`].
 #[derive(Clone, Copy, Debug)]
-pub struct Answer {
-    /// Its sending time, in milliseconds.
+pub struct AnswerSample {
+    /// Transfer time at the full stream rate, in milliseconds.
     pub work_ms: f64,
-    /// What it took in all, in milliseconds.
+    /// Total duration of the answer, in milliseconds.
     pub took_ms: f64,
-    /// What any answer takes besides its sending, in milliseconds.
-    pub base_ms: f64,
-    /// How many were in flight on average.
+    /// Duration of an answer besides its transfer time, in milliseconds.
+    pub overhead_ms: f64,
+    /// Mean number of transfers in flight at the node during the answer.
     pub open: f64,
 }
 
--- a/crates/fernslip/src/fill_limiter.rs
+++ b/crates/fernslip/src/fill_limiter.rs
@@ -1,33 +1,34 @@
-//! The limit on a location's fills in flight, learned from whether they come in time: additive increase,
+//! Limit on a location's fills in flight, learned from whether they arrive in time, by additive increase and
 //! multiplicative decrease.
 
 use crate::in_flight::LocalCount;
 
-/// The limit is never below this: some fills must go on to tell when the congestion is over.
+/// Minimum fill limit. Some fills must continue so that the end of a congestion is noticed.
 const MIN_FILL_LIMIT: f64 = 2.0;
-/// Without a late fill for so long, in milliseconds, the limit rises by one with each that comes in time.
-const FILLS_CALM_MS: f64 = 1_000.0;
-/// Part of the limit that counts as in use.
-const FILL_LIMIT_USED: f64 = 0.8;
-/// What remains of the limit after a late or failed fill.
-const FILLS_SHRINK: f64 = 0.93;
-/// The limit stays while no more than this share of the fills is late: single ones are lost on any day.
-const FILLS_LATE: f64 = 0.05;
-/// Weight of one fill in that share.
-const FILLS_LATE_STEP: f64 = 0.03;
+/// Time without a decrease of the limit, in milliseconds, after which each fill that arrives in time raises
+/// the limit by one.
+const FAST_GROWTH_DELAY_MS: f64 = 1_000.0;
+/// Fraction of the limit that must be in flight for the limit to count as used.
+const USED_LIMIT_FRACTION: f64 = 0.8;
+/// Factor applied to the limit after a late or failed fill.
+const FILL_LIMIT_DECREASE: f64 = 0.93;
+/// Fraction of late fills up to which the limit is not decreased, because single late fills are normal.
+const MAX_LATE_FRACTION: f64 = 0.05;
+/// Weight of one fill in the moving average of late fills.
+const LATE_FRACTION_SMOOTHING: f64 = 0.03;
 
-/// Fills in flight, and how many the location may have: there is no limit until fills are late, then it grows while
-/// they come in time and shrinks while they fail or crawl.
+/// Fills in flight and the limit on them for the whole location. There is no limit until fills are late; it
+/// then grows while fills arrive in time, and shrinks while they fail or are slow.
 #[derive(Clone, Copy, Debug)]
 pub struct FillLimiter {
-    /// This router's part.
+    /// This router's fills in flight.
     pub in_flight: LocalCount,
-    /// Of the whole location; infinite: no limit was found yet.
+    /// Maximum number of fills in flight for the whole location; infinite until a limit is known.
     pub limit: f64,
-    /// LocalCount of fills that were late or failed lately.
+    /// Moving average of fills that were late or failed, from 0 to 1.
     late_fraction: f64,
-    /// When the limit last shrank.
-    shrunk_ms: f64,
+    /// Time of the last decrease of the limit.
+    decreased_ms: f64,
 }
 
 impl Default for FillLimiter {
@@ -36,49 +37,49 @@
             in_flight: LocalCount::default(),
             limit: f64::INFINITY,
             late_fraction: 0.0,
-            shrunk_ms: 0.0,
+            decreased_ms: 0.0,
         }
     }
 }
 
 impl FillLimiter {
-    /// Begins with a first estimate, if it is above 0 and nothing is known yet.
+    /// Sets the initial limit if the estimate is above 0 and there is no limit yet.
     pub fn set_initial(&mut self, limit: f64) {
         if self.limit == f64::INFINITY && limit > 0.0 {
             self.limit = limit;
         }
     }
 
-    /// Whether no further fill may begin beside all that `routers` have in flight.
+    /// Whether the estimated fills in flight of all `routers` have reached the limit.
     pub fn is_full(&self, now: f64, routers: f64) -> bool {
-        self.in_flight.estimate_all(now, routers) >= self.limit
+        self.in_flight.estimate_all_routers(now, routers) >= self.limit
     }
 
-    /// One is late, or failed where its source or the links are to blame.
-    pub fn record_late(&mut self, now: f64, routers: f64) {
-        self.late_fraction += (1.0 - self.late_fraction) * FILLS_LATE_STEP;
-        if self.late_fraction > FILLS_LATE {
-            // Where there was no limit, what is in flight is too much.
-            let all = self.in_flight.estimate_all(now, routers) / FILL_LIMIT_USED;
+    /// Records a fill that was late, or that failed because of its source or the links.
+    pub fn record_late_fill(&mut self, now: f64, routers: f64) {
+        self.late_fraction += (1.0 - self.late_fraction) * LATE_FRACTION_SMOOTHING;
+        if self.late_fraction > MAX_LATE_FRACTION {
+            // Without a limit so far, the number in flight is taken as the number that is too high.
+            let all = self.in_flight.estimate_all_routers(now, routers) / USED_LIMIT_FRACTION;
             let reached = if self.limit.is_finite() { self.limit } else { all };
-            self.limit = (reached * FILLS_SHRINK).max(MIN_FILL_LIMIT);
-            self.shrunk_ms = now;
+            self.limit = (reached * FILL_LIMIT_DECREASE).max(MIN_FILL_LIMIT);
+            self.decreased_ms = now;
         }
     }
 
-    /// One has ended, of all that `routers` have in flight: late or failed (`crowded`), `in_time`, or neither where it
-    /// tells nothing of the links.
-    pub fn record_end(&mut self, now: f64, routers: f64, crowded: bool, in_time: bool) {
-        // Only a limit that is being used may rise: else quiet times would raise it for nothing.
-        let used = self.in_flight.estimate_all(now, routers) >= FILL_LIMIT_USED * self.limit;
+    /// Records the end of a fill, which was late or failed (`crowded`), came `in_time`, or was neither if it
+    /// says nothing about the links. `routers` is the number of routers in the location.
+    pub fn record_fill_end(&mut self, now: f64, routers: f64, crowded: bool, in_time: bool) {
+        // Only a limit that is in use may rise, so that quiet periods do not raise it without evidence.
+        let used = self.in_flight.estimate_all_routers(now, routers) >= USED_LIMIT_FRACTION * self.limit;
         if crowded {
-            self.record_late(now, routers);
+            self.record_late_fill(now, routers);
         } else {
-            self.late_fraction -= self.late_fraction * FILLS_LATE_STEP;
+            self.late_fraction -= self.late_fraction * LATE_FRACTION_SMOOTHING;
         }
-        self.in_flight.step(now, -1.0);
+        self.in_flight.adjust(now, -1.0);
         if in_time && used {
-            let calm = now - self.shrunk_ms > FILLS_CALM_MS;
+            let calm = now - self.decreased_ms > FAST_GROWTH_DELAY_MS;
             self.limit += if calm { 1.0 } else { 1.0 / self.limit.max(1.0) };
         }
     }
--- a/crates/fernslip/src/filter.rs
+++ b/crates/fernslip/src/filter.rs
@@ -1,29 +1,29 @@
-//! A counting Bloom filter with 4-bit counters in two generations, and the run-length code of its changes.
-//! A plain data structure: size, number of hashes and message limits are arguments.
+//! Counting Bloom filter with 4-bit counters in two generations, and the run-length encoding of its changes.
+//! The number of counters and hashes and the limits on messages are arguments.
 
 use md5::{Digest, Md5};
 
-/// The hashes of one key: the four 32-bit words of an MD5 sum.
+/// KeyHashes of one key: the four 32-bit words of its MD5 digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Hashes(pub [u32; 4]);
+pub struct KeyHashes(pub [u32; 4]);
 
-/// Hashes the parts of a key.
-pub fn hash(parts: &[u64]) -> Hashes {
-    let mut md = Md5::new();
-    for w in parts {
-        md.update(w.to_be_bytes());
+/// KeyHashes a key that consists of several numbers.
+pub fn hash(parts: &[u64]) -> KeyHashes {
+    let mut digest = Md5::new();
+    for part in parts {
+        digest.update(part.to_be_bytes());
     }
-    let sum: [u8; 16] = md.finalize().into();
-    let mut h = [0; 4];
-    for (out, b) in h.iter_mut().zip(sum.chunks_exact(4)) {
+    let sum: [u8; 16] = digest.finalize().into();
+    let mut hashes = [0; 4];
+    for (out, b) in hashes.iter_mut().zip(sum.chunks_exact(4)) {
         *out = u32::from_be_bytes([b[0], b[1], b[2], b[3]]);
     }
-    Hashes(h)
+    KeyHashes(hashes)
 }
 
-const SATURATED: u8 = 15;
+const MAX_COUNTER: u8 = 15;
 
-/// Two generations of 4-bit counters.
+/// Counting Bloom filter with two generations of 4-bit counters.
 #[derive(Clone, Debug)]
 pub struct Filter {
     current: Vec<u8>,
@@ -32,167 +32,170 @@
 }
 
 impl Default for Filter {
-    /// The smallest filter.
+    /// Returns the smallest filter, with two counters and one hash.
     fn default() -> Self {
         Filter::new(2, 1)
     }
 }
 
 impl Filter {
-    /// A filter of `counters` counters (at least two) and up to four `hashes`.
+    /// Creates an empty filter with `counters` counters (at least two, rounded up to an even number) and one
+    /// to four `hashes`.
     pub fn new(counters: usize, hashes: usize) -> Self {
         let n = counters.max(2).div_ceil(2);
         Filter { current: vec![0; n], previous: vec![0; n], hashes: hashes.clamp(1, 4) }
     }
 
-    /// Number of counters in a generation.
+    /// Number of counters in one generation.
     pub fn counters(&self) -> usize {
         self.current.len() * 2
     }
 
-    /// The counters of a key, each once, in ascending order.
-    pub fn positions(&self, h: Hashes) -> Vec<u32> {
-        let m = self.counters() as u32;
-        let mut p: Vec<u32> = h.0[..self.hashes].iter().map(|x| x % m).collect();
-        p.sort_unstable();
-        p.dedup();
-        p
+    /// Positions of a key's counters, each once, in ascending order.
+    pub fn positions(&self, key: KeyHashes) -> Vec<u32> {
+        let counters = self.counters() as u32;
+        let mut positions: Vec<u32> = key.0[..self.hashes].iter().map(|x| x % counters).collect();
+        positions.sort_unstable();
+        positions.dedup();
+        positions
     }
 
-    fn counter(gen: &[u8], at: u32) -> u8 {
-        (gen[at as usize / 2] >> (at % 2 * 4)) & SATURATED
+    fn counter(generation: &[u8], at: u32) -> u8 {
+        (generation[at as usize / 2] >> (at % 2 * 4)) & MAX_COUNTER
     }
 
-    fn step(gen: &mut [u8], at: u32, up: bool) {
-        let (byte, shift) = (&mut gen[at as usize / 2], at % 2 * 4);
-        let v = (*byte >> shift) & SATURATED;
-        // A saturated counter has lost count: it stays so until its generation is dropped.
+    fn step_counter(generation: &mut [u8], at: u32, up: bool) {
+        let (byte, shift) = (&mut generation[at as usize / 2], at % 2 * 4);
+        let v = (*byte >> shift) & MAX_COUNTER;
+        // A counter at its maximum no longer has an exact count, so that it keeps its value until its
+        // generation is dropped.
         let new = match (v, up) {
-            (SATURATED, _) | (0, false) => v,
+            (MAX_COUNTER, _) | (0, false) => v,
             (_, true) => v + 1,
             (_, false) => v - 1,
         };
-        *byte = (*byte & !(SATURATED << shift)) | (new << shift);
+        *byte = (*byte & !(MAX_COUNTER << shift)) | (new << shift);
     }
 
-    fn minimum(gen: &[u8], positions: &[u32]) -> u8 {
-        positions.iter().map(|&p| Self::counter(gen, p)).min().unwrap_or(0)
+    fn min_counter(generation: &[u8], positions: &[u32]) -> u8 {
+        positions.iter().map(|&p| Self::counter(generation, p)).min().unwrap_or(0)
     }
 
-    /// Whether either generation contains the key, or seems to.
-    pub fn contains(&self, h: Hashes) -> bool {
-        self.count(h) > 0
+    /// Whether either generation contains the key; false positives are possible.
+    pub fn contains(&self, key: KeyHashes) -> bool {
+        self.count(key) > 0
     }
 
-    /// The larger of both generations' estimates, 15 at most.
-    pub fn count(&self, h: Hashes) -> u8 {
-        let p = self.positions(h);
-        Self::minimum(&self.current, &p).max(Self::minimum(&self.previous, &p))
+    /// Estimated count of the key: the larger of the two generations' estimates, at most 15.
+    pub fn count(&self, key: KeyHashes) -> u8 {
+        let positions = self.positions(key);
+        Self::min_counter(&self.current, &positions).max(Self::min_counter(&self.previous, &positions))
     }
 
-    /// Counts the key in the current generation, whether it is there or not.
-    pub fn bump(&mut self, h: Hashes) {
-        for p in self.positions(h) {
-            Self::step(&mut self.current, p, true);
+    /// Increments the key's counters in the current generation, even if it contains the key already.
+    pub fn bump(&mut self, key: KeyHashes) {
+        for p in self.positions(key) {
+            Self::step_counter(&mut self.current, p, true);
         }
     }
 
-    /// Adds the key to the current generation if that lacks it; the changes made.
-    pub fn add(&mut self, h: Hashes) -> Vec<Change> {
-        let positions = self.positions(h);
-        if Self::minimum(&self.current, &positions) > 0 {
+    /// Adds the key to the current generation unless it contains it already. Returns the changes made.
+    pub fn add(&mut self, key: KeyHashes) -> Vec<Change> {
+        let positions = self.positions(key);
+        if Self::min_counter(&self.current, &positions) > 0 {
             return Vec::new();
         }
-        positions.into_iter().map(|at| self.apply_one(Change { at, up: true })).collect()
+        positions.into_iter().map(|at| self.apply_change(Change { at, up: true })).collect()
     }
 
-    /// Removes the key from each generation that contains it; the changes made to the current one.
-    pub fn remove(&mut self, h: Hashes) -> Vec<Change> {
-        let positions = self.positions(h);
-        if Self::minimum(&self.previous, &positions) > 0 {
-            positions.iter().for_each(|&p| Self::step(&mut self.previous, p, false));
+    /// Removes the key from each generation that contains it. Returns the changes made to the current
+    /// generation.
+    pub fn remove(&mut self, key: KeyHashes) -> Vec<Change> {
+        let positions = self.positions(key);
+        if Self::min_counter(&self.previous, &positions) > 0 {
+            positions.iter().for_each(|&p| Self::step_counter(&mut self.previous, p, false));
         }
-        if Self::minimum(&self.current, &positions) == 0 {
+        if Self::min_counter(&self.current, &positions) == 0 {
             return Vec::new();
         }
-        positions.into_iter().map(|at| self.apply_one(Change { at, up: false })).collect()
+        positions.into_iter().map(|at| self.apply_change(Change { at, up: false })).collect()
     }
 
-    /// The changes that would make an empty filter contain what this one does.
-    pub fn set_counters(&self) -> Vec<Change> {
+    /// Changes that would make an empty filter contain the same keys as this one.
+    pub fn changes_from_empty(&self) -> Vec<Change> {
         let is_set = |at: &u32| Self::counter(&self.current, *at).max(Self::counter(&self.previous, *at)) > 0;
         (0..self.counters() as u32).filter(is_set).map(|at| Change { at, up: true }).collect()
     }
 
-    fn apply_one(&mut self, c: Change) -> Change {
-        Self::step(&mut self.current, c.at, c.up);
-        c
+    fn apply_change(&mut self, change: Change) -> Change {
+        Self::step_counter(&mut self.current, change.at, change.up);
+        change
     }
 
-    /// Applies a peer's changes; positions outside the filter are skipped.
+    /// Applies changes received from a peer, and ignores positions outside the filter.
     pub fn apply(&mut self, changes: &[Change]) {
-        let m = self.counters() as u32;
-        for &c in changes.iter().filter(|c| c.at < m) {
-            self.apply_one(c);
+        let counters = self.counters() as u32;
+        for &c in changes.iter().filter(|c| c.at < counters) {
+            self.apply_change(c);
         }
     }
 
-    /// Begins a new generation and drops the older one.
+    /// Starts a new generation and drops the older one.
     pub fn rotate(&mut self) {
         std::mem::swap(&mut self.current, &mut self.previous);
         self.current.fill(0);
     }
 
-    /// Empties both generations.
+    /// Clears all counters in both generations.
     pub fn clear(&mut self) {
         self.current.fill(0);
         self.previous.fill(0);
     }
 }
 
-/// One counter stepped up or down.
+/// Increment or decrement of one counter of a filter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Change {
-    /// Which counter.
+    /// Position of the counter in its generation.
     pub at: u32,
-    /// Up, or down.
+    /// Whether the counter goes up by one; otherwise it goes down by one.
     pub up: bool,
 }
 
-fn put_varint(out: &mut Vec<u8>, mut v: u32) {
-    while v >= 128 {
-        out.push(v as u8 | 128);
-        v >>= 7;
+fn write_varint(out: &mut Vec<u8>, mut value: u32) {
+    while value >= 128 {
+        out.push(value as u8 | 128);
+        value >>= 7;
     }
-    out.push(v as u8);
+    out.push(value as u8);
 }
 
-fn take_varint(data: &mut &[u8]) -> Option<u32> {
-    let mut v = 0u32;
+fn read_varint(data: &mut &[u8]) -> Option<u32> {
+    let mut value = 0u32;
     for shift in [0u32, 7, 14, 21, 28] {
-        let (&b, rest) = data.split_first()?;
+        let (&byte, rest) = data.split_first()?;
         *data = rest;
-        v |= u32::from(b & 127).checked_shl(shift)?;
-        if b < 128 {
-            return Some(v);
+        value |= u32::from(byte & 127).checked_shl(shift)?;
+        if byte < 128 {
+            return Some(value);
         }
     }
     None
 }
 
-/// Codes sorted changes as the runs of untouched counters between them, in pieces of at most `limit` bytes.
-/// The low bit of a run's length says which way the counter after it goes.
+/// Encodes changes, sorted by position, as the distances between changed counters, in pieces of at most
+/// `limit` bytes. The low bit of a distance tells whether the counter after it goes up.
 pub fn encode(changes: &[Change], limit: usize) -> Vec<Vec<u8>> {
     let mut sorted = changes.to_vec();
     sorted.sort_unstable();
     let (mut pieces, mut piece, mut last) = (Vec::new(), Vec::new(), 0);
     for c in sorted {
         let mut code = Vec::new();
-        put_varint(&mut code, (c.at - last) << 1 | u32::from(c.up));
+        write_varint(&mut code, (c.at - last) << 1 | u32::from(c.up));
         if piece.len() + code.len() > limit && !piece.is_empty() {
             pieces.push(std::mem::take(&mut piece));
             code.clear();
-            put_varint(&mut code, c.at << 1 | u32::from(c.up));
+            write_varint(&mut code, c.at << 1 | u32::from(c.up));
         }
         piece.extend(code);
         last = c.at;
@@ -203,11 +206,12 @@
     pieces
 }
 
-/// Decodes one piece, completely or not at all, for a filter of `counters`. A malformed piece has no changes.
+/// Decodes one piece for a filter with `counters` counters. A piece that is malformed in any part gives no
+/// changes.
 pub fn decode(mut data: &[u8], counters: usize) -> Vec<Change> {
     let (mut out, mut last) = (Vec::new(), 0u32);
     while !data.is_empty() {
-        let next = take_varint(&mut data).and_then(|v| Some((v, last.checked_add(v >> 1)?)));
+        let next = read_varint(&mut data).and_then(|v| Some((v, last.checked_add(v >> 1)?)));
         let Some((v, at)) = next.filter(|p| (p.1 as usize) < counters) else { return Vec::new() };
         out.push(Change { at, up: v & 1 == 1 });
         last = at;
--- a/crates/fernslip/src/peers.rs
+++ b/crates/fernslip/src/peers.rs
@@ -1,27 +1,29 @@
-//! The location's other routers, by their messages, and since when this one learns.
+//! The other routers of the location, as known from their messages, and for how long this router has been
+//! learning.
 
-use crate::rendezvous::mix;
+use crate::rendezvous::mix_bits;
 use std::collections::BTreeSet;
 
-/// The routers of the location that messages came from, and over how long things were learned, here or by one whose
-/// knowledge was adopted.
+/// Known routers of the location, and the length of time over which the router's state was learned, including
+/// adopted state.
 #[derive(Clone, Debug, Default)]
 pub struct Peers {
-    /// Their numbers.
+    /// Numbers of the known routers.
     known: BTreeSet<u32>,
-    /// When this router's first event came.
+    /// Time of this router's first event.
     pub first_event_ms: Option<f64>,
-    /// For how much longer the router had learned whose knowledge was adopted, in milliseconds.
+    /// Time by which adopted state is older than this router's own, in milliseconds.
     adopted_ms: f64,
 }
 
 impl Peers {
-    /// An event came at that time.
+    /// Records that an event arrived at time `now`.
     pub fn record_event(&mut self, now: f64) {
         self.first_event_ms.get_or_insert(now);
     }
 
-    /// A message came from a router, of this location or of another.
+    /// Records a message of router `from`, which is known from then on if it serves this location and
+    /// forgotten otherwise.
     pub fn record_message(&mut self, from: u32, same_location: bool) {
         if same_location {
             self.known.insert(from);
@@ -30,37 +32,39 @@
         }
     }
 
-    /// Their numbers.
-    pub fn all(&self) -> impl Iterator<Item = u32> + '_ {
+    /// Numbers of the known routers, in ascending order.
+    pub fn known_routers(&self) -> impl Iterator<Item = u32> + '_ {
         self.known.iter().copied()
     }
 
-    /// Whether all of a location of `routers` are known, this one included.
+    /// Whether all `routers` of the location are known, including this one.
     pub fn all_known(&self, routers: u32) -> bool {
         self.known.len() + 1 >= routers as usize
     }
 
-    /// This router's index among the location's: by the order of their numbers, and a random one while some are not known.
-    pub fn index(&self, own: u32, routers: u32) -> u32 {
+    /// Index of this router in the location, by ascending number; a pseudo-random number while some of the
+    /// routers are unknown.
+    pub fn index_in_location(&self, own: u32, routers: u32) -> u32 {
         if !self.all_known(routers) {
-            return mix(own.into()) as u32;
+            return mix_bits(own.into()) as u32;
         }
-        self.known.iter().filter(|&&m| m < own).count() as u32
+        self.known.iter().filter(|&&number| number < own).count() as u32
     }
 
-    /// Whether this router is the one that comes after `other` in the order of numbers, round and round.
-    pub fn comes_after(&self, own: u32, other: u32) -> bool {
-        let after = |m: u32| m.wrapping_sub(other);
-        self.known.iter().all(|&m| m == other || after(own) < after(m))
+    /// Whether this router is the successor of `other` in cyclic ascending order of numbers.
+    pub fn is_successor_of(&self, own: u32, other: u32) -> bool {
+        let distance = |number: u32| number.wrapping_sub(other);
+        self.known.iter().all(|&number| number == other || distance(own) < distance(number))
     }
 
-    /// Over how long things were learned, in milliseconds.
+    /// Length of time over which the router's state was learned, in milliseconds.
     pub fn known_ms(&self, now: f64) -> f64 {
-        self.first_event_ms.map_or(0.0, |b| now - b) + self.adopted_ms
+        self.first_event_ms.map_or(0.0, |first| now - first) + self.adopted_ms
     }
 
-    /// Adopts knowledge of that many milliseconds if it is more than there is; whether it did.
-    pub fn adopt(&mut self, now: f64, known_ms: f64) -> bool {
+    /// Adopts the age `known_ms` of a peer's state if it exceeds the age of this router's own. Returns
+    /// whether it does.
+    pub fn adopt_learning_time(&mut self, now: f64, known_ms: f64) -> bool {
         let more = known_ms - self.known_ms(now);
         self.adopted_ms += more.max(0.0);
         more > 0.0
--- a/crates/fernslip/src/policy.rs
+++ b/crates/fernslip/src/policy.rs
@@ -1,9 +1,9 @@
-//! The router: every decision of fernslip. Its interface (settings, events, actions) is `src/api.rs`;
-//! [`Router::handle`] is the entry and reads as a table of contents. Each concern is a module of its own
-//! under `src/policy/`: nodes, request, placement, sources, capacity, admission, outcome, learning, health,
-//! silence, retry, filters, purges and peers; each adds methods to [`Router`].
+//! The router, which makes all decisions of fernslip. Its interface (settings, events and actions) is in
+//! `src/api.rs`, and its entry point is [`Router::handle`]. The modules under `src/policy/` each add methods
+//! to [`Router`] for one concern: nodes, request, placement, sources, capacity, admission, outcome, learning,
+//! health, silence, retry, filters, purges and peers.
 //!
-//! The constants below are the design's figures, shared by those modules.
+//! This file also holds the constants that those modules share.
 
 use crate::api::*;
 use crate::fill_limiter::FillLimiter;
@@ -31,162 +31,182 @@
 mod silence;
 mod sources;
 
-// The design's own figures; docs/design/constants.md has their sources.
+// The sources of these constants are listed in docs/design/constants.md.
 
-// Counting Bloom filters of the keys that caches have.
-/// Counters of a filter: some 16 for each key that a cache sees in a generation at 100/s.
-const COUNTERS: usize = 16384;
-const HASHES: usize = 4;
-/// A filter has two generations, and begins a new one this often.
-const GENERATION_MS: f64 = 10_000.0;
+// Counting Bloom filters of the keys that each cache node holds.
+/// Counters in each generation of a Bloom filter: about 16 per key that a cache node receives in one
+/// generation at 100 requests per second.
+const FILTER_COUNTERS: usize = 16384;
+const FILTER_HASHES: usize = 4;
+/// Interval at which a filter starts a new generation and drops the older of its two, in milliseconds.
+const FILTER_GENERATION_MS: f64 = 10_000.0;
 
 // Messages between routers.
-/// Requests of a whole location between two messages of one of its routers. 400 a router is the paper's; at
-/// the few a second that one of many routers sees, that outlasts the generations.
-const SYNC_REQUESTS: u32 = 100;
-/// Bytes of a message at the most.
-const MESSAGE_BYTES: usize = 256;
-/// A router that has learned for less has nothing to send to one that starts.
-const BOOTSTRAP_FROM_MS: f64 = 2_000.0;
-/// Messages with a cache's keys to a router that starts, at the most.
-const BOOTSTRAP_MAX_MESSAGES: usize = 8;
-/// Changes of a cache's filter that wait to be sent: beyond it they are dropped.
-const MAX_PENDING_CHANGES: usize = 4096;
+/// Number of requests to the location, over all its routers, after which a router sends its filter changes.
+/// The published figure of 400 requests per router is not used: one of many routers receives a few requests
+/// per second, so that 400 would take longer than the filter generations last.
+const REQUESTS_PER_SYNC: u32 = 100;
+/// Maximum length of a message between routers, in bytes.
+const MAX_MESSAGE_BYTES: usize = 256;
+/// Minimum time for which a router must have been learning before it sends a bootstrap to a starting router,
+/// in milliseconds.
+const MIN_LEARNED_FOR_BOOTSTRAP_MS: f64 = 2_000.0;
+/// Maximum number of messages with one cache node's keys that are sent to a starting router.
+const MAX_BOOTSTRAP_KEY_MESSAGES: usize = 8;
+/// Maximum number of unsent changes of a cache node's filter; further changes are dropped.
+const MAX_PENDING_FILTER_CHANGES: usize = 4096;
 
-// Health: moving share of failures, ejection above the one bound, re-admission below the other.
-/// Weight of one outcome in the failure rate.
-const HEALTH_STEP: f64 = 0.15;
-const EJECT_ABOVE: f64 = 0.35;
-const READMIT_BELOW: f64 = 0.15;
-/// An outlier fails this many times as often as its peers do; when all fail, none is to blame.
-const OUTLIER: f64 = 2.0;
-/// Share of the nodes of a role that may be ejected, lest the rest be overloaded.
+// Health: a node is ejected when the moving average of its failures exceeds one bound, and readmitted when it
+// falls below a lower one.
+/// Weight of one outcome in the moving average of a node's failures.
+const FAILURE_RATE_SMOOTHING: f64 = 0.15;
+const EJECT_FAILURE_RATE: f64 = 0.35;
+const READMIT_FAILURE_RATE: f64 = 0.15;
+/// A node is ejected only if its failure rate exceeds this multiple of its peers' mean. When all nodes fail,
+/// none is ejected.
+const OUTLIER_FACTOR: f64 = 2.0;
+/// Maximum fraction of a role's nodes that may be ejected, so that the remaining ones are not overloaded.
 const MAX_EJECTED_FRACTION: f64 = 0.4;
-/// Share of its homes that gossip takes from a cache at the most.
+/// Maximum suspicion that gossip may raise, as the fraction of a cache node's homes that it loses.
 const MAX_PEER_SUSPICION: f64 = 0.8;
-/// Failure rate from which it is evidence for others.
-const EVIDENCE_FROM: f64 = 0.05;
-/// Blame for silence, in failures: enough for ejection.
+/// Minimum failure rate at which a node's failures are reported to other routers as evidence.
+const MIN_EVIDENCE_FAILURE_RATE: f64 = 0.05;
+/// Blame for a node that fell silent, in units of one failure. It is enough to eject the node.
 const SILENCE_BLAME: f64 = 2.5;
-/// How sure silence is as evidence, and a crawl.
-const SILENCE_SURE: f64 = 0.8;
-/// A lost connection ends all attempts on it within this time: one failure.
-const SAME_FAILURE_MS: f64 = 5.0;
-/// From ejection to the first half-open probe.
-const FIRST_PROBE_MS: f64 = 600.0;
-/// Between half-open probes: four a second.
+/// Strength of the evidence that a node is silent or far slower than its peers, from 0 to 1.
+const UNRESPONSIVE_EVIDENCE_STRENGTH: f64 = 0.8;
+/// Failures of a node within this many milliseconds count as one, because a lost connection ends all its
+/// attempts at once.
+const SAME_FAILURE_WINDOW_MS: f64 = 5.0;
+/// Time from a node's ejection to its first half-open probe, in milliseconds.
+const FIRST_PROBE_DELAY_MS: f64 = 600.0;
+/// Interval between half-open probes of a node, in milliseconds: four probes per second.
 const PROBE_INTERVAL_MS: f64 = 250.0;
-/// Rejected sooner than a source can be asked, it was the cache itself: it drains, which is not known here
-/// yet, or is full.
-const LOCAL_REJECTION_MS: f64 = 5.0;
-/// Silence beyond twice the sending time of the request: longer than the stalls of a working cache.
-const SILENT_MS: f64 = 800.0;
-/// A probe of a silent cache gets this part of `SILENT_MS`, and its sending time.
-const PROBE_FRACTION: f64 = 0.5;
+/// A rejection that comes sooner than this, in milliseconds, is the cache node's own, because its source
+/// could not have answered so fast. The node is full, or is draining and the endpoint list does not show it
+/// yet.
+const MAX_LOCAL_REJECTION_MS: f64 = 5.0;
+/// Time without an answer, beyond twice the request's transfer time, after which a node counts as silent, in
+/// milliseconds. It is longer than the stalls of a working cache node.
+const SILENCE_TIMEOUT_MS: f64 = 800.0;
+/// Timeout of a probe of a silent node, as a fraction of `SILENCE_TIMEOUT_MS`; the request's transfer time is
+/// added.
+const PROBE_TIMEOUT_FRACTION: f64 = 0.5;
 
-// Load, in answers at full pace over the link that sends them.
-/// Share of home's load below which another cache justifies a second copy.
-const SPILL_GAIN: f64 = 0.6;
-/// Load rises while an answer is sent.
-const LATE_MARGIN: f64 = 1.6;
+// Load: the number of answers in flight on a node's link, as a multiple of those that the link carries at the
+// full stream rate.
+/// A request whose home would be late may go to another cache node, which makes a second copy, if the load
+/// there is below this fraction of the home's load.
+const MAX_SPILL_LOAD_RATIO: f64 = 0.6;
+/// Factor by which a node's load is expected to rise while an answer is being sent.
+const LOAD_GROWTH_FACTOR: f64 = 1.6;
 
-// A node's pace: how many times their sending time its fills (of a cache: its hits) take, a moving average
-// that fades.
-/// Until it counts by half at a cache in slow start.
-const PACE_SEEN_MS: f64 = 1_000.0;
-/// What a fill takes besides its sending.
-const PACE_BASE_MS: f64 = 100.0;
-/// What a hit takes besides its sending.
-const HIT_BASE_MS: f64 = 10.0;
-/// Times its peers' pace, from which a node is given less.
-const SLOW: f64 = 1.5;
-/// Share that remains to it, under which it alone is to blame for late fills.
-const SLOW_FRACTION: f64 = 0.5;
+// Pace of a node: the duration of its fills (for a cache node: of its hits) divided by their duration at the
+// full stream rate. It is a moving average that decays to 1.
+/// Half-life of the weight that a cache node's pace has in its load estimate during slow start, in
+/// milliseconds.
+const SLOW_START_PACE_HALVING_MS: f64 = 1_000.0;
+/// Duration of a fill besides its transfer time, in milliseconds.
+const FILL_OVERHEAD_MS: f64 = 100.0;
+/// Duration of a hit besides its transfer time, in milliseconds.
+const HIT_OVERHEAD_MS: f64 = 10.0;
+/// A node counts as slow and receives less traffic if its pace, the relative duration of its answers, exceeds
+/// its peers' mean by this factor.
+const SLOW_PACE_FACTOR: f64 = 1.5;
+/// A node whose speed factor (see `Router::speed_factor`) is below this bound is considered the sole cause of
+/// its late fills.
+const SLOW_NODE_SPEED_FACTOR: f64 = 0.5;
 
-/// Fills in flight at once, at the start, where the list says what caches can send: a part of it.
-const FILLS_PER_WEIGHT: f64 = 0.6;
-/// Part of the slow-start capacity that is used: weights are rough and the others' share is a guess.
-const SLOW_START_USE: f64 = 0.7;
-/// The same where a router's part is less than a request, and the tokens of two windows may meet in one.
-const SLOW_START_TOKEN_USE: f64 = 0.5;
+/// Initial limit on fills in flight, as a fraction of the cache nodes' total listed weight.
+const INITIAL_FILLS_PER_WEIGHT: f64 = 0.6;
+/// Fraction of the slow-start capacity that is used, because weights are rough and the traffic of other
+/// routers is an estimate.
+const SLOW_START_UTILIZATION: f64 = 0.7;
+/// Fraction of the slow-start capacity that is used where a router's part is less than one request, because
+/// the tokens of two adjacent windows may be spent together.
+const SLOW_START_TOKEN_UTILIZATION: f64 = 0.5;
 
-// Attempts at what is shown to be there. Long, since cutting a slow transfer short wastes it; a silent node
-// is found by its silence instead.
-/// Part of the remaining time that one may take.
-const REMAINING_FRACTION: f64 = 0.8;
-/// Its time, in latency objectives.
-const OBJECTIVES: f64 = 1.8;
-/// Between looks for silent nodes.
-const WATCH_MS: f64 = 50.0;
-/// Less time is not worth an attempt.
+// Timeouts of attempts at nodes that are expected to hold the object. They are long, because cutting a slow
+// transfer short wastes it; unresponsive nodes are detected by their silence.
+/// Maximum timeout of an attempt that is expected to be a hit, as a fraction of the request's remaining time.
+const ATTEMPT_TIMEOUT_FRACTION: f64 = 0.8;
+/// Timeout of an attempt that is expected to be a hit, as a multiple of the request's latency objective.
+const ATTEMPT_TIMEOUT_OBJECTIVES: f64 = 1.8;
+/// Interval between checks for silent nodes and late fills, in milliseconds.
+const SILENCE_CHECK_INTERVAL_MS: f64 = 50.0;
+/// Minimum remaining time for which an attempt is made, in milliseconds.
 const MIN_ATTEMPT_MS: f64 = 30.0;
-/// Retry budget, a token bucket: what each request adds.
-const RETRIES_PER_REQUEST: f64 = 0.25;
-/// Its size, for a sudden loss, over all routers of the location.
-const RETRY_BUDGET_MAX: f64 = 20.0;
-/// Retry-After hint, spread by half.
-const RETRY_AFTER_MS: f64 = 400.0;
-/// Copies must be younger than a purge by so much, besides the tick.
+/// Tokens that each request adds to the retry budget, which is a token bucket.
+const RETRY_TOKENS_PER_REQUEST: f64 = 0.25;
+/// Capacity of the retry budget for the whole location, in tokens: it covers the sudden loss of a node.
+const MAX_RETRY_TOKENS: f64 = 20.0;
+/// Mean Retry-After hint, in milliseconds; the value sent varies by half of it in both directions.
+const MEAN_RETRY_AFTER_MS: f64 = 400.0;
+/// Safety margin by which a copy must be younger than a purge, in milliseconds; the tick length is added.
 const PURGE_MARGIN_MS: f64 = 5.0;
 
-// Ranks: keys counted this often lately are kept at the higher ranks.
-const RANK2_FROM: u8 = 1;
-const RANK3_FROM: u8 = 4;
+// Ranks: a key with at least this many recent requests is cached at rank 2 or rank 3, otherwise at rank 1.
+const RANK_2_MIN_REQUESTS: u8 = 1;
+const RANK_3_MIN_REQUESTS: u8 = 4;
 
-/// Weight of one request in its class's mean sending time.
-const MEAN_STEP: f64 = 0.02;
-/// Sending time where the size is not known and none was seen, in latency objectives.
-const UNKNOWN_SIZE_OBJECTIVES: f64 = 0.1;
+/// Weight of one request in the mean transfer time of its class.
+const MEAN_WORK_SMOOTHING: f64 = 0.02;
+/// Assumed transfer time of a request of unknown size when its class has no mean yet, as a fraction of its
+/// latency objective.
+const UNKNOWN_SIZE_OBJECTIVE_FRACTION: f64 = 0.1;
 
-/// The decisions of one router.
+/// State of one router, whose methods make its decisions.
 pub struct Router {
     settings: Settings,
-    /// The clock of the events, in milliseconds; it never runs back.
+    /// Time of the latest event on the caller's clock, in milliseconds; it never decreases.
     now_ms: f64,
-    /// State of the random draws.
+    /// State of the pseudo-random generator.
     seed: u64,
     /// Cache nodes of the location, parents and origins.
     nodes: BTreeMap<CacheId, Node>,
     requests: BTreeMap<RequestId, PendingRequest>,
     purges: Purges,
-    /// How often keys were requested lately.
+    /// Counts of recent requests per key.
     demand: Filter,
     next_generation_ms: f64,
-    /// A timer for the search for silent nodes is set.
+    /// Whether the timer for the next check for silent nodes is set.
     watch_timer_set: bool,
-    /// By role, the mean of what nodes were seen to carry, in transfers at full pace.
+    /// By role, the mean of the nodes' proven capacities, in concurrent transfers at the full stream rate; 0
+    /// if none has been measured.
     typical_bandwidth: [f64; 3],
-    /// By role, the least that known links let expect; 0: none are known.
+    /// By role, the lower bound on a node's bandwidth that the configured links imply, in concurrent
+    /// transfers at the full stream rate; 0 if no link is known.
     expected_bandwidth: [f64; 3],
     fill_limiter: FillLimiter,
     source_throttle: AdaptiveThrottle,
     pub(crate) rejections: RejectionCounts,
     requests_since_sync: u32,
     peers: Peers,
-    /// Tokens of the retry budget.
+    /// Tokens that remain in the retry budget.
     retry_budget: f64,
-    /// By class, the mean sending time of its requests.
+    /// By class, the mean transfer time of its requests at the full stream rate, in milliseconds; 0 before
+    /// the first request.
     mean_work_ms: Vec<f64>,
     evidence_enabled: bool,
     malformed: u64,
 }
 
-/// How much a router retains: for watching memory.
+/// Numbers of items that a router retains, for monitoring its memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retained {
-    /// Requests in flight, or finished with attempts still out.
+    /// Requests in flight, including finished ones whose attempts still have outcomes to come.
     pub requests: usize,
-    /// Purges that copies may still be older than.
+    /// Purges that are retained because older copies may still exist.
     pub purges: usize,
-    /// Filter changes that peers have not been sent.
+    /// Filter changes that have not been sent to peers yet.
     pub filter_changes: usize,
 }
 
 impl Router {
-    /// A router that knows nothing yet.
+    /// Creates a router with no nodes and no learned state; `seed` starts its pseudo-random draws.
     ///
     /// # Errors
-    /// A setting is impossible.
+    /// Returns an error if a setting has an invalid value.
     pub fn new(settings: Settings, seed: u64) -> Result<Router, SettingsError> {
         settings.check()?;
         let mean_work_ms = vec![0.0; settings.classes.len()];
@@ -197,7 +217,7 @@
             nodes: BTreeMap::new(),
             requests: BTreeMap::new(),
             purges: Purges::default(),
-            demand: Filter::new(COUNTERS, HASHES),
+            demand: Filter::new(FILTER_COUNTERS, FILTER_HASHES),
             next_generation_ms: 0.0,
             watch_timer_set: false,
             typical_bandwidth: [0.0; 3],
@@ -207,14 +227,14 @@
             rejections: RejectionCounts::default(),
             requests_since_sync: 0,
             peers: Peers::default(),
-            retry_budget: RETRY_BUDGET_MAX,
+            retry_budget: MAX_RETRY_TOKENS,
             mean_work_ms,
             evidence_enabled: false,
             malformed: 0,
         })
     }
 
-    /// Takes one event at the time `now_ms` and adds what is to be done to `actions`.
+    /// Processes one event at time `now_ms` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         if now_ms.is_finite() {
             self.now_ms = self.now_ms.max(now_ms);
@@ -223,48 +243,50 @@
         self.run_periodic_work(actions);
         match event {
             Event::Endpoints { kind, entries } => self.update_endpoints(kind, entries, actions),
-            Event::Request(request) => self.request(request, actions),
-            Event::Outcome(outcome) => self.outcome(outcome, actions),
-            Event::Cancelled { id } => self.cancelled(id, actions),
-            Event::Purged { object, group, age_ms } => self.purged(object, group, age_ms),
-            Event::PeerMessage { from, data } => self.peer_message(from, &data, actions),
-            Event::PeerSuspicion { cache, amount } => self.peer_suspicion(&cache, amount),
-            Event::Timer { .. } => self.find_silent_nodes(actions),
+            Event::Request(request) => self.handle_request(request, actions),
+            Event::Outcome(outcome) => self.handle_outcome(outcome, actions),
+            Event::Cancelled { id } => self.handle_cancellation(id, actions),
+            Event::Purged { object, group, age_ms } => self.handle_purge(object, group, age_ms),
+            Event::PeerMessage { from, data } => self.handle_peer_message(from, &data, actions),
+            Event::PeerSuspicion { cache, amount } => self.set_peer_suspicion(&cache, amount),
+            Event::Timer { .. } => self.check_for_silent_nodes(actions),
             Event::Opened { .. } | Event::HealthChecked { .. } => {}
         }
     }
 
-    /// Logs what was rejected; begins a new generation and drops what has had its time.
+    /// Logs rejection counts when a line is due. Once per filter generation it also rotates the filters,
+    /// greets unknown routers, and drops removed nodes and expired purges.
     fn run_periodic_work(&mut self, out: &mut Vec<Action>) {
         let line = self.rejections.due_log_line(self.now_ms);
         out.extend(line.map(|l| Action::Log(format!("{l}; fills: {:.1}", self.fill_limiter.limit))));
         if self.now_ms < self.next_generation_ms {
             return;
         }
-        self.next_generation_ms = self.now_ms + GENERATION_MS;
-        // Greets all when it starts, and once a generation while a router of the location is unknown:
-        // finds strangers, restarts and late joiners. Where one is removed for good it costs a few bytes.
-        if self.settings.peers && !self.peers.all_known(self.settings.near_routers()) {
+        self.next_generation_ms = self.now_ms + FILTER_GENERATION_MS;
+        // Greets all routers at the start, and then once per generation while a router of the location is
+        // unknown, to find restarted and late routers. A router that was removed for good costs a few bytes.
+        if self.settings.peers && !self.peers.all_known(self.settings.routers_in_location()) {
             out.push(Action::SendToAllPeers { data: message::greeting(self.settings.zone as u8, true) });
         }
         self.nodes.values_mut().for_each(|node| node.filter.rotate());
         self.demand.rotate();
         self.nodes.retain(|_, node| node.phase != Phase::Out || node.in_flight.local.current > 0.0);
-        let retention_ms = self.settings.purge_done_ms.max(2.0 * GENERATION_MS) + GENERATION_MS;
+        let retention_ms = self.settings.purge_done_ms.max(2.0 * FILTER_GENERATION_MS) + FILTER_GENERATION_MS;
         self.purges.drop_before(self.now_ms - retention_ms);
     }
 
-    /// From now on hands out what its answers show of nodes, for other routers.
+    /// Turns on [`Action::Evidence`], which reports to other routers what this router's answers show about
+    /// nodes.
     pub fn enable_evidence(&mut self) {
         self.evidence_enabled = true;
     }
 
-    /// How many messages were malformed or came from no router of the tier.
+    /// Number of messages so far that were malformed, or whose sender is not another router of this tier.
     pub fn malformed_messages(&self) -> u64 {
         self.malformed
     }
 
-    /// How much is retained now.
+    /// Returns the numbers of items that are retained now.
     pub fn retained(&self) -> Retained {
         Retained {
             requests: self.requests.len(),
--- a/crates/fernslip/src/policy/nodes.rs
+++ b/crates/fernslip/src/policy/nodes.rs
@@ -1,15 +1,16 @@
-//! Nodes known to the router: the endpoint list, a node's peers of the same role, and what is in flight at each.
+//! Nodes known to the router: updates of the endpoint list, the peers of a node, and the requests in flight
+//! at each node.
 
 use super::Router;
-use super::{COUNTERS, FILLS_PER_WEIGHT, HASHES};
+use super::{FILTER_COUNTERS, FILTER_HASHES, INITIAL_FILLS_PER_WEIGHT};
 use crate::api::*;
 use crate::filter::hash;
-use crate::rendezvous::key_number;
+use crate::rendezvous::key_to_u64;
 use crate::state::{Node, Role};
 use std::collections::BTreeSet;
 
 impl Router {
-    /// Takes an endpoint list or a change of it.
+    /// Applies an endpoint list, or a change to it.
     pub(super) fn update_endpoints(&mut self, kind: ListKind, entries: Vec<Entry>, out: &mut Vec<Action>) {
         if kind == ListKind::Failed || (kind == ListKind::Cached && self.settings.lists_on_request) {
             out.push(Action::Subscribe);
@@ -24,17 +25,18 @@
             self.update_endpoint(entry);
         }
         let edges = || self.nodes.values().filter(|node| node.role == Role::Edge);
-        // Caches that keep anything send more than their link brings in; a parent feeds a location or more.
+        // Cache nodes that hold anything send more than the location's link brings in, and a parent feeds at
+        // least one location.
         let listed = edges().filter(|node| node.phase != Phase::Out).count();
         let expected_bandwidth = self.settings.expected_bandwidth(listed);
-        // Where links are listed, pooled caches need fills for a part of what they can send.
+        // Where the list gives weights, the cache nodes need fills for a fraction of what they can send.
         let weighted = edges().filter(|node| node.listed_weight != 1.0);
         let total_weight = weighted.map(|node| node.listed_weight).sum::<f64>();
         self.expected_bandwidth = expected_bandwidth;
-        self.fill_limiter.set_initial(total_weight * FILLS_PER_WEIGHT);
+        self.fill_limiter.set_initial(total_weight * INITIAL_FILLS_PER_WEIGHT);
     }
 
-    /// A complete list removes what it does not name.
+    /// Takes nodes out of service that a complete list does not name.
     fn remove_unlisted(&mut self, entries: &[Entry], out: &mut Vec<Action>) {
         let listed: BTreeSet<&CacheId> = entries.iter().map(|entry| &entry.cache).collect();
         for (id, node) in &mut self.nodes {
@@ -51,14 +53,15 @@
             Some(kind) if Some(kind) == self.settings.origin_kind => Role::Origin,
             _ => Role::Edge,
         };
-        // Caches of other locations are never targets nor sources: work and memory go with the location.
+        // Cache nodes of other locations are neither targets nor sources, so that CPU and memory grow with
+        // the location only.
         if role == Role::Edge && entry.zone != Some(self.settings.zone) {
             return;
         }
-        let counters = if role == Role::Edge { COUNTERS } else { 0 };
+        let counters = if role == Role::Edge { FILTER_COUNTERS } else { 0 };
         let node = self.nodes.entry(entry.cache).or_insert_with_key(|id| {
             let name: Vec<u64> = id.0.bytes().map(u64::from).collect();
-            Node::new(key_number(hash(&name)), entry.started_ms, entry.phase, counters, HASHES)
+            Node::new(key_to_u64(hash(&name)), entry.started_ms, entry.phase, counters, FILTER_HASHES)
         });
         let returned = node.phase == Phase::Out && entry.phase == Phase::In;
         if entry.started_ms > node.started_ms || returned {
@@ -72,32 +75,32 @@
         node.link.set_initial(node.listed_weight);
     }
 
-    /// The other nodes in service of the same role.
+    /// Other nodes in service that have the same role.
     pub(super) fn peers_of<'a>(&'a self, node: &'a Node) -> impl Iterator<Item = &'a Node> {
         let same_role =
             move |other: &&Node| other.role == node.role && other.phase == Phase::In && other.tag != node.tag;
         self.nodes.values().filter(same_role)
     }
 
-    /// How many routers may send to it or fill from it.
-    pub(super) fn sharers(&self, node: &Node) -> f64 {
+    /// Number of routers that may send to the node or fill from it.
+    pub(super) fn routers_sharing(&self, node: &Node) -> f64 {
         let routers = match node.role {
-            Role::Edge => self.settings.near_routers(),
+            Role::Edge => self.settings.routers_in_location(),
             Role::Parent | Role::Origin => self.settings.routers.max(1),
         };
         f64::from(routers)
     }
 
-    /// One more (1) or one less (-1) is in flight at a node.
-    pub(super) fn count_in_flight(&mut self, id: &CacheId, by: f64) {
-        let Some(routers) = self.nodes.get(id).map(|node| self.sharers(node)) else { return };
+    /// Adds `by` to the number in flight at a node: 1 for a start, -1 for an end.
+    pub(super) fn adjust_in_flight(&mut self, id: &CacheId, by: f64) {
+        let Some(routers) = self.nodes.get(id).map(|node| self.routers_sharing(node)) else { return };
         let now = self.now_ms;
-        self.nodes.entry(id.clone()).and_modify(|node| node.in_flight.step(now, by, routers));
+        self.nodes.entry(id.clone()).and_modify(|node| node.in_flight.adjust(now, by, routers));
     }
 
-    /// What was in flight at a node, summed over time, in milliseconds.
-    pub(super) fn in_flight_total(&self, id: &CacheId) -> f64 {
-        let total = |node: &Node| node.in_flight.total_over_time(self.now_ms, self.sharers(node));
+    /// Integral over time of the number in flight at a node, in request-milliseconds; 0 for an unknown node.
+    pub(super) fn in_flight_integral(&self, id: &CacheId) -> f64 {
+        let total = |node: &Node| node.in_flight.integral_until(self.now_ms, self.routers_sharing(node));
         self.nodes.get(id).map_or(0.0, total)
     }
 }
--- a/crates/fernslip/src/policy/peers.rs
+++ b/crates/fernslip/src/policy/peers.rs
@@ -1,33 +1,36 @@
-//! Peers: the messages between the routers of a location (filter changes, greetings, the bootstrap).
+//! Messages between the routers of a location: filter changes, greetings and bootstraps.
 
 use super::Router;
-use super::{BOOTSTRAP_FROM_MS, BOOTSTRAP_MAX_MESSAGES, COUNTERS, MESSAGE_BYTES};
+use super::{FILTER_COUNTERS, MAX_BOOTSTRAP_KEY_MESSAGES, MAX_MESSAGE_BYTES, MIN_LEARNED_FOR_BOOTSTRAP_MS};
 use crate::api::*;
 use crate::bootstrap::Bootstrap;
 use crate::message::{self, Message};
 use crate::state::{mean_proven_capacity, Node, Role};
 
 impl Router {
-    /// Sends the location's routers what changed in the filters since the last time.
+    /// Sends the queued filter changes of all nodes to the known routers of the location.
     pub(super) fn send_filter_changes(&mut self, out: &mut Vec<Action>) {
         for node in self.nodes.values_mut() {
             let changes = std::mem::take(&mut node.changes);
-            for data in message::changes(self.settings.zone as u8, node.tag, &changes, MESSAGE_BYTES) {
-                out.extend(self.peers.all().map(|to| Action::SendToPeer { to, data: data.clone() }));
+            for data in message::changes(self.settings.zone as u8, node.tag, &changes, MAX_MESSAGE_BYTES) {
+                out.extend(
+                    self.peers.known_routers().map(|to| Action::SendToPeer { to, data: data.clone() }),
+                );
             }
         }
     }
 
-    /// Takes a message: it shows its sender's location, and brings a peer's filter changes or is a greeting.
-    pub(super) fn peer_message(&mut self, from: u32, data: &[u8], out: &mut Vec<Action>) {
+    /// Processes a message of router `from`: a bootstrap, a greeting or filter changes. Every valid message
+    /// other than a bootstrap also shows which location the sender serves.
+    pub(super) fn handle_peer_message(&mut self, from: u32, data: &[u8], out: &mut Vec<Action>) {
         let own_zone = self.settings.zone as u8;
         let known = self.settings.peers && from != self.settings.slot && from < self.settings.routers;
         let bootstrap = Bootstrap::read(data).filter(|(zone, _)| known && *zone == own_zone);
         if let Some((_, bootstrap)) = bootstrap {
             return self.adopt_bootstrap(&bootstrap);
         }
-        // Malformed or foreign: counted, and it changes nothing else.
-        let Some((zone, message)) = message::read(data, COUNTERS).filter(|_| known) else {
+        // A message that is malformed or whose sender is no other router of the tier is only counted.
+        let Some((zone, message)) = message::read(data, FILTER_COUNTERS).filter(|_| known) else {
             self.malformed += 1;
             return;
         };
@@ -48,32 +51,33 @@
         }
     }
 
-    /// Sends a router that has just started what it can't know. Guards against restarts of a part of all routers:
-    /// each would fill without a limit, and send to what the others know to be slow or failing.
+    /// Sends a starting router the state that it cannot know. This covers a restart of some of the routers:
+    /// each would otherwise fill without a limit, and use nodes that the other routers know to be slow or
+    /// failing.
     fn send_bootstrap(&self, to: u32, out: &mut Vec<Action>) {
         let zone = self.settings.zone as u8;
         let known_ms = self.peers.known_ms(self.now_ms);
         out.push(Action::SendToPeer { to, data: message::greeting(zone, false) });
-        if known_ms < BOOTSTRAP_FROM_MS {
+        if known_ms < MIN_LEARNED_FOR_BOOTSTRAP_MS {
             return;
         }
         let in_service = self.nodes.values().filter(|node| node.phase == Phase::In);
         let bootstrap = Bootstrap::of(in_service.clone(), self.now_ms, known_ms, self.fill_limiter.limit);
-        out.push(Action::SendToPeer { to, data: bootstrap.encode(zone, MESSAGE_BYTES) });
-        // The keys that caches are known to have: one of its peers sends them, the next by number.
-        if !self.peers.comes_after(self.settings.slot, to) {
+        out.push(Action::SendToPeer { to, data: bootstrap.encode(zone, MAX_MESSAGE_BYTES) });
+        // The keys of the cache nodes are sent by one router only: the starting router's successor by number.
+        if !self.peers.is_successor_of(self.settings.slot, to) {
             return;
         }
         for node in in_service.filter(|node| node.role == Role::Edge) {
-            let keys = message::changes(zone, node.tag, &node.filter.set_counters(), MESSAGE_BYTES);
-            let keys = keys.into_iter().take(BOOTSTRAP_MAX_MESSAGES);
+            let keys = message::changes(zone, node.tag, &node.filter.changes_from_empty(), MAX_MESSAGE_BYTES);
+            let keys = keys.into_iter().take(MAX_BOOTSTRAP_KEY_MESSAGES);
             out.extend(keys.map(|data| Action::SendToPeer { to, data }));
         }
     }
 
-    /// Adopts what a router that has known the location for longer has learned.
+    /// Adopts a peer's learned state if that router has been learning for longer than this one.
     fn adopt_bootstrap(&mut self, bootstrap: &Bootstrap) {
-        if !self.peers.adopt(self.now_ms, bootstrap.known_ms) {
+        if !self.peers.adopt_learning_time(self.now_ms, bootstrap.known_ms) {
             return;
         }
         self.fill_limiter.limit = bootstrap.fill_limit;
--- a/crates/fernslip/src/policy/placement.rs
+++ b/crates/fernslip/src/policy/placement.rs
@@ -1,30 +1,31 @@
-//! Placement: the home of a request among the location's cache nodes, in hash order, and who may serve it.
+//! Placement of a request: the choice of its home among the location's cache nodes in hash order, and of its
+//! source.
 
 use super::Router;
-use super::{LATE_MARGIN, MIN_ATTEMPT_MS, SPILL_GAIN};
+use super::{LOAD_GROWTH_FACTOR, MAX_SPILL_LOAD_RATIO, MIN_ATTEMPT_MS};
 use crate::api::*;
-use crate::rendezvous::{key_number, mix, score};
+use crate::rendezvous::{key_to_u64, mix_bits, rendezvous_score};
 use crate::state::{AttemptKind, Node, PendingRequest, Plan, RejectReason, Role};
 
 type Candidate<'a> = (&'a CacheId, &'a Node);
 
 impl Router {
-    /// The next attempt of a request, or why there is none.
+    /// Plans the next attempt of a request, or returns why there is none.
     pub(super) fn plan_attempt(&self, req: &PendingRequest) -> Result<Plan, RejectReason> {
         let remaining_ms = self.remaining_ms(req);
         if req.attempts.len() >= self.settings.max_attempts as usize || remaining_ms < MIN_ATTEMPT_MS {
             return Err(RejectReason::Exhausted);
         }
         let ranked = self.ranked_caches(req);
-        let home = self.home(req, &ranked, remaining_ms)?;
-        let parent = self.source(req, Role::Parent);
-        let origin = self.source(req, Role::Origin);
-        let late = |id: &CacheId| self.is_late(&self.nodes[id], req);
+        let home = self.choose_home(req, &ranked, remaining_ms)?;
+        let parent = self.choose_source(req, Role::Parent);
+        let origin = self.choose_source(req, Role::Origin);
+        let late = |id: &CacheId| self.would_fill_late(&self.nodes[id], req);
         let parent = parent.filter(|id| !late(id) || origin.is_none_or(late));
         if self.settings.classes[req.request.class].write {
             return Self::plan_write(req, home.0, parent, origin);
         }
-        let draw = mix(req.request.id.0 ^ self.seed ^ req.attempts.len() as u64);
+        let draw = mix_bits(req.request.id.0 ^ self.seed ^ req.attempts.len() as u64);
         let throttled = self.source_throttle.should_throttle(self.now_ms, draw);
         let source = parent.or(origin);
         if home.1.filter.contains(req.key) {
@@ -33,26 +34,28 @@
         self.plan_fill(req, home.0, &ranked, source, throttled)
     }
 
-    /// The location's cache nodes in service, in the key's hash order. A node's weight grows while it warms up: it
-    /// takes only its part.
+    /// Cache nodes of the location that are in service, in the key's hash order. The weight of a node in slow
+    /// start grows with its capacity, so that it receives only its part of the keys.
     fn ranked_caches(&self, req: &PendingRequest) -> Vec<Candidate<'_>> {
-        let key = key_number(req.key);
+        let key = key_to_u64(req.key);
         let weight = |node: &Node| self.effective_weight(node) * (1.0 - node.peer_suspicion.max(0.0));
         let in_service =
             self.nodes.iter().filter(|(_, node)| node.role == Role::Edge && node.phase == Phase::In);
-        let mut scored: Vec<_> = in_service.map(|c| (score(c.1.tag, key, weight(c.1)), c)).collect();
+        let mut scored: Vec<_> =
+            in_service.map(|c| (rendezvous_score(c.1.tag, key, weight(c.1)), c)).collect();
         scored.sort_by(|a, b| b.0.total_cmp(&a.0));
         scored.into_iter().map(|(_, candidate)| candidate).collect()
     }
 
-    /// The cache node that is to serve a request: the first in hash order, or where it would be late the next that
-    /// would not be.
+    /// Chooses the cache node that is to serve a request: the first in hash order, or, if that one would be
+    /// late, the next that would be in time.
     ///
-    /// Links are shared evenly, so a request takes its sending time times the load. With no node in time the
-    /// request is rejected at once, the large first. Guards against hot objects, bursts, lost caches. Harm: second
-    /// copies; what a late answer still earns. Nothing is faster than its sending time: what cannot end while
-    /// the client waits only fills the links.
-    fn home<'a>(
+    /// Links are divided evenly, so the expected duration is the transfer time multiplied by the load. If no
+    /// node would be in time, the request is rejected at once; large requests are rejected first. This covers
+    /// hot objects, bursts and lost cache nodes, and costs second copies as well as the value of late
+    /// answers. No node is faster than the transfer time, and a transfer that cannot finish while the client
+    /// waits would only fill the links.
+    fn choose_home<'a>(
         &self,
         req: &PendingRequest,
         ranked: &[Candidate<'a>],
@@ -71,20 +74,22 @@
             false => 1.0,
         };
         let pace_loaded = |node: &Node| match node.link.bandwidth.saturated {
-            true => self.load(node) * LATE_MARGIN,
+            true => self.load(node) * LOAD_GROWTH_FACTOR,
             false => 0.0,
         };
         let in_time = |node: &Node| req.work_ms * pace_loaded(node).max(pace_alone(node)) <= objective_ms;
         if in_time(first.1) {
             return Ok(first);
         }
-        let spill_gains =
-            |node: &Node| self.is_slow(first.1) || self.load(node) < SPILL_GAIN * self.load(first.1);
+        let spill_gains = |node: &Node| {
+            self.is_slow(first.1) || self.load(node) < MAX_SPILL_LOAD_RATIO * self.load(first.1)
+        };
         let spill = candidates[1..].iter().find(|(_, node)| in_time(node) && spill_gains(node));
         spill.copied().ok_or(RejectReason::CachesCrowded)
     }
 
-    /// A write runs at the origin; a retry goes through a parent, and the next to the origin again.
+    /// Plans a write, which runs at the origin. The first retry goes through a parent, the next to the origin
+    /// again, and so on alternately.
     fn plan_write(
         req: &PendingRequest,
         home: &CacheId,
@@ -99,7 +104,8 @@
         Ok(Plan { target: home.clone(), source: source.clone(), kind: AttemptKind::Write })
     }
 
-    /// The home's filter shows the key. Where sources reject fills, a copy past its fresh time is better than none.
+    /// Plans an attempt at a home whose filter contains the key. While sources reject fills, a copy past its
+    /// fresh time is accepted.
     fn plan_expected_hit(
         &self,
         req: &PendingRequest,
@@ -116,10 +122,11 @@
         Plan { target: home.clone(), source: source.clone(), kind: AttemptKind::ExpectedHit }
     }
 
-    /// The home lacks the key: it is filled from a sibling that has it, else from a parent or the origin.
+    /// Plans a fill for a home that lacks the key: from a sibling that has it, otherwise from a parent or the
+    /// origin.
     ///
-    /// Without capacity for another fill, a miss is rejected at once: it would only occupy a slot at the cache that
-    /// what is cached there needs. Guards against a slow origin, crowded links, flushes and scans.
+    /// Without capacity for another fill, a miss is rejected at once, because it would occupy a slot at the
+    /// cache node that hits need. This covers a slow origin, crowded links, cache flushes and scans.
     fn plan_fill(
         &self,
         req: &PendingRequest,
@@ -139,7 +146,7 @@
         let sibling = sibling.map(|(id, _)| *id);
         let source = sibling.or(source).ok_or(RejectReason::NoSource)?;
         if sibling.is_none() {
-            if self.fill_limiter.is_full(self.now_ms, f64::from(self.settings.near_routers())) {
+            if self.fill_limiter.is_full(self.now_ms, f64::from(self.settings.routers_in_location())) {
                 return Err(RejectReason::FillLimit);
             }
             if throttled {
@@ -149,7 +156,7 @@
         Ok(Plan { target: home.clone(), source: source.clone(), kind: AttemptKind::Fill })
     }
 
-    /// Whether a node may be used for this request, as target or source.
+    /// Whether a node may be the target or the source of this request's next attempt.
     pub(super) fn is_usable(&self, id: &CacheId, node: &Node, req: &PendingRequest) -> bool {
         let out_of_use = node.ejected || node.is_silent(self.now_ms);
         let usable = !out_of_use || self.now_ms >= node.next_probe_ms;
--- a/crates/fernslip/src/policy/request.rs
+++ b/crates/fernslip/src/policy/request.rs
@@ -1,27 +1,28 @@
-//! A request's life up to its attempts: it is taken in, dispatched to an attempt, rejected or cancelled.
-//! What the end of an attempt leads to is in `outcome.rs`.
+//! Life of a request until its attempts end: it is admitted, dispatched to an attempt, rejected or cancelled.
+//! The end of an attempt is handled in `outcome.rs`.
 
 use super::Router;
 use super::{
-    MEAN_STEP, MIN_ATTEMPT_MS, OBJECTIVES, REMAINING_FRACTION, RETRIES_PER_REQUEST, RETRY_AFTER_MS,
-    RETRY_BUDGET_MAX, SILENT_MS, SYNC_REQUESTS, UNKNOWN_SIZE_OBJECTIVES, WATCH_MS,
+    ATTEMPT_TIMEOUT_FRACTION, ATTEMPT_TIMEOUT_OBJECTIVES, MAX_RETRY_TOKENS, MEAN_RETRY_AFTER_MS,
+    MEAN_WORK_SMOOTHING, MIN_ATTEMPT_MS, REQUESTS_PER_SYNC, RETRY_TOKENS_PER_REQUEST,
+    SILENCE_CHECK_INTERVAL_MS, SILENCE_TIMEOUT_MS, UNKNOWN_SIZE_OBJECTIVE_FRACTION,
 };
 use crate::api::*;
 use crate::filter::hash;
 use crate::state::{Attempt, AttemptKind, PendingRequest, Plan, RejectReason};
 
 impl Router {
-    /// Takes a client's request in and makes its first attempt, or rejects it at once.
-    pub(super) fn request(&mut self, request: Request, out: &mut Vec<Action>) {
+    /// Admits a client's request and makes its first attempt, or rejects it at once.
+    pub(super) fn handle_request(&mut self, request: Request, out: &mut Vec<Action>) {
         let id = request.id;
         if request.class >= self.settings.classes.len() {
             return out.push(Action::Reject { id, retry_after_ms: 0.0 });
         }
         let full = self.requests.len() >= self.settings.max_in_flight as usize;
         if full || self.requests.contains_key(&id) {
-            return out.push(Action::Reject { id, retry_after_ms: RETRY_AFTER_MS });
+            return out.push(Action::Reject { id, retry_after_ms: MEAN_RETRY_AFTER_MS });
         }
-        let req = self.pending(request);
+        let req = self.pending_request(request);
         self.refill_retry_budget();
         self.dispatch(req, out);
         let admitted = self.requests.get(&id);
@@ -29,24 +30,26 @@
             self.demand.bump(r.key);
         }
         self.requests_since_sync += 1;
-        if self.requests_since_sync.saturating_mul(self.settings.near_routers()) >= SYNC_REQUESTS {
+        if self.requests_since_sync.saturating_mul(self.settings.routers_in_location()) >= REQUESTS_PER_SYNC {
             self.requests_since_sync = 0;
             self.send_filter_changes(out);
         }
     }
 
-    /// A request with its key, sending time, deadline and latency objective; its size moves the class's mean.
-    fn pending(&mut self, request: Request) -> PendingRequest {
+    /// Creates the pending request with its key, transfer time, deadline and latency objective, and updates
+    /// the class's mean transfer time.
+    fn pending_request(&mut self, request: Request) -> PendingRequest {
         let class = &self.settings.classes[request.class];
         let key = hash(&[request.object.0, u64::from(request.part)]);
         let mean_ms = &mut self.mean_work_ms[request.class];
         let work_ms = match request.size_kb > 0.0 && request.size_kb.is_finite() {
             true => request.size_kb / self.settings.stream_kb_per_s * 1000.0,
             false if *mean_ms > 0.0 => *mean_ms,
-            false => class.objective_ms * UNKNOWN_SIZE_OBJECTIVES,
+            false => class.objective_ms * UNKNOWN_SIZE_OBJECTIVE_FRACTION,
         };
-        // A client's own figure, however large, moves the sums by what fits into the time it may wait.
-        let step = if *mean_ms == 0.0 { 1.0 } else { MEAN_STEP };
+        // The client states the size, so a single request moves the mean by no more than the class's deadline
+        // allows.
+        let step = if *mean_ms == 0.0 { 1.0 } else { MEAN_WORK_SMOOTHING };
         *mean_ms += (work_ms.min(class.deadline_ms) - *mean_ms) * step;
         let budget_ms = match request.budget_ms.is_finite() {
             true => request.budget_ms.max(0.0),
@@ -57,13 +60,13 @@
         PendingRequest::new(request, key, deadline, work_ms, objective_ms)
     }
 
-    /// Each request adds its part to the retry budget, up to this router's share of the location's.
+    /// Adds one request's tokens to the retry budget, up to this router's part of the location's budget.
     fn refill_retry_budget(&mut self) {
-        let most = (RETRY_BUDGET_MAX / f64::from(self.settings.near_routers())).max(1.0);
-        self.retry_budget = (self.retry_budget + RETRIES_PER_REQUEST).min(most);
+        let most = (MAX_RETRY_TOKENS / f64::from(self.settings.routers_in_location())).max(1.0);
+        self.retry_budget = (self.retry_budget + RETRY_TOKENS_PER_REQUEST).min(most);
     }
 
-    /// Makes the next attempt, or gives the request its final answer at once.
+    /// Starts the next attempt of a request, or gives its final answer if there is none.
     pub(super) fn dispatch(&mut self, req: PendingRequest, out: &mut Vec<Action>) {
         let plan = self.plan_attempt(&req);
         let throttled = match &plan {
@@ -73,20 +76,20 @@
         self.source_throttle.record_throttled(self.now_ms, throttled);
         match plan {
             Ok(plan) => self.begin_attempt(req, plan, out),
-            Err(reason) => self.reject(req, reason, out),
+            Err(reason) => self.reject_or_fail(req, reason, out),
         }
     }
 
     /// Sends a planned attempt and counts it as in flight at its target and its source.
     fn begin_attempt(&mut self, mut req: PendingRequest, plan: Plan, out: &mut Vec<Action>) {
-        out.push(self.forward(&req, &plan));
+        out.push(self.forward_action(&req, &plan));
         let Plan { target, source, kind } = plan;
         let now = self.now_ms;
         let cost_ms = self.mean_work_ms[req.request.class];
         for id in [&target, &source] {
             let window_ms = self.settings.slow_start_window_ms;
             let Some(node) = self.nodes.get_mut(id) else { continue };
-            node.record_sent(now, cost_ms, window_ms);
+            node.record_sent_work(now, cost_ms, window_ms);
             if node.ejected || node.is_silent(now) {
                 self.schedule_probe(id);
             }
@@ -94,35 +97,38 @@
                 break;
             }
         }
-        self.count_in_flight(&target, 1.0);
+        self.adjust_in_flight(&target, 1.0);
         if kind == AttemptKind::Fill {
-            self.count_in_flight(&source, 1.0);
+            self.adjust_in_flight(&source, 1.0);
         }
-        let in_flight_totals = [&target, &source].map(|id| self.in_flight_total(id));
+        let in_flight_integrals = [&target, &source].map(|id| self.in_flight_integral(id));
         if let Some(node) = self.nodes.get_mut(&target) {
-            node.silent_after.get_or_insert(now + (SILENT_MS + 2.0 * req.work_ms));
+            node.silent_after.get_or_insert(now + (SILENCE_TIMEOUT_MS + 2.0 * req.work_ms));
         }
         if !self.watch_timer_set && self.settings.cancel {
             self.watch_timer_set = true;
-            out.push(Action::Timer { delay_ms: WATCH_MS, token: 0 });
+            out.push(Action::Timer { delay_ms: SILENCE_CHECK_INTERVAL_MS, token: 0 });
         }
         if kind == AttemptKind::Fill {
-            self.fill_limiter.in_flight.step(now, 1.0);
+            self.fill_limiter.in_flight.adjust(now, 1.0);
         }
-        req.attempts.push(Attempt::new(target, source, now, in_flight_totals, kind));
+        req.attempts.push(Attempt::new(target, source, now, in_flight_integrals, kind));
         self.requests.insert(req.request.id, req);
     }
 
-    /// The action that sends a planned attempt.
-    fn forward(&self, req: &PendingRequest, plan: &Plan) -> Action {
+    /// Builds the action that sends a planned attempt.
+    fn forward_action(&self, req: &PendingRequest, plan: &Plan) -> Action {
         let class = &self.settings.classes[req.request.class];
         let lookup_only = plan.kind == AttemptKind::LookupOnly;
         let remaining_ms = self.remaining_ms(req);
         let may_retry = req.attempts.len() + 1 < self.settings.max_attempts as usize;
         let expected_there = lookup_only || plan.kind == AttemptKind::ExpectedHit;
-        // A fill runs on while the client waits: one that is dropped leaves no copy and is requested again.
+        // A fill may use all the time that the client waits, because an abandoned fill leaves no copy and
+        // would be requested again.
         let time_ms = if may_retry && expected_there {
-            (req.objective_ms * OBJECTIVES).min(remaining_ms * REMAINING_FRACTION).max(MIN_ATTEMPT_MS)
+            (req.objective_ms * ATTEMPT_TIMEOUT_OBJECTIVES)
+                .min(remaining_ms * ATTEMPT_TIMEOUT_FRACTION)
+                .max(MIN_ATTEMPT_MS)
         } else {
             remaining_ms
         };
@@ -131,23 +137,29 @@
             cache: plan.target.clone(),
             source: plan.source.clone(),
             until_ms: self.now_ms + time_ms.min(remaining_ms),
-            begin_by_ms: self.retry_window_end(req),
-            rank: self.rank(req),
-            age_ms: self.age_bound(req, lookup_only),
+            begin_by_ms: self.retry_window_end_ms(req),
+            rank: self.cache_rank(req),
+            age_ms: self.max_copy_age_ms(req, lookup_only),
             join: self.settings.joins && !class.write,
             renew: class.fresh_ms > 0.0,
         }
     }
 
-    /// The time that remains for attempts, so that a final answer is still in time; may be negative.
+    /// Time left for attempts, in milliseconds, so that a final answer is still in time; negative if it is
+    /// too late.
     pub(super) fn remaining_ms(&self, req: &PendingRequest) -> f64 {
         req.deadline - self.now_ms - 2.0 * self.settings.tick_ms
     }
 
-    /// The final answer of a request that gets no further attempt: a rejection where its class's rules allow to say
-    /// that repeating it is harmless, a failure elsewhere.
-    pub(super) fn reject(&mut self, req: PendingRequest, reason: RejectReason, out: &mut Vec<Action>) {
-        self.rejections.count(reason.name());
+    /// Gives the final answer of a request that gets no further attempt: a rejection if repeating the request
+    /// is harmless by the rules of its class, otherwise a failure.
+    pub(super) fn reject_or_fail(
+        &mut self,
+        req: PendingRequest,
+        reason: RejectReason,
+        out: &mut Vec<Action>,
+    ) {
+        self.rejections.record(reason.name());
         let retry_after_ms = self.retry_after_ms();
         let class = &self.settings.classes[req.request.class];
         let may_have_run = req.attempts.iter().any(Attempt::may_have_run);
@@ -161,25 +173,26 @@
             true => Action::Reject { id, retry_after_ms },
             false => Action::Fail { id },
         });
-        self.finish(req);
+        self.finish_request(req);
     }
 
-    /// Retains a finished request as long as outcomes of its attempts are still to come.
-    fn finish(&mut self, mut req: PendingRequest) {
+    /// Marks a request as finished, and retains it while outcomes of its attempts are still to come.
+    fn finish_request(&mut self, mut req: PendingRequest) {
         req.finished = true;
-        if req.is_open() {
+        if req.has_open_attempt() {
             self.requests.insert(req.request.id, req);
         }
     }
 
-    /// The client has disconnected, or its answer would be too late: cancels what is in flight.
-    pub(super) fn cancelled(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Cancels the open attempts of a request whose client has disconnected or whose answer would be too
+    /// late.
+    pub(super) fn handle_cancellation(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(req) = self.requests.remove(&id) else { return };
         for (n, attempt) in req.attempts.iter().enumerate() {
             if attempt.open && self.settings.cancel {
                 out.push(Action::Cancel { id, attempt: n as u32 });
             }
         }
-        self.finish(req);
+        self.finish_request(req);
     }
 }
--- a/crates/fernslip/src/policy/retry.rs
+++ b/crates/fernslip/src/policy/retry.rs
@@ -1,18 +1,20 @@
-//! Retry rules: which effect classes may be sent again, until when, and the Retry-After hint of a rejection.
+//! Retry rules: which requests may be sent again by their effect class, until when, and the Retry-After hint
+//! of a rejection.
 
 use super::Router;
-use super::RETRY_AFTER_MS;
+use super::MEAN_RETRY_AFTER_MS;
 use crate::api::*;
-use crate::rendezvous::spread;
+use crate::rendezvous::jitter_factor;
 use crate::state::{Attempt, Node, PendingRequest};
 
 impl Router {
-    /// When a rejected client may come back, in milliseconds, spread so that clients don't return as one wave.
+    /// Retry-After hint of a rejection, in milliseconds, with jitter so that clients do not return at the
+    /// same time.
     pub(super) fn retry_after_ms(&mut self) -> f64 {
-        (RETRY_AFTER_MS * spread(&mut self.seed)).min(self.settings.max_retry_after_ms)
+        (MEAN_RETRY_AFTER_MS * jitter_factor(&mut self.seed)).min(self.settings.max_retry_after_ms)
     }
 
-    /// Whether its class lets this request be sent to that node now.
+    /// Whether the rules of its class allow this request to be sent to the node `to` now.
     pub(super) fn may_attempt_at(&self, req: &PendingRequest, to: &Node) -> bool {
         let class = &self.settings.classes[req.request.class];
         let first_run = req.attempts.iter().find(|a| a.may_have_run());
@@ -25,14 +27,14 @@
                     DedupScope::Zone => node.zone == to.zone,
                     DedupScope::Cell => node.cell == to.cell,
                 });
-                same_group && self.now_ms < self.retry_window_end(req)
+                same_group && self.now_ms < self.retry_window_end_ms(req)
             }
         }
     }
 
-    /// When a repeat must have begun, on the events' clock: nodes recognise it up to the end of their window alone.
-    /// Infinite where the class sets no such window or nothing has run.
-    pub(super) fn retry_window_end(&self, req: &PendingRequest) -> f64 {
+    /// Time by which a repeat must begin, in milliseconds on the caller's clock, because nodes recognise
+    /// repeats only within their window. Infinite if the class has no such window or no attempt may have run.
+    pub(super) fn retry_window_end_ms(&self, req: &PendingRequest) -> f64 {
         let class = &self.settings.classes[req.request.class];
         let first_run = req.attempts.iter().find(|a| a.may_have_run());
         let first_run = first_run.filter(|_| class.effect == Effect::Deduplicated);
--- a/crates/fernslip/src/policy/silence.rs
+++ b/crates/fernslip/src/policy/silence.rs
@@ -1,29 +1,32 @@
-//! The watch over open attempts: nodes that have fallen silent, and fills that are late already.
+//! Periodic check of the open attempts for silent nodes and for fills that are already late.
 
 use super::Router;
-use super::{PACE_BASE_MS, PROBE_FRACTION, SILENCE_SURE, SILENT_MS, WATCH_MS};
+use super::{
+    FILL_OVERHEAD_MS, PROBE_TIMEOUT_FRACTION, SILENCE_CHECK_INTERVAL_MS, SILENCE_TIMEOUT_MS,
+    UNRESPONSIVE_EVIDENCE_STRENGTH,
+};
 use crate::api::*;
 use crate::state::Role;
 use std::collections::BTreeSet;
 
-/// An open fill that has taken longer than its latency objective.
+/// Open fill that has exceeded its latency objective.
 struct LateFill {
     target: CacheId,
     source: CacheId,
-    /// How many times its time at full pace it has taken so far.
+    /// Duration so far, divided by the duration at the full stream rate.
     pace: f64,
 }
 
 impl Router {
-    /// Cancels what waits at a silent node, so that it can be retried elsewhere while there is time. Guards
-    /// against nodes that vanish, partitions and long stalls. Harm: a stall just longer than `SILENT_MS`
-    /// costs a retry.
-    pub(super) fn find_silent_nodes(&mut self, out: &mut Vec<Action>) {
+    /// Cancels attempts at silent nodes so that they can be retried elsewhere in time, and records fills that
+    /// are late. This covers nodes that vanish, network partitions and long stalls. The cost is a retry for a
+    /// stall that is only slightly longer than `SILENCE_TIMEOUT_MS`.
+    pub(super) fn check_for_silent_nodes(&mut self, out: &mut Vec<Action>) {
         self.watch_timer_set = !self.requests.is_empty();
         if !self.watch_timer_set {
             return;
         }
-        out.push(Action::Timer { delay_ms: WATCH_MS, token: 0 });
+        out.push(Action::Timer { delay_ms: SILENCE_CHECK_INTERVAL_MS, token: 0 });
         let mut late_fills = Vec::new();
         let silent = self.scan_open_attempts(&mut late_fills, out);
         for fill in late_fills {
@@ -31,11 +34,12 @@
         }
         for id in &silent {
             self.schedule_probe(id);
-            self.report_evidence(id, Sign::Silent, SILENCE_SURE, out);
+            self.report_evidence(id, Sign::Silent, UNRESPONSIVE_EVIDENCE_STRENGTH, out);
         }
     }
 
-    /// Cancels idempotent attempts at silent nodes, which it returns, and collects fills that have become late.
+    /// Cancels idempotent attempts at silent nodes, adds newly late fills to `late_fills`, and returns the
+    /// silent nodes.
     fn scan_open_attempts(
         &mut self,
         late_fills: &mut Vec<LateFill>,
@@ -47,7 +51,7 @@
             for attempt in req.attempts.iter_mut().filter(|a| a.is_open_fill()) {
                 let took_ms = now - attempt.sent;
                 if took_ms > req.objective_ms && !std::mem::replace(&mut attempt.late, true) {
-                    let pace = took_ms / (req.work_ms + PACE_BASE_MS);
+                    let pace = took_ms / (req.work_ms + FILL_OVERHEAD_MS);
                     let (target, source) = (attempt.cache.clone(), attempt.source.clone());
                     late_fills.push(LateFill { target, source, pace });
                 }
@@ -55,7 +59,7 @@
             if self.settings.classes[req.request.class].effect != Effect::Idempotent {
                 continue;
             }
-            let least_ms = SILENT_MS * PROBE_FRACTION + req.work_ms;
+            let least_ms = SILENCE_TIMEOUT_MS * PROBE_TIMEOUT_FRACTION + req.work_ms;
             for (n, attempt) in req.attempts.iter_mut().enumerate() {
                 let due = attempt.open && !attempt.cancelled && now > attempt.sent + least_ms;
                 if due && self.nodes.get(&attempt.cache).is_some_and(|node| node.is_silent(now)) {
@@ -69,16 +73,17 @@
         silent
     }
 
-    /// A fill that is late already tells now what its end would tell when the client has disconnected.
+    /// Learns from a fill that is late but still open. The outcome would show the same, but may come only
+    /// after the client has disconnected.
     fn learn_from_late_fill(&mut self, fill: &LateFill) {
         let now = self.now_ms;
         let slow = |id: &CacheId| self.nodes.get(id).is_some_and(|node| self.is_slow(node));
         let target = self.nodes.get(&fill.target);
-        if slow(&fill.target) || target.is_some_and(|node| self.is_congested(node, fill.pace)) {
+        if slow(&fill.target) || target.is_some_and(|node| self.has_congested_link(node, fill.pace)) {
             return;
         }
         if !slow(&fill.source) {
-            self.fill_limiter.record_late(now, f64::from(self.settings.near_routers()));
+            self.fill_limiter.record_late_fill(now, f64::from(self.settings.routers_in_location()));
         }
         if let Some(node) = self.nodes.get_mut(&fill.source).filter(|node| node.role != Role::Edge) {
             node.record_pace(now, fill.pace.max(node.pace_at(now)));
--- a/crates/fernslip/src/rejection_counts.rs
+++ b/crates/fernslip/src/rejection_counts.rs
@@ -1,37 +1,37 @@
-//! Counts of rejected requests by reason, for the log and the figures.
+//! Counts of rejected requests by reason, for the log and the metrics.
 
 use std::collections::BTreeMap;
 
-/// Requests that got no further attempt since the last log line on them, by reason.
+/// Requests that got no further attempt since the last log line, by reason.
 #[derive(Default)]
 pub struct RejectionCounts {
     counts: BTreeMap<&'static str, u32>,
-    /// The same since the start.
+    /// Counts by reason since the start of the router.
     totals: BTreeMap<&'static str, u64>,
     next_line_ms: f64,
 }
 
 impl RejectionCounts {
-    /// Between two lines at the least, in milliseconds.
-    const EVERY_MS: f64 = 5_000.0;
+    /// Minimum interval between two log lines, in milliseconds.
+    const MIN_LOG_INTERVAL_MS: f64 = 5_000.0;
 
-    /// One more, for that reason.
-    pub fn count(&mut self, reason: &'static str) {
+    /// Counts one rejected request under the given reason.
+    pub fn record(&mut self, reason: &'static str) {
         *self.counts.entry(reason).or_default() += 1;
         *self.totals.entry(reason).or_default() += 1;
     }
 
-    /// All since the start, by reason.
+    /// Counts of rejected requests by reason since the start of the router.
     pub fn totals(&self) -> &BTreeMap<&'static str, u64> {
         &self.totals
     }
 
-    /// A line for the log when one is due and there is something to say.
+    /// Returns a log line and resets its counts, if the minimum interval has passed and there are any counts.
     pub fn due_log_line(&mut self, now: f64) -> Option<String> {
         if now < self.next_line_ms || self.counts.is_empty() {
             return None;
         }
-        self.next_line_ms = now + Self::EVERY_MS;
+        self.next_line_ms = now + Self::MIN_LOG_INTERVAL_MS;
         Some(format!("gave up {:?}", std::mem::take(&mut self.counts)))
     }
 }
--- a/crates/fernslip/src/slow_start.rs
+++ b/crates/fernslip/src/slow_start.rs
@@ -1,11 +1,13 @@
-//! How many routers share the capacity of a node in slow start, without a message between them.
+//! Division of the capacity of a node in slow start among the routers, without messages between them.
 //!
-//! All routers know when it started and how it warms, so all compute the same sum of work that it may have been sent by
-//! a moment. The sum is cut into tokens of one request each; token number `j` is router `j % routers`'s. A router's part
-//! may thus be far less than one request in the time over which the node's limit is watched, and is not rounded up.
+//! All routers know when the node started and how its capacity rises, so they all compute the same total of
+//! work that it may have been sent up to a given time. The total is divided into tokens of one request each,
+//! and token `j` belongs to router `j % routers`. A router's part may therefore be far less than one request
+//! per window of the node's limit, without being rounded up.
 
 impl crate::api::Settings {
-    /// How a parent, or another node, warms up; its rate is still 0.
+    /// Slow-start settings of a parent, or of any other node if `parent` is false. The returned rate is 0,
+    /// and the caller sets it.
     pub(crate) fn slow_start(&self, parent: bool) -> SlowStart {
         if parent {
             SlowStart {
@@ -25,21 +27,22 @@
     }
 }
 
-/// A node whose capacity rises linearly from its start.
+/// Slow start of a node whose capacity rises linearly from its start.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// Share of its full capacity with which it starts.
+    /// Fraction of its full capacity that the node has at its start.
     pub initial_fraction: f64,
-    /// It is warm after this time, in milliseconds.
+    /// Time from the start to full capacity, in milliseconds.
     pub duration_ms: f64,
-    /// How many times its present capacity it stands.
+    /// Load that the node tolerates, as a multiple of its current capacity.
     pub multiple: f64,
-    /// Work that all routers may send it when warm, in milliseconds of sending a millisecond.
+    /// Work that all routers together may send the warm node, in milliseconds of transfer time per
+    /// millisecond.
     pub rate: f64,
 }
 
 impl SlowStart {
-    /// Share of its full capacity that it has at that age in milliseconds.
+    /// Fraction of its full capacity that the node has at the given age, from 0.001 to 1.
     pub fn capacity_fraction(&self, age_ms: f64) -> f64 {
         if age_ms >= self.duration_ms {
             return 1.0;
@@ -48,7 +51,8 @@
             .clamp(0.001, 1.0)
     }
 
-    /// Work that all routers may have sent it from its start up to that age, in milliseconds of sending.
+    /// Work that all routers together may have sent from the node's start up to the given age, in
+    /// milliseconds of transfer time.
     pub fn budget_until(&self, age_ms: f64) -> f64 {
         let elapsed = age_ms.clamp(0.0, self.duration_ms);
         let rise = if self.duration_ms > 0.0 { elapsed * elapsed / (2.0 * self.duration_ms) } else { 0.0 };
@@ -58,15 +62,23 @@
                 + (age_ms - elapsed).max(0.0))
     }
 
-    /// How many tokens of `token_ms` of sending came to router `slot` of `routers` in the last `window_ms`. Over all
-    /// slots they are all tokens of that time: `budget_until` over it, and one more at the most.
-    pub fn tokens(&self, age_ms: f64, window_ms: f64, token_ms: f64, slot: u32, routers: u32) -> u32 {
-        let (n, slot) = (i64::from(routers.max(1)), i64::from(slot % routers.max(1)));
-        // Its tokens of the numbers 0 to `last`; the first token of all comes with the start.
-        let upto = |last: i64| if last < slot { 0 } else { (last - slot) / n + 1 };
-        let number =
+    /// Number of tokens of `token_ms` transfer time that router `slot` of `routers` received in the last
+    /// `window_ms`. Over all slots the sum differs by at most one token from the growth of `budget_until` in
+    /// that time.
+    pub fn tokens_in_window(
+        &self,
+        age_ms: f64,
+        window_ms: f64,
+        token_ms: f64,
+        slot: u32,
+        routers: u32,
+    ) -> u32 {
+        let (routers, slot) = (i64::from(routers.max(1)), i64::from(slot % routers.max(1)));
+        // Number of this router's tokens among those numbered 0 to `last`; token 0 is issued at the start.
+        let own_tokens_through = |last: i64| if last < slot { 0 } else { (last - slot) / routers + 1 };
+        let last_token =
             |age: f64| if age < 0.0 { -1 } else { (self.budget_until(age) / token_ms.max(1e-3)) as i64 };
-        (upto(number(age_ms)) - upto(number(age_ms - window_ms))) as u32
+        (own_tokens_through(last_token(age_ms)) - own_tokens_through(last_token(age_ms - window_ms))) as u32
     }
 }
 
--- a/crates/fernslip/src/state.rs
+++ b/crates/fernslip/src/state.rs
@@ -1,95 +1,100 @@
-//! What a router knows of each node and of each request in flight: data, and the questions one of them answers alone.
+//! State that a router keeps for each node and each request in flight, with the queries that need one of them
+//! only.
 
 use crate::api::*;
 use crate::bandwidth::{DeliveryRate, Link};
-use crate::filter::{Change, Filter, Hashes};
+use crate::filter::{Change, Filter, KeyHashes};
 use crate::in_flight::InFlight;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Time constant with which a node's pace is forgotten, in milliseconds.
-const PACE_FADES_MS: f64 = 10_000.0;
+/// Time constant with which a node's measured pace decays, in milliseconds.
+const PACE_DECAY_MS: f64 = 10_000.0;
 
-/// Weight of one answer in a pace: large, as one of many routers sees few fills of each.
-const PACE_STEP: f64 = 0.4;
-/// The same of a slow answer in the pace of the quicker ones: about a fifth of all are quicker than that.
-const PACE_RISE: f64 = 0.2;
+/// Weight of one answer in a node's pace. It is large because one of many routers receives few fills from
+/// each node.
+const PACE_SMOOTHING: f64 = 0.4;
+/// Weight of a slow answer in a node's quick pace. Faster answers count with `PACE_SMOOTHING`, so that about
+/// a fifth of all answers are faster than the quick pace.
+const QUICK_PACE_RISE_SMOOTHING: f64 = 0.2;
 
-/// What a node does. The numbers index figures kept by role.
+/// Role of a node. The discriminants index arrays that hold one value per role.
 #[derive(Clone, Copy, PartialEq, Default)]
 pub enum Role {
-    /// A cache node of the location: requests are sent to it.
+    /// A cache node of the location, to which requests are sent.
     #[default]
     Edge,
-    /// A cache that the location's fills come from.
+    /// A cache outside the location, from which its nodes are filled.
     Parent,
-    /// The origin.
+    /// The origin of the objects.
     Origin,
 }
 
-/// Work that a node was sent.
+/// One piece of work that was sent to a node.
 #[derive(Clone, Copy)]
 struct SentWork {
     sent_ms: f64,
-    /// Its sending time, in milliseconds.
+    /// Transfer time of the work at the full stream rate, in milliseconds.
     work_ms: f64,
 }
 
-/// What is known of a cache node, parent or origin.
+/// State of a cache node, parent or origin.
 #[derive(Default)]
 pub struct Node {
     pub role: Role,
     pub zone: Option<usize>,
     pub cell: i64,
     pub phase: Phase,
-    /// Its weight as listed; above 0, 1 where none is known.
+    /// Weight from the endpoint list, above 0; 1 if the list gives none.
     pub listed_weight: f64,
-    /// What its link carries, as answers showed.
+    /// Bandwidth of the node's link, as measured from its answers.
     pub link: Link,
-    /// When it last started; 0: long ago.
+    /// Time of the node's last start, in milliseconds; 0 means long ago.
     pub started_ms: f64,
-    /// Hash of its name.
+    /// Hash of the node's address, which identifies it in messages and in rendezvous hashing.
     pub tag: u64,
-    /// The keys that it is known to have.
+    /// Keys that the node is known to hold.
     pub filter: Filter,
-    /// Changes of the filter that peers have not been sent.
+    /// Filter changes that have not been sent to peers yet.
     pub changes: Vec<Change>,
-    /// Moving share of failures, from 0 to 1.
+    /// Moving average of the node's failures, from 0 to 1.
     pub failure_rate: f64,
-    /// Gossip of other routers: below 0 well, above 0 failing.
+    /// Suspicion from other routers' gossip: below 0 if they find the node healthy, above 0 if failing.
     pub peer_suspicion: f64,
     pub ejected: bool,
-    /// When it may be probed while it is ejected or silent.
+    /// Earliest time of the next probe while the node is ejected or silent.
     pub next_probe_ms: f64,
     pub in_flight: InFlight,
-    /// How many times their time at full pace its answers take, a moving average as of `pace_updated`.
+    /// Moving average, at time `pace_updated`, of the answers' duration divided by their duration at the full
+    /// stream rate.
     pub pace: f64,
-    /// The pace of its quicker answers.
+    /// Like `pace`, but following the node's faster answers.
     pub quick_pace: f64,
     pub pace_updated: f64,
-    /// When it counts as silent if nothing is received before; set by the first attempt after the last sign of life.
+    /// Time after which the node counts as silent unless it answers. The first attempt after an answer sets
+    /// this time.
     pub silent_after: Option<f64>,
-    /// When something was last received from it.
+    /// Time at which anything was last received from the node.
     pub last_seen: f64,
-    /// When a failure was last counted.
+    /// Time of the last failure that was counted.
     pub last_failure: f64,
     sent_work: VecDeque<SentWork>,
 }
 
-/// An attempt of a request.
+/// One attempt to serve a request.
 pub struct Attempt {
     pub cache: CacheId,
-    /// Where a miss is filled from; the cache itself: nowhere.
+    /// Node from which a miss is filled; equal to `cache` if the attempt has no source.
     pub source: CacheId,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent: f64,
-    /// [`InFlight::total_over_time`] when it was sent, at the target and at the source.
-    pub in_flight_totals: [f64; 2],
+    /// Values of [`InFlight::integral_until`] for the target and the source when the attempt was sent.
+    pub in_flight_integrals: [f64; 2],
     pub kind: AttemptKind,
-    /// A fill that took longer than was wanted, while it was still open.
+    /// Whether the attempt is a fill that exceeded the latency objective while still open.
     pub late: bool,
-    /// Its outcome is still to come.
+    /// Whether the outcome of the attempt is still to come.
     pub open: bool,
-    /// It was cancelled because its target fell silent.
+    /// Whether the attempt was cancelled because its target fell silent.
     pub cancelled: bool,
     pub ending: Option<Ending>,
 }
@@ -97,68 +102,69 @@
 /// A request in flight.
 pub struct PendingRequest {
     pub request: Request,
-    pub key: Hashes,
-    /// When its client waits no longer.
+    pub key: KeyHashes,
+    /// Time until which the client waits.
     pub deadline: f64,
-    /// Its sending time at full pace.
+    /// Transfer time at the full stream rate, in milliseconds.
     pub work_ms: f64,
-    /// Latency objective of an attempt, with the stretch for its size.
+    /// Latency objective of each attempt, in milliseconds, including the allowance for the request's size.
     pub objective_ms: f64,
     pub attempts: Vec<Attempt>,
-    /// Targets and sources that failed this request.
+    /// Targets and sources that failed this request and are not used for it again.
     pub excluded: BTreeSet<CacheId>,
-    /// It needs no answer any more; outcomes of its attempts may still come.
+    /// Whether the request needs no further answer. Outcomes of its attempts may still come.
     pub finished: bool,
 }
 
-/// What is expected of an attempt.
+/// Expected handling of an attempt at its target.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum AttemptKind {
-    /// The target's filter shows it.
+    /// The target's filter contains the key.
     ExpectedHit,
-    /// A sibling, a parent or the origin gives it.
+    /// The target lacks the object and is filled from a sibling, a parent or the origin.
     Fill,
-    /// It runs at the origin.
+    /// The request is a write, which runs at the origin.
     Write,
-    /// Only what the target has, however old it may be: there is no capacity for a fill.
+    /// The target may answer only from a copy that it has, even one past its fresh time, because there is no
+    /// capacity for a fill.
     LookupOnly,
 }
 
-/// An attempt that is decided on.
+/// A planned attempt that has not been sent yet.
 pub struct Plan {
-    /// Where it goes.
+    /// Cache node to which the attempt is sent.
     pub target: CacheId,
-    /// Where a miss is filled from; the target itself: nowhere.
+    /// Node from which a miss is filled; equal to `target` if the attempt has no source.
     pub source: CacheId,
-    /// What is expected of the two.
+    /// Expected handling of the attempt.
     pub kind: AttemptKind,
 }
 
-/// Why a request gets no further attempt.
+/// Reason why a request gets no further attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RejectReason {
-    /// Its time or its attempts are used up.
+    /// The request's time or number of attempts is used up.
     Exhausted,
-    /// No cache node is up that its class lets it be sent to.
+    /// No cache node is in service to which the request's class allows it to be sent.
     NoTarget,
-    /// Each cache node would answer too late.
+    /// Every cache node would answer too late.
     CachesCrowded,
-    /// Neither a parent nor the origin is up.
+    /// No parent or origin is in service.
     NoSource,
-    /// The location has as many fills in flight as come in time.
+    /// The location has as many fills in flight as its fill limit allows.
     FillLimit,
-    /// Sources reject fills: it is throttled here.
+    /// Sources reject fills, so that this router throttles its own.
     SourcesReject,
-    /// A node said that the request is over.
+    /// A node reported that the request is over.
     Superseded,
     /// The retry budget is used up.
     RetryBudget,
-    /// Two nodes answered it with an error.
+    /// Two nodes answered the request with an error.
     Errors,
 }
 
 impl RejectReason {
-    /// Its name in log lines and figures, which is stable.
+    /// Stable name of the reason in log lines and metrics.
     pub fn name(self) -> &'static str {
         match self {
             RejectReason::Exhausted => "no time or attempts left",
@@ -174,7 +180,8 @@
     }
 }
 
-/// The mean of what nodes of a role were seen to send, in transfers at full pace; 0: none was seen.
+/// Mean proven capacity of a role's nodes, in concurrent transfers at the full stream rate; 0 if none has
+/// been measured.
 pub fn mean_proven_capacity<'a>(all: impl Iterator<Item = &'a Node>, role: usize) -> f64 {
     let like = all.filter(|c| c.role as usize == role && c.link.proven.capacity > 0.0);
     let (n, sum) = like.fold((0.0, 0.0), |(n, sum), c| (n + 1.0, sum + c.link.proven.capacity));
@@ -190,21 +197,21 @@
         cache: CacheId,
         source: CacheId,
         sent: f64,
-        in_flight_totals: [f64; 2],
+        in_flight_integrals: [f64; 2],
         kind: AttemptKind,
     ) -> Attempt {
         let (late, open, cancelled, ending) = (false, true, false, None);
-        Attempt { cache, source, sent, in_flight_totals, kind, late, open, cancelled, ending }
+        Attempt { cache, source, sent, in_flight_integrals, kind, late, open, cancelled, ending }
     }
 }
 
 impl Attempt {
-    /// Whether it is a fill whose outcome is still to come.
+    /// Whether the attempt is a fill whose outcome is still to come.
     pub fn is_open_fill(&self) -> bool {
         self.open && self.kind == AttemptKind::Fill
     }
 
-    /// Whether the request may have run by it, as far as is known: it is open, or did not end in a way that excludes it.
+    /// Whether the attempt may have run the request: it is open, or its ending does not rule that out.
     pub fn may_have_run(&self) -> bool {
         !self.ending.is_some_and(Ending::never_ran)
     }
@@ -216,20 +223,21 @@
         Node { started_ms, tag, phase, pace: 1.0, quick_pace: 1.0, filter, ..Node::default() }
     }
 
-    /// It is sent work that costs so much; what is older than `window` is dropped.
-    pub fn record_sent(&mut self, now: f64, cost: f64, window: f64) {
-        self.sent_work.push_back(SentWork { sent_ms: now, work_ms: cost });
-        while self.sent_work.front().is_some_and(|s| s.sent_ms < now - window) {
+    /// Records `work_ms` of transfer time sent to the node at time `now`, and drops entries older than
+    /// `window_ms`.
+    pub fn record_sent_work(&mut self, now: f64, work_ms: f64, window_ms: f64) {
+        self.sent_work.push_back(SentWork { sent_ms: now, work_ms });
+        while self.sent_work.front().is_some_and(|s| s.sent_ms < now - window_ms) {
             self.sent_work.pop_front();
         }
     }
 
-    /// The work that it was sent in the last `window`.
-    pub fn sent_within(&self, now: f64, window: f64) -> f64 {
-        self.sent_work.iter().filter(|s| s.sent_ms >= now - window).map(|s| s.work_ms).sum()
+    /// Total transfer time of the work sent to the node within the last `window_ms`, in milliseconds.
+    pub fn work_sent_within(&self, now: f64, window_ms: f64) -> f64 {
+        self.sent_work.iter().filter(|s| s.sent_ms >= now - window_ms).map(|s| s.work_ms).sum()
     }
 
-    /// It has started anew: what was known is of its process before.
+    /// Discards the learned state after a restart of the node, because it described the previous process.
     pub fn reset(&mut self, started_ms: f64) {
         self.started_ms = self.started_ms.max(started_ms);
         self.filter.clear();
@@ -243,34 +251,37 @@
         self.link.delivery = DeliveryRate::default();
     }
 
-    /// Its pace at the time `now`: 1 is full pace, to which it fades.
+    /// Pace of the node at time `now`, decayed towards the full-rate value of 1.
     pub fn pace_at(&self, now: f64) -> f64 {
-        1.0 + (self.pace - 1.0) * (-(now - self.pace_updated) / PACE_FADES_MS).exp()
+        1.0 + (self.pace - 1.0) * (-(now - self.pace_updated) / PACE_DECAY_MS).exp()
     }
 
-    /// The pace of its quicker answers alone: that of a parent is its own, not that of the origin behind it.
+    /// Quick pace at time `now`. For a parent it shows the parent's own speed, without that of the origin
+    /// behind it.
     pub fn quick_pace_at(&self, now: f64) -> f64 {
-        1.0 + (self.quick_pace - 1.0) * (-(now - self.pace_updated) / PACE_FADES_MS).exp()
+        1.0 + (self.quick_pace - 1.0) * (-(now - self.pace_updated) / PACE_DECAY_MS).exp()
     }
 
-    /// An answer, or one that is still to come, took `pace` times what it takes at full pace.
+    /// Records that an answer, finished or still open, takes `pace` times its duration at the full stream
+    /// rate.
     pub fn record_pace(&mut self, now: f64, pace: f64) {
         let (mean, quick) = (self.pace_at(now), self.quick_pace_at(now));
-        self.pace = mean + PACE_STEP * (pace - mean);
-        self.quick_pace = quick + (pace - quick) * if pace < quick { PACE_STEP } else { PACE_RISE };
+        self.pace = mean + PACE_SMOOTHING * (pace - mean);
+        self.quick_pace =
+            quick + (pace - quick) * if pace < quick { PACE_SMOOTHING } else { QUICK_PACE_RISE_SMOOTHING };
         self.pace_updated = now;
     }
 
-    /// Nothing was received from it when something should have been.
+    /// Whether the node has sent nothing although an answer is due.
     pub fn is_silent(&self, now: f64) -> bool {
-        self.silent_after.is_some_and(|q| now > q)
+        self.silent_after.is_some_and(|deadline| now > deadline)
     }
 }
 
 impl PendingRequest {
     pub fn new(
         request: Request,
-        key: Hashes,
+        key: KeyHashes,
         deadline: f64,
         work_ms: f64,
         objective_ms: f64,
@@ -279,7 +290,7 @@
         PendingRequest { request, key, deadline, work_ms, objective_ms, attempts, excluded, finished: false }
     }
 
-    pub fn is_open(&self) -> bool {
+    pub fn has_open_attempt(&self) -> bool {
         self.attempts.iter().any(|a| a.open)
     }
 }
