--- a/crates/fernslip/tests/common/mod.rs
+++ b/crates/fernslip/tests/common/mod.rs
@@ -1,7 +1,9 @@
-//! A small bench-free set-up: one location of three caches, two parents, one origin.
-#![allow(dead_code, reason = "each test uses a part")]
+//! Set-up shared by the tests and benches: a router at a location of three caches, with two parents, an
+//! origin and one cache of another location.
+#![allow(dead_code, reason = "each test or bench uses only some of these items")]
 use fernslip::*;
 
+/// An idempotent class of cacheable reads.
 pub fn class() -> Class {
     Class {
         name: "chunk".into(),
@@ -19,6 +21,7 @@
     }
 }
 
+/// Settings of the first of two routers, at the location `edge-1`.
 pub fn settings() -> Settings {
     Settings {
         zones: vec!["hub".into(), "edge-1".into(), "edge-2".into()],
@@ -57,6 +60,7 @@
     }
 }
 
+/// An endpoint list entry of weight 10 that is in service and started long ago.
 pub fn entry(name: &str, zone: usize, kind: usize) -> Entry {
     Entry {
         cache: name.into(),
@@ -69,7 +73,8 @@
     }
 }
 
-pub fn fleet() -> Vec<Entry> {
+/// The complete endpoint list; `far:1` is the cache of the other location.
+pub fn endpoints() -> Vec<Entry> {
     let mut all: Vec<Entry> = ["c1:1", "c2:1", "c3:1"].iter().map(|n| entry(n, 1, 0)).collect();
     all.extend(["p1:1", "p2:1"].iter().map(|n| entry(n, 0, 1)));
     all.push(entry("o1:1", 0, 2));
@@ -77,17 +82,19 @@
     all
 }
 
-/// A router with its clock and the ids it gave out.
+/// A router under test, with its clock and the next request id.
 pub struct Rig {
     pub router: Router,
+    /// The router's clock, in milliseconds.
     pub now: f64,
-    /// What answers report that the cache holds.
+    /// Load report of each outcome: requests in flight at the cache; `None`: no report.
     pub reported_in_flight: Option<f64>,
     next: u64,
 }
 
+/// An attempt that the router forwarded.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentAttempt {
     pub id: RequestId,
     pub cache: String,
     pub source: String,
@@ -97,9 +104,10 @@
     pub until_ms: f64,
 }
 
-pub fn sent(actions: &[Action]) -> Option<Sent> {
+/// The first attempt that the actions forward, if any.
+pub fn sent(actions: &[Action]) -> Option<SentAttempt> {
     actions.iter().find_map(|a| match a {
-        Action::Forward { id, cache, source, until_ms, rank, age_ms, join, .. } => Some(Sent {
+        Action::Forward { id, cache, source, until_ms, rank, age_ms, join, .. } => Some(SentAttempt {
             id: *id,
             cache: cache.0.to_string(),
             source: source.0.to_string(),
@@ -123,7 +131,7 @@
 impl Rig {
     pub fn with(settings: Settings) -> Rig {
         Rig {
-            router: Router::new(settings, 7).expect("settings are sound"),
+            router: Router::new(settings, 7).expect("the test settings are valid"),
             now: 100_000.0,
             reported_in_flight: None,
             next: 1,
@@ -131,25 +139,29 @@
     }
 
     pub fn new() -> Rig {
-        let mut r = Rig::with(settings());
-        r.update_endpoints(fleet());
-        r
+        let mut rig = Rig::with(settings());
+        rig.update_endpoints(endpoints());
+        rig
     }
 
-    pub fn event(&mut self, e: Event) -> Vec<Action> {
+    /// Feeds the router one event and returns its actions.
+    pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.router.handle(self.now, e, &mut out);
+        self.router.handle(self.now, event, &mut out);
         out
     }
 
+    /// Replaces the endpoint list.
     pub fn update_endpoints(&mut self, entries: Vec<Entry>) -> Vec<Action> {
         self.event(Event::Endpoints { kind: ListKind::Full, entries })
     }
 
-    pub fn delta(&mut self, e: Entry) -> Vec<Action> {
-        self.event(Event::Endpoints { kind: ListKind::Delta, entries: vec![e] })
+    /// Changes one entry of the endpoint list.
+    pub fn delta(&mut self, entry: Entry) -> Vec<Action> {
+        self.event(Event::Endpoints { kind: ListKind::Delta, entries: vec![entry] })
     }
 
+    /// Feeds the router a new request; the client waits for 5 s.
     pub fn request_with(&mut self, object: u64, class: usize, size_kb: f64) -> Vec<Action> {
         let id = RequestId(self.next);
         self.next += 1;
@@ -164,15 +176,23 @@
         }))
     }
 
+    /// Feeds the router a request of 100 KB in class 0.
     pub fn request(&mut self, object: u64) -> Vec<Action> {
         self.request_with(object, 0, 100.0)
     }
 
-    pub fn end_after(&mut self, s: &Sent, attempt: u32, how: (Ending, u8), elapsed_ms: f64) -> Vec<Action> {
+    /// Ends an attempt with an ending and a detail, `elapsed_ms` after it was sent. The clock does not move.
+    pub fn end_after(
+        &mut self,
+        sent: &SentAttempt,
+        attempt: u32,
+        how: (Ending, u8),
+        elapsed_ms: f64,
+    ) -> Vec<Action> {
         self.event(Event::Outcome(Outcome {
-            id: s.id,
+            id: sent.id,
             attempt,
-            cache: s.cache.as_str().into(),
+            cache: sent.cache.as_str().into(),
             ending: how.0,
             elapsed_ms,
             over: how.0 == Ending::Completed,
@@ -182,11 +202,12 @@
         }))
     }
 
-    pub fn end(&mut self, s: &Sent, attempt: u32, ending: Ending, detail: u8) -> Vec<Action> {
-        self.end_after(s, attempt, (ending, detail), 50.0)
+    /// Ends an attempt 50 ms after it was sent. The clock does not move.
+    pub fn end(&mut self, sent: &SentAttempt, attempt: u32, ending: Ending, detail: u8) -> Vec<Action> {
+        self.end_after(sent, attempt, (ending, detail), 50.0)
     }
 
-    /// Time passes until the module calls something off; whether it did within three seconds.
+    /// Advances the clock until the router cancels an attempt; returns whether it did within three seconds.
     pub fn wait_until_cancelled(&mut self) -> bool {
         (0..60).any(|_| {
             self.now += 50.0;
@@ -195,17 +216,18 @@
         })
     }
 
-    /// Asks and has it served with that detail; what was sent.
-    pub fn serve(&mut self, object: u64, detail: u8) -> Sent {
-        let s = sent(&self.request(object)).expect("sent");
+    /// Feeds a request and completes its first attempt with that detail 50 ms later; returns the attempt.
+    pub fn serve(&mut self, object: u64, detail: u8) -> SentAttempt {
+        let first = sent(&self.request(object)).expect("the request is sent");
         self.now += 50.0;
-        let after = self.end(&s, 0, Ending::Completed, detail);
-        assert!(sent(&after).is_none(), "nothing more after the final answer");
-        s
+        let after = self.end(&first, 0, Ending::Completed, detail);
+        assert!(sent(&after).is_none(), "nothing is forwarded after the final answer");
+        first
     }
 }
 
-/// `caches` caches of the location, the first `cold` of them started at `started_ms`, two parents and an origin.
+/// An endpoint list of `caches` caches at the location, of which the first `in_slow_start` started at
+/// `started_ms`, two parents and an origin.
 pub fn wide_fleet(caches: usize, in_slow_start: usize, started_ms: f64) -> Vec<Entry> {
     let mut all: Vec<Entry> = (0..caches).map(|i| entry(&format!("c{i}:1"), 1, 0)).collect();
     all.iter_mut().take(in_slow_start).for_each(|e| e.started_ms = started_ms);
--- a/crates/fernslip/tests/common/simulation.rs
+++ b/crates/fernslip/tests/common/simulation.rs
@@ -1,29 +1,30 @@
-//! A small deterministic world round the real router: one location of caches with shared links, parents and an origin,
-//! stepped in time. Links are shared evenly among their transfers; a fill occupies every link on its way.
-use super::deployment::{Deployment, Draw, Kind, RunReport};
+//! A deterministic simulation around the real router: one location of caches, with parents and an origin,
+//! advanced in time steps. The transfers on a link share it evenly; a fill occupies every link on its path.
+use super::deployment::{Deployment, RunKind, RunReport, SplitMix64};
 use super::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 const STEP_MS: f64 = 4.0;
-/// Before a run counts, its caches fill and its routers learn, in milliseconds.
+/// Time before a run is measured, in which caches fill and routers learn, in milliseconds.
 pub const WARM_UP_MS: f64 = 6_000.0;
 
-/// A transfer in flight: an attempt that is being answered.
+/// An answer in transfer.
 struct Flow {
     to: u32,
     id: RequestId,
     attempt: u32,
     cache: usize,
-    /// The links that it occupies.
+    /// Numbers of the links that it occupies; see [`Simulation::bandwidth`].
     links: Vec<usize>,
     starts: f64,
     remaining: f64,
-    top: f64,
+    max_rate: f64,
     sent: f64,
     until: f64,
     detail: u8,
+    /// When the copy that it carries was fetched from the origin.
     created: f64,
-    keep: bool,
+    cacheable: bool,
     parent: Option<usize>,
     cancelled: bool,
 }
@@ -37,7 +38,7 @@
     ran: u32,
 }
 
-enum Due {
+enum Scheduled {
     Timer(u32, u64),
     Message {
         to: u32,
@@ -46,65 +47,70 @@
     },
     Notify(u32, Box<Event>),
     Outcome(u32, Box<Outcome>),
-    Down(usize),
-    Up(usize),
-    /// A copy of an object from before that time is dropped everywhere.
-    Drop(u64, f64),
+    Stop(usize),
+    Restart(usize),
+    /// All nodes drop their copies of the object that were created before the time given.
+    DropCopies(u64, f64),
 }
 
-type Key = (u64, u32);
+/// Object id and part.
+type ObjectPart = (u64, u32);
 
-pub struct World {
+pub struct Simulation {
     d: Deployment,
-    draw: Draw,
+    draw: SplitMix64,
     now: f64,
     start: f64,
     routers: Vec<Router>,
-    /// Caches, then parents, then the origin.
+    /// The nodes: caches, then parents, then the origin.
     names: Vec<CacheId>,
     flows: Vec<Flow>,
-    cached: Vec<BTreeMap<Key, f64>>,
+    cached: Vec<BTreeMap<ObjectPart, f64>>,
     requests: BTreeMap<RequestId, TrackedRequest>,
-    due: BTreeMap<(u64, u64), Due>,
+    due: BTreeMap<(u64, u64), Scheduled>,
     serial: u64,
+    /// By node: when it last restarted; 0: it has not.
     started: Vec<f64>,
     down: BTreeSet<usize>,
-    /// When a router was told that a machine drains or is gone.
+    /// By router and node: when the router was notified that the node drains or is removed.
     notified_out: BTreeMap<(u32, usize), f64>,
-    /// When a router was told of a purge, and when that was.
+    /// By router and object: when the router was notified of a purge, and when the object was purged.
     notified_purge: BTreeMap<(u32, u64), (f64, f64)>,
+    /// By node: time of each attempt sent to it and its work, in milliseconds.
     sends: Vec<Vec<(f64, f64)>>,
     ids: u64,
     report: RunReport,
 }
 
-impl World {
-    pub fn new(d: &Deployment) -> World {
-        let (caches, routers) = (d.bandwidths.len(), d.set.zone_routers[1]);
+impl Simulation {
+    pub fn new(drawn: &Deployment) -> Simulation {
+        let (caches, routers) = (drawn.bandwidths.len(), drawn.set.zone_routers[1]);
         let start = 100_000.0;
         let mut list = Vec::new();
-        for (n, w) in d.bandwidths.iter().enumerate() {
-            let weight = if d.weights { (w * 2.0).round() / 2.0 + 0.01 } else { 1.0 };
+        for (n, w) in drawn.bandwidths.iter().enumerate() {
+            let weight = if drawn.weights { (w * 2.0).round() / 2.0 + 0.01 } else { 1.0 };
             list.push(Entry { weight, ..entry(&format!("c{n}:1"), 1, 0) });
         }
-        let listed = |w: f64| if d.weights { w } else { 1.0 };
-        (0..d.parents).for_each(|p| {
-            list.push(Entry { weight: listed(d.parent_bandwidth), ..entry(&format!("p{p}:1"), 0, 1) });
+        let listed = |w: f64| if drawn.weights { w } else { 1.0 };
+        (0..drawn.parents).for_each(|p| {
+            list.push(Entry { weight: listed(drawn.parent_bandwidth), ..entry(&format!("p{p}:1"), 0, 1) });
         });
-        list.push(Entry { weight: listed(d.origin_bandwidth), ..entry("o0:1", 0, 2) });
+        list.push(Entry { weight: listed(drawn.origin_bandwidth), ..entry("o0:1", 0, 2) });
         let names: Vec<CacheId> = list.iter().map(|e| e.cache.clone()).collect();
-        let one =
-            |slot| Router::new(Settings { slot, ..d.set.clone() }, d.seed ^ u64::from(slot)).expect("sound");
-        let mut w = World {
-            draw: Draw(d.seed ^ 0x5eed),
+        let new_router = |slot| {
+            Router::new(Settings { slot, ..drawn.set.clone() }, drawn.seed ^ u64::from(slot))
+                .expect("valid settings")
+        };
+        let mut simulation = Simulation {
+            draw: SplitMix64(drawn.seed ^ 0x5eed),
             now: start,
             start,
-            routers: (0..routers).map(one).collect(),
+            routers: (0..routers).map(new_router).collect(),
             cached: vec![BTreeMap::new(); names.len()],
             started: vec![0.0; names.len()],
             sends: vec![Vec::new(); names.len()],
             report: RunReport { used: vec![0.0; caches], ..RunReport::default() },
-            d: d.clone(),
+            d: drawn.clone(),
             names,
             flows: Vec::new(),
             requests: BTreeMap::new(),
@@ -116,28 +122,28 @@
             ids: 0,
         };
         for r in 0..routers {
-            w.handle(r, Event::Endpoints { kind: ListKind::Full, entries: list.clone() });
+            simulation.handle(r, Event::Endpoints { kind: ListKind::Full, entries: list.clone() });
         }
-        w
+        simulation
     }
 
-    fn at(&mut self, when: f64, due: Due) {
+    fn schedule(&mut self, when: f64, due: Scheduled) {
         self.serial += 1;
         self.due.insert(((when.max(0.0) * 1000.0) as u64, self.serial), due);
     }
 
     fn notify_all(&mut self, event: &Event, spread_ms: f64) {
         for r in 0..self.routers.len() as u32 {
-            let when = self.now + self.draw.unit() * spread_ms;
-            self.at(when, Due::Notify(r, Box::new(event.clone())));
+            let when = self.now + self.draw.unit_interval() * spread_ms;
+            self.schedule(when, Scheduled::Notify(r, Box::new(event.clone())));
         }
     }
 
-    fn break_rule(&mut self, what: String) {
-        self.report.violations.push(format!("{:.0} ms: {what}", self.now - self.start));
+    fn record_violation(&mut self, violation: String) {
+        self.report.violations.push(format!("{:.0} ms: {violation}", self.now - self.start));
     }
 
-    /// What a link carries now: those of machines that warm up less. After the machines comes the location's link.
+    /// Current capacity in transfers of a node's link, or of the location's link for fills, which comes last.
     fn bandwidth(&self, link: usize) -> f64 {
         let (caches, n) = (self.d.bandwidths.len(), self.names.len());
         let full = match link {
@@ -155,52 +161,58 @@
         }
     }
 
-    fn handle(&mut self, r: u32, event: Event) {
+    fn handle(&mut self, router: u32, event: Event) {
         let mut actions = Vec::new();
-        self.routers[r as usize].handle(self.now, event, &mut actions);
+        self.routers[router as usize].handle(self.now, event, &mut actions);
         for a in actions {
             match a {
                 Action::Forward { id, cache, source, until_ms, rank, age_ms, join, .. } => {
-                    self.forward(r, id, &cache, &source, until_ms, rank > 0, age_ms, join);
+                    self.forward(router, id, &cache, &source, until_ms, rank > 0, age_ms, join);
                 }
                 Action::Cancel { id, attempt } => {
                     for f in self.flows.iter_mut().filter(|f| f.id == id && f.attempt == attempt) {
                         f.cancelled = true;
                     }
                 }
-                Action::Reject { id, .. } => self.answer(id, |d| d.rejected += 1),
-                Action::Fail { id } => self.answer(id, |d| d.failed += 1),
-                Action::Timer { delay_ms, token } => self.at(self.now + delay_ms, Due::Timer(r, token)),
-                Action::SendToPeer { to, data } => self.post(r, to, data),
+                Action::Reject { id, .. } => self.record_answer(id, |d| d.rejected += 1),
+                Action::Fail { id } => self.record_answer(id, |d| d.failed += 1),
+                Action::Timer { delay_ms, token } => {
+                    self.schedule(self.now + delay_ms, Scheduled::Timer(router, token));
+                }
+                Action::SendToPeer { to, data } => self.send_message(router, to, data),
                 Action::SendToAllPeers { data } => {
                     (0..self.routers.len() as u32)
-                        .filter(|&to| to != r)
-                        .for_each(|to| self.post(r, to, data.clone()));
+                        .filter(|&to| to != router)
+                        .for_each(|to| self.send_message(router, to, data.clone()));
                 }
                 Action::Log(line) => {
-                    self.report.log.push(format!("{:.0} [{r}] {line}", self.now - self.start));
+                    self.report.log.push(format!("{:.0} [{router}] {line}", self.now - self.start));
                 }
                 _ => {}
             }
         }
     }
 
-    /// One message in twenty is lost.
-    fn post(&mut self, from: u32, to: u32, data: Vec<u8>) {
-        let (late, lost) = (self.draw.within(1.0, 40.0), self.draw.next() % 20 == 0);
+    /// Sends a message between routers; one in twenty is lost.
+    fn send_message(&mut self, from: u32, to: u32, data: Vec<u8>) {
+        let (late, lost) = (self.draw.uniform(1.0, 40.0), self.draw.next() % 20 == 0);
         if !self.d.set.peers || data.len() > 256 {
-            self.break_rule(format!("a message of {} bytes, peers {}", data.len(), self.d.set.peers));
+            self.record_violation(format!(
+                "a peer message of {} bytes is sent; peer messages allowed: {}",
+                data.len(),
+                self.d.set.peers
+            ));
         } else if !lost {
-            self.at(self.now + late, Due::Message { to, from, data });
+            self.schedule(self.now + late, Scheduled::Message { to, from, data });
         }
     }
 
-    fn answer(&mut self, id: RequestId, count: impl Fn(&mut RunReport)) {
+    fn record_answer(&mut self, id: RequestId, count: impl Fn(&mut RunReport)) {
         let counts = id.0 > 0 && self.now >= self.start + WARM_UP_MS;
-        let a = self.requests.get_mut(&id).expect("asked");
+        let a = self.requests.get_mut(&id).expect("the request is known");
         a.answers += 1;
         if a.answers > 1 {
-            self.break_rule(format!("{id:?} is answered twice"));
+            self.record_violation(format!("{id:?} is answered twice"));
         } else if counts {
             count(&mut self.report);
         }
@@ -210,7 +222,7 @@
         clippy::too_many_arguments,
         clippy::too_many_lines,
         clippy::many_single_char_names,
-        reason = "one check a rule, in the order in which an attempt can break them"
+        reason = "one check per rule, in the order in which an attempt can break them"
     )]
     fn forward(
         &mut self,
@@ -219,14 +231,14 @@
         cache: &CacheId,
         source: &CacheId,
         until: f64,
-        keep: bool,
+        cacheable: bool,
         age: f64,
         join: bool,
     ) {
-        let at = |c: &CacheId| self.names.iter().position(|n| n == c).expect("listed");
+        let at = |c: &CacheId| self.names.iter().position(|n| n == c).expect("the node is listed");
         let (c, s) = (at(cache), at(source));
         let (caches, n) = (self.d.bandwidths.len(), self.names.len());
-        let a = self.requests.get_mut(&id).expect("asked");
+        let a = self.requests.get_mut(&id).expect("the request is known");
         let (attempt, key, class, work) =
             (a.attempts, (a.request.object.0, a.request.part), a.request.class, a.request.size_kb);
         let work = work / self.d.set.stream_kb_per_s * 1000.0;
@@ -234,14 +246,16 @@
         a.attempts += 1;
         let write = self.d.set.classes[class].write;
         if was_out || answered > 0 || attempt >= self.d.set.max_attempts {
-            self.break_rule(format!("attempt {attempt} of {id:?}: out {was_out}, answered {answered}"));
+            self.record_violation(format!(
+                "attempt {attempt} of {id:?} is sent; another is open: {was_out}, answers: {answered}"
+            ));
         }
         if c >= caches || s < caches && s != c && self.d.set.neighbours == Neighbours::None {
-            self.break_rule(format!("{cache:?} from {source:?} is not allowed"));
+            self.record_violation(format!("an attempt at {cache:?} with source {source:?} is not allowed"));
         }
         for m in [c, s] {
             if self.notified_out.get(&(to, m)).is_some_and(|t| self.now > t + self.d.set.drain_grace_ms) {
-                self.break_rule(format!("{} is used after the grace", self.names[m].0));
+                self.record_violation(format!("{} is used after the drain grace", self.names[m].0));
             }
         }
         self.sends[c].push((self.now, work));
@@ -267,12 +281,12 @@
             links: vec![c],
             starts: self.now + 1.0,
             remaining: work,
-            top: 1.0,
+            max_rate: 1.0,
             sent: self.now,
             until,
             detail: 1,
             created: 0.0,
-            keep: keep && !write,
+            cacheable: cacheable && !write,
             parent: None,
             cancelled: false,
         };
@@ -289,10 +303,11 @@
             reported_in_flight: None,
         };
         if self.down.contains(&c) {
-            return self.at(self.now + 1.0, Due::Outcome(to, Box::new(soon(Ending::ConnectionRefused))));
+            return self
+                .schedule(self.now + 1.0, Scheduled::Outcome(to, Box::new(soon(Ending::ConnectionRefused))));
         }
         if open > 20.0 + 8.0 * self.bandwidth(c) {
-            return self.at(self.now + 1.0, Due::Outcome(to, Box::new(soon(Ending::Saturated))));
+            return self.schedule(self.now + 1.0, Scheduled::Outcome(to, Box::new(soon(Ending::Saturated))));
         }
         let joins = join && self.d.set.joins;
         let under_way =
@@ -304,7 +319,7 @@
         {
             (flow.created, flow.detail, flow.starts) = (f.created, 4, f.starts);
         } else if s == c || s < caches && good(self.cached[s].get(&key)).is_none() {
-            return self.at(self.now + 2.0, Due::Outcome(to, Box::new(soon(Ending::LookupMiss))));
+            return self.schedule(self.now + 2.0, Scheduled::Outcome(to, Box::new(soon(Ending::LookupMiss))));
         } else if s < caches {
             flow.created = self.cached[s][&key];
             (flow.detail, flow.starts) = (2, self.now + 3.0);
@@ -324,27 +339,28 @@
             }
         }
         if purged.is_some_and(|p| flow.created < p) {
-            self.break_rule(format!("{id:?} gets a copy from before the purge of {:x}", key.0));
+            self.record_violation(format!("{id:?} gets a copy of object {:x} from before its purge", key.0));
         }
         if write {
-            let a = self.requests.get_mut(&id).expect("asked");
+            let a = self.requests.get_mut(&id).expect("the request is known");
             a.ran += 1;
             if a.ran > 1 {
-                self.break_rule(format!("{id:?} runs twice"));
+                self.record_violation(format!("the write {id:?} runs twice"));
             }
         }
         self.flows.push(flow);
     }
 
-    fn request(&mut self, r: u32) {
+    fn send_request(&mut self, router: u32) {
         self.ids += 1;
-        let (id, dice) = (RequestId(self.ids), self.draw.unit());
-        // Zipf's law, roughly: as many requests for objects 1 to 4 as for 4 to 16.
-        let object = if dice < self.d.once { 1_000_000 + self.ids } else { self.draw.log(1.0, 600.0) as u64 };
-        let write = self.draw.unit() < 0.02;
+        let (id, dice) = (RequestId(self.ids), self.draw.unit_interval());
+        // Roughly Zipf's law: as many requests for objects 1 to 4 as for objects 4 to 16.
+        let object =
+            if dice < self.d.once { 1_000_000 + self.ids } else { self.draw.log_uniform(1.0, 600.0) as u64 };
+        let write = self.draw.unit_interval() < 0.02;
         let class = if write { 2 } else { (object % 2) as usize };
-        // Sizes of an object's own, an eighth to three times the mean of the class; the small class a third.
-        let size = Draw(object ^ self.d.seed).log(0.125, 3.0) * 0.9 * [1.5, 0.5, 0.2][class];
+        // An object's size is an eighth to three times a base; that of class 1 is a third of that of class 0.
+        let size = SplitMix64(object ^ self.d.seed).log_uniform(0.125, 3.0) * 0.9 * [1.5, 0.5, 0.2][class];
         let size_kb = size * self.d.work_ms / 1000.0 * self.d.set.stream_kb_per_s;
         let budget_ms = self.d.set.classes[class].deadline_ms;
         let request =
@@ -355,23 +371,23 @@
             TrackedRequest { request: request.clone(), due, attempts: 0, out: false, answers: 0, ran: 0 },
         );
         self.report.requests += u32::from(self.now >= self.start + WARM_UP_MS);
-        self.handle(r, Event::Request(request));
+        self.handle(router, Event::Request(request));
     }
 
-    fn dues(&mut self) {
+    fn run_due_events(&mut self) {
         while let Some(first) = self.due.first_entry().filter(|e| e.key().0 as f64 / 1000.0 <= self.now) {
             match first.remove() {
-                Due::Timer(r, token) => self.handle(r, Event::Timer { token }),
-                Due::Message { to, from, data } => self.handle(to, Event::PeerMessage { from, data }),
-                Due::Outcome(r, o) => {
-                    self.requests.get_mut(&o.id).expect("asked").out = false;
+                Scheduled::Timer(r, token) => self.handle(r, Event::Timer { token }),
+                Scheduled::Message { to, from, data } => self.handle(to, Event::PeerMessage { from, data }),
+                Scheduled::Outcome(r, o) => {
+                    self.requests.get_mut(&o.id).expect("the request is known").out = false;
                     self.handle(r, Event::Outcome(*o));
                 }
-                Due::Notify(r, event) => {
+                Scheduled::Notify(r, event) => {
                     match &*event {
                         Event::Endpoints { entries, .. } => {
                             for e in entries {
-                                let m = self.names.iter().position(|n| *n == e.cache).expect("listed");
+                                let m = self.names.iter().position(|n| *n == e.cache).expect("a listed node");
                                 match e.phase {
                                     Phase::In => self.notified_out.remove(&(r, m)),
                                     _ => self.notified_out.insert((r, m), self.now),
@@ -385,27 +401,27 @@
                     }
                     self.handle(r, *event);
                 }
-                Due::Down(c) => {
+                Scheduled::Stop(c) => {
                     self.down.insert(c);
                     self.cached[c].clear();
                     for f in self.flows.iter_mut().filter(|f| f.cache == c) {
                         f.until = f64::NEG_INFINITY;
                     }
                 }
-                Due::Up(c) => {
+                Scheduled::Restart(c) => {
                     self.down.remove(&c);
                     self.started[c] = self.now;
                     self.sends[c].clear();
                 }
-                Due::Drop(object, before) => {
+                Scheduled::DropCopies(object, before) => {
                     self.cached.iter_mut().for_each(|h| h.retain(|k, m| k.0 != object || *m >= before));
                 }
             }
         }
     }
 
-    /// Moves all transfers on by a step, and ends those that are done or out of time.
-    fn flow(&mut self) {
+    /// Advances all transfers by one step and ends those that are complete, cancelled or timed out.
+    fn advance_flows(&mut self) {
         let n = self.names.len();
         let bandwidths: Vec<f64> = (0..=n).map(|l| self.bandwidth(l)).collect();
         let mut load = vec![0.0; n + 1];
@@ -415,7 +431,7 @@
         let mut ended = Vec::new();
         for (i, f) in self.flows.iter_mut().enumerate() {
             if f.starts <= self.now {
-                let share = f.links.iter().map(|&l| bandwidths[l] / load[l]).fold(f.top, f64::min);
+                let share = f.links.iter().map(|&l| bandwidths[l] / load[l]).fold(f.max_rate, f64::min);
                 let sent = (share * STEP_MS).min(f.remaining);
                 f.remaining -= sent;
                 if counts {
@@ -428,7 +444,7 @@
         }
         for i in ended.into_iter().rev() {
             let f = self.flows.swap_remove(i);
-            let a = self.requests.get_mut(&f.id).expect("asked");
+            let a = self.requests.get_mut(&f.id).expect("the request is known");
             a.out = false;
             let ending = match () {
                 () if f.until == f64::NEG_INFINITY => Ending::ConnectionLost,
@@ -440,8 +456,8 @@
                 (ending == Ending::Completed, (a.request.object.0, 0), a.request.size_kb, a.request.class);
             if over {
                 let work = size / self.d.set.stream_kb_per_s * 1000.0;
-                self.answer(f.id, |d| d.served_ms += work);
-                if f.keep && !self.down.contains(&f.cache) {
+                self.record_answer(f.id, |d| d.served_ms += work);
+                if f.cacheable && !self.down.contains(&f.cache) {
                     self.cached[f.cache].insert(key, f.created);
                 }
                 if let Some(p) = f.parent.filter(|_| !self.d.set.classes[class].write) {
@@ -488,8 +504,8 @@
             self.notify_all(&change(0, Phase::Draining, 0.0), 300.0);
         }
         if when(0.3) && caches > 1 {
-            self.at(self.now, Due::Down(caches - 1));
-            self.at(self.now + 2_000.0, Due::Up(caches - 1));
+            self.schedule(self.now, Scheduled::Stop(caches - 1));
+            self.schedule(self.now + 2_000.0, Scheduled::Restart(caches - 1));
             self.notify_all(&change(caches - 1, Phase::Out, 0.0), 400.0);
         }
         if when(0.3 + 2_400.0 / ms) && caches > 1 {
@@ -497,23 +513,23 @@
             self.notify_all(&change(caches - 1, Phase::In, started), 400.0);
         }
         if (at / STEP_MS) as u64 % 60 == 0 {
-            let object = self.draw.log(1.0, 600.0) as u64;
-            self.at(self.now + self.d.set.purge_done_ms, Due::Drop(object, self.now));
+            let object = self.draw.log_uniform(1.0, 600.0) as u64;
+            self.schedule(self.now + self.d.set.purge_done_ms, Scheduled::DropCopies(object, self.now));
             for r in 0..self.routers.len() as u32 {
-                let late = self.draw.within(20.0, 400.0);
+                let late = self.draw.uniform(20.0, 400.0);
                 let event =
                     Event::Purged { object: Some(ObjectId(object)), group: object % 32, age_ms: late };
-                self.at(self.now + late, Due::Notify(r, Box::new(event)));
+                self.schedule(self.now + late, Scheduled::Notify(r, Box::new(event)));
             }
         }
     }
 
-    /// Plays a day of `ms` after a time to warm up, with `load` times what the caches' links can send in all.
-    pub fn run(mut self, load: f64, ms: f64, kind: Kind) -> RunReport {
+    /// Runs for `ms` milliseconds after the warm-up, at `load` times the total capacity of the caches' links.
+    pub fn run(mut self, load: f64, ms: f64, kind: RunKind) -> RunReport {
         let total: f64 = self.d.bandwidths.iter().sum();
-        // Of the work that is drawn: the mean of the sizes over both classes, and the rare writes.
+        // Mean work of a request, estimated from both read classes; writes are rare.
         let mean = (0..4_000)
-            .map(|o| Draw(o ^ self.d.seed).log(0.125, 3.0) * 0.9 * [1.5, 0.5][o as usize % 2])
+            .map(|o| SplitMix64(o ^ self.d.seed).log_uniform(0.125, 3.0) * 0.9 * [1.5, 0.5][o as usize % 2])
             .sum::<f64>()
             / 4_000.0
             * self.d.work_ms;
@@ -523,16 +539,16 @@
             let warm = self.now < self.start + WARM_UP_MS;
             let rate = total / mean * if warm { load.min(0.4) } else { load };
             while next <= self.now && self.now < end {
-                next += -(1.0 - self.draw.unit()).ln() / rate;
+                next += -(1.0 - self.draw.unit_interval()).ln() / rate;
                 let r = self.draw.next() % self.routers.len() as u64;
-                self.request(r as u32);
+                self.send_request(r as u32);
             }
-            if kind == Kind::Faults && !warm {
+            if kind == RunKind::Faults && !warm {
                 self.inject_faults(ms);
             }
-            self.flow();
+            self.advance_flows();
             self.now += STEP_MS;
-            self.dues();
+            self.run_due_events();
             let late: Vec<RequestId> = self
                 .requests
                 .iter()
@@ -540,8 +556,8 @@
                 .map(|a| *a.0)
                 .collect();
             for id in late {
-                self.break_rule(format!("{id:?} got no answer in its time"));
-                self.requests.get_mut(&id).expect("asked").answers = 1;
+                self.record_violation(format!("{id:?} is not answered within its deadline"));
+                self.requests.get_mut(&id).expect("the request is known").answers = 1;
             }
             if self.now < end {
                 self.requests.retain(|_, a| a.answers == 0 || a.out);
@@ -552,7 +568,7 @@
         self.report
     }
 
-    /// No window that begins with a send to a cache that started cold holds more work than it stands then.
+    /// Checks that no window that begins with a send to a restarted cache exceeds the slow-start budget.
     fn check_slow_start(&mut self) {
         let set = self.d.set.clone();
         for c in (0..self.d.bandwidths.len()).filter(|&c| self.started[c] > 0.0) {
@@ -565,15 +581,17 @@
                 self.sends[c].iter().enumerate().filter(|s| s.1 .0 < self.started[c] + set.slow_start_ms)
             {
                 let window = self.sends[c][i..].iter().take_while(|e| e.0 < s.0 + set.slow_start_window_ms);
-                let requests: f64 = window.map(|e| e.1).sum();
-                let stands = set.slow_start_multiple
+                let work: f64 = window.map(|e| e.1).sum();
+                let budget = set.slow_start_multiple
                     * self.d.bandwidths[c]
                     * capacity_fraction(s.0 + set.slow_start_window_ms)
                     * set.slow_start_window_ms;
-                // One large request in a window is chance.
-                if requests > stands.max(4.0 * self.d.work_ms) {
-                    let what = format!("{} is pushed over: {requests:.0} ms of {stands:.0}", self.names[c].0);
-                    self.report.violations.push(what);
+                // Four mean requests are always allowed: one large request in a window is chance.
+                if work > budget.max(4.0 * self.d.work_ms) {
+                    let name = &self.names[c].0;
+                    self.report
+                        .violations
+                        .push(format!("{name} exceeds its slow-start budget: {work:.0} of {budget:.0} ms"));
                     break;
                 }
             }
--- a/crates/fernslip/tests/deployments.rs
+++ b/crates/fernslip/tests/deployments.rs
@@ -1,5 +1,6 @@
-//! Deployments that nobody has yet: settings drawn by seed over wider ranges than any is told to have, in a small world of
-//! caches with shared links. On each the rules hold, a calm day is served, and an overload is served to its capacity.
+//! Deployments whose settings are drawn by seed over wider ranges than real deployments have, run in a
+//! simulation of caches with shared links. In each the rules hold, normal load is served, and overload is
+//! served up to capacity.
 //!
 //!     cargo test -p fernslip --test deployments --release -- --ignored --nocapture    # a thousand draws
 mod common;
@@ -9,56 +10,64 @@
 mod simulation;
 
 use common::*;
-use deployment::{Deployment, Kind, RunReport};
+use deployment::{Deployment, RunKind, RunReport};
 use fernslip::*;
-use simulation::World;
+use simulation::Simulation;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
+/// Measured time of each run, in milliseconds.
 const RUN_MS: f64 = 8_000.0;
-/// Of the draws that CI plays, how many miss a figure today: fewer is better, more is a step back.
-const MISSED: usize = 13;
+/// How many of the 36 draws that CI runs may miss a required figure: as many as do now, so that more are a
+/// regression.
+const MAX_MISSED: usize = 13;
 
-/// What is wrong with a deployment's days; empty: nothing.
-fn faults(seed: u64) -> Vec<String> {
-    let d = Deployment::draw(seed);
-    let mut wrong = Vec::new();
-    let mut violations = |name: &str, report: &RunReport| {
-        wrong.extend(report.violations.iter().take(3).map(|b| format!("{name}: {b}")));
+/// Problems of a deployment in a calm run, an overload and a run with faults; empty if there are none.
+fn problems_of(seed: u64) -> Vec<String> {
+    let deployment = Deployment::draw(seed);
+    let mut problems = Vec::new();
+    let mut add_violations = |name: &str, report: &RunReport| {
+        problems.extend(report.violations.iter().take(3).map(|b| format!("{name}: {b}")));
     };
-    let calm = World::new(&d).run(0.6, RUN_MS, Kind::Calm);
-    violations("calm", &calm);
-    let overload = World::new(&d).run(1.5, RUN_MS, Kind::Calm);
-    violations("overload", &overload);
-    let with_faults = World::new(&d).run(0.6, RUN_MS, Kind::Faults);
-    violations("trouble", &with_faults);
+    let calm = Simulation::new(&deployment).run(0.6, RUN_MS, RunKind::Calm);
+    add_violations("calm", &calm);
+    let overload = Simulation::new(&deployment).run(1.5, RUN_MS, RunKind::Calm);
+    add_violations("overload", &overload);
+    let with_faults = Simulation::new(&deployment).run(0.6, RUN_MS, RunKind::Faults);
+    add_violations("with faults", &with_faults);
     let lost = f64::from(calm.rejected + calm.failed) / f64::from(calm.requests.max(1));
     if lost > 0.01 {
-        wrong.push(format!("calm: {:.1} % refused", lost * 100.0));
-        wrong.extend(calm.log.iter().filter(|l| l.contains("gave up")).rev().take(2).cloned());
+        problems.push(format!(
+            "calm: {:.1} % of the requests rejected or failed, at most 1 % allowed",
+            lost * 100.0
+        ));
+        problems.extend(calm.log.iter().filter(|l| l.contains("gave up")).rev().take(2).cloned());
     }
     let mean = calm.used.iter().sum::<f64>() / calm.used.len() as f64;
     if let Some(c) = calm.used.iter().position(|u| *u < mean / 10.0) {
-        wrong
-            .push(format!("calm: cache {c} is idle: {:.2} of its link, the mean is {mean:.2}", calm.used[c]));
+        problems.push(format!(
+            "calm: cache {c} uses {:.2} of its link, less than a tenth of the mean {mean:.2}",
+            calm.used[c]
+        ));
     }
-    let carried = overload.served_ms / RUN_MS / d.bandwidths.iter().sum::<f64>();
+    let carried = overload.served_ms / RUN_MS / deployment.bandwidths.iter().sum::<f64>();
     if carried < 0.8 {
         let used = overload.used.iter().sum::<f64>() / overload.used.len() as f64;
         let (rejected, failed) = (overload.rejected, overload.failed);
-        wrong.push(format!(
-            "overload: {carried:.2} of what its links carry, {used:.2} used; of {} {rejected} refused, {failed} failed",
+        problems.push(format!(
+            "overload: {carried:.2} of the links' capacity served, at least 0.8 required; {used:.2} used; \
+             of {} requests {rejected} rejected, {failed} failed",
             overload.requests
         ));
-        wrong.extend(overload.log.iter().filter(|l| l.contains("gave up")).rev().take(2).cloned());
+        problems.extend(overload.log.iter().filter(|l| l.contains("gave up")).rev().take(2).cloned());
     }
-    if !wrong.is_empty() {
-        wrong.push(d.to_string());
+    if !problems.is_empty() {
+        problems.push(deployment.to_string());
     }
-    wrong
+    problems
 }
 
-/// Plays so many deployments on all cores; the seeds that fail, with what is wrong.
+/// Runs the deployments of all seeds on all cores; returns the seeds that fail, with their problems.
 fn run_all(seeds: std::ops::Range<u64>) -> Vec<(u64, Vec<String>)> {
     let (next, failed) = (AtomicU64::new(seeds.start), Mutex::new(Vec::new()));
     let threads = std::thread::available_parallelism().map_or(4, std::num::NonZero::get);
@@ -69,9 +78,9 @@
                 if seed >= seeds.end {
                     return;
                 }
-                let wrong = faults(seed);
-                if !wrong.is_empty() {
-                    failed.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push((seed, wrong));
+                let problems = problems_of(seed);
+                if !problems.is_empty() {
+                    failed.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push((seed, problems));
                 }
             });
         }
@@ -82,24 +91,28 @@
 }
 
 #[test]
-#[ignore = "many draws: run it in release"]
-fn a_thousand_deployments() {
+#[ignore = "takes long: run it in release mode"]
+fn a_thousand_drawn_deployments_have_no_problems() {
     let count = std::env::var("DRAWS").ok().and_then(|n| n.parse().ok()).unwrap_or(1_000);
     let failed = run_all(1_000..1_000 + count);
-    for (seed, wrong) in &failed {
-        println!("seed {seed}: {wrong:#?}");
+    for (seed, problems) in &failed {
+        println!("seed {seed}: {problems:#?}");
     }
     println!("{{\"draws\": {count}, \"failed\": {}}}", failed.len());
-    assert!(failed.is_empty(), "{} of {count} draws fail", failed.len());
+    assert!(failed.is_empty(), "{} of {count} draws fail, none expected", failed.len());
 }
 
-/// What a figure missed is a weakness that is known and counted; a broken rule is none.
+/// A broken rule always fails the test; missed figures are known weaknesses, accepted up to `MAX_MISSED`.
 #[test]
-fn three_dozen_deployments() {
+fn thirty_six_drawn_deployments_break_no_rule() {
     let failed = run_all(0..36);
-    let rules = |w: &&String| w.contains(" ms: ") || w.contains("pushed over");
-    let violations: Vec<_> = failed.iter().filter(|f| f.1.iter().any(|w| rules(&w))).collect();
-    assert!(violations.is_empty(), "{violations:#?}");
-    // Before capacity was learned 20 of these missed a figure.
-    assert!(failed.len() <= MISSED, "{} of 36 draws miss a figure: {failed:#?}", failed.len());
+    let is_violation = |p: &&String| p.contains(" ms: ") || p.contains("slow-start budget: ");
+    let violations: Vec<_> = failed.iter().filter(|f| f.1.iter().any(|p| is_violation(&p))).collect();
+    assert!(violations.is_empty(), "rules are broken: {violations:#?}");
+    // Before capacity was learned from answers, 20 of these draws missed a figure.
+    assert!(
+        failed.len() <= MAX_MISSED,
+        "{} of 36 draws miss a figure, at most {MAX_MISSED} accepted: {failed:#?}",
+        failed.len()
+    );
 }
--- a/crates/fernslip/tests/facade.rs
+++ b/crates/fernslip/tests/facade.rs
@@ -1,15 +1,16 @@
-//! The facade in blocking style.
+//! The dispatcher facade, used by blocking threads.
 mod common;
-use common::{fleet, settings};
+use common::{endpoints, settings};
 use fernslip::facade::*;
 use fernslip::*;
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Condvar, Mutex};
 
+/// A waiter that blocks its thread until it is woken.
 #[derive(Default)]
-struct Flag(Mutex<bool>, Condvar);
+struct BlockingWaiter(Mutex<bool>, Condvar);
 
-impl Waiter for Flag {
+impl Waiter for BlockingWaiter {
     fn wait(&self) {
         let _woken = self.1.wait_while(self.0.lock().unwrap(), |woken| !*woken).unwrap();
     }
@@ -20,12 +21,13 @@
     }
 }
 
+/// A host that records cancellations and peer messages as text.
 #[derive(Default)]
-struct Notes(Mutex<Vec<String>>);
+struct RecordingHost(Mutex<Vec<String>>);
 
-impl Host for Notes {
+impl Host for RecordingHost {
     fn waiter(&self) -> Arc<dyn Waiter> {
-        Arc::new(Flag::default())
+        Arc::new(BlockingWaiter::default())
     }
 
     fn cancel(&self, id: RequestId, attempt: u32) {
@@ -33,36 +35,37 @@
     }
 
     fn send_to_peer(&self, to: u32, data: &[u8]) {
-        self.0.lock().unwrap().push(format!("tell {to} {data:?}"));
+        self.0.lock().unwrap().push(format!("to peer {to}: {data:?}"));
     }
 
     fn send_to_all_peers(&self, data: &[u8]) {
-        self.0.lock().unwrap().push(format!("tell all {data:?}"));
+        self.0.lock().unwrap().push(format!("to all peers: {data:?}"));
     }
 
     fn log(&self, _: &str) {}
 }
 
-fn ready() -> Dispatcher<Notes> {
-    let d = Dispatcher::new(settings(), 7, Notes::default()).expect("settings are sound");
-    d.update_endpoints(1000.0, ListKind::Full, fleet());
+/// A dispatcher that has its endpoint list.
+fn new_dispatcher() -> Dispatcher<RecordingHost> {
+    let d = Dispatcher::new(settings(), 7, RecordingHost::default()).expect("the test settings are valid");
+    d.update_endpoints(1000.0, ListKind::Full, endpoints());
     d
 }
 
-fn request(id: u64) -> Request {
+fn new_request(id: u64) -> Request {
     let (object, budget_ms) = (ObjectId(9), 5000.0);
     Request { id: RequestId(id), object, part: 0, class: 0, size_kb: 100.0, budget_ms, group: 3 }
 }
 
-fn attempt(d: Decision) -> Attempt {
-    match d {
-        Decision::Forward(a) => a,
-        other => panic!("{other:?}"),
+fn expect_attempt(decision: Decision) -> Attempt {
+    match decision {
+        Decision::Forward(attempt) => attempt,
+        other => panic!("expected an attempt, got {other:?}"),
     }
 }
 
-fn ended(a: &Attempt, ending: Ending) -> AttemptResult {
-    let (id, attempt, cache) = (a.id, a.number, a.cache.clone());
+fn result_of(attempt: &Attempt, ending: Ending) -> AttemptResult {
+    let (id, attempt, cache) = (attempt.id, attempt.number, attempt.cache.clone());
     AttemptResult {
         id,
         attempt,
@@ -76,108 +79,115 @@
 }
 
 #[test]
-fn a_request_is_picked_retried_and_finished() {
-    let d = ready();
-    let first = attempt(d.pick(1000.0, request(1)));
+fn a_failed_request_is_retried_and_then_finished() {
+    let d = new_dispatcher();
+    let first = expect_attempt(d.pick(1000.0, new_request(1)));
     assert!(first.source.is_some() && first.number == 0);
-    let second = attempt(d.report(1050.0, ended(&first, Ending::Errored)));
+    let second = expect_attempt(d.report(1050.0, result_of(&first, Ending::Errored)));
     assert_eq!(second.number, 1);
-    assert!(matches!(d.report(1100.0, ended(&second, Ending::Completed)), Decision::Finished));
-    assert_eq!(d.open_requests(), 0, "nothing is kept of it");
+    assert!(matches!(d.report(1100.0, result_of(&second, Ending::Completed)), Decision::Finished));
+    assert_eq!(d.open_requests(), 0, "a finished request is removed");
     assert!(
-        matches!(d.report(1101.0, ended(&second, Ending::Completed)), Decision::Finished),
-        "late and harmless"
+        matches!(d.report(1101.0, result_of(&second, Ending::Completed)), Decision::Finished),
+        "a result that comes late changes nothing"
     );
 }
 
 #[test]
 fn a_rejected_request_is_answered_at_once_with_a_retry_hint() {
-    let d = ready();
-    let a = attempt(d.pick(1000.0, request(1)));
-    match d.report(5999.0, ended(&a, Ending::Errored)) {
+    let d = new_dispatcher();
+    let a = expect_attempt(d.pick(1000.0, new_request(1)));
+    match d.report(5999.0, result_of(&a, Ending::Errored)) {
         Decision::Reject { retry_after_ms } => assert!(retry_after_ms > 0.0),
-        other => panic!("{other:?}"),
+        other => panic!("expected a rejection, got {other:?}"),
     }
     assert_eq!(d.open_requests(), 0);
 }
 
 #[test]
 fn a_duplicate_id_is_rejected_and_the_first_request_keeps_its_answer() {
-    let d = ready();
-    let a = attempt(d.pick(1000.0, request(1)));
-    assert!(matches!(d.pick(1001.0, request(1)), Decision::Reject { .. }));
-    assert!(matches!(d.report(1050.0, ended(&a, Ending::Completed)), Decision::Finished));
+    let d = new_dispatcher();
+    let a = expect_attempt(d.pick(1000.0, new_request(1)));
+    assert!(matches!(d.pick(1001.0, new_request(1)), Decision::Reject { .. }));
+    assert!(matches!(d.report(1050.0, result_of(&a, Ending::Completed)), Decision::Finished));
 }
 
 #[test]
 fn a_disconnected_clients_attempt_is_cancelled() {
-    let d = ready();
-    let a = attempt(d.pick(1000.0, request(1)));
+    let d = new_dispatcher();
+    let a = expect_attempt(d.pick(1000.0, new_request(1)));
     d.client_disconnected(1010.0, a.id);
-    assert!(a.cancelled.load(Ordering::Acquire), "also where the front has not begun with it");
+    assert!(
+        a.cancelled.load(Ordering::Acquire),
+        "the attempt is marked as cancelled even if the front has not begun it"
+    );
     assert!(d.host().0.lock().unwrap().contains(&"cancel 1 0".to_string()));
-    assert!(matches!(d.report(1011.0, ended(&a, Ending::Cancelled)), Decision::Finished));
+    assert!(matches!(d.report(1011.0, result_of(&a, Ending::Cancelled)), Decision::Finished));
     assert_eq!(d.open_requests(), 0);
 }
 
 #[test]
 fn timers_cancel_attempts_at_a_silent_cache() {
-    let d = ready();
-    let a = attempt(d.pick(1000.0, request(1)));
+    let d = new_dispatcher();
+    let a = expect_attempt(d.pick(1000.0, new_request(1)));
     let mut now = 1000.0;
     while !a.cancelled.load(Ordering::Acquire) {
-        now = d.tick(now).expect("it looks for silent machines");
-        assert!(now < 5000.0, "in time for another try");
+        now = d.tick(now).expect("a timer to find silent nodes is set");
+        assert!(now < 5000.0, "the attempt is cancelled in time for a retry");
     }
-    let b = attempt(d.report(now, ended(&a, Ending::Cancelled)));
+    let b = expect_attempt(d.report(now, result_of(&a, Ending::Cancelled)));
     assert_ne!(a.cache, b.cache);
 }
 
 #[test]
 fn messages_to_and_from_peers_are_passed_on() {
-    let d = ready();
-    assert_eq!(d.host().0.lock().unwrap().len(), 0, "its location has no other router");
+    let d = new_dispatcher();
+    assert_eq!(d.host().0.lock().unwrap().len(), 0, "nothing is sent where the location has no other router");
     d.peer_message(1000.0, 1, vec![2, 1, 1]);
-    assert_eq!(*d.host().0.lock().unwrap(), ["tell 1 [2, 1, 0]"], "a greeting that asks is answered");
+    assert_eq!(
+        *d.host().0.lock().unwrap(),
+        ["to peer 1: [2, 1, 0]"],
+        "a greeting that requests an answer gets one"
+    );
 }
 
-/// An attempt that was decided on and has not begun is told from one that may still begin: by a drain, a node out by hand, a
-/// purge of what it asks for, and its client's leaving. The next attempt is decided with all of it known.
+/// An attempt not begun yet must not begin after its node drains or is excluded manually, its object is
+/// purged or its client disconnects. The next attempt is decided with all of that known.
 #[test]
 fn an_attempt_outdated_by_a_purge_or_drain_is_not_begun() {
-    let begins = |d: &Dispatcher<Notes>, a: &Attempt| d.is_in_service(a) && d.is_wanted(a);
-    let d = ready();
-    let first = attempt(d.pick(1000.0, request(1)));
-    assert!(begins(&d, &first));
+    let may_begin = |d: &Dispatcher<RecordingHost>, a: &Attempt| d.is_in_service(a) && d.is_wanted(a);
+    let d = new_dispatcher();
+    let first = expect_attempt(d.pick(1000.0, new_request(1)));
+    assert!(may_begin(&d, &first));
     d.purged(1001.0, Some(ObjectId(10)), 0, 1.0);
-    assert!(begins(&d, &first), "another object");
+    assert!(may_begin(&d, &first), "a purge of another object does not affect the attempt");
     d.purged(1001.0, Some(ObjectId(9)), 0, 1.0);
-    assert!(!begins(&d, &first), "purged");
-    let second = attempt(d.report(1002.0, ended(&first, Ending::Retracted)));
-    assert!(begins(&d, &second), "decided on with the purge in it");
-    let mut draining = fleet();
+    assert!(!may_begin(&d, &first), "the object was purged");
+    let second = expect_attempt(d.report(1002.0, result_of(&first, Ending::Retracted)));
+    assert!(may_begin(&d, &second), "the second attempt was decided after the purge");
+    let mut draining = endpoints();
     draining.iter_mut().filter(|e| e.cache == second.cache).for_each(|e| e.phase = Phase::Draining);
     d.update_endpoints(1003.0, ListKind::Delta, draining);
-    assert!(!begins(&d, &second), "draining");
+    assert!(!may_begin(&d, &second), "the node is draining");
     assert_eq!(d.out_of_service_since(&second.cache), Some(1003.0));
-    let third = attempt(d.report(1004.0, ended(&second, Ending::Retracted)));
-    assert!(begins(&d, &third));
+    let third = expect_attempt(d.report(1004.0, result_of(&second, Ending::Retracted)));
+    assert!(may_begin(&d, &third));
     assert!(d.exclude(1005.0, &third.cache));
-    assert!(!begins(&d, &third), "out by hand");
-    assert!(d.include(1006.0, &third.cache) && begins(&d, &third));
+    assert!(!may_begin(&d, &third), "the node is excluded manually");
+    assert!(d.include(1006.0, &third.cache) && may_begin(&d, &third));
     d.client_disconnected(1007.0, RequestId(1));
-    assert!(!begins(&d, &third), "its client has left");
+    assert!(!may_begin(&d, &third), "the client has disconnected");
 }
 
-/// Two threads, as the operators' and the watch's are: a node that is put back by hand while the list says that it drains is
-/// never sent anything, whichever comes first.
+/// An operator's thread includes a node manually while the discovery watch's thread lists it as draining:
+/// whichever comes first, the node gets no request.
 #[test]
 fn a_node_included_while_the_list_drains_it_is_not_used() {
     for round in 0..300 {
-        let d = ready();
-        let node = attempt(d.pick(1000.0, request(1))).cache;
+        let d = new_dispatcher();
+        let node = expect_attempt(d.pick(1000.0, new_request(1))).cache;
         assert!(d.exclude(1001.0, &node));
-        let mut drains = fleet();
+        let mut drains = endpoints();
         drains.retain(|e| e.cache == node);
         drains[0].phase = Phase::Draining;
         std::thread::scope(|threads| {
@@ -185,8 +195,8 @@
             threads.spawn(|| d.update_endpoints(1002.0, ListKind::Delta, drains));
         });
         for n in 2..6 {
-            let next = attempt(d.pick(1003.0, request(n)));
-            assert_ne!(next.cache, node, "round {round}");
+            let next = expect_attempt(d.pick(1003.0, new_request(n)));
+            assert_ne!(next.cache, node, "round {round}: a draining node gets no request");
         }
     }
 }
--- a/crates/fernslip/tests/filter.rs
+++ b/crates/fernslip/tests/filter.rs
@@ -1,36 +1,36 @@
-//! The filter as a data structure.
+//! The counting Bloom filter as a data structure, and the encoding of its changes.
 
 use fernslip::filter::*;
 
 #[test]
-fn adds_once_and_removes_only_what_shows() {
+fn a_key_is_added_once_and_only_a_contained_key_is_removed() {
     let mut f = Filter::new(1024, 4);
     let (a, b) = (hash(&[1, 2]), hash(&[3, 4]));
     assert!(!f.contains(a));
     assert_eq!(f.add(a).len(), f.positions(a).len());
-    assert!(f.add(a).is_empty(), "a second add changes nothing");
-    assert!(f.remove(b).is_empty(), "what does not show is not removed");
+    assert!(f.add(a).is_empty(), "a second addition changes no counter");
+    assert!(f.remove(b).is_empty(), "removing a key that is not contained changes no counter");
     assert!(f.contains(a));
     f.remove(a);
-    assert!(!f.contains(a), "one removal undoes one addition");
+    assert!(!f.contains(a), "a removal undoes the addition");
 }
 
 #[test]
-fn full_counters_stay_until_their_generation_goes() {
+fn saturated_counters_stay_until_their_generation_is_dropped() {
     let mut f = Filter::new(64, 4);
     let a = hash(&[9]);
     (0..40).for_each(|_| f.bump(a));
     assert_eq!(f.count(a), 15);
     (0..40).for_each(|_| drop(f.remove(a)));
-    assert_eq!(f.count(a), 15, "a full counter has lost count");
+    assert_eq!(f.count(a), 15, "a saturated counter is not decremented");
     f.rotate();
-    assert!(f.contains(a), "the older generation still shows it");
+    assert!(f.contains(a), "the previous generation still contains the key");
     f.rotate();
     assert!(!f.contains(a));
 }
 
 #[test]
-fn a_hit_readds_into_the_current_generation() {
+fn a_key_of_the_previous_generation_is_added_to_the_current_one_again() {
     let mut f = Filter::new(1024, 4);
     let a = hash(&[5]);
     f.add(a);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn code_round_trips_in_pieces_within_the_limit() {
+fn encoded_changes_round_trip_in_pieces_within_the_size_limit() {
     let mut changes: Vec<Change> =
         (0..900u32).map(|n| Change { at: n.wrapping_mul(2_654_435_761) % 16384, up: n % 3 != 0 }).collect();
     let pieces = encode(&changes, 246);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn corrupt_code_never_leaves_the_filter() {
+fn corrupt_data_decodes_to_no_position_outside_the_filter() {
     let mut x = 1u64;
     for len in 0..300usize {
         let data: Vec<u8> = (0..len)
@@ -64,7 +64,7 @@
             .collect();
         assert!(decode(&data, 512).iter().all(|c| c.at < 512));
     }
-    assert!(decode(&[0xff; 40], 512).is_empty(), "a run without end is dropped");
+    assert!(decode(&[0xff; 40], 512).is_empty(), "a run length without a last byte decodes to no changes");
     let mut f = Filter::new(16, 4);
     f.apply(&[Change { at: 4000, up: true }]);
 }
--- a/crates/fernslip/tests/fleet.rs
+++ b/crates/fernslip/tests/fleet.rs
@@ -1,78 +1,88 @@
-//! What no single router can see: the sums over a hundred of them, each told its own events only. The world is the
-//! simplest that shows it: boxes answer in their sending time, the lost say nothing, messages are late or lost.
+//! Totals over a hundred routers, each of which gets its own events only. In the simulation caches answer
+//! within their sending time, silent caches do not answer, and peer messages are late or lost.
 mod common;
 use common::*;
 use fernslip::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
+/// Number of locations.
 const ZONES: usize = 10;
-const PER_ZONE: u32 = 10;
-const CACHES: usize = 5;
-const SIZES_KB: [f64; 2] = [40.0, 360.0]; // by class; a KB is a millisecond of sending
+/// Number of routers at each location.
+const ROUTERS_PER_ZONE: u32 = 10;
+/// Number of caches at each location.
+const CACHES_PER_ZONE: usize = 5;
+/// Size of a request by class; a KB takes a millisecond to send.
+const SIZES_KB: [f64; 2] = [40.0, 360.0];
+/// Length of the slow-start window, in milliseconds.
 const WINDOW_MS: f64 = 1_500.0;
-const WEIGHT: f64 = 4.0; // of a box, and of a parent: answers at full pace
-const PARENT: f64 = 20.0;
-/// Of the rule's grace for boxes that drain, what the routers may use of it here: they are told at once.
-const DRAIN_MS: f64 = 500.0;
+/// How many answers at full pace a cache sends at once.
+const CACHE_WEIGHT: f64 = 4.0;
+/// As `CACHE_WEIGHT`, of a parent.
+const PARENT_WEIGHT: f64 = 20.0;
+/// How long after the notification caches may still be sent requests while they drain, in milliseconds: less
+/// than the settings' grace, since all routers are notified at once.
+const DRAIN_GRACE_MS: f64 = 500.0;
 
-fn mix(mut x: u64) -> u64 {
+/// A 64-bit hash, in place of random numbers.
+fn hash64(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
 }
 
-enum Due {
+/// What happens at a scheduled time.
+enum Scheduled {
+    /// A request arrives at the router.
     Arrival(u32),
-    End {
-        to: u32,
-        id: RequestId,
-        attempt: u32,
-    },
+    /// An attempt of the router `to` ends.
+    AttemptEnd { to: u32, id: RequestId, attempt: u32 },
+    /// A timer of the router expires, with its token.
     Timer(u32, u64),
-    Message {
-        to: u32,
-        from: u32,
-        data: Vec<u8>,
-    },
+    /// A peer message reaches the router `to`.
+    Message { to: u32, from: u32, data: Vec<u8> },
+    /// The router is notified of an event.
     Notify(u32, Event),
-    /// A box falls silent, or speaks again.
+    /// A cache becomes silent (true), or answers again with no copies (false).
     Silent(String, bool),
 }
 
+/// An attempt that has not ended, and how it will end.
 #[derive(Clone)]
-struct Open {
+struct OpenAttempt {
     cache: String,
     ending: Ending,
     detail: u8,
     sent: f64,
 }
 
-/// A send: when, and its work in milliseconds.
+/// By node: the time of each send and its work, in milliseconds.
 type Sends = BTreeMap<String, Vec<(f64, f64)>>;
 
 #[derive(Default)]
-struct World {
+struct Simulation {
     routers: Vec<Router>,
     now: f64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    dues: BTreeMap<u64, Due>,
+    scheduled: BTreeMap<u64, Scheduled>,
     next: u64,
     ids: u64,
-    open: BTreeMap<(RequestId, u32), Open>,
+    open: BTreeMap<(RequestId, u32), OpenAttempt>,
     attempts: BTreeMap<RequestId, u32>,
-    out_now: BTreeSet<RequestId>,
+    requests_in_flight: BTreeSet<RequestId>,
     class_of: BTreeMap<RequestId, usize>,
     cached: BTreeMap<(String, u64), f64>,
     object_of: BTreeMap<RequestId, u64>,
     silent: BTreeSet<String>,
-    /// To boxes, and to parents and the origin as sources of fills.
+    /// Attempts sent to caches, and fills from parents and the origin.
     sends: Sends,
     answered: BTreeMap<RequestId, u32>,
     served: usize,
     rejected: usize,
+    /// Time, sender and length of each peer message.
     messages: Vec<(f64, u32, usize)>,
-    most_out: BTreeMap<String, (usize, usize)>,
+    /// By cache: attempts in flight now and at most so far.
+    in_flight: BTreeMap<String, (usize, usize)>,
     end_of_requests: f64,
 }
 
@@ -80,7 +90,7 @@
     let small = Class { priority_weight: 1.0, ..class() };
     let mut zones = vec!["hub".to_string()];
     zones.extend((1..=ZONES).map(|z| format!("edge-{z}")));
-    let mut zone_routers = vec![PER_ZONE; ZONES + 1];
+    let mut zone_routers = vec![ROUTERS_PER_ZONE; ZONES + 1];
     zone_routers[0] = 0;
     Settings {
         link_in_kb_per_s: vec![0.0; zones.len()],
@@ -88,7 +98,7 @@
         zone,
         zone_routers,
         slot,
-        routers: ZONES as u32 * PER_ZONE,
+        routers: ZONES as u32 * ROUTERS_PER_ZONE,
         classes: vec![small, class()],
         notes: NoteLevel::Hit,
         slow_start_from: 0.25,
@@ -103,51 +113,51 @@
 }
 
 fn zone_of(slot: u32) -> usize {
-    // Not in the order of their numbers: a router's neighbours are others.
+    // Routers with successive numbers are at different locations.
     1 + (slot as usize * 7 + 3) % ZONES
 }
 
 fn cache_entry(zone: usize, n: usize) -> Entry {
-    Entry { weight: WEIGHT, ..entry(&format!("z{zone}b{n}:1"), zone, 0) }
+    Entry { weight: CACHE_WEIGHT, ..entry(&format!("z{zone}b{n}:1"), zone, 0) }
 }
 
-impl World {
-    fn new() -> World {
-        World::with_peers(true)
+impl Simulation {
+    fn new() -> Simulation {
+        Simulation::with_peers(true)
     }
 
-    fn with_peers(peers: bool) -> World {
-        let router = |slot| {
+    fn with_peers(peers: bool) -> Simulation {
+        let new_router = |slot| {
             let set = Settings { peers, ..fleet_settings(zone_of(slot), slot) };
-            Router::new(set, u64::from(slot) + 1).expect("sound")
+            Router::new(set, u64::from(slot) + 1).expect("the test settings are valid")
         };
-        let routers: Vec<Router> = (0..ZONES as u32 * PER_ZONE).map(router).collect();
+        let routers: Vec<Router> = (0..ZONES as u32 * ROUTERS_PER_ZONE).map(new_router).collect();
         let n = routers.len() as u32;
-        let mut w = World { routers, now: 100_000.0, ..World::default() };
+        let mut simulation = Simulation { routers, now: 100_000.0, ..Simulation::default() };
         let mut all = Vec::new();
         for z in 1..=ZONES {
-            all.extend((0..CACHES).map(|b| cache_entry(z, b)));
+            all.extend((0..CACHES_PER_ZONE).map(|b| cache_entry(z, b)));
         }
-        all.extend(["p1:1", "p2:1", "p3:1"].map(|p| Entry { weight: PARENT, ..entry(p, 0, 1) }));
+        all.extend(["p1:1", "p2:1", "p3:1"].map(|p| Entry { weight: PARENT_WEIGHT, ..entry(p, 0, 1) }));
         all.push(Entry { weight: 60.0, ..entry("o1:1", 0, 2) });
         for r in 0..n {
-            w.handle(r, Event::Endpoints { kind: ListKind::Full, entries: all.clone() });
-            w.at(100_000.0 + f64::from(r), Due::Arrival(r));
+            simulation.handle(r, Event::Endpoints { kind: ListKind::Full, entries: all.clone() });
+            simulation.schedule(100_000.0 + f64::from(r), Scheduled::Arrival(r));
         }
-        w
+        simulation
     }
 
-    fn at(&mut self, when: f64, due: Due) {
+    fn schedule(&mut self, when: f64, due: Scheduled) {
         self.next += 1;
         self.queue.push(Reverse(((when * 1000.0) as u64, self.next)));
-        self.dues.insert(self.next, due);
+        self.scheduled.insert(self.next, due);
     }
 
-    /// Tells every router, each in its own moment within `spread_ms`.
+    /// Notifies every router, each at its own time within `spread_ms`.
     fn notify_all(&mut self, when: f64, spread_ms: f64, event: impl Fn() -> Event) {
         for r in 0..self.routers.len() as u32 {
-            let late = (mix(u64::from(r) ^ when.to_bits()) % 1000) as f64 / 1000.0 * spread_ms;
-            self.at(when + late, Due::Notify(r, event()));
+            let late = (hash64(u64::from(r) ^ when.to_bits()) % 1000) as f64 / 1000.0 * spread_ms;
+            self.schedule(when + late, Scheduled::Notify(r, event()));
         }
     }
 
@@ -158,56 +168,62 @@
         });
     }
 
-    fn send(&mut self, name: &str, class: usize) {
+    fn record_send(&mut self, name: &str, class: usize) {
         self.sends.entry(name.into()).or_default().push((self.now, SIZES_KB[class]));
     }
 
-    fn handle(&mut self, r: u32, event: Event) {
+    fn handle(&mut self, router: u32, event: Event) {
         let mut actions = Vec::new();
-        self.routers[r as usize].handle(self.now, event, &mut actions);
+        self.routers[router as usize].handle(self.now, event, &mut actions);
         for a in actions {
             match a {
                 Action::Forward { id, cache, source, until_ms, .. } => {
                     let attempt = self.attempts.entry(id).or_default();
                     let (number, class) = (*attempt, self.class_of[&id]);
                     *attempt += 1;
-                    assert!(self.out_now.insert(id), "two attempts of {id:?} are out");
-                    assert!(!self.answered.contains_key(&id), "an attempt after the answer");
+                    assert!(
+                        self.requests_in_flight.insert(id),
+                        "no attempt of {id:?} is sent while another is in flight"
+                    );
+                    assert!(!self.answered.contains_key(&id), "no attempt is sent after the final answer");
                     let (name, object) = (cache.0.to_string(), self.object_of[&id]);
-                    self.send(&name, class);
+                    self.record_send(&name, class);
                     let hit = self.cached.contains_key(&(name.clone(), object));
                     let silent = self.silent.contains(&name);
                     if !hit && !silent && source != cache {
                         let from = source.0.to_string();
-                        self.send(&from, class);
+                        self.record_send(&from, class);
                     }
                     let took = SIZES_KB[class] + if hit { 5.0 } else { 60.0 };
                     let late = silent || self.now + took > until_ms;
                     let when = if late { until_ms } else { self.now + took };
                     let ending = if late { Ending::TimedOut } else { Ending::Completed };
-                    let out = self.most_out.entry(name.clone()).or_default();
+                    let out = self.in_flight.entry(name.clone()).or_default();
                     out.0 += 1;
                     out.1 = out.1.max(out.0);
                     let detail = if late { 0 } else { 2 - u8::from(hit) };
-                    self.open.insert((id, number), Open { cache: name, ending, detail, sent: self.now });
-                    self.at(when, Due::End { to: r, id, attempt: number });
+                    self.open
+                        .insert((id, number), OpenAttempt { cache: name, ending, detail, sent: self.now });
+                    self.schedule(when, Scheduled::AttemptEnd { to: router, id, attempt: number });
                 }
                 Action::Cancel { id, attempt } => {
                     if let Some(o) = self.open.get_mut(&(id, attempt)) {
                         o.ending = Ending::Cancelled;
                         o.detail = 0;
-                        self.at(self.now, Due::End { to: r, id, attempt });
+                        self.schedule(self.now, Scheduled::AttemptEnd { to: router, id, attempt });
                     }
                 }
                 Action::Reject { id, .. } | Action::Fail { id } => {
                     self.rejected += 1;
                     *self.answered.entry(id).or_default() += 1;
                 }
-                Action::Timer { delay_ms, token } => self.at(self.now + delay_ms, Due::Timer(r, token)),
-                Action::SendToPeer { to, data } => self.post(r, to, data),
+                Action::Timer { delay_ms, token } => {
+                    self.schedule(self.now + delay_ms, Scheduled::Timer(router, token));
+                }
+                Action::SendToPeer { to, data } => self.send_message(router, to, data),
                 Action::SendToAllPeers { data } => {
-                    for to in (0..self.routers.len() as u32).filter(|to| *to != r) {
-                        self.post(r, to, data.clone());
+                    for to in (0..self.routers.len() as u32).filter(|to| *to != router) {
+                        self.send_message(router, to, data.clone());
                     }
                 }
                 _ => {}
@@ -215,44 +231,45 @@
         }
     }
 
-    /// One message in ten is lost.
-    fn post(&mut self, from: u32, to: u32, data: Vec<u8>) {
-        assert!(data.len() <= 256);
+    /// Sends a peer message; one in ten is lost.
+    fn send_message(&mut self, from: u32, to: u32, data: Vec<u8>) {
+        assert!(data.len() <= 256, "a peer message has at most 256 bytes");
         self.messages.push((self.now, from, data.len()));
-        if mix(self.next ^ 0x5eed) % 10 > 0 {
-            self.at(self.now + 5.0, Due::Message { to, from, data });
+        if hash64(self.next ^ 0x5eed) % 10 > 0 {
+            self.schedule(self.now + 5.0, Scheduled::Message { to, from, data });
         }
     }
 
-    fn ask(&mut self, r: u32) {
+    fn send_request(&mut self, router: u32) {
         self.ids += 1;
-        let (id, dice) = (RequestId(self.ids), mix(self.ids ^ 0xa5));
-        // Most ask for a few hundred objects, some for what nobody else wants.
-        let object = if dice % 8 == 0 { 1_000_000 + self.ids } else { mix(dice) % 300 };
+        let (id, dice) = (RequestId(self.ids), hash64(self.ids ^ 0xa5));
+        // Most requests are for 300 popular objects, some for an object that is requested only once.
+        let object = if dice % 8 == 0 { 1_000_000 + self.ids } else { hash64(dice) % 300 };
         let class = (object % 2) as usize;
         self.class_of.insert(id, class);
         self.object_of.insert(id, object);
         let size_kb = SIZES_KB[class];
         let group = object % 16;
-        let ask = Request { id, object: ObjectId(object), part: 0, class, size_kb, budget_ms: 5000.0, group };
-        self.handle(r, Event::Request(ask));
+        let request =
+            Request { id, object: ObjectId(object), part: 0, class, size_kb, budget_ms: 5000.0, group };
+        self.handle(router, Event::Request(request));
     }
 
     fn run(&mut self, until: f64) {
         self.end_of_requests = until;
         while let Some(Reverse((at, n))) = self.queue.pop() {
-            let Some(due) = self.dues.remove(&n) else { continue };
+            let Some(due) = self.scheduled.remove(&n) else { continue };
             self.now = self.now.max(at as f64 / 1000.0);
             match due {
-                Due::Arrival(r) if self.now < self.end_of_requests => {
-                    self.ask(r);
-                    self.at(self.now + 90.0 + (mix(n) % 60) as f64, Due::Arrival(r));
+                Scheduled::Arrival(r) if self.now < self.end_of_requests => {
+                    self.send_request(r);
+                    self.schedule(self.now + 90.0 + (hash64(n) % 60) as f64, Scheduled::Arrival(r));
                 }
-                Due::Arrival(_) => {}
-                Due::End { to, id, attempt } => {
+                Scheduled::Arrival(_) => {}
+                Scheduled::AttemptEnd { to, id, attempt } => {
                     let Some(o) = self.open.remove(&(id, attempt)) else { continue };
-                    self.out_now.remove(&id);
-                    if let Some(out) = self.most_out.get_mut(&o.cache) {
+                    self.requests_in_flight.remove(&id);
+                    if let Some(out) = self.in_flight.get_mut(&o.cache) {
                         out.0 -= 1;
                     }
                     let over = o.ending == Ending::Completed;
@@ -274,11 +291,11 @@
                     };
                     self.handle(to, Event::Outcome(outcome));
                 }
-                // Timers go on for good while something is open; after the last answer nobody needs them.
-                Due::Timer(r, token) => self.handle(r, Event::Timer { token }),
-                Due::Message { to, from, data } => self.handle(to, Event::PeerMessage { from, data }),
-                Due::Notify(r, event) => self.handle(r, event),
-                Due::Silent(name, silent) => {
+                // Routers renew their timers only while requests are open, so the queue becomes empty.
+                Scheduled::Timer(r, token) => self.handle(r, Event::Timer { token }),
+                Scheduled::Message { to, from, data } => self.handle(to, Event::PeerMessage { from, data }),
+                Scheduled::Notify(r, event) => self.handle(r, event),
+                Scheduled::Silent(name, silent) => {
                     if silent {
                         self.silent.insert(name);
                     } else {
@@ -290,12 +307,12 @@
         }
     }
 
-    /// In every window that begins with a send to it, a machine that started cold got no more than its budget; how
-    /// much of the budget of all the time that it was cold was used.
-    fn slow_start_use(&self, name: &str, started: f64, set: &Settings, parent: bool) -> f64 {
+    /// Asserts that each window that begins with a send to a restarted node keeps to the node's budget;
+    /// returns the fraction used of the budget of the whole slow start.
+    fn budget_use_in_slow_start(&self, name: &str, started: f64, set: &Settings, parent: bool) -> f64 {
         let (from, ms, weight) = match parent {
-            true => (set.parent_slow_start_from, set.parent_slow_start_ms, PARENT),
-            false => (set.slow_start_from, set.slow_start_ms, WEIGHT),
+            true => (set.parent_slow_start_from, set.parent_slow_start_ms, PARENT_WEIGHT),
+            false => (set.slow_start_from, set.slow_start_ms, CACHE_WEIGHT),
         };
         let multiple = if parent { set.parent_slow_start_multiple } else { set.slow_start_multiple };
         let capacity_fraction = |at: f64| (from + (1.0 - from) * (at - started) / ms).min(1.0);
@@ -304,24 +321,27 @@
         for (i, s) in sends.iter().enumerate() {
             let work: f64 = sends[i..].iter().take_while(|t| t.0 < s.0 + WINDOW_MS).map(|t| t.1).sum();
             let budget = multiple * weight * WINDOW_MS * capacity_fraction(s.0 + WINDOW_MS / 2.0);
-            assert!(work <= budget, "{name}: {work} ms of {budget} at {} ms", s.0 - started);
+            assert!(
+                work <= budget,
+                "{name} is sent {work} ms of work, at most {budget} ms allowed, {} ms after its start",
+                s.0 - started
+            );
         }
         let last = self.end_of_requests.min(started + ms);
-        let whole =
+        let whole_budget =
             multiple * weight * (last - started) * (capacity_fraction(started) + capacity_fraction(last))
                 / 2.0;
-        sends.iter().map(|s| s.1).sum::<f64>() / whole
+        sends.iter().map(|s| s.1).sum::<f64>() / whole_budget
     }
 
-    /// Everything that was asked has one answer, and nothing is out any more.
-    fn all_answered(&self) {
-        assert!(self.out_now.is_empty() && self.open.is_empty());
-        assert_eq!(self.answered.len(), self.class_of.len());
-        assert!(self.answered.values().all(|n| *n == 1), "one answer each");
+    fn assert_each_request_is_answered_once(&self) {
+        assert!(self.requests_in_flight.is_empty() && self.open.is_empty(), "no attempt is still in flight");
+        assert_eq!(self.answered.len(), self.class_of.len(), "every request is answered");
+        assert!(self.answered.values().all(|n| *n == 1), "each request has exactly one answer");
     }
 
-    /// Most bytes of messages that one router sent in a second.
-    fn most_bytes(&self, after: f64) -> usize {
+    /// The most bytes of peer messages that one router sent in one second.
+    fn max_message_bytes_per_second(&self, after: f64) -> usize {
         let mut by: BTreeMap<(u32, u64), usize> = BTreeMap::new();
         for (at, from, len) in self.messages.iter().filter(|m| m.0 >= after) {
             *by.entry((*from, (at / 1000.0) as u64)).or_default() += len;
@@ -329,167 +349,196 @@
         by.into_values().max().unwrap_or(0)
     }
 
-    /// Most connections that all routers need at one box at once, at two requests a connection and one at the least.
-    fn most_connections(&self) -> usize {
-        self.most_out.values().map(|o| o.1.div_ceil(2)).max().unwrap_or(0)
+    /// The most connections that all routers need at one cache at once, with two requests per connection
+    /// and at least one connection.
+    fn max_connections_per_cache(&self) -> usize {
+        self.in_flight.values().map(|o| o.1.div_ceil(2)).max().unwrap_or(0)
     }
 }
 
-/// A location falls silent, its routers live on; it comes back cold and empty.
+/// All caches of a location become silent and return in slow start with no copies; its routers keep running.
 #[test]
-fn a_lost_location_comes_back_within_its_budget() {
-    let mut w = World::new();
-    let names: Vec<String> = (0..CACHES).map(|b| cache_entry(3, b).cache.0.to_string()).collect();
+fn a_location_that_returns_is_sent_no_more_than_its_budget() {
+    let mut simulation = Simulation::new();
+    let names: Vec<String> = (0..CACHES_PER_ZONE).map(|b| cache_entry(3, b).cache.0.to_string()).collect();
     for n in &names {
-        w.at(104_000.0, Due::Silent(n.clone(), true));
-        w.at(109_000.0, Due::Silent(n.clone(), false));
+        simulation.schedule(104_000.0, Scheduled::Silent(n.clone(), true));
+        simulation.schedule(109_000.0, Scheduled::Silent(n.clone(), false));
     }
     let all = |phase: Phase, started_ms: f64| -> Vec<Entry> {
-        (0..CACHES).map(|b| Entry { phase, started_ms, ..cache_entry(3, b) }).collect()
+        (0..CACHES_PER_ZONE).map(|b| Entry { phase, started_ms, ..cache_entry(3, b) }).collect()
     };
-    w.update_endpoints(107_000.0, 800.0, all(Phase::Out, 0.0));
-    w.update_endpoints(109_000.0, 800.0, all(Phase::In, 109_000.0));
-    w.run(121_000.0);
-    w.all_answered();
+    simulation.update_endpoints(107_000.0, 800.0, all(Phase::Out, 0.0));
+    simulation.update_endpoints(109_000.0, 800.0, all(Phase::In, 109_000.0));
+    simulation.run(121_000.0);
+    simulation.assert_each_request_is_answered_once();
     let set = fleet_settings(3, 0);
     let used: f64 =
-        names.iter().map(|n| w.slow_start_use(n, 109_000.0, &set, false)).sum::<f64>() / CACHES as f64;
-    assert!(used > 0.15, "what comes back is used: {used}");
+        names.iter().map(|n| simulation.budget_use_in_slow_start(n, 109_000.0, &set, false)).sum::<f64>()
+            / CACHES_PER_ZONE as f64;
+    assert!(used > 0.15, "more than 0.15 of the returned caches' budget is used: {used}");
 }
 
-/// A box says nothing any more and stays on the list: all routers of its location find out, and each soon.
+/// A cache stops answering and stays on the list: every router of its location soon notices it by itself.
 #[test]
-fn a_silent_cache_gets_probes_only_from_all_routers_together() {
-    let mut w = World::new();
+fn all_routers_together_send_a_silent_cache_few_requests() {
+    let mut simulation = Simulation::new();
     let name = cache_entry(3, 1).cache.0.to_string();
-    w.at(104_000.0, Due::Silent(name.clone(), true));
-    w.run(110_000.0);
-    w.all_answered();
-    let sent = |from: f64, to: f64| w.sends[&name].iter().filter(|s| s.0 >= from && s.0 < to).count();
+    simulation.schedule(104_000.0, Scheduled::Silent(name.clone(), true));
+    simulation.run(110_000.0);
+    simulation.assert_each_request_is_answered_once();
+    let sent =
+        |from: f64, to: f64| simulation.sends[&name].iter().filter(|s| s.0 >= from && s.0 < to).count();
     let (before, after) = (sent(101_000.0, 104_000.0), sent(107_000.0, 110_000.0));
-    assert!(before > 30, "{before}");
-    assert!(after * 2 < before, "{after} in the silence, {before} before it, in three seconds each");
+    assert!(before > 30, "the cache got {before} requests before the silence, more than 30 expected");
+    assert!(
+        after * 2 < before,
+        "the cache got {after} requests while silent and {before} before, in three seconds each"
+    );
 }
 
-/// Six in ten boxes of all locations and a parent are replaced at once, by cold ones.
+/// Three of the five caches of each location, and a parent, are replaced at once by newly started nodes.
 #[test]
-fn a_mass_replacement_keeps_to_every_budget() {
-    let mut w = World::new();
-    let (old, new) = (0..3, CACHES..CACHES + 3);
+fn a_mass_replacement_keeps_to_every_slow_start_budget() {
+    let mut simulation = Simulation::new();
+    let (old, new) = (0..3, CACHES_PER_ZONE..CACHES_PER_ZONE + 3);
     for z in 1..=ZONES {
-        w.update_endpoints(
+        simulation.update_endpoints(
             105_000.0,
             500.0,
             new.clone().map(|b| Entry { started_ms: 105_000.0, ..cache_entry(z, b) }).collect(),
         );
-        w.update_endpoints(
+        simulation.update_endpoints(
             106_000.0,
             0.0,
             old.clone().map(|b| Entry { phase: Phase::Draining, ..cache_entry(z, b) }).collect(),
         );
     }
     let parent = |name: &str, phase: Phase, started_ms: f64| Entry {
-        weight: PARENT,
+        weight: PARENT_WEIGHT,
         phase,
         started_ms,
         ..entry(name, 0, 1)
     };
-    w.update_endpoints(
+    simulation.update_endpoints(
         105_000.0,
         500.0,
         vec![parent("p4:1", Phase::In, 105_000.0), parent("p1:1", Phase::Draining, 0.0)],
     );
-    w.run(119_000.0);
-    w.all_answered();
+    simulation.run(119_000.0);
+    simulation.assert_each_request_is_answered_once();
     let set = fleet_settings(1, 0);
     let mut used = 0.0;
     for z in 1..=ZONES {
         for b in new.clone() {
-            used += w.slow_start_use(&cache_entry(z, b).cache.0, 105_000.0, &set, false) / (3 * ZONES) as f64;
+            used += simulation.budget_use_in_slow_start(&cache_entry(z, b).cache.0, 105_000.0, &set, false)
+                / (3 * ZONES) as f64;
         }
         for b in old.clone() {
-            let last = w.sends[&*cache_entry(z, b).cache.0].iter().map(|s| s.0).fold(0.0, f64::max);
-            assert!(last <= 106_000.0 + DRAIN_MS, "sent to a draining box at {last}");
+            let last = simulation.sends[&*cache_entry(z, b).cache.0].iter().map(|s| s.0).fold(0.0, f64::max);
+            assert!(
+                last <= 106_000.0 + DRAIN_GRACE_MS,
+                "a draining cache was sent a request at {last}, after its grace"
+            );
         }
     }
-    assert!(used > 0.15, "{used}");
-    let parent_used = w.slow_start_use("p4:1", 105_000.0, &set, true);
-    assert!(parent_used > 0.05, "the new parent is asked: {parent_used}");
-    let total = (w.served + w.rejected) as f64;
-    assert!(w.served as f64 > 0.8 * total, "{} of {total} served", w.served);
+    assert!(used > 0.15, "more than 0.15 of the new caches' budget is used: {used}");
+    let parent_used = simulation.budget_use_in_slow_start("p4:1", 105_000.0, &set, true);
+    assert!(parent_used > 0.05, "more than 0.05 of the new parent's budget is used: {parent_used}");
+    let total = (simulation.served + simulation.rejected) as f64;
+    assert!(
+        simulation.served as f64 > 0.8 * total,
+        "more than 0.8 of the requests are served: {} of {total}",
+        simulation.served
+    );
 }
 
-/// Where routers may not talk they do not know their places at a box of their location, and still share its turns.
+/// Without peer messages a router does not know its position among the routers that share a cache's budget;
+/// together they still keep to it.
 #[test]
 fn without_messages_caches_in_slow_start_keep_to_their_budgets() {
-    let mut w = World::with_peers(false);
+    let mut simulation = Simulation::with_peers(false);
     for z in 1..=ZONES {
-        w.update_endpoints(
+        simulation.update_endpoints(
             103_000.0,
             500.0,
             (0..3).map(|b| Entry { started_ms: 103_000.0, ..cache_entry(z, b) }).collect(),
         );
     }
-    w.run(112_000.0);
-    w.all_answered();
-    assert!(w.messages.is_empty());
+    simulation.run(112_000.0);
+    simulation.assert_each_request_is_answered_once();
+    assert!(simulation.messages.is_empty(), "no peer message is sent where they are not allowed");
     let set = fleet_settings(1, 0);
     let mut used = 0.0;
     for z in 1..=ZONES {
         for b in 0..3 {
-            used += w.slow_start_use(&cache_entry(z, b).cache.0, 103_000.0, &set, false) / (3 * ZONES) as f64;
+            used += simulation.budget_use_in_slow_start(&cache_entry(z, b).cache.0, 103_000.0, &set, false)
+                / (3 * ZONES) as f64;
         }
     }
-    assert!(used > 0.1, "{used}");
+    assert!(used > 0.1, "more than 0.1 of the caches' budget is used: {used}");
 }
 
-/// Every copy is void at once, at all routers in nearly the same moment, while a parent warms up.
+/// All groups are purged, at all routers within 300 ms, while a parent warms up.
 #[test]
 fn a_purge_of_everything_does_not_overload_a_parent_in_slow_start() {
-    let mut w = World::new();
-    let in_slow_start = Entry { weight: PARENT, started_ms: 104_500.0, ..entry("p2:1", 0, 1) };
-    w.update_endpoints(104_500.0, 200.0, vec![in_slow_start]);
+    let mut simulation = Simulation::new();
+    let in_slow_start = Entry { weight: PARENT_WEIGHT, started_ms: 104_500.0, ..entry("p2:1", 0, 1) };
+    simulation.update_endpoints(104_500.0, 200.0, vec![in_slow_start]);
     for group in 0..16 {
-        w.notify_all(105_000.0, 300.0, || Event::Purged { object: None, group, age_ms: 0.0 });
+        simulation.notify_all(105_000.0, 300.0, || Event::Purged { object: None, group, age_ms: 0.0 });
     }
-    // The boxes drop their copies by themselves.
+    // The caches drop their copies without the routers' help.
     for z in 1..=ZONES {
-        for b in 0..CACHES {
-            w.at(105_300.0, Due::Silent(cache_entry(z, b).cache.0.to_string(), false));
+        for b in 0..CACHES_PER_ZONE {
+            simulation.schedule(105_300.0, Scheduled::Silent(cache_entry(z, b).cache.0.to_string(), false));
         }
     }
-    w.run(114_000.0);
-    w.all_answered();
-    let used = w.slow_start_use("p2:1", 104_500.0, &fleet_settings(1, 0), true);
-    assert!(used > 0.05, "{used}");
-    assert!(w.served as f64 > 0.8 * (w.served + w.rejected) as f64, "{} refused", w.rejected);
-    // After their greetings, messages cost each router less than 4 KB a second, at 8 requests a second and 9 mates.
-    let bytes = w.most_bytes(101_000.0);
-    assert!(bytes < 4_000, "{bytes} bytes in a second");
-    let conns = w.most_connections();
-    assert!(conns <= 2 * PER_ZONE as usize, "{conns} connections at one box");
+    simulation.run(114_000.0);
+    simulation.assert_each_request_is_answered_once();
+    let used = simulation.budget_use_in_slow_start("p2:1", 104_500.0, &fleet_settings(1, 0), true);
+    assert!(used > 0.05, "more than 0.05 of the parent's budget is used: {used}");
+    assert!(
+        simulation.served as f64 > 0.8 * (simulation.served + simulation.rejected) as f64,
+        "more than 0.8 of the requests are served: {} are rejected",
+        simulation.rejected
+    );
+    // After the greetings a router sends less than 4 KB of messages a second, at 8 requests a second and 9
+    // peers.
+    let bytes = simulation.max_message_bytes_per_second(101_000.0);
+    assert!(bytes < 4_000, "a router sent {bytes} bytes of messages in a second, fewer than 4000 expected");
+    let conns = simulation.max_connections_per_cache();
+    assert!(
+        conns <= 2 * ROUTERS_PER_ZONE as usize,
+        "{conns} connections are needed at one cache, at most two per router expected"
+    );
 }
 
-/// Equal seeds, equal events, equal actions, also over all of them.
+/// Equal seeds and events give equal actions, also summed over all routers.
 #[test]
-fn the_same_fleet_does_the_same() {
+fn two_equal_runs_give_equal_totals() {
     let run = || {
-        let mut w = World::new();
-        w.run(103_000.0);
-        (w.served, w.rejected, w.messages.len(), w.sends.values().map(Vec::len).sum::<usize>())
+        let mut simulation = Simulation::new();
+        simulation.run(103_000.0);
+        (
+            simulation.served,
+            simulation.rejected,
+            simulation.messages.len(),
+            simulation.sends.values().map(Vec::len).sum::<usize>(),
+        )
     };
     assert_eq!(run(), run());
 }
 
-/// A restart of a part of all routers: one that starts knew no limit of fills, no width and no key, though its mates did,
-/// and asked parents and the origin for what its location's caches hold.
+/// Guards a router that restarts while its peers run: it knew neither the fill limit, nor link capacities,
+/// nor keys, and filled from parents and the origin what its location's caches already have.
 #[test]
-fn a_starting_router_gets_what_its_peers_have_learned() {
+fn a_starting_router_receives_what_its_peers_have_learned() {
     let set = |slot| Settings { slot, peers: true, ..settings() };
     let start = |slot, now| {
         let mut r = Rig::with(Settings { zone_routers: vec![0, 3, 0], routers: 3, ..set(slot) });
         r.now = now;
-        let greets = r.update_endpoints(fleet());
+        let greets = r.update_endpoints(endpoints());
         (r, greets)
     };
     let (mut old, mut other) = (start(0, 100_000.0).0, start(1, 100_000.0).0);
@@ -498,7 +547,7 @@
         old.serve(o, 2);
     }
     other.now = old.now;
-    // Mates know each other.
+    // The two peers have greeted each other.
     other.event(Event::PeerMessage { from: 0, data: vec![2, 1, 0] });
     old.event(Event::PeerMessage { from: 1, data: vec![2, 1, 0] });
     let (mut new, greets) = start(2, old.now + 10.0);
@@ -508,18 +557,22 @@
     });
     let mut bytes = 0;
     for (from, r) in [(0, &mut old), (1, &mut other)] {
-        for a in r.event(Event::PeerMessage { from: 2, data: greeting.clone().expect("it greets") }) {
+        for a in r.event(Event::PeerMessage {
+            from: 2,
+            data: greeting.clone().expect("the new router greets its peers"),
+        }) {
             if let Action::SendToPeer { to: 2, data } = a {
                 bytes += data.len();
                 new.event(Event::PeerMessage { from, data });
             }
         }
     }
-    assert!(bytes < 4_000, "{bytes} bytes");
-    // What its mate's keys show is asked for as a hit: the attempt leaves time for another. A fill takes all there is.
+    assert!(bytes < 4_000, "the peers sent {bytes} bytes, fewer than 4000 expected");
+    // A request for a key that the peers reported is sent as a hit: its attempt leaves time for a retry,
+    // which the attempt of a fill does not.
     let is_hit = |r: &mut Rig, o: u64| sent(&r.request(o)).is_some_and(|s| s.until_ms - r.now < 4_000.0);
     let known = (0..60).filter(|o| is_hit(&mut new, *o)).count();
-    assert!(!is_hit(&mut new, 10_000), "a key that nobody knows");
-    assert!(known >= 55, "{known} of 60 keys are known");
-    assert_eq!(new.router.malformed_messages(), 0);
+    assert!(!is_hit(&mut new, 10_000), "a key that no peer reported is not taken for a hit");
+    assert!(known >= 55, "{known} of 60 keys are taken for hits, at least 55 expected");
+    assert_eq!(new.router.malformed_messages(), 0, "no message is malformed");
 }
--- a/crates/fernslip/tests/isolation.rs
+++ b/crates/fernslip/tests/isolation.rs
@@ -1,10 +1,11 @@
-//! Two customers' routers in one process: each acts as it does alone, whatever the other's settings are and does.
+//! Routers of two customers in one process: each acts as it does alone, whatever the other's settings and
+//! events are.
 mod common;
 use common::*;
 use fernslip::*;
 
-/// Another deployment in everything that settings tell.
-fn other() -> Settings {
+/// Settings of a deployment with other classes, limits and features.
+fn other_settings() -> Settings {
     let classes = ["order", "preview"].map(|name| Class {
         name: name.into(),
         objective_ms: 90.0,
@@ -30,20 +31,21 @@
     }
 }
 
-/// What a router does with a stream of requests, answers and news of its own, a step at a time.
+/// A router and its own stream of requests, outcomes, cancellations and purges, fed a step at a time.
 struct Stream {
     router: Router,
     step: u64,
     class: usize,
-    done: Vec<String>,
+    /// Debug form of the actions of each step.
+    actions: Vec<String>,
 }
 
 impl Stream {
     fn new(settings: Settings, class: usize) -> Stream {
-        let mut router = Router::new(settings, 5).expect("sound");
+        let mut router = Router::new(settings, 5).expect("the test settings are valid");
         let mut out = Vec::new();
-        router.handle(1_000.0, Event::Endpoints { kind: ListKind::Full, entries: fleet() }, &mut out);
-        Stream { router, step: 0, class, done: vec![format!("{out:?}")] }
+        router.handle(1_000.0, Event::Endpoints { kind: ListKind::Full, entries: endpoints() }, &mut out);
+        Stream { router, step: 0, class, actions: vec![format!("{out:?}")] }
     }
 
     fn step(&mut self) {
@@ -82,22 +84,22 @@
                 &mut out,
             );
         }
-        self.done.push(format!("{out:?}"));
+        self.actions.push(format!("{out:?}"));
     }
 }
 
 #[test]
-fn routers_with_other_settings_in_one_process_share_nothing() {
+fn routers_with_different_settings_in_one_process_do_not_affect_each_other() {
     let alone = |settings: fn() -> Settings, class| {
         let mut s = Stream::new(settings(), class);
         (0..400).for_each(|_| s.step());
-        s.done
+        s.actions
     };
-    let (first, second) = (alone(settings, 0), alone(other, 1));
-    assert_ne!(first, second, "the streams differ by their settings");
-    let (mut a, mut b) = (Stream::new(settings(), 0), Stream::new(other(), 1));
+    let (first, second) = (alone(settings, 0), alone(other_settings, 1));
+    assert_ne!(first, second, "other settings give other actions");
+    let (mut a, mut b) = (Stream::new(settings(), 0), Stream::new(other_settings(), 1));
     for n in 0..800 {
-        // Unevenly mixed.
+        // The steps of both streams alternate irregularly.
         if (n * 7) % 3 == 0 || b.step == 400 {
             (a.step < 400).then(|| a.step());
         } else {
@@ -105,6 +107,6 @@
         }
     }
     (a.step..400).for_each(|_| a.step());
-    assert_eq!(a.done, first);
-    assert_eq!(b.done, second);
+    assert_eq!(a.actions, first);
+    assert_eq!(b.actions, second);
 }
