--- a/crates/fernslip/tests/deployments.rs
+++ b/crates/fernslip/tests/deployments.rs
@@ -68,7 +68,7 @@
 }
 
 /// Runs the deployments of all seeds on all cores; returns the seeds that fail, with their problems.
-fn run_all(seeds: std::ops::Range<u64>) -> Vec<(u64, Vec<String>)> {
+fn run_deployments(seeds: std::ops::Range<u64>) -> Vec<(u64, Vec<String>)> {
     let (next, failed) = (AtomicU64::new(seeds.start), Mutex::new(Vec::new()));
     let threads = std::thread::available_parallelism().map_or(4, std::num::NonZero::get);
     std::thread::scope(|s| {
@@ -94,7 +94,7 @@
 #[ignore = "takes long: run it in release mode"]
 fn a_thousand_drawn_deployments_have_no_problems() {
     let count = std::env::var("DRAWS").ok().and_then(|n| n.parse().ok()).unwrap_or(1_000);
-    let failed = run_all(1_000..1_000 + count);
+    let failed = run_deployments(1_000..1_000 + count);
     for (seed, problems) in &failed {
         println!("seed {seed}: {problems:#?}");
     }
@@ -105,7 +105,7 @@
 /// A broken rule always fails the test; missed figures are known weaknesses, accepted up to `MAX_MISSED`.
 #[test]
 fn thirty_six_drawn_deployments_break_no_rule() {
-    let failed = run_all(0..36);
+    let failed = run_deployments(0..36);
     let is_violation = |p: &&String| p.contains(" ms: ") || p.contains("slow-start budget: ");
     let violations: Vec<_> = failed.iter().filter(|f| f.1.iter().any(|p| is_violation(&p))).collect();
     assert!(violations.is_empty(), "rules are broken: {violations:#?}");
--- a/crates/fernslip/tests/failures.rs
+++ b/crates/fernslip/tests/failures.rs
@@ -562,7 +562,7 @@
     assert!(sent(&actions).is_none() && failed(&actions), "a request that may have run fails: {actions:?}");
 }
 
-/// A retracted attempt was never sent to a node, so its retry needs no retry budget.
+/// A retracted attempt was withdrawn before its first byte, so its retry needs no retry budget.
 #[test]
 fn a_retracted_attempt_is_retried_without_the_retry_budget() {
     let mut rig = Rig::new();
--- a/crates/fernslip/tests/fleet.rs
+++ b/crates/fernslip/tests/fleet.rs
@@ -86,7 +86,7 @@
     end_of_requests: f64,
 }
 
-fn fleet_settings(zone: usize, slot: u32) -> Settings {
+fn router_settings(zone: usize, slot: u32) -> Settings {
     let small = Class { priority_weight: 1.0, ..class() };
     let mut zones = vec!["hub".to_string()];
     zones.extend((1..=ZONES).map(|z| format!("edge-{z}")));
@@ -128,7 +128,7 @@
 
     fn with_peers(peers: bool) -> Simulation {
         let new_router = |slot| {
-            let set = Settings { peers, ..fleet_settings(zone_of(slot), slot) };
+            let set = Settings { peers, ..router_settings(zone_of(slot), slot) };
             Router::new(set, u64::from(slot) + 1).expect("the test settings are valid")
         };
         let routers: Vec<Router> = (0..ZONES as u32 * ROUTERS_PER_ZONE).map(new_router).collect();
@@ -372,7 +372,7 @@
     simulation.update_endpoints(109_000.0, 800.0, all(Phase::In, 109_000.0));
     simulation.run(121_000.0);
     simulation.assert_each_request_is_answered_once();
-    let set = fleet_settings(3, 0);
+    let set = router_settings(3, 0);
     let used: f64 =
         names.iter().map(|n| simulation.budget_use_in_slow_start(n, 109_000.0, &set, false)).sum::<f64>()
             / CACHES_PER_ZONE as f64;
@@ -427,7 +427,7 @@
     );
     simulation.run(119_000.0);
     simulation.assert_each_request_is_answered_once();
-    let set = fleet_settings(1, 0);
+    let set = router_settings(1, 0);
     let mut used = 0.0;
     for z in 1..=ZONES {
         for b in new.clone() {
@@ -468,7 +468,7 @@
     simulation.run(112_000.0);
     simulation.assert_each_request_is_answered_once();
     assert!(simulation.messages.is_empty(), "no peer message is sent where they are not allowed");
-    let set = fleet_settings(1, 0);
+    let set = router_settings(1, 0);
     let mut used = 0.0;
     for z in 1..=ZONES {
         for b in 0..3 {
@@ -496,7 +496,7 @@
     }
     simulation.run(114_000.0);
     simulation.assert_each_request_is_answered_once();
-    let used = simulation.budget_use_in_slow_start("p2:1", 104_500.0, &fleet_settings(1, 0), true);
+    let used = simulation.budget_use_in_slow_start("p2:1", 104_500.0, &router_settings(1, 0), true);
     assert!(used > 0.05, "more than 0.05 of the parent's budget is used: {used}");
     assert!(
         simulation.served as f64 > 0.8 * (simulation.served + simulation.rejected) as f64,
--- a/crates/fernslip/tests/isolation.rs
+++ b/crates/fernslip/tests/isolation.rs
@@ -32,7 +32,7 @@
 }
 
 /// A router and its own stream of requests, outcomes, cancellations and purges, fed a step at a time.
-struct Stream {
+struct EventStream {
     router: Router,
     step: u64,
     class: usize,
@@ -40,12 +40,12 @@
     actions: Vec<String>,
 }
 
-impl Stream {
-    fn new(settings: Settings, class: usize) -> Stream {
+impl EventStream {
+    fn new(settings: Settings, class: usize) -> EventStream {
         let mut router = Router::new(settings, 5).expect("the test settings are valid");
         let mut out = Vec::new();
         router.handle(1_000.0, Event::Endpoints { kind: ListKind::Full, entries: endpoints() }, &mut out);
-        Stream { router, step: 0, class, actions: vec![format!("{out:?}")] }
+        EventStream { router, step: 0, class, actions: vec![format!("{out:?}")] }
     }
 
     fn step(&mut self) {
@@ -91,13 +91,13 @@
 #[test]
 fn routers_with_different_settings_in_one_process_do_not_affect_each_other() {
     let alone = |settings: fn() -> Settings, class| {
-        let mut s = Stream::new(settings(), class);
+        let mut s = EventStream::new(settings(), class);
         (0..400).for_each(|_| s.step());
         s.actions
     };
     let (first, second) = (alone(settings, 0), alone(other_settings, 1));
     assert_ne!(first, second, "other settings give other actions");
-    let (mut a, mut b) = (Stream::new(settings(), 0), Stream::new(other_settings(), 1));
+    let (mut a, mut b) = (EventStream::new(settings(), 0), EventStream::new(other_settings(), 1));
     for n in 0..800 {
         // The steps of both streams alternate irregularly.
         if (n * 7) % 3 == 0 || b.step == 400 {
--- a/crates/fernslip/tests/peer_suspicion.rs
+++ b/crates/fernslip/tests/peer_suspicion.rs
@@ -1,11 +1,11 @@
 //! Suspicion that other fronts gossip about a cache: it may move homes away from the cache and lower the
-//! number of failures that eject it, and does nothing else.
+//! number of failures that eject it, but by itself it neither ejects a cache nor rejects a request.
 mod common;
 use common::*;
 use fernslip::*;
 
 /// Notifies the router that the peers' suspicion of a cache is `amount`.
-fn suspect(rig: &mut Rig, cache: &str, amount: f64) -> Vec<Action> {
+fn set_suspicion(rig: &mut Rig, cache: &str, amount: f64) -> Vec<Action> {
     rig.event(Event::PeerSuspicion { cache: cache.into(), amount })
 }
 
@@ -29,7 +29,7 @@
 fn gossip_alone_neither_ejects_nor_rejects() {
     let mut rig = Rig::new();
     for amount in [1.0, f64::MAX, f64::INFINITY, f64::NAN] {
-        suspect(&mut rig, "c1:1", amount);
+        set_suspicion(&mut rig, "c1:1", amount);
         let [c1, c2, c3] = home_counts(&mut rig, 1000);
         assert!(
             c1 > 10 && c1 < c2 / 2 && c1 < c3 / 2,
@@ -37,11 +37,11 @@
         );
     }
     for c in ["c1:1", "c2:1", "c3:1", "p1:1", "p2:1", "o1:1", "nobody:1"] {
-        suspect(&mut rig, c, 1.0);
+        set_suspicion(&mut rig, c, 1.0);
     }
     let [c1, c2, c3] = home_counts(&mut rig, 5000);
     assert!(c1.min(c2).min(c3) > 60, "suspicion of all nodes moves no homes: {c1} {c2} {c3}");
-    suspect(&mut rig, "c1:1", 0.0);
+    set_suspicion(&mut rig, "c1:1", 0.0);
     assert!(
         home_counts(&mut rig, 9000)[0] > home_counts(&mut rig, 20_000)[1],
         "a cache that is no longer suspected has its homes back"
@@ -51,7 +51,7 @@
 /// How many failures of `c1:1` in a row eject it at the given suspicion.
 fn failures_until_ejected(suspicion: f64) -> usize {
     let mut rig = Rig::new();
-    suspect(&mut rig, "c1:1", suspicion);
+    set_suspicion(&mut rig, "c1:1", suspicion);
     let mut failures = 0;
     for o in 0.. {
         let s = sent(&rig.request(o)).expect("the request is sent");
@@ -95,7 +95,7 @@
             assert!(failures < 20, "the cache is ejected after fewer than 20 failures");
         }
         if good_gossip {
-            suspect(&mut rig, &home, -0.8);
+            set_suspicion(&mut rig, &home, -0.8);
         }
         sent(&rig.request(1)).expect("the request is sent").cache == home
     };
@@ -106,7 +106,7 @@
 #[test]
 fn a_restarted_cache_is_no_longer_suspected() {
     let mut rig = Rig::new();
-    suspect(&mut rig, "c1:1", 0.8);
+    set_suspicion(&mut rig, "c1:1", 0.8);
     let suspected = home_counts(&mut rig, 1000)[0];
     rig.delta(Entry { started_ms: rig.now - 60_000.0, ..entry("c1:1", 1, 0) });
     assert!(home_counts(&mut rig, 1000)[0] > 2 * suspected);
@@ -136,7 +136,7 @@
             let after = rig.end(&s, 0, Ending::ConnectionRefused, 0);
             evidence.extend(signs_reported(&after));
         }
-        suspect(&mut rig, &home, -0.8);
+        set_suspicion(&mut rig, &home, -0.8);
         rig.now += 1000.0;
         let s = sent(&rig.request(1)).expect("the request is sent");
         assert_eq!(s.cache, home, "the request is a probe of the ejected cache");
--- a/crates/fernslip/tests/rules.rs
+++ b/crates/fernslip/tests/rules.rs
@@ -228,14 +228,14 @@
 }
 
 /// A router of a location with two routers, or of one with a single router.
-fn router(slot: u32, zone: usize) -> Rig {
+fn new_rig(slot: u32, zone: usize) -> Rig {
     Rig::with(Settings { zone, slot, zone_routers: vec![0, 2, 1], routers: 3, ..settings() })
 }
 
 /// Routers 0 and 1 of one location and 2 of another, each with its endpoint list and its greetings sent, or
 /// lost.
 fn three_routers(lost: bool) -> Vec<Rig> {
-    let mut rigs = vec![router(0, 1), router(1, 1), router(2, 2)];
+    let mut rigs = vec![new_rig(0, 1), new_rig(1, 1), new_rig(2, 2)];
     for i in 0..rigs.len() {
         let actions = rigs[i].update_endpoints(endpoints());
         exchange_messages(&mut rigs, i as u32, actions, lost);
@@ -303,7 +303,7 @@
         !serve_at_first_router(&mut rigs, 100..160).is_empty(),
         "a router greets its peers again after a filter generation"
     );
-    rigs[1] = router(1, 1);
+    rigs[1] = new_rig(1, 1);
     rigs[1].now = rigs[0].now;
     let actions = rigs[1].update_endpoints(endpoints());
     let messages = exchange_messages(&mut rigs, 1, actions, false);
@@ -312,7 +312,7 @@
     assert!(count_fills_from_siblings(&mut rigs[1], 1, 200..290) > 0);
 }
 
-/// Repeated, reordered, foreign, truncated and hostile messages may cause a wrong source at most.
+/// Lost, repeated, reordered, foreign, truncated and hostile messages cause a wrong choice of source at most.
 #[test]
 fn malformed_messages_are_counted_and_every_request_is_still_served() {
     let mut rigs = three_routers(false);
--- a/crates/fernslip/tests/streams.rs
+++ b/crates/fernslip/tests/streams.rs
@@ -29,6 +29,7 @@
         self.next() % n.max(1)
     }
 
+    /// Whether an event of this probability, in thousandths, happens.
     fn chance(&mut self, per_mille: u64) -> bool {
         self.below(1000) < per_mille
     }
--- a/crates/fernslip/tests/weights.rs
+++ b/crates/fernslip/tests/weights.rs
@@ -22,7 +22,7 @@
 
     /// Requests `count` hits of 300 KB (0.3 s of sending) at once, answered over an evenly shared link;
     /// returns how many were forwarded.
-    fn burst(&mut self, count: usize) -> usize {
+    fn send_burst(&mut self, count: usize) -> usize {
         let open: Vec<SentAttempt> =
             (0..count).filter_map(|_| sent(&self.rig.request_with(1, 0, 300.0))).collect();
         let took = 300.0 * (open.len() as f64 / self.real).max(1.0);
@@ -38,7 +38,7 @@
 #[test]
 fn nothing_is_rejected_before_a_link_is_known_to_be_full() {
     let mut w = SingleCache::new(1.0, 50.0);
-    assert_eq!((0..10).map(|_| w.burst(40)).min(), Some(40));
+    assert_eq!((0..10).map(|_| w.send_burst(40)).min(), Some(40));
 }
 
 #[test]
@@ -46,11 +46,11 @@
     for (listed, real) in [(1.0, 5.0), (1.0, 20.0), (8.0, 20.0), (30.0, 10.0)] {
         let mut w = SingleCache::new(listed, real);
         (0..40).for_each(|_| {
-            w.burst(200);
+            w.send_burst(200);
         });
         // The objective is 400 ms plus twice the sending time, 1 s: met by up to 3.3 transfers per unit of
         // capacity.
-        let fit = w.burst(200) as f64;
+        let fit = w.send_burst(200) as f64;
         assert!(
             fit >= 1.2 * real && fit <= 3.4 * real,
             "{fit} requests are sent at once to a cache of listed weight {listed} and capacity {real}"
@@ -61,7 +61,7 @@
 #[test]
 fn a_link_that_slows_gets_fewer_requests_until_it_recovers() {
     let mut w = SingleCache::new(1.0, 20.0);
-    let mean = |w: &mut SingleCache| (0..60).map(|_| w.burst(100)).skip(50).sum::<usize>() / 10;
+    let mean = |w: &mut SingleCache| (0..60).map(|_| w.send_burst(100)).skip(50).sum::<usize>() / 10;
     let before = mean(&mut w);
     w.real = 4.0;
     let slow = mean(&mut w);
