--- a/crates/cli/tests/gossip.rs
+++ b/crates/cli/tests/gossip.rs
@@ -206,9 +206,11 @@
     let mut peers =
         vec![first, Peer::start(&dir, 1, &node_refs, seed), Peer::start(&dir, 2, &node_refs, seed)];
     wait_for("three fronts that know each other", || peers.iter().all(|p| p.knows(3)));
-    for (step, log) in
-        [("add", "keys [1, 2], 1 signs"), ("switch", "keys [2, 1], 2 signs"), ("drop", "keys [2], 2 signs")]
-    {
+    for (step, log) in [
+        ("add", "keys [1, 2] are accepted, key 1 signs"),
+        ("switch", "keys [2, 1] are accepted, key 2 signs"),
+        ("drop", "keys [2] are accepted, key 2 signs"),
+    ] {
         assert_eq!(fernslip(&["keys", "rotate", &keys, "--step", step]).0, Some(0));
         for p in &mut peers {
             std::fs::copy(&keys, &p.keys).expect("a copy");
@@ -260,7 +262,7 @@
     std::fs::write(&site, text).expect("a file");
     let (code, output) = fernslip(&["run", "--site", &site]);
     assert!(
-        code == Some(1) && output.contains("chmod 600") && output.contains("none of its own list"),
+        code == Some(1) && output.contains("chmod 600") && output.contains("not in its own list"),
         "{output}"
     );
     assert_eq!(fernslip(&["gossip", "status", &dir.join("none").display().to_string()]).0, Some(1));
--- a/crates/front/src/control/admin.rs
+++ b/crates/front/src/control/admin.rs
@@ -1,27 +1,28 @@
-//! The admin interface: a TCP listener that takes one command per connection, one line each way, and serves each
-//! connection on a thread of its own so that the request path never waits on it.
+//! The admin interface: a TCP listener that accepts one command line per connection and answers it. Each
+//! connection is served on a separate thread, so that the request path never waits for it.
 //!
 //! | command | answer |
 //! | --- | --- |
-//! | `readyz` | `200 ready` once the process serves and is not being emptied; else `400 not ready` |
-//! | `telemetry` | `200 telemetry`, the figures as `name=value` lines, then `EOF` |
-//! | `exclude ID` | `200 excluded ID`: nothing more goes to cache node ID; `400 unknown ID` where none is listed |
-//! | `include ID` | `200 included ID`: it is back; `400 unknown ID` |
-//! | `evacuate` | `200 evacuating`: readiness turns no, connections close as they fall idle |
-//! | `activate` | `200 active`: the end of it |
+//! | `readyz` | `200 ready` once the process serves requests and is not draining; else `400 not ready` |
+//! | `telemetry` | `200 telemetry`, the metrics as `name=value` lines, then `EOF` |
+//! | `exclude ID` | `200 excluded ID`: node ID gets no more requests; `400 unknown ID` if it is not listed |
+//! | `include ID` | `200 included ID`: its exclusion ends; `400 unknown ID` if neither listed nor excluded |
+//! | `evacuate` | `200 evacuating`: the front is no longer ready and closes connections as they become idle |
+//! | `activate` | `200 active`: the drain has ended |
 //!
-//! Anything else is answered `400` and the reason. At most `callers` of the front's [budget](crate::budget::Budget)
-//! connections are served at once; a caller that sends nothing or half a line is closed after [`LINE_TIMEOUT`], one that
-//! sends too long a line is answered `400` at once. Manual exclusions are [stored](crate::manual_exclusion) so that a
-//! process that replaces this one starts with them.
+//! Any other line is answered with `400` and the reason. The number of connections served at once is limited
+//! to `callers` in the front's [budget](crate::budget::Budget). The connection of a caller that sends no
+//! complete line within [`LINE_TIMEOUT`] is closed; a line that is too long is answered with `400` at once.
+//! Manual exclusions are [stored](crate::manual_exclusion), so that a process that replaces this one starts
+//! with them.
 
 mod answer;
 mod command;
 mod exclusions;
 
-pub use answer::answer;
-pub use command::{parse, AdminCommand};
-pub use exclusions::{follow as follow_manual_exclusions, restore as restore_manual_exclusions};
+pub use answer::execute_command;
+pub use command::{parse_command, AdminCommand};
+pub use exclusions::{follow_manual_exclusions, restore_manual_exclusions};
 
 use crate::shared::Shared;
 use std::io::{self, ErrorKind, Read, Write};
@@ -30,24 +31,26 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Environment variable with the admin interface's listen address; it takes precedence over the configuration's `ops`.
+/// The environment variable with the admin interface's listen address; it takes precedence over the
+/// configuration key `ops`.
 pub const ADDRESS_VARIABLE: &str = "RELAY_OPS";
-/// Longest command line accepted, in bytes; bounds the memory a caller that never ends its line can take.
+/// The maximum length of a command line in bytes, which bounds the memory used for a caller that never ends
+/// its line.
 pub const MAX_LINE_BYTES: usize = 512;
-/// Time a caller has to send its whole command line before the connection is closed.
+/// The timeout for a caller to send its complete command line, after which the connection is closed.
 pub const LINE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Time a caller has to close after its answer: closing while unread bytes remain would reset the connection and lose
-/// the answer.
+/// The timeout for a caller to close the connection after it was answered. If the front closed it while bytes
+/// from the caller were unread, the connection would be reset and the answer lost.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
-/// Write timeout for an answer to a caller that does not read.
+/// The timeout for writing the answer to a caller that does not read.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Binds the admin interface at `at` and serves it on a thread of its own until the process ends; returns the bound
-/// address. Connections beyond `max_connections` at a time are closed at once, so that idle callers can't take all threads and file
-/// descriptors.
+/// Binds the admin interface to `at` and serves it on a separate thread until the process ends; returns the
+/// bound address. Connections beyond `max_connections` at a time are closed at once, so that idle callers
+/// cannot use up all threads and file descriptors.
 ///
 /// # Errors
-/// The address can't be bound.
+/// Returns an error if the address cannot be bound or no thread can be started.
 pub fn open(front: Arc<Shared>, at: SocketAddr, max_connections: usize) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(at)?;
     let bound = listener.local_addr()?;
@@ -55,7 +58,8 @@
     std::thread::Builder::new().name("ops".into()).spawn(move || {
         for connection in listener.incoming() {
             let Ok(stream) = connection else {
-                // Out of descriptors, or a caller that disconnected at once: the next may be fine.
+                // Out of file descriptors, or the caller disconnected at once; the next connection may
+                // succeed.
                 std::thread::sleep(Duration::from_millis(5));
                 continue;
             };
@@ -66,7 +70,7 @@
             }
             let (front, served_connections) = (front.clone(), connections.clone());
             let spawned = std::thread::Builder::new().name("ops-call".into()).spawn(move || {
-                let reason = serve(&front, stream);
+                let reason = serve_connection(&front, stream);
                 served_connections.fetch_sub(1, Ordering::AcqRel);
                 tracing::info!(kind = %"ops", reason = %reason, "end");
             });
@@ -81,8 +85,9 @@
 /// Reads one command line within [`LINE_TIMEOUT`].
 ///
 /// # Errors
-/// The log reason why there is no line: `stalled`, `peer_closed`, `reset`, `malformed` or `too_long`.
-fn read_line(stream: &mut TcpStream) -> Result<String, &'static str> {
+/// Returns the reason to log if no line could be read: `stalled`, `peer_closed`, `reset`, `malformed` or
+/// `too_long`.
+fn read_command_line(stream: &mut TcpStream) -> Result<String, &'static str> {
     let deadline = Instant::now() + LINE_TIMEOUT;
     let mut line = Vec::with_capacity(64);
     let mut received = [0; MAX_LINE_BYTES];
@@ -110,13 +115,13 @@
     }
 }
 
-/// Serves one connection: reads its command, answers it, and waits for the caller to close. Returns the log reason of the
-/// connection's end.
-fn serve(front: &Shared, mut stream: TcpStream) -> &'static str {
+/// Serves one connection: reads its command, answers it, and waits for the caller to close. Returns the
+/// reason to log for the end of the connection.
+fn serve_connection(front: &Shared, mut stream: TcpStream) -> &'static str {
     let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
-    let answer = match read_line(&mut stream) {
-        Ok(line) => match parse(line.trim_end_matches('\r')) {
-            Ok(command) => answer(front, command),
+    let answer = match read_command_line(&mut stream) {
+        Ok(line) => match parse_command(line.trim_end_matches('\r')) {
+            Ok(command) => execute_command(front, command),
             Err(reason) => format!("400 {reason}\n"),
         },
         Err(reason @ ("too_long" | "malformed")) => format!("400 {}\n", reason.replace('_', " ")),
@@ -129,7 +134,8 @@
     "answered"
 }
 
-/// Shuts down the write half and discards input until the caller closes or [`CLOSE_TIMEOUT`] passes.
+/// Shuts down the write half and discards input until the caller closes the connection or [`CLOSE_TIMEOUT`]
+/// passes.
 fn read_until_closed(stream: &mut TcpStream) {
     let (deadline, mut discarded) = (Instant::now() + CLOSE_TIMEOUT, [0; MAX_LINE_BYTES]);
     let _ = stream.shutdown(Shutdown::Write);
--- a/crates/front/src/control/admin/answer.rs
+++ b/crates/front/src/control/admin/answer.rs
@@ -1,23 +1,23 @@
-//! Executing the commands of the admin interface.
+//! Executes the commands of the admin interface.
 
 use super::command::AdminCommand;
-use super::exclusions::{self, Membership};
+use super::exclusions::{self, ExclusionChange};
 use crate::reason_counts::figure;
 use crate::shared::Shared;
 use fernslip::facade::EndpointCounts;
 use std::collections::BTreeMap;
 
-/// Executes a command; returns the lines of its answer.
-pub fn answer(front: &Shared, command: AdminCommand) -> String {
+/// Executes an admin command and returns the lines of its answer.
+pub fn execute_command(front: &Shared, command: AdminCommand) -> String {
     match command {
         AdminCommand::Ready if front.is_ready() => "200 ready\n".into(),
         AdminCommand::Ready => "400 not ready\n".into(),
-        AdminCommand::Telemetry => telemetry(front),
+        AdminCommand::Telemetry => telemetry_lines(front),
         AdminCommand::Exclude(id) | AdminCommand::Include(id) if front.queues.all().is_empty() => {
             format!("400 unknown {id}\n")
         }
-        AdminCommand::Exclude(id) => exclusions::set(front, &id, Membership::Excluded),
-        AdminCommand::Include(id) => exclusions::set(front, &id, Membership::Included),
+        AdminCommand::Exclude(id) => exclusions::set_manual_exclusion(front, &id, ExclusionChange::Exclude),
+        AdminCommand::Include(id) => exclusions::set_manual_exclusion(front, &id, ExclusionChange::Include),
         AdminCommand::Evacuate => {
             front.server.evacuate(true);
             tracing::info!("admin: evacuating");
@@ -31,8 +31,8 @@
     }
 }
 
-/// The answer to `telemetry`: the front's metrics as `name=value` lines.
-fn telemetry(front: &Shared) -> String {
+/// Returns the answer to the command `telemetry`: the front's metrics as `name=value` lines.
+fn telemetry_lines(front: &Shared) -> String {
     let queues = front.queues.all();
     let EndpointCounts { listed, avoided } =
         queues.first().map(|queue| queue.dispatcher.endpoint_counts()).unwrap_or_default();
@@ -43,7 +43,8 @@
     format!("200 telemetry\n{figures}{violations}{reasons}{given_up}{view}EOF\n")
 }
 
-/// Requests given up, summed over the dispatch queues by reason: one line each, `relay.given_up.REASON=COUNT`.
+/// Returns the number of requests given up for each reason, summed over the dispatch queues, as lines
+/// `relay.given_up.REASON=COUNT`.
 fn given_up_lines(front: &Shared) -> String {
     let mut all: BTreeMap<&'static str, u64> = BTreeMap::new();
     for (reason, n) in front.queues.all().iter().flat_map(|queue| queue.dispatcher.given_up()) {
--- a/crates/front/src/control/admin/command.rs
+++ b/crates/front/src/control/admin/command.rs
@@ -1,27 +1,27 @@
-//! The commands of the admin interface and their parsing.
+//! Parses the commands of the admin interface.
 
-/// A parsed admin command.
+/// A parsed command of the admin interface.
 #[derive(Debug, PartialEq, Eq)]
 pub enum AdminCommand {
-    /// `readyz`: whether the process is serving.
+    /// `readyz`: asks whether the front is ready to serve requests.
     Ready,
-    /// `telemetry`: the metrics.
+    /// `telemetry`: asks for the front's metrics.
     Telemetry,
-    /// `exclude ID`: manually exclude a cache node.
+    /// `exclude ID`: manually excludes the cache node with this id.
     Exclude(String),
-    /// `include ID`: end the manual exclusion of a cache node.
+    /// `include ID`: ends the manual exclusion of the cache node with this id.
     Include(String),
-    /// `evacuate`: start draining the front.
+    /// `evacuate`: starts draining the front.
     Evacuate,
-    /// `activate`: end the drain.
+    /// `activate`: ends the drain of the front.
     Activate,
 }
 
-/// Parses one command line.
+/// Parses one command line of the admin interface.
 ///
 /// # Errors
-/// The reason the line is no command; it is sent to the caller after `400 `.
-pub fn parse(line: &str) -> Result<AdminCommand, &'static str> {
+/// Returns the reason why the line is not a command; it is sent to the caller after `400 `.
+pub fn parse_command(line: &str) -> Result<AdminCommand, &'static str> {
     let mut tokens = line.split_ascii_whitespace();
     let command = match (tokens.next(), tokens.next()) {
         (Some("readyz"), None) => AdminCommand::Ready,
--- a/crates/front/src/control/admin/exclusions.rs
+++ b/crates/front/src/control/admin/exclusions.rs
@@ -1,5 +1,5 @@
-//! Manual exclusions of cache nodes: changing them by command, restoring them at start, and following the changes that
-//! another process of this front makes.
+//! Manual exclusions of cache nodes: changes them by command, restores them at start, and applies changes
+//! that another process of this front makes.
 
 use crate::shared::Shared;
 use fernslip::CacheId;
@@ -8,61 +8,65 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Interval between two checks of the manual exclusion file for changes made by another process of this front; a
-/// command takes effect at both within 1 s.
-const FOLLOW_INTERVAL: Duration = Duration::from_millis(100);
+/// The interval between two checks of the manual exclusion file for changes made by another process of this
+/// front. A command must take effect in both processes within 1 s.
+const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a command makes of a cache node.
+/// The change that a command makes to the manual exclusion of a cache node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Membership {
-    /// Nothing more goes to it.
-    Excluded,
-    /// It is used as the endpoint list says.
-    Included,
+pub enum ExclusionChange {
+    /// Excludes the cache node, which then gets no more requests.
+    Exclude,
+    /// Ends the exclusion; the cache node is used again as the endpoint list says.
+    Include,
 }
 
-/// Manually excludes a cache node (`exclude`), or ends its exclusion, in every dispatch queue. The new set is stored before it is
-/// applied, so that a process that replaces this one has it; where it can't be stored nothing changes and the answer is
-/// `400`.
-pub fn set(front: &Shared, id: &str, membership: Membership) -> String {
+/// Manually excludes a cache node in every dispatch queue, or ends its exclusion, and returns the answer to
+/// the command. The new set is stored before it is applied, so that a process that replaces this one has it.
+/// If it cannot be stored, nothing changes and the answer is `400`.
+pub fn set_manual_exclusion(front: &Shared, id: &str, change: ExclusionChange) -> String {
     let (queues, cache) = (front.queues.all(), CacheId::from(id));
-    let _one_at_a_time = front.manual_exclusions.change();
+    let _change_guard = front.manual_exclusions.lock_for_change();
     let mut excluded = currently_excluded(front);
     let is_listed = queues.iter().any(|queue| queue.dispatcher.is_listed(&cache));
-    if !is_listed && (membership == Membership::Excluded || !excluded.contains(&cache)) {
+    if !is_listed && (change == ExclusionChange::Exclude || !excluded.contains(&cache)) {
         return format!("400 unknown {id}\n");
     }
-    match membership {
-        Membership::Excluded => excluded.insert(cache),
-        Membership::Included => excluded.remove(&cache),
+    match change {
+        ExclusionChange::Exclude => excluded.insert(cache),
+        ExclusionChange::Include => excluded.remove(&cache),
     };
     let ids: Vec<CacheId> = excluded.iter().cloned().collect();
     if let Err(e) = front.manual_exclusions.save(&ids) {
-        tracing::warn!(node = %id, "admin: {}: {e}; nothing is changed", front.manual_exclusions);
+        tracing::warn!(
+            node = %id,
+            "admin: cannot store {}, no exclusion is changed: {e}",
+            front.manual_exclusions
+        );
         return format!("400 {id} can't be kept: {e}\n");
     }
-    apply(front, &excluded);
-    let done = match membership {
-        Membership::Excluded => "excluded",
-        Membership::Included => "included",
+    apply_manual_exclusions(front, &excluded);
+    let done = match change {
+        ExclusionChange::Exclude => "excluded",
+        ExclusionChange::Include => "included",
     };
     tracing::info!(node = %id, "admin: {done}");
     format!("200 {done} {id}\n")
 }
 
-/// The cache nodes manually excluded in any dispatch queue.
+/// Returns the cache nodes that are manually excluded in any dispatch queue.
 fn currently_excluded(front: &Shared) -> BTreeSet<CacheId> {
     front.queues.all().iter().flat_map(|queue| queue.dispatcher.excluded()).collect()
 }
 
-/// Makes `excluded` the manually excluded cache nodes of every dispatch queue.
-fn apply(front: &Shared, excluded: &BTreeSet<CacheId>) {
+/// Makes `excluded` the set of manually excluded cache nodes in every dispatch queue.
+fn apply_manual_exclusions(front: &Shared, excluded: &BTreeSet<CacheId>) {
     for queue in front.queues.all() {
         let now = front.clock.now();
         let dispatcher = &queue.dispatcher;
         let before: BTreeSet<CacheId> = dispatcher.excluded().into_iter().collect();
         for cache in excluded.difference(&before) {
-            // A node that is not listed at the moment is excluded as soon as it is.
+            // A node that is not listed at the moment is excluded as soon as it is listed.
             if !dispatcher.exclude(now, cache) {
                 dispatcher.restore([cache.clone()]);
             }
@@ -73,44 +77,51 @@
     }
 }
 
-/// Applies the manual exclusions stored by an earlier process; a file that can't be used is logged with its path and
-/// left as it is.
-pub fn restore(front: &Shared) {
-    front.manual_exclusions.remove_abandoned();
+/// Applies the manual exclusions that an earlier process stored. A file that cannot be used is logged with
+/// its path and not changed.
+pub fn restore_manual_exclusions(front: &Shared) {
+    front.manual_exclusions.remove_abandoned_files();
     match front.manual_exclusions.load_at_start() {
         Ok(ids) if ids.is_empty() => {}
         Ok(ids) => {
-            tracing::info!(nodes = ids.len(), "admin: out by hand, as an earlier process left them");
+            tracing::info!(
+                nodes = ids.len(),
+                "admin: restored the manual exclusions that an earlier process stored"
+            );
             for queue in front.queues.all() {
                 queue.dispatcher.restore(ids.iter().cloned());
             }
         }
-        Err(e) => tracing::warn!("admin: {e}; no node is out by hand"),
+        Err(e) => {
+            tracing::warn!("admin: cannot restore the manual exclusions, no cache node is excluded: {e}");
+        }
     }
 }
 
-/// Follows, on a thread of its own, the changes another process of this front makes to the manual exclusions while one
-/// replaces the other, so that a command at either takes effect at both.
+/// Applies, on a separate thread, the changes that another process of this front makes to the manual
+/// exclusions. While one process replaces the other, a command to either thus takes effect in both.
 ///
 /// # Errors
-/// The thread can't be spawned.
-pub fn follow(front: Arc<Shared>) -> io::Result<()> {
+/// Returns an error if the thread cannot be started.
+pub fn follow_manual_exclusions(front: Arc<Shared>) -> io::Result<()> {
     let follower = std::thread::Builder::new().name("excluded".into());
     follower.spawn(move || loop {
-        std::thread::sleep(FOLLOW_INTERVAL);
-        if !front.manual_exclusions.changed() {
+        std::thread::sleep(FILE_CHECK_INTERVAL);
+        if !front.manual_exclusions.changed_by_other_process() {
             continue;
         }
-        let _one_at_a_time = front.manual_exclusions.change();
+        let _change_guard = front.manual_exclusions.lock_for_change();
         match front.manual_exclusions.load() {
             Ok(ids) => {
                 tracing::info!(
                     nodes = ids.len(),
-                    "admin: out by hand, as another process of this front has them"
+                    "admin: applied the manual exclusions that another process of this front stored"
                 );
-                apply(&front, &ids.into_iter().collect());
+                apply_manual_exclusions(&front, &ids.into_iter().collect());
             }
-            Err(e) => tracing::warn!("admin: {e}; the nodes out by hand stay as they are"),
+            Err(e) => tracing::warn!(
+                "admin: cannot read the manual exclusions, the current ones stay in effect: {e}"
+            ),
         }
     })?;
     Ok(())
--- a/crates/front/src/control/config.rs
+++ b/crates/front/src/control/config.rs
@@ -1,4 +1,5 @@
-//! The front's configuration: the JSON file that `RELAY_CONFIG` names, read and checked.
+//! Reads and validates the front's configuration: the JSON file that the environment variable `RELAY_CONFIG`
+//! names.
 
 use crate::budget::Budget;
 use fernslip::json::{self, JsonError, Names};
@@ -9,136 +10,140 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// A checked configuration.
+/// A validated configuration of a front.
 pub struct Config {
-    /// The file it was read from, reloaded on SIGHUP; `None`: there is none.
+    /// The file the configuration was read from, which SIGHUP reloads. `None` if it was not read from a file.
     pub file: Option<PathBuf>,
-    /// The front's name.
+    /// The name of this front.
     pub name: String,
-    /// Listen address for clients.
+    /// The address on which the front accepts client connections.
     pub listen: SocketAddr,
-    /// Seed of the front's random numbers.
+    /// The seed of the front's random number generators.
     pub seed: u64,
-    /// Limits on connections, requests and memory.
+    /// The limits on connections, requests and memory.
     pub budget: Budget,
-    /// Listen address for peers' datagrams; `None`: the front has no peers.
+    /// The address on which peers' datagrams are received. `None` if the front has no peers.
     pub peer_listen: Option<SocketAddr>,
-    /// The addresses of all fronts of the tier, by slot.
+    /// The datagram addresses of all fronts of the tier, indexed by slot number.
     pub peers: Vec<SocketAddr>,
-    /// The address that reaches all of them.
+    /// The one address that reaches all peers. `None` if the configuration has none.
     pub peers_all: Option<SocketAddr>,
-    /// The event bus; `None`: there is none, and the site document has the members.
+    /// The address of the event bus. `None` if there is no bus; the members then come from the site document.
     pub bus: Option<SocketAddr>,
-    /// Offset of the last event known at start.
+    /// The offset of the last bus event included in `known_events`.
     pub known_offset: u64,
-    /// The events known at start.
+    /// The bus events that the configuration supplies for the start, as JSON.
     pub known_events: Vec<Value>,
-    /// The decision module's settings.
+    /// The settings of the decision module (the `fernslip` crate).
     pub settings: Settings,
-    /// Names that the settings refer to by index.
+    /// The names of zones, kinds and classes, to which the settings refer by index.
     pub names: Names,
-    /// Concurrent attempts on one upstream connection.
+    /// The maximum number of concurrent attempts on one upstream connection; at least 1.
     pub streams: usize,
-    /// Timeout for an upstream connection to be established.
+    /// The timeout for establishing an upstream connection.
     pub connect_timeout: Duration,
-    /// Idle upstream connections are closed after this time.
+    /// The time after which an idle upstream connection is closed.
     pub idle_timeout: Duration,
-    /// Listen address of the admin interface, `ops`; `$RELAY_OPS` takes precedence at start. `None`: there is none.
+    /// The listen address of the admin interface (key `ops`); `$RELAY_OPS` takes precedence at start. `None`
+    /// if the configuration has no admin interface.
     pub admin_listen: Option<SocketAddr>,
 }
 
-/// Why a front cannot start with its configuration.
+/// The reason why a front cannot use its configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The file cannot be read.
+    /// The configuration file cannot be read.
     #[error("configuration: {0}")]
     Read(std::io::Error),
-    /// The file is not JSON.
+    /// The configuration file is not valid JSON.
     #[error("configuration: not JSON: {0}")]
     Parse(serde_json::Error),
-    /// A field is missing or has a wrong value.
+    /// A field of the configuration is missing or has an invalid value.
     #[error("configuration: {0}")]
     Field(JsonError),
-    /// The field of that key is not an address.
-    #[error("configuration: {0} is no address")]
+    /// The value of the field with this key is not an IP address and port.
+    #[error("configuration: {0} is not an IP address and port")]
     Address(String),
-    /// The settings are inconsistent.
+    /// The settings contradict each other or are out of range.
     #[error("configuration: {0}")]
     Settings(SettingsError),
-    /// `RELAY_CONFIG` is not set.
+    /// No configuration file is given, because the environment variable `RELAY_CONFIG` is not set.
     #[error("configuration: RELAY_CONFIG names no file")]
     NoFile,
-    /// The site document has errors.
+    /// The site document has errors of syntax or content.
     #[error("{0}")]
     Site(SiteError),
-    /// The site document is valid, and a front can't serve from it; every reason.
+    /// The site document is valid, but this front cannot serve from it; holds every reason.
     #[error("site: {}", .0.join("\nsite: "))]
     Plan(Vec<String>),
 }
 
 impl From<JsonError> for ConfigError {
-    fn from(e: JsonError) -> Self {
-        ConfigError::Field(e)
+    fn from(error: JsonError) -> Self {
+        ConfigError::Field(error)
     }
 }
 
-fn address(v: &Value, key: &str) -> Result<SocketAddr, ConfigError> {
-    v.as_str().and_then(|a| a.parse().ok()).ok_or_else(|| ConfigError::Address(key.into()))
+fn parse_address(value: &Value, key: &str) -> Result<SocketAddr, ConfigError> {
+    value.as_str().and_then(|text| text.parse().ok()).ok_or_else(|| ConfigError::Address(key.into()))
 }
 
-/// A duration given in milliseconds, within 1 ms to 1 h.
-fn millis(v: &Value, key: &str) -> Result<Duration, JsonError> {
-    json::number(v, key).map(|ms| Duration::from_secs_f64((ms / 1000.0).clamp(0.001, 3600.0)))
+/// Reads the field `key` of `value` as a duration in milliseconds, clamped to between 1 ms and 1 h.
+fn parse_millis(value: &Value, key: &str) -> Result<Duration, JsonError> {
+    json::number(value, key).map(|ms| Duration::from_secs_f64((ms / 1000.0).clamp(0.001, 3600.0)))
 }
 
 impl Config {
-    /// Reads a configuration file.
+    /// Reads and validates a configuration file.
     ///
     /// # Errors
-    /// The file can't be read, is not JSON, or is no valid configuration.
+    /// Returns an error if the file cannot be read, is not JSON, or is not a valid configuration.
     pub fn read(file: &Path) -> Result<Config, ConfigError> {
         let text = std::fs::read_to_string(file).map_err(ConfigError::Read)?;
         let config = Config::parse(&serde_json::from_str(&text).map_err(ConfigError::Parse)?)?;
         Ok(Config { file: Some(file.to_path_buf()), ..config })
     }
 
-    /// Parses a configuration.
+    /// Validates a configuration that is already parsed as JSON.
     ///
     /// # Errors
-    /// A field is missing or wrong, or the settings are inconsistent.
-    pub fn parse(v: &Value) -> Result<Config, ConfigError> {
-        let (mut settings, names) = json::settings(&v["settings"])?;
+    /// Returns an error if a field is missing or invalid, or if the settings contradict each other.
+    pub fn parse(document: &Value) -> Result<Config, ConfigError> {
+        let (mut settings, names) = json::settings(&document["settings"])?;
         settings.check().map_err(ConfigError::Settings)?;
-        let limits = &v["limits"];
+        let limits = &document["limits"];
         let budget = Budget::of(
             json::number(limits, "sockets")? as usize,
             json::number(limits, "memory_mb")? as usize,
         );
         settings.max_in_flight = settings.max_in_flight.min(budget.open as u32);
-        let permissions = &v["settings"]["permissions"];
-        let optional = |key: &str| match &v[key] {
+        let permissions = &document["settings"]["permissions"];
+        let optional = |key: &str| match &document[key] {
             Value::Null => Ok(None),
-            a => address(a, key).map(Some),
+            a => parse_address(a, key).map(Some),
         };
-        let peers = match &v["peers"] {
+        let peers = match &document["peers"] {
             Value::Null => Vec::new(),
-            _ => json::list(v, "peers")?.iter().map(|p| address(p, "peers")).collect::<Result<_, _>>()?,
+            _ => json::list(document, "peers")?
+                .iter()
+                .map(|p| parse_address(p, "peers"))
+                .collect::<Result<_, _>>()?,
         };
         Ok(Config {
             file: None,
-            name: json::text(v, "name")?.to_string(),
-            listen: address(&v["listen"], "listen")?,
-            seed: json::hex(v, "seed")?,
+            name: json::text(document, "name")?.to_string(),
+            listen: parse_address(&document["listen"], "listen")?,
+            seed: json::hex(document, "seed")?,
             budget,
             peer_listen: optional("peer_listen")?,
             peers,
             peers_all: optional("peers_all")?,
-            bus: Some(address(&v["bus"], "bus")?),
-            known_offset: json::number(&v["known"], "offset")? as u64,
-            known_events: json::list(&v["known"], "batch")?.to_vec(),
+            bus: Some(parse_address(&document["bus"], "bus")?),
+            known_offset: json::number(&document["known"], "offset")? as u64,
+            known_events: json::list(&document["known"], "batch")?.to_vec(),
             streams: (json::number(permissions, "streams_per_conn")? as usize).max(1),
-            connect_timeout: millis(permissions, "connect_timeout_ms")?,
-            idle_timeout: millis(permissions, "conn_idle_ms")?,
+            connect_timeout: parse_millis(permissions, "connect_timeout_ms")?,
+            idle_timeout: parse_millis(permissions, "conn_idle_ms")?,
             admin_listen: optional("ops")?,
             settings,
             names,
--- a/crates/front/src/control/discovery_watch.rs
+++ b/crates/front/src/control/discovery_watch.rs
@@ -1,4 +1,5 @@
-//! The discovery watch: a connection to the event bus, which sends endpoint-list updates and purges as numbered events.
+//! The discovery watch: a connection to the event bus, which sends endpoint-list updates and purges as
+//! numbered events.
 
 use super::node_starts::NodeStarts;
 use super::watch_event::{ListedNode, WatchEvent};
@@ -10,7 +11,7 @@
 use crate::reason_counts::Kind;
 use crate::shared::Shared;
 use crate::sync::lock;
-use crate::watch_history::{History, Line};
+use crate::watch_history::{History, ReceivedLine};
 use fernslip::{CacheId, ObjectId, Phase};
 use may::net::TcpStream;
 use rand::{Rng, SeedableRng};
@@ -21,31 +22,37 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+/// The timeout for establishing a connection to the event bus.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A connection without a line for so long is dead: the bus sends one each second, and two may be late. What a bus that
-/// stops would have reported counts as reported after 4 s, so that a new connection must be up well before.
+/// A bus connection that receives no line for this time is closed as dead. The bus sends a line each second,
+/// and two may be late. Events that a stopped bus withheld count as reported after 4 s, so a new connection
+/// must be up well before that.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Longest silence timeout, which grows over connections on which no line came at all.
+/// The maximum silence timeout. The timeout doubles after each connection that timed out without receiving a
+/// line.
 const MAX_SILENCE_TIMEOUT: Duration = Duration::from_millis(5000);
-/// Mean time between the end of a connection and the next; spread by half either way.
+/// The mean delay between the end of a bus connection and the next attempt to connect; each delay is drawn
+/// from 50 % to 150 % of it.
 const RECONNECT_DELAY: Duration = Duration::from_millis(200);
-/// Longest line accepted, in bytes; the complete list of the largest deployment is a small part of it.
+/// The maximum length in bytes of a line from the bus. The complete endpoint list of the largest deployment
+/// is far shorter.
 const MAX_LINE_BYTES: usize = 4 << 20;
 
-/// The delay before reconnection number `attempt`. It differs from front to front, so that the fronts of a fleet, which
-/// all lose the bus in the same moment, don't all come back in the same moment each time.
+/// Returns the delay before reconnection number `attempt`. It depends on the front's `seed`, so that the
+/// fronts of a fleet, which all lose the bus at the same moment, do not all reconnect at the same moment.
 fn reconnect_delay(seed: u64, attempt: u64) -> Duration {
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed.wrapping_add(attempt));
     RECONNECT_DELAY.mul_f64(rng.random_range(0.5..1.5))
 }
 
-/// Applies an event to the dispatchers and the upstream connections. `since`: module time in milliseconds of the last line
-/// before it, after which it was reported; `None` where no line came yet.
+/// Applies an event to the dispatchers and the upstream connections. `since` is the module time in
+/// milliseconds of the last line received before the event, so the event was reported after it; `None` if no
+/// line was received before.
 pub fn apply(front: &Shared, event: WatchEvent, since: Option<f64>) {
     match event {
         WatchEvent::Unknown => {}
         WatchEvent::Purge { object, group, unix_ms } => apply_purge(front, object, group, unix_ms, since),
-        // The site document has the members.
+        // The members come from the site document, so the bus's endpoint lists are ignored.
         WatchEvent::EndpointList { .. } if front.queues.members_from_file() => {}
         WatchEvent::EndpointList { full, nodes } => apply_endpoint_list(front, full, nodes, since),
     }
@@ -53,7 +60,8 @@
 
 fn apply_purge(front: &Shared, object: Option<ObjectId>, group: u64, unix_ms: f64, since: Option<f64>) {
     let now = front.clock.now();
-    // Before the first line nothing bounds the date: the conservative answer is now.
+    // Before the first line nothing bounds the time of the purge from below; the current time is the safe
+    // choice.
     let at = front.wall_clock.when(unix_ms, since.unwrap_or(now));
     for queue in front.queues.all() {
         queue.dispatcher.purged(now, object, group, now - at);
@@ -62,7 +70,8 @@
 
 fn apply_endpoint_list(front: &Shared, full: bool, nodes: Vec<ListedNode>, since: Option<f64>) {
     if let Some(gossip) = &front.gossip {
-        // Starts in Unix time: all fronts must name a node by the same start.
+        // Gossip gets start times in Unix time, because all fronts must identify a node by the same start
+        // time.
         let starts = nodes.iter().map(|ListedNode { entry, .. }| {
             (entry.cache.clone(), Some(entry.started_ms).filter(|_| entry.phase != Phase::Out))
         });
@@ -75,7 +84,9 @@
         match (entry.phase, addr) {
             (Phase::Out, _) => front.upstream.remove_node(&entry.cache),
             (_, Some(addr)) => front.upstream.add_node(entry.cache.clone(), addr, entry.started_ms),
-            (_, None) => tracing::warn!("bus: {} has no address", entry.cache.0),
+            (_, None) => {
+                tracing::warn!("bus: cache node {} is listed without a usable address", entry.cache.0);
+            }
         }
         entries.push(entry);
     }
@@ -85,36 +96,37 @@
     }
     front.queues.apply_endpoint_list(&front.clock, full, entries);
     let queues = front.queues.all();
-    front.bus.starts.limit(|id| queues.iter().any(|queue| queue.dispatcher.is_listed(id)));
+    front.bus.starts.drop_unlisted_over_limit(|id| queues.iter().any(|queue| queue.dispatcher.is_listed(id)));
     if full {
         front.endpoints_listed.store(true, Ordering::Release);
     }
 }
 
-/// Takes one line of the bus and applies its event.
+/// Processes one line from the bus and applies the event in it, if any.
 ///
 /// # Errors
-/// As [`History::receive`].
+/// Returns the errors of [`History::receive`].
 fn receive_line(front: &Shared, history: &mut History, line: &[u8]) -> Result<(), Reason> {
     match history.receive(line, &front.names)? {
-        Line::NothingNew => {}
-        Line::Event(offset, event) => {
-            apply(front, event, front.bus.last_line(&front.clock));
+        ReceivedLine::NothingNew => {}
+        ReceivedLine::Event(offset, event) => {
+            apply(front, event, front.bus.last_line_ms(&front.clock));
             tracing::info!("bus offset={offset}");
         }
-        Line::Unreadable(offset, e) => {
-            front.bus.unusable.fetch_add(1, Ordering::Relaxed);
-            tracing::warn!("bus: event {offset}: {e}");
+        ReceivedLine::Unreadable(offset, e) => {
+            front.bus.unusable_lines.fetch_add(1, Ordering::Relaxed);
+            tracing::warn!("bus: event {offset} cannot be parsed and is skipped: {e}");
         }
     }
     Ok(())
 }
 
-/// Takes the complete lines out of the buffer, whose first `scanned` bytes have no line end. Returns whether one of them
-/// shows that the bus is alive, which neither a partial line nor blank ones do.
+/// Processes the complete lines in the buffer, whose first `scanned` bytes are known to contain no line end.
+/// Returns whether any line proves that the bus is alive; partial and blank lines do not.
 ///
 /// # Errors
-/// As [`History::receive`]; [`Reason::Malformed`] for a line over [`MAX_LINE_BYTES`].
+/// Returns the errors of [`History::receive`], and [`Reason::Malformed`] for a line longer than
+/// [`MAX_LINE_BYTES`].
 fn receive_lines(
     front: &Shared,
     buffer: &mut Buffer,
@@ -136,11 +148,11 @@
     Ok(proves_liveness)
 }
 
-/// Connects to the bus.
+/// Connects to the event bus.
 ///
 /// # Errors
-/// The log reason why there is no connection.
-fn connect(addr: SocketAddr) -> Result<TcpStream, Reason> {
+/// Returns the reason to log if no connection can be established.
+fn connect_to_bus(addr: SocketAddr) -> Result<TcpStream, Reason> {
     TcpStream::connect_timeout(&addr, CONNECT_TIMEOUT).map_err(|e| match e.kind() {
         ErrorKind::TimedOut => Reason::ConnectTimeout,
         _ => match Failure::of(&e) {
@@ -151,32 +163,36 @@
     })
 }
 
-/// The discovery watch of a front: the bus's address, which may change while the front runs, and the current connection.
+/// The discovery watch of a front: the bus's address, which may change while the front runs, and the current
+/// connection.
 pub struct DiscoveryWatch {
-    state: Mutex<State>,
+    state: Mutex<ConnectionState>,
     starts: NodeStarts,
     seed: u64,
-    /// Lines and events that could not be used, since the start.
-    unusable: AtomicU64,
+    /// The number of bus lines and events since the start that were malformed or could not be parsed.
+    unusable_lines: AtomicU64,
 }
 
-struct State {
+/// The bus address and the state of the current connection to it.
+struct ConnectionState {
     addr: SocketAddr,
     link: Arc<Link>,
-    /// When the current connection last received a line, or came up; `None` while there is none.
+    /// When the current connection last received a line, or was established if it received none. `None` while
+    /// there is no connection.
     last_received: Option<Instant>,
-    /// When a line last came on any connection: every later event was reported after that.
+    /// When a line was last received on any connection; every later event was reported after that time.
     last_line: Option<Instant>,
-    /// How long the current connection may stay silent.
+    /// How long the current connection may receive nothing before it is closed.
     silence_timeout: Duration,
 }
 
 impl DiscoveryWatch {
-    /// A watch on the bus at `addr`; `None`: there is no bus. `seed` spreads its reconnections.
+    /// Creates a watch on the bus at `addr` (`None` if there is no bus). `seed` varies the reconnection
+    /// delays between fronts.
     pub fn new(addr: Option<SocketAddr>, seed: u64) -> DiscoveryWatch {
         let addr = addr.unwrap_or(([0, 0, 0, 0], 0).into());
         DiscoveryWatch {
-            state: Mutex::new(State {
+            state: Mutex::new(ConnectionState {
                 addr,
                 link: Arc::default(),
                 last_received: None,
@@ -185,12 +201,12 @@
             }),
             starts: NodeStarts::default(),
             seed,
-            unusable: AtomicU64::new(0),
+            unusable_lines: AtomicU64::new(0),
         }
     }
 
-    /// Changes the bus's address. The connection to the old one is closed at once, as the old bus may stay open and send
-    /// nothing more. The offsets carry on.
+    /// Changes the bus's address. The connection to the old address is closed at once, because the old bus
+    /// may leave it open and send nothing more. Event offsets continue from the last event received.
     pub fn set_address(&self, addr: SocketAddr) {
         let mut state = lock(&self.state);
         if state.addr != addr {
@@ -199,12 +215,14 @@
         }
     }
 
-    /// When a line last came, in module time.
-    fn last_line(&self, clock: &Clock) -> Option<f64> {
+    /// Returns the module time in milliseconds at which the last line was received. `None` if none was
+    /// received yet.
+    fn last_line_ms(&self, clock: &Clock) -> Option<f64> {
         lock(&self.state).last_line.map(|at| clock.at(at))
     }
 
-    /// Closes the connection if it is silent for too long; called periodically.
+    /// Closes the bus connection if it has received nothing for longer than its silence timeout; called
+    /// periodically.
     pub fn sweep(&self) {
         let state = lock(&self.state);
         if state.last_received.is_some_and(|at| at.elapsed() > state.silence_timeout) {
@@ -212,9 +230,9 @@
         }
     }
 
-    /// Connects once and receives events until the connection ends; returns the log reason of its end.
-    fn watch_once(&self, front: &Shared, addr: SocketAddr, history: &mut History) -> Reason {
-        let stream = match connect(addr) {
+    /// Connects once and receives events until the connection ends; returns the reason to log for its end.
+    fn watch_one_connection(&self, front: &Shared, addr: SocketAddr, history: &mut History) -> Reason {
+        let stream = match connect_to_bus(addr) {
             Ok(stream) => stream,
             Err(reason) => return reason,
         };
@@ -242,19 +260,22 @@
         link.terminate();
         let mut state = lock(&self.state);
         state.last_received = None;
-        // An overloaded bus may need longer for its first line: it must not be abandoned each time just before it.
+        // An overloaded bus may need longer for its first line; a constant timeout could close every
+        // connection just before that line arrives.
         if reason == Reason::Silent && !has_received {
             state.silence_timeout = (state.silence_timeout * 2).min(MAX_SILENCE_TIMEOUT);
         }
         reason
     }
 
-    /// Watches the bus for the life of the process, from where `history` ends.
+    /// Watches the bus for as long as the process runs, starting after the last event in `history`.
     pub fn run(&self, front: &Shared, mut history: History) {
         for attempt in 0.. {
             let addr = lock(&self.state).addr;
-            // A defect costs this connection, not the watch: without one the front would learn of no change any more.
-            let ended = catch_unwind(AssertUnwindSafe(|| self.watch_once(front, addr, &mut history)));
+            // A panic ends only this connection, not the watch; without the watch the front would receive no
+            // further endpoint changes or purges.
+            let ended =
+                catch_unwind(AssertUnwindSafe(|| self.watch_one_connection(front, addr, &mut history)));
             let reason = ended.unwrap_or_else(|_| {
                 lock(&self.state).link.terminate();
                 Reason::Defect
@@ -262,7 +283,7 @@
             let offset = history.offset();
             front.reason_counts.add(Kind::BusClosed, reason.code());
             let malformed = u64::from(reason == Reason::Malformed);
-            let unusable = self.unusable.fetch_add(malformed, Ordering::Relaxed) + malformed;
+            let unusable = self.unusable_lines.fetch_add(malformed, Ordering::Relaxed) + malformed;
             tracing::info!(kind = %"bus", %addr, reason = %reason.code(), offset, odd = unusable, "end");
             if reason != Reason::Moved {
                 crate::sleep::sleep(reconnect_delay(self.seed, attempt));
--- a/crates/front/src/control/gossip.rs
+++ b/crates/front/src/control/gossip.rs
@@ -1,4 +1,5 @@
-//! The host of [`fernslip_gossip`]: its socket and clock, the evidence that goes in, and the scores that come out.
+//! Runs [`fernslip_gossip`] in a front: provides its socket and clock, feeds it the evidence of the decision
+//! module, and passes the resulting scores to the dispatchers.
 
 mod plan;
 mod status;
@@ -21,12 +22,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Between two polls of the queue and the clock.
+/// The interval between two polls of the evidence queue and the gossip's timer.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The pause after a datagram could not be received.
+/// The pause after an error in receiving a datagram.
 const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(5);
 
-/// Runs the gossip of a front: two threads call [`GossipService::listen`] and [`GossipService::run`].
+/// The gossip service of a front. One thread calls [`GossipService::listen`], another [`GossipService::run`].
 pub struct GossipService {
     gossip: Mutex<Gossip>,
     socket: UdpSocket,
@@ -35,24 +36,25 @@
     nodes: Mutex<CacheNodes>,
 }
 
-/// Cache nodes by the keys that datagrams name them by, and the other way round.
+/// The known cache nodes, indexed both by id and by the key that identifies a node in datagrams.
 #[derive(Default)]
 struct CacheNodes {
     by_key: BTreeMap<CacheNodeKey, CacheId>,
     by_id: HashMap<CacheId, CacheNodeKey>,
 }
 
-fn now(clock: &Clock) -> Now {
+/// Returns the current module time and Unix time for the gossip.
+fn current_time(clock: &Clock) -> Now {
     let mono_ms = clock.now();
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     Now { mono_ms, unix_ms: unix.as_secs_f64() * 1000.0 }
 }
 
 impl GossipService {
-    /// Binds the socket; `evidence` is what the decision module fills.
+    /// Binds the gossip socket. `evidence` is the queue that the decision module fills.
     ///
     /// # Errors
-    /// The address can't be bound.
+    /// Returns an error if the address cannot be bound.
     pub fn bind(
         plan: &Plan,
         clock: &Clock,
@@ -60,25 +62,25 @@
         evidence: EvidenceQueue,
     ) -> std::io::Result<GossipService> {
         let socket = UdpSocket::bind(plan.config.addr)?;
-        // A port that the system chose is the one that is advertised.
+        // If the plan gives port 0, the operating system chose the port, and that port must be advertised.
         let addr = socket.local_addr()?;
         let config = Config { addr, ..plan.config.clone() };
-        let gossip = Mutex::new(Gossip::new(config, plan.keys.clone(), seed, now(clock)));
+        let gossip = Mutex::new(Gossip::new(config, plan.keys.clone(), seed, current_time(clock)));
         Ok(GossipService { gossip, socket, evidence, clock: *clock, nodes: Mutex::default() })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the gossip service listens.
     pub fn addr(&self) -> SocketAddr {
         lock(&self.gossip).config().addr
     }
 
-    fn handle(&self, queues: &[Arc<DispatchQueue>], event: Event) {
+    fn handle_event(&self, queues: &[Arc<DispatchQueue>], event: Event) {
         let mut actions = Vec::new();
-        lock(&self.gossip).handle(now(&self.clock), event, &mut actions);
+        lock(&self.gossip).handle(current_time(&self.clock), event, &mut actions);
         for action in actions {
             match action {
-                // Straight to the socket, which never blocks: a datagram that the buffer has no space for is lost, as
-                // any may be.
+                // Sent directly on the non-blocking socket. A datagram for which the kernel has no buffer
+                // space is lost, which the protocol tolerates.
                 Action::Send { to, bytes } => drop(self.socket.inner().send_to(&bytes, to)),
                 Action::Hearsay { node, score } => {
                     let id = lock(&self.nodes).by_key.get(&node).cloned();
@@ -97,8 +99,8 @@
         }
     }
 
-    /// Updates the cache nodes: each with its start (Unix milliseconds; 0: long ago), or `None` if it was removed;
-    /// `full`: all others were removed too.
+    /// Updates the known cache nodes. Each update has the node's start time in Unix milliseconds (0: long
+    /// ago), or `None` if the node was removed. With `full`, all nodes that are not in `updates` are removed.
     pub fn update_nodes(
         &self,
         queues: &[Arc<DispatchQueue>],
@@ -122,46 +124,54 @@
             }
             let current: BTreeMap<CacheNodeKey, CacheId> =
                 nodes.by_id.iter().map(|(id, key)| (*key, id.clone())).collect();
-            // Removed nodes are still known while the decision module gets their score reset.
+            // Removed nodes stay known until the call of `handle_event` below has reset their scores in the
+            // dispatchers.
             nodes.by_key.extend(current.clone());
             (current, before)
         };
         if current == before {
             return;
         }
-        self.handle(queues, Event::CacheNodes(current.keys().copied().collect()));
+        self.handle_event(queues, Event::CacheNodes(current.keys().copied().collect()));
         lock(&self.nodes).by_key = current;
     }
 
-    /// Replaces the keys.
+    /// Replaces the keys that sign and verify gossip datagrams.
     pub fn rekey(&self, keys: Keyring) {
-        tracing::info!("gossip: keys {:?}, {} signs", keys.accepted_keys(), keys.signing_key());
-        self.handle(&[], Event::Keys(keys));
+        tracing::info!(
+            "gossip: keys {:?} are accepted, key {} signs",
+            keys.accepted_keys(),
+            keys.signing_key()
+        );
+        self.handle_event(&[], Event::Keys(keys));
     }
 
-    /// Announces that this front leaves.
+    /// Announces to the peers that this front leaves.
     pub fn leave(&self, queues: &[Arc<DispatchQueue>]) {
-        self.handle(queues, Event::Leave);
+        self.handle_event(queues, Event::Leave);
     }
 
-    /// Receives datagrams, for good.
+    /// Receives and handles datagrams for as long as the process runs.
     pub fn listen(&self, queues: &[Arc<DispatchQueue>]) {
         let mut data = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             match self.socket.recv_from(&mut data) {
-                Ok((n, from)) => self.handle(queues, Event::Datagram { from, bytes: data[..n].to_vec() }),
-                // An error of one datagram, such as an unreachable port: the next may be fine.
+                Ok((n, from)) => {
+                    self.handle_event(queues, Event::Datagram { from, bytes: data[..n].to_vec() });
+                }
+                // The error concerns one datagram, for example an unreachable port; later ones may succeed.
                 Err(_) => crate::sleep::sleep(RECEIVE_ERROR_PAUSE),
             }
         }
     }
 
-    /// The address that others are to reach it at.
+    /// Returns the address at which other fronts reach this one.
     pub fn advertised_addr(&self) -> SocketAddr {
         lock(&self.gossip).advertised_addr()
     }
 
-    /// Passes on the queued evidence and lets time pass, for good; its peers are those of `fleet`, where that is given.
+    /// Handles queued evidence and timers for as long as the process runs. If `fleet` is given, the gossip's
+    /// peers are the fronts of that membership view.
     pub fn run(&self, queues: &[Arc<DispatchQueue>], fleet: Option<&Fleet>) {
         let mut last_digest = None;
         loop {
@@ -174,7 +184,7 @@
                         .into_iter()
                         .map(|p| PeerAddress { name: p.name, addr: p.addr })
                         .collect();
-                    self.handle(queues, Event::Peers(peers));
+                    self.handle_event(queues, Event::Peers(peers));
                 }
             }
             for evidence in self.evidence.take_all() {
@@ -182,7 +192,7 @@
             }
             let due = lock(&self.gossip).wake_at();
             if due <= self.clock.now() {
-                self.handle(queues, Event::Tick);
+                self.handle_event(queues, Event::Tick);
             }
             crate::sleep::sleep(POLL_INTERVAL);
         }
@@ -197,6 +207,6 @@
             Sign::Well => Observation::Healthy,
         };
         let evidence = Evidence { node, observation, strength: evidence.strength, count: 1 };
-        self.handle(queues, Event::Evidence(evidence));
+        self.handle_event(queues, Event::Evidence(evidence));
     }
 }
--- a/crates/front/src/control/gossip/plan.rs
+++ b/crates/front/src/control/gossip/plan.rs
@@ -1,33 +1,34 @@
-//! The gossip section of the site document, read and checked.
+//! Reads and validates the gossip section of the site document.
 
 use crate::keyfile;
 use fernslip_gossip::{Config, Keyring};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// How a front gossips.
+/// The validated gossip settings of a front.
 pub struct Plan {
-    /// The instance's own settings.
+    /// The configuration of this front's gossip instance.
     pub config: Config,
-    /// The keys.
+    /// The keys that sign and verify gossip datagrams.
     pub keys: Keyring,
-    /// The path of the local socket for operators.
+    /// The path of the local socket that serves the status text to operators. `None` if there is no such
+    /// socket.
     pub control: Option<PathBuf>,
-    /// Its peers are those of the view.
+    /// Whether the gossip's peers are taken from the membership view.
     pub from_view: bool,
 }
 
 impl Plan {
-    /// The plan of the front with this name, by the document; its keys are read and checked.
+    /// Makes the plan for the front with this name from the site document's settings, and reads its key file.
     ///
     /// # Errors
-    /// All that is wrong with it.
+    /// Returns a message for every invalid setting.
     pub fn of(settings: &fernslip_site::Gossip, name: &str) -> Result<Plan, Vec<String>> {
         let mut errors = Vec::new();
         let mut address = |text: &String| {
             let parsed = text.parse::<SocketAddr>();
             if parsed.is_err() {
-                errors.push(format!("gossip: `{text}` is no IP address and port"));
+                errors.push(format!("gossip: `{text}` is not an IP address and port"));
             }
             parsed.ok()
         };
@@ -39,7 +40,7 @@
             errors.push(format!("gossip: {}: {error}", settings.key_file));
         }
         if !settings.fronts.is_empty() && !settings.fronts.iter().any(|n| n == name) {
-            errors.push(format!("gossip: this front, \"{name}\", is none of its own list of fronts"));
+            errors.push(format!("gossip: this front, \"{name}\", is not in its own list of fronts"));
         }
         let (Some(addr), Ok(keys), true) = (addr, keys, errors.is_empty()) else { return Err(errors) };
         let default = Config::default();
--- a/crates/front/src/control/gossip/status.rs
+++ b/crates/front/src/control/gossip/status.rs
@@ -1,6 +1,6 @@
-//! The status text for operators, and the local socket that it is read from (`fernslip gossip status`).
+//! The gossip status text for operators, and the local socket that serves it to `fernslip gossip status`.
 
-use super::{now, GossipService};
+use super::{current_time, GossipService};
 use crate::sync::lock;
 use fernslip_gossip::CacheNodeKey;
 use std::fmt::Write as _;
@@ -11,14 +11,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A client of the local socket reads within this time.
+/// The timeout for writing the status text to a client of the local socket that does not read.
 const STATUS_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl GossipService {
-    /// The status text. Called on a thread of its own: the worker waits for the locks only as long as it takes to copy
-    /// what they guard, not to write it.
-    fn status(&self) -> String {
-        let at = now(&self.clock);
+    /// Returns the status text. Called on a separate thread, and the locks are held only while the data is
+    /// copied, so that the worker thread does not wait while the text is written.
+    fn status_text(&self) -> String {
+        let at = current_time(&self.clock);
         let (config, id, counters, members, suspicions, scores) = {
             let gossip = lock(&self.gossip);
             let members: Vec<_> = gossip.members().map(|m| (gossip.trust(m.id, at), m)).collect();
@@ -59,13 +59,14 @@
         out
     }
 
-    /// Serves the status text on the local socket, on a thread of its own: it may wait for its clients.
+    /// Serves the status text on a local socket at `path`, on a separate thread, as it may wait for its
+    /// clients.
     ///
     /// # Errors
-    /// The socket can't be bound, or another process listens there already.
+    /// Returns an error if the socket cannot be bound or another process already listens on it.
     pub fn serve_status(self: &Arc<GossipService>, path: &Path) -> std::io::Result<()> {
         if std::fs::symlink_metadata(path).is_ok_and(|m| m.file_type().is_socket()) {
-            // Of a front that ended; one that still runs accepts.
+            // A front that still runs accepts the connection; the socket file of one that ended is replaced.
             if UnixStream::connect(path).is_ok() {
                 return Err(std::io::ErrorKind::AddrInUse.into());
             }
@@ -77,7 +78,7 @@
         std::thread::spawn(move || {
             for mut client in listener.incoming().flatten() {
                 let _ = client.set_write_timeout(Some(STATUS_WRITE_TIMEOUT));
-                let _ = client.write_all(service.status().as_bytes());
+                let _ = client.write_all(service.status_text().as_bytes());
             }
         });
         Ok(())
--- a/crates/front/src/control/keyfile.rs
+++ b/crates/front/src/control/keyfile.rs
@@ -1,4 +1,4 @@
-//! Key files on disk: read with their owner and mode, created, and rotated.
+//! Reads, creates and rotates the key files of the gossip and the membership view.
 
 use fernslip_gossip::{parse_key_file, KeyError, Keyring};
 use std::fs::{File, OpenOptions};
@@ -6,34 +6,34 @@
 use std::os::unix::fs::{MetadataExt, OpenOptionsExt};
 use std::path::Path;
 
-/// No key file is longer: two keys and some comments.
-const MAX_FILE_BYTES: u64 = 16 * 1024;
+/// The maximum length in bytes of a key file, which holds at most two keys and some comments.
+const MAX_KEY_FILE_BYTES: u64 = 16 * 1024;
 
-/// Why a key file can't be used or written.
+/// The reason why a key file cannot be used or written.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyFileError {
-    /// It can't be read or written.
+    /// The key file cannot be read or written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It is not what a key file must be.
+    /// The key file's owner, mode or content is invalid.
     #[error(transparent)]
     Key(#[from] KeyError),
-    /// There are two keys already: the rotation in progress is to be completed first.
-    #[error("it holds two keys: a rotation is under way")]
-    Rotating,
+    /// The file already has two keys, so the rotation in progress must be completed first.
+    #[error("the key file already holds two keys: complete the rotation in progress first")]
+    RotationInProgress,
     /// All 255 key numbers are in use.
-    #[error("no number is left for a key")]
-    NoNumber,
+    #[error("all key numbers from 1 to 255 are in use")]
+    NoFreeKeyNumber,
 }
 
-/// A step of a rotation. Each is taken on every front, and SIGHUP sent, before the next.
+/// A step of a key rotation. Each step is done on every front, followed by SIGHUP, before the next step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Adds a new key that is accepted; the old one still signs.
+    /// Adds a new key, which is accepted; the old key still signs.
     Add,
-    /// The new key signs; the old one is still accepted.
+    /// Makes the new key the one that signs; the old key is still accepted.
     Switch,
-    /// Drops the one that does not sign.
+    /// Removes the key that does not sign.
     Drop,
 }
 
@@ -45,75 +45,76 @@
 }
 
 impl RawKeyFile {
-    /// Owner and mode are those of the opened file, not of what the path may name a moment later.
+    /// Reads the file at `path`. Owner and mode are taken from the opened file, because the path may name
+    /// another file a moment later.
     fn read(path: &Path) -> Result<RawKeyFile, KeyFileError> {
         let file = File::open(path)?;
         let meta = file.metadata()?;
-        if !meta.is_file() || meta.len() > MAX_FILE_BYTES {
-            let message = "not a plain file of a key file's length";
+        if !meta.is_file() || meta.len() > MAX_KEY_FILE_BYTES {
+            let message = "not a regular file of at most 16384 bytes, as a key file must be";
             return Err(io::Error::new(io::ErrorKind::InvalidInput, message).into());
         }
         let mut text = String::new();
-        file.take(MAX_FILE_BYTES).read_to_string(&mut text)?;
+        file.take(MAX_KEY_FILE_BYTES).read_to_string(&mut text)?;
         Ok(RawKeyFile { text, owner: meta.uid(), mode: meta.mode() })
     }
 
     fn parse(&self) -> Result<Keyring, KeyFileError> {
-        Ok(parse_key_file(&self.text, self.owner, process_user()?, self.mode)?)
+        Ok(parse_key_file(&self.text, self.owner, process_user_id()?, self.mode)?)
     }
 }
 
-/// The user that this process runs as: the owner of its own entry in `/proc`.
-fn process_user() -> io::Result<u32> {
+/// Returns the id of the user that this process runs as, which is the owner of its entry in `/proc`.
+fn process_user_id() -> io::Result<u32> {
     std::fs::metadata("/proc/self").map(|m| m.uid())
 }
 
-/// Reads and checks a key file.
+/// Reads and validates a key file.
 ///
 /// # Errors
-/// [`KeyFileError::Io`] and [`KeyFileError::Key`].
+/// Returns [`KeyFileError::Io`] or [`KeyFileError::Key`].
 pub fn read(path: &Path) -> Result<Keyring, KeyFileError> {
     RawKeyFile::read(path)?.parse()
 }
 
-/// The lines of a checked file that hold keys.
-fn key_lines(path: &Path) -> Result<Vec<String>, KeyFileError> {
+/// Validates a key file and returns its lines that hold keys, without comments.
+fn read_key_lines(path: &Path) -> Result<Vec<String>, KeyFileError> {
     let file = RawKeyFile::read(path)?;
     file.parse()?;
     let keys = file.text.lines().map(|l| l.split('#').next().unwrap_or("").trim().to_string());
     Ok(keys.filter(|l| !l.is_empty()).collect())
 }
 
-/// A line with a new random key, of the lowest number that is not in use.
-fn new_key_line(used: &[u8]) -> Result<String, KeyFileError> {
-    let id = (1..=255).find(|id| !used.contains(id)).ok_or(KeyFileError::NoNumber)?;
+/// Generates a random key and returns its line for a key file, with the lowest key number not in `used_ids`.
+fn generate_key_line(used_ids: &[u8]) -> Result<String, KeyFileError> {
+    let id = (1..=255).find(|id| !used_ids.contains(id)).ok_or(KeyFileError::NoFreeKeyNumber)?;
     let mut secret = [0u8; 32];
     File::open("/dev/urandom")?.read_exact(&mut secret)?;
     let hex: String = secret.iter().map(|b| format!("{b:02x}")).collect();
     Ok(format!("{id} {hex}"))
 }
 
-/// Creates a file with one new key; an existing file is not touched.
+/// Creates a key file with one new key. An existing file is not changed.
 ///
 /// # Errors
-/// [`KeyFileError::Io`], of kind `AlreadyExists` if the file exists.
+/// Returns [`KeyFileError::Io`], of kind `AlreadyExists` if the file exists.
 pub fn create(path: &Path) -> Result<Keyring, KeyFileError> {
     let mut file = OpenOptions::new().write(true).create_new(true).mode(0o600).open(path)?;
-    writeln!(file, "# fernslip gossip keys: the first signs\n{}", new_key_line(&[])?)?;
+    writeln!(file, "# fernslip gossip keys: the first signs\n{}", generate_key_line(&[])?)?;
     file.sync_all()?;
     read(path)
 }
 
-/// Takes a step of a rotation. The file is replaced atomically.
+/// Performs a step of a key rotation on a key file, which is replaced atomically.
 ///
 /// # Errors
-/// Those of [`read`]; a step that does not fit the keys of the file.
+/// Returns the errors of [`read`], and an error if the number of keys in the file does not allow the step.
 pub fn rotate(path: &Path, step: Step) -> Result<Keyring, KeyFileError> {
-    let mut keys = key_lines(path)?;
-    let used = read(path)?.accepted_keys();
+    let mut keys = read_key_lines(path)?;
+    let used_ids = read(path)?.accepted_keys();
     match (step, keys.len()) {
-        (Step::Add, 1) => keys.push(new_key_line(&used)?),
-        (Step::Add, _) => return Err(KeyFileError::Rotating),
+        (Step::Add, 1) => keys.push(generate_key_line(&used_ids)?),
+        (Step::Add, _) => return Err(KeyFileError::RotationInProgress),
         (Step::Switch, 2) => keys.swap(0, 1),
         (Step::Drop, 2) => keys.truncate(1),
         (_, count) => return Err(KeyError::Count(count).into()),
--- a/crates/front/src/control/manual_exclusion.rs
+++ b/crates/front/src/control/manual_exclusion.rs
@@ -1,16 +1,20 @@
-//! The manual exclusions of cache nodes, stored in a file under `$TMPDIR` for a process that replaces this one.
+//! Stores the manual exclusions of cache nodes in a file under `$TMPDIR` for a process that replaces this
+//! one.
 //!
-//! Fronts of several customers may run on one host under the same names and share that folder, so a file belongs to a
-//! deployment: its name ends with a digest of the front's name and address and of the zones, kinds and classes of its
-//! settings. A front whose settings name others starts with no exclusion.
+//! Fronts of several customers may run on one host under the same names and share that folder, so each file
+//! belongs to one deployment: its name ends with a digest of the front's name and address and of the zones,
+//! kinds and classes in its settings. A front whose settings have other zones, kinds or classes starts with
+//! no exclusion.
 //!
-//! A file is complete and durable before a command is answered: written beside, synced, renamed, and the folder synced.
-//! Two processes of one front may run side by side while one replaces the other; each checks for changes that the other
-//! has made ([`ManualExclusions::changed`]).
+//! A file is complete and durable before a command is answered: it is written under a temporary name, synced
+//! and renamed, and the folder is synced. Two processes of one front may run at the same time while one
+//! replaces the other; each checks for changes that the other has made
+//! ([`ManualExclusions::changed_by_other_process`]).
 //!
-//! The earlier version had one file for each front name. It is still read where this front has no file of its own, and
-//! still written, so that either version may replace the other; what this version writes there has the deployment in a
-//! line of its own, which the earlier one takes for the id of a node that does not exist.
+//! The earlier version of the program had one file for each front name. That file is still read if this front
+//! has no file of its own, and still written, so that either version may replace the other. This version adds
+//! a line with the deployment to it, which the earlier version takes for the id of a node that does not
+//! exist.
 
 use crate::failure::retry_with_backoff;
 use crate::sync::lock;
@@ -25,33 +29,34 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
-/// First line of each such file; any other file is foreign.
-const HEADER: &str = "fernslip excluded 1";
-/// Prefix of the line that names the deployment, in the file shared by all fronts of one name.
+/// The first line of every manual exclusion file; a file with another first line is rejected.
+const FILE_HEADER: &str = "fernslip excluded 1";
+/// The prefix of the line with the deployment's digest in the file that all fronts of one name share.
 const DEPLOYMENT_PREFIX: &str = "#deployment:";
 
-/// How long an unreadable file is retried at start: the process is to be ready within 6 s.
+/// How long reading an unreadable file is retried at start; the process must be ready within 6 s.
 const READ_RETRY_TIME: Duration = Duration::from_secs(2);
-/// How long a failed write is retried: the caller of the command waits 1 s for the answer.
+/// How long a failed write is retried; the caller of the command waits 1 s for the answer.
 const WRITE_RETRY_TIME: Duration = Duration::from_millis(500);
 
-/// The files that hold a front's manual exclusions.
+/// The files that store a front's manual exclusions.
 #[derive(Debug)]
 pub struct ManualExclusions {
     folder: PathBuf,
-    /// The file of this front in this deployment.
+    /// The path of the file that belongs to this front in this deployment.
     own_file: PathBuf,
-    /// The file of the earlier version, shared by all fronts of this name.
+    /// The path of the earlier version's file, which all fronts of this name share.
     shared_file: PathBuf,
-    /// Digest of the deployment, in hexadecimal.
+    /// The digest that identifies the deployment, in hexadecimal.
     deployment: String,
-    /// Locked while a command changes the set and its file, so that an earlier command does not overwrite a later one's.
+    /// Locked while a command changes the set and its file, so that concurrent commands do not overwrite each
+    /// other's change.
     change_lock: Mutex<()>,
-    /// The version of `own_file` that this process last read or wrote.
+    /// The version of `own_file` that this process last read or wrote. `None` if it did neither.
     known_version: Mutex<Option<FileVersion>>,
 }
 
-/// Identifies a version of a file: a replaced one has another inode or modification time.
+/// Identifies a version of a file; a file that replaces it has another inode number or modification time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileVersion {
     inode: u64,
@@ -59,22 +64,22 @@
 }
 
 impl FileVersion {
-    fn of(path: &Path) -> Option<FileVersion> {
+    fn at_path(path: &Path) -> Option<FileVersion> {
         let data = std::fs::metadata(path).ok()?;
         Some(FileVersion { inode: data.ino(), modified: (data.mtime(), data.mtime_nsec()) })
     }
 }
 
-/// Age from which a partly written file is taken for one of a process that was killed, and removed.
+/// The age above which a partially written file is removed, because its process must have been killed.
 const ABANDONED_AGE: Duration = Duration::from_secs(10);
 
-/// Why a file is not used.
+/// The reason why a manual exclusion file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
-    /// The file can't be read.
+    /// The manual exclusion file cannot be read.
     #[error("{path}: {1}", path = .0.display())]
     Read(PathBuf, io::Error),
-    /// The line of that number, counted from 1, is not one of such a file, and why.
+    /// The line with this number, counted from 1, is invalid for the reason given.
     #[error("{path}: line {1}: {2}", path = .0.display())]
     Line(PathBuf, usize, &'static str),
 }
@@ -86,7 +91,8 @@
 }
 
 impl ManualExclusions {
-    /// The files in `folder` for the front of that name and listen address, in the deployment with these names.
+    /// Determines the files in `folder` for the front with this name and listen address, in the deployment
+    /// with these names of zones, kinds and classes.
     pub fn of(folder: &Path, name: &str, listen: SocketAddr, names: &Names) -> ManualExclusions {
         let Names { zones, kinds, classes, .. } = names;
         let deployment =
@@ -103,19 +109,20 @@
         }
     }
 
-    /// The lock for changing the set, from reading it to storing it.
-    pub fn change(&self) -> MutexGuard<'_, ()> {
+    /// Locks the set for a change; the caller holds the guard from reading the set until the new one is
+    /// applied.
+    pub fn lock_for_change(&self) -> MutexGuard<'_, ()> {
         lock(&self.change_lock)
     }
 
-    /// Whether another process has written the file since this one last read or wrote it.
-    pub fn changed(&self) -> bool {
-        let current = FileVersion::of(&self.own_file);
+    /// Returns whether another process has written the file since this process last read or wrote it.
+    pub fn changed_by_other_process(&self) -> bool {
+        let current = FileVersion::at_path(&self.own_file);
         current.is_some() && current != *lock(&self.known_version)
     }
 
-    /// Removes files that earlier processes of this front left partly written.
-    pub fn remove_abandoned(&self) {
+    /// Removes files that earlier processes of this front left partially written.
+    pub fn remove_abandoned_files(&self) {
         let stems =
             [&self.own_file, &self.shared_file].map(|p| p.file_stem().map(std::ffi::OsStr::to_os_string));
         for entry in std::fs::read_dir(&self.folder).into_iter().flatten().flatten() {
@@ -123,7 +130,7 @@
             let is_partial = path.extension().is_some_and(|e| e.to_string_lossy().starts_with("part"));
             let is_ours = path.file_stem().is_some_and(|s| stems.iter().flatten().any(|stem| stem == s));
             let modified = entry.metadata().and_then(|d| d.modified());
-            // The wall clock may have been stepped: what seems to come from the future is old too.
+            // The wall clock may have been stepped back, so a modification time in the future counts as old.
             let is_old = modified.is_ok_and(|at| at.elapsed().map_or(true, |age| age > ABANDONED_AGE));
             if is_partial && is_ours && is_old {
                 let _ = std::fs::remove_file(path);
@@ -131,32 +138,33 @@
         }
     }
 
-    /// Loads the exclusions that an earlier process of this front stored, or the one beside it; none where this
-    /// deployment has no file.
+    /// Loads the exclusions stored by an earlier process of this front or by one that runs at the same time.
+    /// The list is empty if this deployment has no file.
     ///
     /// # Errors
-    /// A file that can't be read or is foreign, with its line.
+    /// Returns an error if a file cannot be read or has an invalid line.
     pub fn load(&self) -> Result<Vec<CacheId>, FileError> {
-        let version = FileVersion::of(&self.own_file);
-        let ids = match read(&self.own_file)? {
+        let version = FileVersion::at_path(&self.own_file);
+        let ids = match read_ids(&self.own_file)? {
             Some(ids) => ids,
-            None => self.shared_ids()?,
+            None => self.read_shared_ids()?,
         };
         *lock(&self.known_version) = version;
         Ok(ids.iter().map(|id| CacheId::from(id.as_str())).collect())
     }
 
-    /// [`ManualExclusions::load`] for a process that starts: a failed read is retried, and the file shared by all fronts of
-    /// this name stands in for one that stays unreadable.
+    /// Loads the stored exclusions as [`ManualExclusions::load`] does, for a process that starts: a failed
+    /// read is retried, and if the front's own file cannot be used, the file that all fronts of this name
+    /// share is used instead.
     ///
     /// # Errors
-    /// Neither can be read.
+    /// Returns an error if neither file provides exclusions.
     pub fn load_at_start(&self) -> Result<Vec<CacheId>, FileError> {
         let unreadable = |e: &FileError| matches!(e, FileError::Read(..));
         let loaded = retry_with_backoff(READ_RETRY_TIME, unreadable, |_| self.load());
         loaded.or_else(|error| {
-            tracing::warn!("admin: {error}; the copy beside it is used");
-            let ids = self.shared_ids()?;
+            tracing::warn!("admin: reading the file that all fronts of this name share instead: {error}");
+            let ids = self.read_shared_ids()?;
             match ids.is_empty() {
                 true => Err(error),
                 false => Ok(ids.iter().map(|id| CacheId::from(id.as_str())).collect()),
@@ -164,9 +172,9 @@
         })
     }
 
-    /// The ids in the shared file, where it is this deployment's.
-    fn shared_ids(&self) -> Result<Vec<String>, FileError> {
-        let mut ids = read(&self.shared_file)?.unwrap_or_default();
+    /// Returns the ids in the shared file; none if the file belongs to another deployment.
+    fn read_shared_ids(&self) -> Result<Vec<String>, FileError> {
+        let mut ids = read_ids(&self.shared_file)?.unwrap_or_default();
         match ids.first().and_then(|id| id.strip_prefix(DEPLOYMENT_PREFIX)) {
             Some(deployment) if deployment != self.deployment => return Ok(Vec::new()),
             Some(_) => drop(ids.remove(0)),
@@ -175,26 +183,30 @@
         Ok(ids)
     }
 
-    /// Stores the set, completely or not at all; a failed write is retried for a while.
+    /// Stores the set of excluded nodes. Each file is replaced completely or not at all, and a failed write
+    /// is retried for `WRITE_RETRY_TIME`.
     ///
     /// # Errors
-    /// The last error of the file system.
+    /// Returns the error of the last attempt to write.
     pub fn save(&self, ids: &[CacheId]) -> io::Result<()> {
         retry_with_backoff(WRITE_RETRY_TIME, |_| true, |_| self.save_once(ids))
     }
 
     fn save_once(&self, ids: &[CacheId]) -> io::Result<()> {
         let lines: String = ids.iter().flat_map(|id| [&*id.0, "\n"]).collect();
-        write(&self.shared_file, &format!("{HEADER}\n{DEPLOYMENT_PREFIX}{}\n{lines}", self.deployment))?;
-        // Last, as it is the one that is read.
-        write(&self.own_file, &format!("{HEADER}\n{lines}"))?;
-        *lock(&self.known_version) = FileVersion::of(&self.own_file);
+        write_atomically(
+            &self.shared_file,
+            &format!("{FILE_HEADER}\n{DEPLOYMENT_PREFIX}{}\n{lines}", self.deployment),
+        )?;
+        // Written last, because this is the file that is read.
+        write_atomically(&self.own_file, &format!("{FILE_HEADER}\n{lines}"))?;
+        *lock(&self.known_version) = FileVersion::at_path(&self.own_file);
         std::fs::File::open(&self.folder)?.sync_all()
     }
 }
 
-/// Reads the ids of a file, its lines after the header; `None`: there is no such file.
-fn read(path: &Path) -> Result<Option<Vec<String>>, FileError> {
+/// Reads the cache node ids in a file, one in each line after the header. `None` if the file does not exist.
+fn read_ids(path: &Path) -> Result<Option<Vec<String>>, FileError> {
     let text = match std::fs::read_to_string(path) {
         Ok(t) => t,
         Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
@@ -202,15 +214,15 @@
     };
     let invalid = |line, reason| Err(FileError::Line(path.into(), line, reason));
     let mut lines = text.lines();
-    if lines.next() != Some(HEADER) {
-        return invalid(1, "not a file of nodes out by hand");
+    if lines.next() != Some(FILE_HEADER) {
+        return invalid(1, "the first line is not that of a manual exclusion file");
     }
     let mut ids = Vec::new();
     for (n, line) in lines.enumerate() {
         match line {
-            "" => return invalid(n + 2, "empty line"),
+            "" => return invalid(n + 2, "the line is empty; expected a cache node id"),
             id if id.split_ascii_whitespace().count() != 1 || id.trim() != id => {
-                return invalid(n + 2, "not one id")
+                return invalid(n + 2, "expected exactly one cache node id")
             }
             id => ids.push(id.to_string()),
         }
@@ -218,9 +230,11 @@
     Ok(Some(ids))
 }
 
-/// Writes a file beside `path` and renames it over `path`, so that a loss of power leaves the old file or the new one.
-fn write(path: &Path, text: &str) -> io::Result<()> {
-    // Two processes of one front may write at once: each write has a file name of its own.
+/// Writes `text` to a temporary file in the same folder and renames it to `path`, so that after a power loss
+/// either the old file or the new one is complete.
+fn write_atomically(path: &Path, text: &str) -> io::Result<()> {
+    // Two processes of one front may write at the same time, so each write uses a different temporary file
+    // name.
     static WRITES: AtomicU64 = AtomicU64::new(0);
     let number = WRITES.fetch_add(1, Ordering::Relaxed);
     let partial = path.with_extension(format!("part{}-{number}", std::process::id()));
--- a/crates/front/src/control/mod.rs
+++ b/crates/front/src/control/mod.rs
@@ -1,5 +1,6 @@
-//! The front's control plane: its configuration, the discovery watch on the event bus, its peers and the gossip among
-//! them, the view of the fleet, the admin interface, manual exclusions and the snapshot kept on disk, and SIGHUP reload.
+//! The front's control plane: configuration and its reload on SIGHUP, the discovery watch on the event bus,
+//! peer datagrams, gossip, the membership view, the admin interface, manual exclusions, and the snapshot on
+//! disk.
 
 pub mod admin;
 pub mod config;
--- a/crates/front/src/control/node_starts.rs
+++ b/crates/front/src/control/node_starts.rs
@@ -1,5 +1,5 @@
-//! Start times of cache nodes: the Unix times of the discovery watch as module time, stable whatever becomes of the wall
-//! clock.
+//! Start times of cache nodes: converts the Unix times that the discovery watch reports to module time,
+//! unaffected by later steps of the wall clock.
 
 use crate::sync::lock;
 use crate::wall_clock::WallClock;
@@ -7,26 +7,30 @@
 use std::collections::HashMap;
 use std::sync::Mutex;
 
-/// The watch reports what happened at most this long after it happened, in milliseconds; from the protocol.
+/// The maximum delay in milliseconds between an event and its report by the discovery watch; the protocol
+/// specifies it.
 const MAX_REPORT_DELAY_MS: f64 = 7_000.0;
-/// Start times retained; more than the largest fleet has nodes at once.
-const MAX_STARTS: usize = 8192;
+/// The number of retained start times above which those of unlisted nodes are dropped; more than the largest
+/// fleet has nodes at once.
+const MAX_RETAINED_STARTS: usize = 8192;
 
-/// A node's start time as the watch reports it and as module time.
+/// A node's start time, as the discovery watch reported it and as module time.
 #[derive(Clone, Copy, Debug)]
-struct Start {
+struct NodeStart {
     reported_unix_ms: f64,
     module_ms: f64,
 }
 
-/// The module time of each node's start. The same reported number stays the same start, so that a step of the wall clock
-/// does not look like a restart of every node.
+/// The module time of each node's start. A reported start time that has not changed keeps its module time, so
+/// that a step of the wall clock does not look like a restart of every node.
 #[derive(Default)]
-pub struct NodeStarts(Mutex<HashMap<CacheId, Start>>);
+pub struct NodeStarts(Mutex<HashMap<CacheId, NodeStart>>);
 
 impl NodeStarts {
-    /// Module time in milliseconds of a node's start, reported as Unix milliseconds; 0 in either means 'long ago'.
-    /// `not_before` as in [`WallClock::when`].
+    /// Converts a node's start time from Unix milliseconds to module time in milliseconds; 0 means 'long ago'
+    /// in both. `not_before` is the module time of the last line received before the report (`None` if there
+    /// was none). A start time more than `MAX_REPORT_DELAY_MS` before it is implausible and replaced by the
+    /// current time.
     pub fn module_time(&self, wall: &WallClock, id: &CacheId, unix_ms: f64, not_before: Option<f64>) -> f64 {
         if unix_ms <= 0.0 {
             return 0.0;
@@ -37,17 +41,18 @@
             _ => {
                 let earliest = not_before.map_or(f64::MIN, |at| at - MAX_REPORT_DELAY_MS);
                 let module_ms = wall.when(unix_ms, earliest).max(1.0);
-                starts.insert(id.clone(), Start { reported_unix_ms: unix_ms, module_ms });
+                starts.insert(id.clone(), NodeStart { reported_unix_ms: unix_ms, module_ms });
                 module_ms
             }
         }
     }
 
-    /// Drops the starts of unlisted nodes once more than `MAX_STARTS` are retained. Up to that number they stay: a node
-    /// that returns with the same reported start has not restarted since.
-    pub fn limit(&self, is_listed: impl Fn(&CacheId) -> bool) {
+    /// Drops the start times of unlisted nodes if more than `MAX_RETAINED_STARTS` are retained. Up to that
+    /// number they are kept, so that a node that returns with the same reported start time does not count as
+    /// restarted.
+    pub fn drop_unlisted_over_limit(&self, is_listed: impl Fn(&CacheId) -> bool) {
         let mut starts = lock(&self.0);
-        if starts.len() > MAX_STARTS {
+        if starts.len() > MAX_RETAINED_STARTS {
             starts.retain(|id, _| is_listed(id));
         }
     }
--- a/crates/front/src/control/node_starts/tests.rs
+++ b/crates/front/src/control/node_starts/tests.rs
@@ -1,15 +1,16 @@
-//! Unit tests of the start times of cache nodes.
+//! Unit tests of the conversion of cache nodes' start times.
 
 use super::*;
 use crate::clock::Clock;
 
-/// 0 is 'long ago', the same number is the same start, and one long before this front is a time of its own.
+/// A reported start of 0 means 'long ago'; any other, even one long before this front started, gets its own
+/// nonzero module time and keeps it.
 #[test]
 fn a_nodes_reported_start_keeps_its_module_time() {
     let (wall, starts) = (WallClock::start(Clock::start()), NodeStarts::default());
     let module_time = |unix_ms| starts.module_time(&wall, &"n-1".into(), unix_ms, None);
     assert_eq!(module_time(0.0), 0.0);
     let long_ago = module_time(1.0);
-    assert!(long_ago > 0.0, "not 'none'");
+    assert!(long_ago > 0.0, "a start time of 1 ms is not converted to 0, which means 'long ago'");
     assert_eq!(module_time(1.0), long_ago);
 }
--- a/crates/front/src/control/peers.rs
+++ b/crates/front/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between the fronts of a tier: short messages of the dispatchers to their peers.
+//! The datagrams between the fronts of a tier: short messages that their dispatchers exchange.
 
 use may::io::{CoIo, WaitIo};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -7,28 +7,29 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Longest datagram, in bytes.
+/// The maximum length in bytes of a datagram that is sent or accepted.
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// Pause after a receive error.
-const ERROR_PAUSE: Duration = Duration::from_millis(5);
+/// The pause after an error in receiving a datagram.
+const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(5);
 
-/// This front's socket to its peers.
+/// The socket on which this front exchanges datagrams with its peers.
 pub struct Peers {
     socket: CoIo<UdpSocket>,
-    /// Reaches all peers at once.
+    /// The address that reaches all peers at once. `None` if there is no such address.
     broadcast_addr: Option<SocketAddr>,
-    /// The peers by slot.
+    /// The addresses of the peers, indexed by slot number.
     addrs: Vec<SocketAddr>,
-    /// Datagrams dropped: not from a peer, or too long.
-    foreign: AtomicU64,
+    /// The number of datagrams dropped because no peer sent them or because they were too long.
+    dropped_datagrams: AtomicU64,
 }
 
 impl Peers {
-    /// Binds the listen address for peers' datagrams. It is shared with a process that replaces this one while both
-    /// run (`SO_REUSEPORT`): the kernel gives each peer's datagrams to one of them, and all to the one that stays.
+    /// Binds the socket for peers' datagrams to the address `at`. The address is shared with a process that
+    /// replaces this one while both run (`SO_REUSEPORT`): the kernel delivers each peer's datagrams to one of
+    /// them, and all datagrams to the remaining one after the other has ended.
     ///
     /// # Errors
-    /// The address can't be bound.
+    /// Returns an error if the address cannot be bound.
     pub fn bind(
         at: SocketAddr,
         addrs: Vec<SocketAddr>,
@@ -39,11 +40,11 @@
         socket.set_reuse_port(true)?;
         socket.bind(&at.into())?;
         let socket = CoIo::new(UdpSocket::from(socket)).map_err(std::io::Error::from)?;
-        Ok(Peers { socket, broadcast_addr, addrs, foreign: AtomicU64::new(0) })
+        Ok(Peers { socket, broadcast_addr, addrs, dropped_datagrams: AtomicU64::new(0) })
     }
 
-    /// The next datagram, waiting in the coroutine for one.
-    fn receive(&self, data: &mut [u8]) -> std::io::Result<(usize, SocketAddr)> {
+    /// Receives the next datagram; the calling coroutine waits until one arrives.
+    fn receive_datagram(&self, data: &mut [u8]) -> std::io::Result<(usize, SocketAddr)> {
         loop {
             match self.socket.inner().recv_from(data) {
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
@@ -55,44 +56,46 @@
         }
     }
 
-    fn send(&self, to: Option<&SocketAddr>, data: &[u8]) {
-        // Straight to the socket, which never blocks: a datagram for which the kernel has no buffer is lost, as any may be.
+    fn send_datagram(&self, to: Option<&SocketAddr>, data: &[u8]) {
+        // Sent directly on the non-blocking socket. A datagram for which the kernel has no buffer space is
+        // lost, which the protocol tolerates.
         if let Some(to) = to.filter(|_| data.len() <= MAX_DATAGRAM_BYTES) {
             let _ = self.socket.inner().send_to(data, to);
         }
     }
 
-    /// Sends a message to the peer in slot `to`; it may be lost.
+    /// Sends a message to the peer in slot `to`; delivery is not guaranteed.
     pub fn send_to(&self, to: u32, data: &[u8]) {
-        self.send(self.addrs.get(to as usize), data);
+        self.send_datagram(self.addrs.get(to as usize), data);
     }
 
-    /// Sends a message to all peers; it may be lost.
+    /// Sends a message to all peers; delivery is not guaranteed.
     pub fn broadcast(&self, data: &[u8]) {
-        self.send(self.broadcast_addr.as_ref(), data);
+        self.send_datagram(self.broadcast_addr.as_ref(), data);
     }
 
-    /// Passes received messages to `deliver`, with the slot of the peer that sent them, for the life of the process;
-    /// counts and drops what no peer sent.
+    /// Passes each message received to `deliver` with the slot number of the peer that sent it, for as long
+    /// as the process runs. Datagrams that no peer sent are counted and dropped.
     pub fn run(&self, deliver: impl Fn(u32, &[u8])) {
         let mut data = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let Ok((n, from)) = self.receive(&mut data) else {
-                // An error of one datagram, such as a port that nobody has: the next may be fine.
-                crate::sleep::sleep(ERROR_PAUSE);
+            let Ok((n, from)) = self.receive_datagram(&mut data) else {
+                // The error concerns one datagram, for example an unreachable port; later ones may succeed.
+                crate::sleep::sleep(RECEIVE_ERROR_PAUSE);
                 continue;
             };
             let sender = self.addrs.iter().position(|p| *p == from);
             if let Some(slot) = sender.filter(|_| n <= MAX_DATAGRAM_BYTES) {
                 deliver(slot as u32, &data[..n]);
             } else {
-                self.foreign.fetch_add(1, Ordering::Relaxed);
+                self.dropped_datagrams.fetch_add(1, Ordering::Relaxed);
             }
         }
     }
 
-    /// Number of datagrams dropped since the start: from no peer's address, or too long.
+    /// Returns the number of datagrams dropped since the start because no peer sent them or because they were
+    /// too long.
     pub fn foreign(&self) -> u64 {
-        self.foreign.load(Ordering::Relaxed)
+        self.dropped_datagrams.load(Ordering::Relaxed)
     }
 }
--- a/crates/front/src/control/plan.rs
+++ b/crates/front/src/control/plan.rs
@@ -1,5 +1,5 @@
-//! A site document as a front can serve from it: addresses, kinds and zones resolved, pools and routes taken over, or
-//! every reason why it can't be.
+//! Turns a site document into the plan that a front serves from: resolves addresses, kinds and zones, and
+//! takes over pools and routes. Reports every reason why a front cannot serve from the document.
 
 use crate::upstream::connection_pool::Timeouts;
 use fernslip::json::Names;
@@ -13,46 +13,48 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Name of the pool of a site that describes none; it has all caches of the site.
+/// The name of the pool that a site without pools gets; it contains all caches of the site.
 const DEFAULT_POOL: &str = "default";
 
-/// A member of the document, as a front serves from it.
+/// A member of the site document, resolved so that a front can serve from it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedMember {
-    /// Where it listens.
+    /// The address on which the member listens.
     pub addr: SocketAddr,
-    /// Index of its zone in the settings.
+    /// The index of the member's zone in the settings.
     pub zone: Option<usize>,
-    /// Index of its kind in the settings.
+    /// The index of the member's kind in the settings.
     pub kind: Option<usize>,
-    /// Bandwidth of its link, in answers at the settings' stream rate.
+    /// The bandwidth of the member's link, as the number of answers it can carry at the settings' rate per
+    /// stream.
     pub link: f64,
-    /// Its weight where no pool says otherwise.
+    /// The member's weight, unless a pool sets another one.
     pub weight: f64,
-    /// Its own timeouts.
+    /// The timeouts that the site document sets for the member.
     pub timeouts: Timeouts,
-    /// Its state as the operators set it.
+    /// The member's state as operators set it in the site document.
     pub state: State,
-    /// Whether it is a parent or the origin, from which every pool fills.
+    /// Whether the member is a source: a parent or the origin, from which every pool fills.
     pub is_source: bool,
 }
 
-/// The longest times that answers may take in a pool, in milliseconds.
+/// The maximum durations of answers in a pool, in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AnswerTimeouts {
-    /// Of every member.
+    /// The maximum duration of an answer from any member. `None` if the pool sets none.
     pub pool: Option<u64>,
-    /// Of single members, by id.
+    /// The maximum durations of answers from single members, by member id.
     pub members: HashMap<Arc<str>, u64>,
 }
 
 impl AnswerTimeouts {
-    /// How long an answer of that member may take, in milliseconds; `None`: as long as the request allows.
+    /// Returns the maximum duration of an answer from the member `id` in milliseconds. `None` if only the
+    /// request's deadline limits it.
     pub fn of_member_ms(&self, id: &str) -> Option<u64> {
         [self.pool, self.members.get(id).copied()].into_iter().flatten().min()
     }
 
-    /// The timeouts of each pool of a site.
+    /// Returns the answer timeouts of each pool of a site, in the order of its pools.
     fn by_pool(site: &Site) -> Vec<AnswerTimeouts> {
         let limited = site.members.iter().filter_map(|m| Some((m.id.as_str(), m.limits.answer_ms?)));
         let limited: HashMap<&str, u64> = limited.collect();
@@ -67,33 +69,33 @@
     }
 }
 
-/// A timeout given in milliseconds; at least 1 ms.
-fn timeout(ms: Option<u64>) -> Option<Duration> {
+/// Converts a timeout in milliseconds to a duration of at least 1 ms.
+fn timeout_from_millis(ms: Option<u64>) -> Option<Duration> {
     ms.map(|ms| Duration::from_millis(ms.max(1)))
 }
 
-/// What a front serves from.
+/// The members, pools and routes that a front serves from.
 #[derive(Debug)]
 pub struct Plan {
-    /// Whether the members are those of the document, not of the discovery watch.
+    /// Whether the members come from the site document; if false, they come from the discovery watch.
     pub from_file: bool,
-    /// The members by id; empty where the discovery watch has them.
+    /// The members by id; empty if the members come from the discovery watch.
     pub members: BTreeMap<Arc<str>, PlannedMember>,
-    /// The pools, in the order of the document.
+    /// The pools, in the order of the site document.
     pub pools: Vec<Spec>,
-    /// The routes to `pools`.
+    /// The routes that lead requests to `pools`.
     pub routes: Routes,
-    /// The answer timeouts of each of `pools`.
+    /// The answer timeouts of each of `pools`, in the same order.
     pub answers: Vec<AnswerTimeouts>,
-    /// In how many pools the most used cache is.
+    /// The maximum number of pools that any one cache belongs to; at least 1.
     pub max_pools_per_cache: u32,
 }
 
 impl Plan {
-    /// Makes a plan of a site document, for a front with these settings.
+    /// Makes a plan from a site document for a front with these settings.
     ///
     /// # Errors
-    /// Every reason why a front can't serve from the document.
+    /// Returns every reason why a front cannot serve from the document.
     pub fn of(site: &Site, names: &Names, settings: &Settings) -> Result<Plan, Vec<String>> {
         let from_file = site.members_from == Some(MembersFrom::File);
         let mut site = site.effective();
@@ -103,7 +105,7 @@
         let mut errors = Vec::new();
         let mut members = BTreeMap::new();
         for member in site.members.iter().filter(|_| from_file) {
-            if let Some(planned) = planned_member(member, names, settings, &mut errors) {
+            if let Some(planned) = plan_member(member, names, settings, &mut errors) {
                 members.insert(Arc::from(member.id.as_str()), planned);
             }
         }
@@ -122,9 +124,9 @@
     }
 }
 
-/// A member of the document as a front can serve from it; adds every reason why it can't to `errors`. `None`: its address
-/// can't be used.
-fn planned_member(
+/// Resolves a member of the site document. Adds to `errors` every reason why a front cannot serve from it.
+/// `None` if the member's address is invalid.
+fn plan_member(
     member: &Member,
     names: &Names,
     settings: &Settings,
@@ -133,26 +135,26 @@
     let id = &member.id;
     if let Some(p) = member.protocol.filter(|p| !p.is_supported()) {
         let spoken = Protocol::Resp;
-        errors.push(format!("member \"{id}\" speaks {p}: this front speaks {spoken} with its members"));
+        errors.push(format!("member \"{id}\" speaks {p}, but this front supports only {spoken} to members"));
     }
     let zone = match member.zone.as_deref() {
         None => Some(settings.zone),
         Some(name) => {
             let index = names.zones.iter().position(|n| n == name);
             if index.is_none() {
-                errors.push(format!("member \"{id}\": the front's settings know no zone \"{name}\""));
+                errors.push(format!("member \"{id}\": zone \"{name}\" is not in the front's settings"));
             }
             index
         }
     };
     let kind = kind_index(member.kind.unwrap_or(Kind::Cache), settings);
     if kind.is_none() {
-        errors.push(format!("member \"{id}\": the front's settings know no machine of its kind"));
+        errors.push(format!("member \"{id}\": the front's settings have no node kind for this member"));
     }
     let Ok(addr) = member.address.parse() else {
         let address = &member.address;
         errors.push(format!(
-            "member \"{id}\": `{address}` is a name; a front looks none up: write its IP address"
+            "member \"{id}\": `{address}` is not an IP address and port; a front does not resolve host names"
         ));
         return None;
     };
@@ -164,15 +166,16 @@
         link: link_kb_per_s / settings.stream_kb_per_s,
         weight: member.weight.unwrap_or(1.0),
         timeouts: Timeouts {
-            connect: timeout(member.limits.connect_ms),
-            idle: timeout(member.limits.idle_ms),
+            connect: timeout_from_millis(member.limits.connect_ms),
+            idle: timeout_from_millis(member.limits.idle_ms),
         },
         state: member.state,
         is_source: member.kind.is_some_and(|k| k != Kind::Cache),
     })
 }
 
-/// The settings' index of a member kind; a cache is the first kind that is neither the parent's nor the origin's.
+/// Returns the settings' index for a member kind. A cache gets the first kind that is neither the parent's
+/// nor the origin's. `None` if the settings have no such kind.
 fn kind_index(kind: Kind, settings: &Settings) -> Option<usize> {
     let sources = [settings.parent_kind, settings.origin_kind];
     match kind {
@@ -182,7 +185,8 @@
     }
 }
 
-/// In how many pools the most used cache is; adds to `errors` each pool that uses a source as a cache.
+/// Returns the maximum number of pools that any one cache belongs to, at least 1. Adds an error to `errors`
+/// for each source that a pool uses as a cache.
 fn max_pools_per_cache(
     site: &Site,
     members: &BTreeMap<Arc<str>, PlannedMember>,
@@ -195,7 +199,7 @@
             if members.get(used.member.as_str()).is_some_and(|m| m.is_source) {
                 let (pool, id) = (&pool.name, &used.member);
                 errors.push(format!(
-                    "pool \"{pool}\" uses \"{id}\", which is no cache: sources serve all pools"
+                    "pool \"{pool}\" uses \"{id}\", which is a source, not a cache: sources serve all pools"
                 ));
             }
         }
@@ -203,7 +207,8 @@
     uses.values().copied().max().unwrap_or(1)
 }
 
-/// The pool of a site that describes none: all its caches, with their own weights and states.
+/// Builds the pool for a site without pools: it contains all caches of the site, with their own weights and
+/// states.
 fn default_pool(site: &Site) -> Pool {
     let caches = site.members.iter().filter(|m| m.kind == Some(Kind::Cache));
     let member_use = |m: &Member| Use {
@@ -222,10 +227,11 @@
         recovery: Recovery::default(),
     };
     let filled = Site { pools: vec![pool], ..site.clone() }.effective();
-    filled.pools.into_iter().next().unwrap_or_else(|| unreachable!("the site has one pool"))
+    filled.pools.into_iter().next().unwrap_or_else(|| unreachable!("the site was given exactly one pool"))
 }
 
-/// The part of a document that is the same for all fronts: without this front's own name, addresses and files.
+/// Returns the part of a site document that is the same for all fronts: without this front's own name,
+/// addresses and files.
 pub fn common_to_all_fronts(site: &Site) -> Site {
     Site { front: None, gossip: None, view: None, ..site.clone() }
 }
--- a/crates/front/src/control/reload.rs
+++ b/crates/front/src/control/reload.rs
@@ -1,5 +1,5 @@
-//! The front's signals, caught before anything else is done: SIGTERM, and SIGHUP, which reloads the configuration while
-//! the front runs.
+//! Handling of the signals that control a front, SIGTERM and SIGHUP, and the reload of the configuration that
+//! SIGHUP requests while the front runs.
 
 use crate::config::ConfigError;
 use crate::failure::retry_with_backoff;
@@ -11,25 +11,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a reload read.
-type Loaded = Result<Box<LoadedConfig>, ConfigError>;
+/// The result of reading the configuration and the site document again.
+type ReloadResult = Result<Box<LoadedConfig>, ConfigError>;
 
-/// How long an unreadable file is retried: it may be being replaced, or the host may be out of descriptors.
+/// How long reading an unreadable file is retried: the file may be in the middle of being replaced, or the
+/// host may be out of file descriptors.
 const READ_RETRY_TIME: Duration = Duration::from_secs(5);
 
-/// The signals that control a front, as flags; the default action of either would end the process.
+/// Flags set by the signals that control a front. Without handlers, either signal would end the process.
 pub struct Signals {
-    /// Set by SIGTERM.
+    /// Set to true when SIGTERM is received.
     pub term: Arc<AtomicBool>,
-    /// Set by SIGHUP.
+    /// Set to true when SIGHUP is received; cleared when the reload begins.
     pub hup: Arc<AtomicBool>,
 }
 
 impl Signals {
-    /// Installs the handlers; to be called before anything is read, so that no signal is lost.
+    /// Installs the signal handlers. Must be called before any file is read, so that no signal is missed.
     ///
     /// # Errors
-    /// As `sigaction(2)`.
+    /// Returns the errors of `sigaction(2)`.
     pub fn catch() -> std::io::Result<Signals> {
         let signals = Signals { term: Arc::default(), hup: Arc::default() };
         signal_hook::flag::register(signal_hook::consts::SIGTERM, signals.term.clone())?;
@@ -38,45 +39,51 @@
     }
 }
 
-/// Reads the files of a front that starts, retrying for a while where they exist and can't be read.
+/// Reads the configuration and the site document of a front that starts. Files that exist but cannot be read
+/// are retried for `READ_RETRY_TIME`.
 ///
 /// # Errors
-/// As [`LoadedConfig::read`].
+/// Returns the errors of [`LoadedConfig::read`].
 pub fn read(config: Option<PathBuf>, site: Option<PathBuf>) -> Result<LoadedConfig, ConfigError> {
     let unreadable = |e: &ConfigError| matches!(e, ConfigError::Read(e) if e.kind() != ErrorKind::NotFound);
     retry_with_backoff(READ_RETRY_TIME, unreadable, |_| LoadedConfig::read(config.clone(), site.clone()))
 }
 
-/// The same for a running front, for which a missing file is one that is being replaced.
-fn read_again(config: Option<PathBuf>, site: Option<PathBuf>) -> Loaded {
+/// Reads the files of a running front again. Unlike [`read`], it also retries a missing file, which may be in
+/// the middle of being replaced.
+fn read_again(config: Option<PathBuf>, site: Option<PathBuf>) -> ReloadResult {
     let unreadable = |e: &ConfigError| matches!(e, ConfigError::Read(_));
     retry_with_backoff(READ_RETRY_TIME, unreadable, |_| LoadedConfig::read(config.clone(), site.clone()))
         .map(Box::new)
 }
 
-/// Reloads the files on request, on a thread of its own: the worker must not wait for a disk.
+/// Reloads the configuration and the site document on request, on a separate thread, because the worker
+/// thread must not wait for a disk.
 pub struct Reload {
     requested: Arc<AtomicBool>,
     config: Option<PathBuf>,
     site: Option<PathBuf>,
-    loading: Option<Receiver<Loaded>>,
+    loading: Option<Receiver<ReloadResult>>,
 }
 
 impl Reload {
-    /// Reloads these files whenever `requested` is set.
+    /// Creates a reloader that reads these files whenever `requested` is set.
     pub fn new(requested: Arc<AtomicBool>, config: Option<PathBuf>, site: Option<PathBuf>) -> Reload {
         Reload { requested, config, site, loading: None }
     }
 
-    /// The configuration that was requested, once it is read; called periodically.
-    pub fn poll(&mut self) -> Option<Loaded> {
+    /// Starts a requested reload, and returns its result once the files are read; `None` until then. Called
+    /// periodically.
+    pub fn poll(&mut self) -> Option<ReloadResult> {
         if let Some(loading) = &self.loading {
             let loaded = match loading.try_recv() {
                 Ok(loaded) => Some(loaded),
                 Err(TryRecvError::Empty) => return None,
-                // The reader ended without a result: the request is renewed.
+                // The reader thread ended without a result, so the reload is requested again.
                 Err(TryRecvError::Disconnected) => {
-                    tracing::error!("reload: the reader of the configuration failed; it is read again");
+                    tracing::error!(
+                        "reload: the reading thread ended without a result; reading the files again"
+                    );
                     self.requested.store(true, Ordering::Release);
                     None
                 }
@@ -92,9 +99,9 @@
         let reader = std::thread::Builder::new().name("reload".into());
         match reader.spawn(move || sender.send(read_again(config, site))) {
             Ok(_) => self.loading = Some(receiver),
-            // No thread for the moment: the next poll tries again.
+            // No thread can be created at the moment; the next poll tries again.
             Err(e) => {
-                tracing::warn!("reload: {e}");
+                tracing::warn!("reload: cannot start a thread to read the configuration, trying again: {e}");
                 self.requested.store(true, Ordering::Release);
             }
         }
--- a/crates/front/src/control/snapshot.rs
+++ b/crates/front/src/control/snapshot.rs
@@ -1,5 +1,6 @@
-//! The front's durable state: a snapshot of its peers in a `fernslip-store` file, kept across restarts and written on a
-//! thread of its own, so that the request path never waits for a disk and a front whose disk fails serves on and logs it.
+//! The front's durable state: a snapshot of its peers in a `fernslip-store` file, which outlasts restarts. It
+//! is written on a separate thread, so that the request path never waits for a disk; if the disk fails, the
+//! front logs it and continues to serve.
 
 use crate::view::Fleet;
 use fernslip_store::layers::Peer;
@@ -10,63 +11,72 @@
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Longest wait for the store to open at start; a slower disk is not waited for, and its contents are not used.
+/// The maximum wait at start for the store to open; with a slower disk the front starts without the stored
+/// peers.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
-/// Interval between two checks for peer changes to write.
-const CHECK_INTERVAL: Duration = Duration::from_secs(2);
-/// Most peers stored; any one address that is still valid is enough to rejoin.
+/// The interval between two checks for changes of the peers that must be written.
+const PEER_CHECK_INTERVAL: Duration = Duration::from_secs(2);
+/// The maximum number of peers stored; a single address that is still valid is enough to rejoin the fleet.
 const MAX_REMEMBERED_PEERS: usize = 256;
 
-/// The state restored from the snapshot at start.
+/// The state that is restored from the snapshot at start.
 #[derive(Debug, Default)]
 pub struct RestoredState {
-    /// The peers found in the snapshot, by name, with their last known address.
+    /// The peers found in the snapshot, in order of name, with their last known addresses.
     pub peers: Vec<PeerAddress>,
-    /// The store's marks at the last commit before this start; `None` where the store was empty.
+    /// The store's marks (its counts of starts and commits) at the last commit before this start. `None` if
+    /// the store was empty.
     pub marks: Option<Marks>,
 }
 
 /// An open snapshot store and the peers last written to it.
 pub struct Snapshot {
     store: Store,
-    /// The peers in the store, by name.
+    /// The peers that the store contains, by name.
     stored: BTreeMap<String, Peer>,
 }
 
-fn open_file(path: &Path) -> Result<impl Disk, StoreError> {
+fn open_store_file(path: &Path) -> Result<impl Disk, StoreError> {
     let opened = std::fs::OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path);
     let opened = opened.map_err(|e| StoreError::Disk(e.to_string()))?;
     fernslip_store::file(opened)
 }
 
-/// Renames an unreadable file, with the time in its new name, so that it can be inspected.
-fn set_aside(path: &Path) -> Option<PathBuf> {
+/// Renames a damaged file so that it can be inspected later; the new name contains the time. Returns the new
+/// path, or `None` if renaming failed.
+fn rename_damaged_file(path: &Path) -> Option<PathBuf> {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
     let aside = path.with_extension(format!("bad-{unix}"));
     std::fs::rename(path, &aside).is_ok().then_some(aside)
 }
 
 impl Snapshot {
-    /// Opens the store at `path` and reads the peers in it; a damaged file is renamed aside and an empty store begun.
+    /// Opens the store at `path` and reads the peers in it. A damaged file is renamed and an empty store is
+    /// created.
     ///
     /// # Errors
-    /// The store was written by a later version, is open in another process, or no empty store can be begun: the front
-    /// goes on without a snapshot.
+    /// Returns an error if the store was written by a later version or is open in another process, or if no
+    /// empty store can be created. The front then continues without a snapshot.
     pub fn open(path: &Path, new_disk_id: u64) -> Result<(Snapshot, RestoredState), StoreError> {
-        let opened = open_file(path).and_then(|f| Store::open(f, new_disk_id));
+        let opened = open_store_file(path).and_then(|f| Store::open(f, new_disk_id));
         let (store, marks) = match opened {
             Ok(opened) => opened,
-            // Of a later version, or open in another process: not this one's to set aside.
+            // A store of a later version, or one that is open in another process, is not damaged and stays in
+            // place.
             Err(e @ (StoreError::LaterVersion(..) | StoreError::Locked)) => return Err(e),
             Err(e) => {
-                let aside = set_aside(path);
-                tracing::error!(file = %path.display(), aside = ?aside, "store: {e}; an empty one is begun");
-                Store::open(open_file(path)?, new_disk_id)?
+                let aside = rename_damaged_file(path);
+                tracing::error!(
+                    file = %path.display(),
+                    aside = ?aside,
+                    "store: cannot be opened, creating an empty store: {e}"
+                );
+                Store::open(open_store_file(path)?, new_disk_id)?
             }
         };
         let LayerContents { entries, damaged } = store.all::<Peer>()?;
         if damaged > 0 {
-            tracing::error!(damaged, "store: peers that can't be read are left out");
+            tracing::error!(damaged, "store: stored peers that cannot be read are ignored");
         }
         let stored: BTreeMap<String, Peer> = entries.into_iter().collect();
         let address = |(name, peer): (&String, &Peer)| {
@@ -76,8 +86,9 @@
         Ok((Snapshot { store, stored }, RestoredState { peers, marks }))
     }
 
-    /// [`Snapshot::open`] on a thread of its own, waiting at most `OPEN_TIMEOUT` (2 s); a disk that stalls blocks that
-    /// thread, not the front. `None`, logged, where it fails or times out.
+    /// Calls [`Snapshot::open`] on a separate thread and waits at most `OPEN_TIMEOUT` (2 s) for it, so that a
+    /// stalled disk blocks that thread and not the front. Returns `None` and logs the reason if opening fails
+    /// or times out.
     pub fn open_with_timeout(path: &Path, new_disk_id: u64) -> Option<(Snapshot, RestoredState)> {
         let (sender, receiver) = mpsc::channel();
         let owned_path = path.to_path_buf();
@@ -87,15 +98,19 @@
         let reason = match thread.map(|_| receiver.recv_timeout(OPEN_TIMEOUT)) {
             Ok(Ok(Ok(opened))) => return Some(opened),
             Ok(Ok(Err(e))) => e.to_string(),
-            Ok(Err(_)) => format!("not open after {} ms", OPEN_TIMEOUT.as_millis()),
+            Ok(Err(_)) => format!("the store is not open after {} ms", OPEN_TIMEOUT.as_millis()),
             Err(e) => e.to_string(),
         };
-        tracing::error!(file = %path.display(), "store: {reason}; nothing is kept and nothing from before is known");
+        tracing::error!(
+            file = %path.display(),
+            "store: cannot be opened, no peers are restored or stored: {reason}"
+        );
         None
     }
 
-    /// Writes the current peers where they changed. Departed peers are removed only while the present ones number at
-    /// least half of those stored: after a power loss none are present, and the stored addresses are needed to rejoin.
+    /// Writes the peers that changed since the last write. Absent peers are removed only while the present
+    /// ones number at least half of those stored: after a power loss none are present, and the stored
+    /// addresses are needed to rejoin.
     fn write_changes(&mut self, fleet: &Fleet) -> Result<(), StoreError> {
         let present: BTreeMap<String, Peer> =
             fleet.peers_to_store().into_iter().take(MAX_REMEMBERED_PEERS).collect();
@@ -106,7 +121,8 @@
         for (name, peer) in present.iter().filter(|(n, p)| self.stored.get(*n) != Some(p)) {
             changes.push(Change::put(name, peer)?);
         }
-        // Peers that restart together are absent for a while: half must be present before the absent ones are removed.
+        // Peers that restart together are absent for a while, so absent peers are removed only if half of
+        // those stored are present.
         let removes_absent = 2 * present.len() >= self.stored.len();
         for name in self.stored.keys().filter(|n| removes_absent && !present.contains_key(*n)) {
             changes.push(Change::remove::<Peer>(name)?);
@@ -123,14 +139,15 @@
         Ok(())
     }
 
-    /// Writes peer changes every `CHECK_INTERVAL` (2 s) until a write fails; runs on a thread of its own.
+    /// Writes changes of the peers every `PEER_CHECK_INTERVAL` (2 s) until a write fails; called on a
+    /// separate thread.
     pub fn run(mut self, fleet: Arc<Fleet>) {
         let Marks { boots, commits, .. } = self.store.marks();
         tracing::info!(boots, commits, "store: open");
         loop {
-            std::thread::sleep(CHECK_INTERVAL);
+            std::thread::sleep(PEER_CHECK_INTERVAL);
             if let Err(e) = self.write_changes(&fleet) {
-                tracing::error!("store: {e}; nothing more is kept until a restart");
+                tracing::error!("store: write failed, no more peers are stored until a restart: {e}");
                 return;
             }
         }
--- a/crates/front/src/control/standalone.rs
+++ b/crates/front/src/control/standalone.rs
@@ -1,4 +1,4 @@
-//! The configuration of a front that is started with a site document alone.
+//! Builds the configuration of a front that is started with only a site document.
 
 use crate::budget::Budget;
 use crate::config::Config;
@@ -8,28 +8,30 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Names of the node kinds in settings made of a site document, by index.
-const KINDS: [&str; 3] = ["cache", "parent", "origin"];
-/// The configuration of a front that has only a site document.
+/// The names of the node kinds, by their index in settings made from a site document.
+const NODE_KINDS: [&str; 3] = ["cache", "parent", "origin"];
+/// Builds the configuration of a front that has only a site document.
 ///
 /// # Errors
-/// Every reason why the document does not do as a configuration.
+/// Returns every reason why the document is not sufficient as a configuration.
 pub fn config(site: &Site) -> Result<Config, Vec<String>> {
     let site = site.effective();
-    let front =
-        site.front.as_ref().ok_or(vec!["it has no `front`, and no configuration is named".to_string()])?;
-    let listen = validated_listen(&site, front)?;
+    let front = site
+        .front
+        .as_ref()
+        .ok_or(vec!["the site document has no `front`, and no configuration file is given".to_string()])?;
+    let listen = validate_listen_address(&site, front)?;
     let zones = zone_names(&site);
     let own_zone = front.zone.as_ref().and_then(|z| zones.iter().position(|n| n == z)).unwrap_or(0);
     let budget = Budget::of(front.sockets.unwrap_or(0) as usize, front.memory_mb.unwrap_or(0) as usize);
-    let classes: Vec<Class> = site.classes.iter().map(class_of).collect();
+    let classes: Vec<Class> = site.classes.iter().map(settings_class).collect();
     let names = Names {
         zones: zones.clone(),
-        kinds: KINDS.map(String::from).to_vec(),
+        kinds: NODE_KINDS.map(String::from).to_vec(),
         classes: classes.iter().map(|c| c.name.clone()).collect(),
         reports: Vec::new(),
     };
-    let settings = settings_of(&site, front, own_zone, zones, &budget, classes);
+    let settings = settings_from_site(&site, front, own_zone, zones, &budget, classes);
     settings.check().map_err(|e| vec![e.to_string()])?;
     Ok(Config {
         file: None,
@@ -52,27 +54,32 @@
     })
 }
 
-/// The front's listen address, once the site is one a front can serve alone.
+/// Checks that the site document is sufficient without a configuration, and returns the front's listen
+/// address.
 ///
 /// # Errors
-/// Every reason why not: members from the bus, no class, or a listen value that is no IP address and port.
-fn validated_listen(site: &Site, front: &Front) -> Result<SocketAddr, Vec<String>> {
+/// Returns every reason why it is not sufficient: members from the bus, no class, or a listen value that is
+/// not an IP address and port.
+fn validate_listen_address(site: &Site, front: &Front) -> Result<SocketAddr, Vec<String>> {
     let mut errors = Vec::new();
     if site.members_from != Some(MembersFrom::File) {
         errors.push("members-from=\"bus\" needs a configuration that names the bus".to_string());
     }
     if site.classes.is_empty() {
-        errors.push("it has no `class`: a front serves requests of classes".to_string());
+        errors.push(
+            "the site document has no `class`; a front needs at least one class to serve requests"
+                .to_string(),
+        );
     }
     let listen = front.listen.parse();
     if listen.is_err() {
-        errors.push(format!("front listen=\"{}\" is no IP address and port", front.listen));
+        errors.push(format!("front listen=\"{}\" is not an IP address and port", front.listen));
     }
     let (Ok(listen), true) = (listen, errors.is_empty()) else { return Err(errors) };
     Ok(listen)
 }
 
-/// The site's zone names; a site without zones has one, named `zone`.
+/// Returns the site's zone names; a site without zones gets one zone, named `zone`.
 fn zone_names(site: &Site) -> Vec<String> {
     let mut zones: Vec<String> = site.zones.iter().map(|z| z.name.clone()).collect();
     if zones.is_empty() {
@@ -81,38 +88,39 @@
     zones
 }
 
-/// One value per zone of the site, or only `default` where the site has no zones.
-fn per_zone(site: &Site, value: &dyn Fn(&Zone) -> f64, default: f64) -> Vec<f64> {
+/// Returns one value per zone of the site, or only `default` if the site has no zones.
+fn values_per_zone(site: &Site, value: &dyn Fn(&Zone) -> f64, default: f64) -> Vec<f64> {
     match site.zones.is_empty() {
         true => vec![default],
         false => site.zones.iter().map(value).collect(),
     }
 }
 
-/// A request class of the settings, made of a class of the site document.
-fn class_of(c: &SiteClass) -> Class {
+/// Converts a class of the site document to a request class of the settings.
+fn settings_class(class: &SiteClass) -> Class {
     Class {
-        name: c.name.clone(),
-        objective_ms: c.latency_objective_ms as f64,
-        objective_stretch: c.objective_stretch.unwrap_or(0.0),
-        deadline_ms: c.deadline_ms as f64,
-        priority_weight: c.priority_weight.unwrap_or(1.0),
-        late_weight: c.late_weight.unwrap_or(0.0),
-        effect: match c.effect {
+        name: class.name.clone(),
+        objective_ms: class.latency_objective_ms as f64,
+        objective_stretch: class.objective_stretch.unwrap_or(0.0),
+        deadline_ms: class.deadline_ms as f64,
+        priority_weight: class.priority_weight.unwrap_or(1.0),
+        late_weight: class.late_weight.unwrap_or(0.0),
+        effect: match class.effect {
             Some(SiteEffect::AtMostOnce) => Effect::AtMostOnce,
             Some(SiteEffect::Deduplicated) => Effect::Deduplicated,
             _ => Effect::Idempotent,
         },
         scope: DedupScope::Cell,
         repeat_window_ms: 0.0,
-        write: c.write.unwrap_or(false),
-        fresh_ms: c.fresh_ms.unwrap_or(0) as f64,
-        grace_ms: c.grace_ms.unwrap_or(0) as f64,
+        write: class.write.unwrap_or(false),
+        fresh_ms: class.fresh_ms.unwrap_or(0) as f64,
+        grace_ms: class.grace_ms.unwrap_or(0) as f64,
     }
 }
 
-/// The settings of a front made of a site document; `own_zone` is the index of the front's zone in `zones`.
-fn settings_of(
+/// Makes the settings of a front from a site document; `own_zone` is the index of the front's zone in
+/// `zones`.
+fn settings_from_site(
     site: &Site,
     front: &Front,
     own_zone: usize,
@@ -120,14 +128,15 @@
     budget: &Budget,
     classes: Vec<Class>,
 ) -> Settings {
-    let fronts = per_zone(site, &|z| z.fronts.unwrap_or(1) as f64, 1.0);
-    // The rules' figures are those of the first deployment; a site with other machines sets them by a configuration.
+    let fronts = values_per_zone(site, &|z| z.fronts.unwrap_or(1) as f64, 1.0);
+    // The values of the rules below suit the first deployment; a site with other hardware needs a
+    // configuration file to set them.
     Settings {
         zone: own_zone,
         zone_routers: fronts.iter().map(|n| *n as u32).collect(),
-        link_in_kb_per_s: per_zone(site, &|z| z.link_in_kb_per_s.unwrap_or(0.0), 0.0),
+        link_in_kb_per_s: values_per_zone(site, &|z| z.link_in_kb_per_s.unwrap_or(0.0), 0.0),
         zones,
-        kinds: KINDS.len(),
+        kinds: NODE_KINDS.len(),
         parent_kind: Some(1),
         origin_kind: Some(2),
         slot: 0,
@@ -159,10 +168,11 @@
     }
 }
 
-/// A seed from `/dev/urandom`, or 0 where it can't be read.
+/// Returns a seed from `/dev/urandom`, or 0 if it cannot be read.
 fn random_seed() -> u64 {
     let mut seed = [0; 8];
-    // Without a source of randomness every start draws alike, which harms no front by itself.
+    // Without a source of randomness every start draws the same random numbers, which does not harm a front
+    // by itself.
     if let Ok(mut f) = std::fs::File::open("/dev/urandom") {
         let _ = std::io::Read::read_exact(&mut f, &mut seed);
     }
--- a/crates/front/src/control/view.rs
+++ b/crates/front/src/control/view.rs
@@ -1,5 +1,5 @@
-//! The host of a [`fernslip_view::View`]: its datagrams and its clock, on a thread of their own, and its reports to the
-//! operators. The worker never waits for it.
+//! Runs a [`fernslip_view::View`] in a front: handles its datagrams and timers on a separate thread and
+//! reports on it to operators. The worker thread never waits for it.
 
 mod control_socket;
 mod plan;
@@ -18,29 +18,32 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Longest wait for a datagram: a change that another thread makes (draining, departure) takes effect after that at most.
-const MAX_WAIT: Duration = Duration::from_millis(250);
-/// Pause after a receive error.
-const ERROR_PAUSE: Duration = Duration::from_millis(5);
+/// The maximum wait for a datagram, and so the maximum delay until a change made by another thread (draining,
+/// departure) takes effect.
+const MAX_DATAGRAM_WAIT: Duration = Duration::from_millis(250);
+/// The pause after an error in receiving a datagram.
+const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(5);
 
-/// A front's view of the fleet, with its socket and clock.
+/// A front's membership view of the fleet, with its socket and clock.
 pub struct Fleet {
     view: Mutex<View>,
     socket: UdpSocket,
     clock: Clock,
 }
 
-fn now(clock: &Clock) -> Now {
+/// Returns the current module time and Unix time for the membership view.
+fn current_time(clock: &Clock) -> Now {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Now { mono_ms: clock.now(), unix_ms: unix.as_secs_f64() * 1000.0 }
 }
 
 impl Fleet {
-    /// Binds the view's address. `seed` is to differ from process to process; `gossip` is where this front receives gossip,
-    /// announced to the others; `remembered` are the peers' names and addresses when it last ran.
+    /// Binds the view's socket. `seed` must differ from process to process. `gossip` is the address,
+    /// announced to the other fronts, on which this front receives gossip. `remembered` has the peers' names
+    /// and addresses from the last run.
     ///
     /// # Errors
-    /// The address can't be bound.
+    /// Returns an error if the address cannot be bound.
     pub fn bind(
         plan: &Plan,
         clock: &Clock,
@@ -51,29 +54,29 @@
         let socket = UdpSocket::bind(plan.listen)?;
         let mut config = Config { gossip, remembered, ..plan.config.clone() };
         if !plan.is_advertised {
-            // The system may have chosen the port.
+            // If the listen address has port 0, the operating system chose the port.
             config.addr = socket.local_addr()?;
         }
-        let view = Mutex::new(View::new(config, plan.keys.clone(), seed, now(clock)));
+        let view = Mutex::new(View::new(config, plan.keys.clone(), seed, current_time(clock)));
         Ok(Fleet { view, socket, clock: *clock })
     }
 
-    /// The address that others are to use.
+    /// Returns the address at which other fronts reach this one.
     pub fn addr(&self) -> SocketAddr {
         lock(&self.view).config().addr
     }
 
-    /// The view's digest.
+    /// Returns the digest of the membership view, which changes with the view's content.
     pub fn digest(&self) -> u64 {
         lock(&self.view).digest()
     }
 
-    /// Names and gossip addresses of the other live fronts that gossip.
+    /// Returns the names and gossip addresses of the other live fronts that take part in gossip.
     pub fn gossip_peers(&self) -> Vec<PeerAddress> {
         lock(&self.view).gossip_peers()
     }
 
-    /// The other live fronts by name, as they are stored on disk.
+    /// Returns the other live fronts by name, in the form in which they are stored on disk.
     pub fn peers_to_store(&self) -> Vec<(String, Peer)> {
         let view = lock(&self.view);
         let own = view.config().name.clone();
@@ -87,13 +90,13 @@
             .collect()
     }
 
-    /// Lets the view handle an event and carries out its actions.
-    fn handle(&self, event: Event) {
+    /// Passes an event to the view and performs the actions that it returns.
+    fn handle_event(&self, event: Event) {
         let mut actions = Vec::new();
-        lock(&self.view).handle(now(&self.clock), event, &mut actions);
+        lock(&self.view).handle(current_time(&self.clock), event, &mut actions);
         for action in actions {
             match action {
-                // A datagram that can't be sent is lost, as any may be.
+                // A datagram that cannot be sent is lost, which the protocol tolerates.
                 Action::Send { to, bytes } => drop(self.socket.send_to(&bytes, to)),
                 Action::Changed { name, before, after, by } => {
                     let was = before.map_or("unknown", FrontState::name);
@@ -109,61 +112,61 @@
         }
     }
 
-    /// Sets this front's state.
+    /// Sets this front's own state in the membership view.
     pub fn set_state(&self, state: FrontState) {
-        self.handle(Event::State(state));
+        self.handle_event(Event::State(state));
     }
 
-    /// Sets the hash of this front's configuration.
+    /// Sets the hash of this front's configuration, which the view announces to the other fronts.
     pub fn set_configuration(&self, hash: u32) {
-        self.handle(Event::Configuration(hash));
+        self.handle_event(Event::Configuration(hash));
     }
 
-    /// Replaces the keys.
+    /// Replaces the keys that sign and verify the view's datagrams.
     pub fn set_keys(&self, keys: Keyring) {
-        self.handle(Event::Keys(keys));
+        self.handle_event(Event::Keys(keys));
     }
 
-    /// Announces this front's departure.
+    /// Announces to the other fronts that this front leaves.
     pub fn leave(&self) {
-        self.handle(Event::Leave);
+        self.handle_event(Event::Leave);
     }
 
-    /// Receives datagrams and lets time pass, for the life of the process; runs on a thread of its own.
+    /// Handles datagrams and timers for as long as the process runs; called on a separate thread.
     pub fn run(&self) {
         let mut datagram = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let due_ms = lock(&self.view).wake_at();
-            let wait = self.clock.until(due_ms).clamp(Duration::from_millis(1), MAX_WAIT);
+            let wait = self.clock.until(due_ms).clamp(Duration::from_millis(1), MAX_DATAGRAM_WAIT);
             let _ = self.socket.set_read_timeout(Some(wait));
             match self.socket.recv_from(&mut datagram) {
-                Ok((n, from)) => self.handle(Event::Datagram { from, bytes: datagram[..n].to_vec() }),
+                Ok((n, from)) => self.handle_event(Event::Datagram { from, bytes: datagram[..n].to_vec() }),
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-                // An error of one datagram, such as an unreachable port: the next may be fine.
-                Err(_) => std::thread::sleep(ERROR_PAUSE),
+                // The error concerns one datagram, for example an unreachable port; later ones may succeed.
+                Err(_) => std::thread::sleep(RECEIVE_ERROR_PAUSE),
             }
             let due_ms = lock(&self.view).wake_at();
             if due_ms <= self.clock.now() {
-                self.handle(Event::Tick);
+                self.handle_event(Event::Tick);
             }
         }
     }
 
-    /// The view's metrics for `telemetry`: a `name=value` line each.
+    /// Returns the view's metrics for the `telemetry` command, one `name=value` line each.
     pub fn lines(&self) -> String {
         let now_ms = self.clock.now();
         report::telemetry_lines(&lock(&self.view), now_ms)
     }
 
-    /// Serves the control socket at `path`, on a thread of its own.
+    /// Serves the control socket at `path` on a separate thread.
     ///
     /// # Errors
-    /// The socket can't be created, or another process listens there.
+    /// Returns an error if the socket cannot be created or another process listens on it.
     pub fn serve_control_socket(self: &Arc<Fleet>, path: &Path) -> std::io::Result<()> {
         let fleet = self.clone();
-        control_socket::serve(path, move |call| {
+        control_socket::serve_calls(path, move |call| {
             let now_ms = fleet.clock.now();
-            report::answer(&fleet.view, call, now_ms)
+            report::answer_call(&fleet.view, call, now_ms)
         })
     }
 }
--- a/crates/front/src/control/view/control_socket.rs
+++ b/crates/front/src/control/view/control_socket.rs
@@ -1,4 +1,5 @@
-//! The control socket of a front's view: a Unix socket that answers one line per connection, for `fernslip fleet`.
+//! The control socket of a front's membership view: a Unix socket that answers one call of one line per
+//! connection. The command `fernslip fleet` uses it.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::os::unix::fs::{FileTypeExt, PermissionsExt};
@@ -6,19 +7,19 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Time a caller has to send its call, and again to read the answer.
+/// The timeout for a caller to send its call, and the timeout for it to read the answer.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest call, in bytes.
+/// The maximum length of a call, in bytes.
 const MAX_CALL_BYTES: u64 = 256;
 
-/// Serves calls at `path`, one at a time, on a thread of its own, as it may wait for callers; `answer` makes the answer to
-/// a call.
+/// Serves calls on a Unix socket at `path`, one at a time, on a separate thread, as it may wait for callers.
+/// `answer` returns the answer to a call.
 ///
 /// # Errors
-/// The socket can't be created, or another process listens there.
-pub fn serve(path: &Path, answer: impl Fn(&str) -> String + Send + 'static) -> std::io::Result<()> {
+/// Returns an error if the socket cannot be created or another process listens on it.
+pub fn serve_calls(path: &Path, answer: impl Fn(&str) -> String + Send + 'static) -> std::io::Result<()> {
     if std::fs::symlink_metadata(path).is_ok_and(|m| m.file_type().is_socket()) {
-        // A process that still runs accepts; the socket of one that ended is replaced.
+        // A process that still runs accepts the connection; the socket file of one that ended is replaced.
         if UnixStream::connect(path).is_ok() {
             return Err(ErrorKind::AddrInUse.into());
         }
--- a/crates/front/src/control/view/plan.rs
+++ b/crates/front/src/control/view/plan.rs
@@ -1,4 +1,4 @@
-//! The settings of a front's view, made of the site document.
+//! Reads and validates the membership view section of the site document.
 
 use crate::keyfile;
 use fernslip_gossip::Keyring;
@@ -6,28 +6,28 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The settings of a front's view, read and checked.
+/// The validated settings of a front's membership view.
 pub struct Plan {
-    /// The configuration of the view; its address is the one that others are to use.
+    /// The configuration of the view; its `addr` is the address at which other fronts reach this one.
     pub config: Config,
-    /// Listen address for datagrams.
+    /// The address on which the view's datagrams are received.
     pub listen: SocketAddr,
-    /// Whether another address than that one is advertised.
+    /// Whether the site document sets an advertised address that replaces the listen address.
     pub is_advertised: bool,
-    /// The keys that sign datagrams.
+    /// The keys that sign and verify the view's datagrams.
     pub keys: Keyring,
-    /// Path of the control socket.
+    /// The path of the control socket. `None` if there is no control socket.
     pub control: Option<PathBuf>,
-    /// Path of the file with the front's durable state.
+    /// The path of the file that stores the front's durable state. `None` if nothing is stored.
     pub store: Option<PathBuf>,
 }
 
 impl Plan {
-    /// The plan for a front of that name and zone, made of the site document's `view`; reads and checks the key file.
-    /// `configuration` is a hash of the front's configuration.
+    /// Makes the plan for the front with this name and zone from the site document's `view`, and reads its
+    /// key file. `configuration` is a hash of the front's configuration.
     ///
     /// # Errors
-    /// Everything that is wrong with it.
+    /// Returns a message for every invalid setting.
     pub fn of(
         settings: &fernslip_site::FleetView,
         name: &str,
@@ -38,7 +38,7 @@
         let mut address = |text: &String| {
             let read = text.parse::<SocketAddr>();
             if read.is_err() {
-                errors.push(format!("view: `{text}` is no IP address and port"));
+                errors.push(format!("view: `{text}` is not an IP address and port"));
             }
             read.ok()
         };
@@ -50,7 +50,7 @@
             errors.push(format!("view: {}: {e}", settings.key_file));
         }
         if name.len() > MAX_TEXT_BYTES || zone.len() > MAX_TEXT_BYTES {
-            errors.push(format!("view: names of fronts and zones have at most {MAX_TEXT_BYTES} bytes"));
+            errors.push(format!("view: the name of a front or zone is longer than {MAX_TEXT_BYTES} bytes"));
         }
         let (Some(listen), Ok(keys), true) = (listen, keys, errors.is_empty()) else { return Err(errors) };
         let default = Config::default();
--- a/crates/front/src/control/view/report.rs
+++ b/crates/front/src/control/view/report.rs
@@ -1,4 +1,5 @@
-//! Reports on a view for the operators: lines for `telemetry`, JSON for `fernslip fleet`, and OpenMetrics.
+//! Reports on a membership view for operators: lines for `telemetry`, JSON for `fernslip fleet`, and
+//! OpenMetrics.
 
 use crate::sync::lock;
 use fernslip_view::{HistoryEntry, MemberStatus, View};
@@ -9,7 +10,7 @@
 use serde_json::{json, Value};
 use std::sync::Mutex;
 
-/// The view's metrics for `telemetry`: a `name=value` line each.
+/// Returns the view's metrics for the admin command `telemetry`, one `name=value` line each.
 pub fn telemetry_lines(view: &View, now_ms: f64) -> String {
     let settled = u8::from(view.settled_since(now_ms).is_some());
     let counters = view.counters();
@@ -21,30 +22,30 @@
     )
 }
 
-/// The answer to a call of the control socket: `members`, `summary`, `explain NAME` (a line of JSON) or `metrics`
-/// (OpenMetrics).
-pub fn answer(view: &Mutex<View>, call: &str, now_ms: f64) -> String {
+/// Returns the answer to a call on the control socket. The calls `members`, `summary` and `explain NAME` are
+/// answered with a line of JSON, `metrics` with OpenMetrics text.
+pub fn answer_call(view: &Mutex<View>, call: &str, now_ms: f64) -> String {
     let mut tokens = call.split_whitespace();
     match (tokens.next(), tokens.next(), tokens.next()) {
-        (Some("members"), None, None) => format!("{}\n", members(view, now_ms)),
-        (Some("summary"), None, None) => format!("{}\n", summary(&lock(view), now_ms)),
-        (Some("explain"), Some(name), None) => format!("{}\n", explanation(&lock(view), name, now_ms)),
-        (Some("metrics"), None, None) => metrics(view, now_ms),
+        (Some("members"), None, None) => format!("{}\n", members_json(view, now_ms)),
+        (Some("summary"), None, None) => format!("{}\n", summary_json(&lock(view), now_ms)),
+        (Some("explain"), Some(name), None) => format!("{}\n", explanation_json(&lock(view), name, now_ms)),
+        (Some("metrics"), None, None) => open_metrics_text(view, now_ms),
         _ => format!("{}\n", json!({ "error": "unknown call" })),
     }
 }
 
-/// The summary with all members.
-fn members(view: &Mutex<View>, now_ms: f64) -> Value {
+/// Returns the summary of the view with all its members, as JSON.
+fn members_json(view: &Mutex<View>, now_ms: f64) -> Value {
     let (mut summary, members) = {
         let view = lock(view);
-        (summary(&view, now_ms), view.members(now_ms))
+        (summary_json(&view, now_ms), view.members(now_ms))
     };
-    summary["members"] = members.iter().map(|m| member(m, now_ms)).collect();
+    summary["members"] = members.iter().map(|m| member_json(m, now_ms)).collect();
     summary
 }
 
-fn member(status: &MemberStatus, now_ms: f64) -> Value {
+fn member_json(status: &MemberStatus, now_ms: f64) -> Value {
     let fact = &status.fact;
     let is_suspected = fact.state.is_live() && !status.suspected_by.is_empty();
     json!({
@@ -61,7 +62,7 @@
     })
 }
 
-fn summary(view: &View, now_ms: f64) -> Value {
+fn summary_json(view: &View, now_ms: f64) -> Value {
     let counters = view.counters();
     let settled = view.settled_since(now_ms);
     json!({
@@ -84,17 +85,17 @@
     })
 }
 
-/// A front's status and history.
-fn explanation(view: &View, name: &str, now_ms: f64) -> Value {
+/// Returns the status and history of the front with this name, as JSON.
+fn explanation_json(view: &View, name: &str, now_ms: f64) -> Value {
     let Some(status) = view.members(now_ms).into_iter().find(|m| m.fact.name == name) else {
         return json!({ "error": format!("no front `{name}` is known") });
     };
     let entry = |HistoryEntry { at_ms, what, by }| json!({ "ago_ms": (now_ms - at_ms).max(0.0) as u64, "what": what, "by": by });
     let history: Vec<Value> = view.history(name).into_iter().map(entry).collect();
-    json!({ "member": member(&status, now_ms), "story": history })
+    json!({ "member": member_json(&status, now_ms), "story": history })
 }
 
-fn metrics(view: &Mutex<View>, now_ms: f64) -> String {
+fn open_metrics_text(view: &Mutex<View>, now_ms: f64) -> String {
     let (is_settled, count, counters) = {
         let view = lock(view);
         (view.settled_since(now_ms).is_some(), view.peers().len() + 1, view.counters().clone())
--- a/crates/front/src/control/watch_event.rs
+++ b/crates/front/src/control/watch_event.rs
@@ -1,46 +1,47 @@
-//! The events of the discovery watch: endpoint-list updates and purges, parsed from their JSON. No sockets, no state.
+//! Parses the events of the discovery watch, endpoint-list updates and purges, from JSON. Uses no sockets and
+//! holds no state.
 
 use fernslip::json::{self, JsonError, Names};
 use fernslip::{CacheId, Entry, ObjectId, Phase};
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// A cache node of an endpoint-list event.
+/// A cache node as an endpoint-list event lists it.
 #[derive(Clone, Debug)]
 pub struct ListedNode {
-    /// The node's entry; its `started_ms` is Unix time until the event is applied.
+    /// The node's entry for the endpoint list; `started_ms` is Unix time until the event is applied.
     pub entry: Entry,
-    /// Where the node listens; `None`: the event has no usable address for it.
+    /// The address on which the node listens. `None` if the event has no valid address for it.
     pub addr: Option<SocketAddr>,
 }
 
-/// A parsed event.
+/// A parsed event of the discovery watch.
 #[derive(Debug)]
 pub enum WatchEvent {
-    /// An endpoint-list update.
+    /// An update of the endpoint list.
     EndpointList {
-        /// Whether this is the complete list, or only the nodes that changed.
+        /// Whether `nodes` is the complete list; if false, it has only the nodes that changed.
         full: bool,
-        /// The nodes.
+        /// The listed or changed cache nodes.
         nodes: Vec<ListedNode>,
     },
-    /// A purge of one object, or with `object: None` of a group.
+    /// A purge of one object, or of a whole group if `object` is `None`.
     Purge {
-        /// The purged object.
+        /// The purged object. `None` if the whole group is purged.
         object: Option<ObjectId>,
-        /// The purged group.
+        /// The purged group; 0 if a purge of one object names no group.
         group: u64,
-        /// Unix time of the purge in milliseconds.
+        /// The time of the purge, as Unix time in milliseconds.
         unix_ms: f64,
     },
     /// An event of a kind that this version does not know.
     Unknown,
 }
 
-/// Parses an event; the start times of its nodes stay Unix milliseconds.
+/// Parses an event; the start times of its nodes stay in Unix milliseconds.
 ///
 /// # Errors
-/// A field is missing or has a value that no event has.
+/// Returns an error if a required field is missing or has an invalid value.
 pub fn parse(event: &Value, names: &Names) -> Result<WatchEvent, JsonError> {
     let (list, purge) = (&event["topology"], &event["ban"]);
     if list.is_object() {
--- a/crates/front/src/control/watch_event/tests.rs
+++ b/crates/front/src/control/watch_event/tests.rs
@@ -1,9 +1,9 @@
-//! Unit tests of the events of the discovery watch.
+//! Unit tests of the parsing of discovery watch events.
 
 use super::*;
 use serde_json::json;
 
-fn names() -> Names {
+fn configured_names() -> Names {
     Names {
         zones: vec!["edge-1".into()],
         kinds: vec!["standard".into()],
@@ -21,8 +21,8 @@
         node("c", "Gone", "10.0.0.3:80", "edge-1"),
     ];
     let event = json!({ "offset": 4, "topology": { "full": true, "servers": servers } });
-    let Ok(WatchEvent::EndpointList { full: true, nodes }) = parse(&event, &names()) else {
-        panic!("a complete list")
+    let Ok(WatchEvent::EndpointList { full: true, nodes }) = parse(&event, &configured_names()) else {
+        panic!("a full topology event is parsed as a complete endpoint list")
     };
     let resolved: Vec<_> =
         nodes.iter().map(|n| (n.entry.phase, n.entry.zone, n.addr.map(|a| a.port()))).collect();
@@ -34,20 +34,23 @@
 }
 
 #[test]
-fn a_purge_is_of_an_object_or_of_a_group_and_other_kinds_are_unknown() {
-    let purge = |ban: Value| parse(&json!({ "offset": 1, "ban": ban }), &names());
+fn a_purge_names_an_object_or_a_group_and_other_event_kinds_are_unknown() {
+    let purge = |ban: Value| parse(&json!({ "offset": 1, "ban": ban }), &configured_names());
     let of_object = purge(json!({ "url": "ff", "tag": 3, "ts": 9 }));
     assert!(
         matches!(of_object, Ok(WatchEvent::Purge { object: Some(ObjectId(255)), group: 3, unix_ms }) if unix_ms == 9.0)
     );
     let of_group = purge(json!({ "tag": 3, "ts": 9 }));
     assert!(matches!(of_group, Ok(WatchEvent::Purge { object: None, group: 3, .. })));
-    assert!(purge(json!({ "ts": 9 })).is_err(), "a purge of nothing");
-    assert!(matches!(parse(&json!({ "offset": 1, "later": {} }), &names()), Ok(WatchEvent::Unknown)));
+    assert!(purge(json!({ "ts": 9 })).is_err(), "a purge without an object and a group is rejected");
+    assert!(matches!(
+        parse(&json!({ "offset": 1, "later": {} }), &configured_names()),
+        Ok(WatchEvent::Unknown)
+    ));
 }
 
 #[test]
 fn a_node_in_an_unknown_state_is_rejected() {
     let servers = [json!({ "id": "a", "state": "Resting" })];
-    assert!(parse(&json!({ "topology": { "servers": servers } }), &names()).is_err());
+    assert!(parse(&json!({ "topology": { "servers": servers } }), &configured_names()).is_err());
 }
--- a/crates/front/src/control/watch_history.rs
+++ b/crates/front/src/control/watch_history.rs
@@ -1,10 +1,12 @@
-//! The history of the discovery watch: which of its numbered events this front has, and what each line of the event bus
-//! adds. Lines in, events out; no sockets.
+//! The history of the discovery watch: which numbered events this front has received, and what each further
+//! line of the event bus adds. It turns lines into events and uses no sockets.
 //!
-//! Events come in order. A known one is skipped, and a gap ends the connection, so that everything missing is requested
-//! again. A bus whose last offset is lower than this front's has restarted its numbering or lost events: it is asked to
-//! replay everything, and what it replays up to its last offset counts as one complete endpoint list. A node that was
-//! known to be draining stays draining in that list unless it has started since: its event may be among those lost.
+//! Events arrive in order. An event that was already received is skipped. A gap in the offsets ends the
+//! connection, so that the next one requests everything missing. A bus whose last offset is lower than this
+//! front's has restarted its numbering or lost events: it is asked to replay everything, and what it replays
+//! up to its last offset counts as one complete endpoint list. A node that was known to be draining stays
+//! draining in that list unless it has started since, because the event about its drain may be among those
+//! lost.
 
 use super::watch_event::{self, ListedNode, WatchEvent};
 use crate::log::Reason;
@@ -13,54 +15,56 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap};
 
-/// Consecutive last offsets below this front's that show a renumbered bus: a single one may have been read just before
-/// an event that was written first.
-const LOW_OFFSETS_OF_RENUMBERING: u32 = 2;
+/// The number of consecutive last offsets below this front's offset after which the bus counts as renumbered.
+/// A single low one proves nothing: the bus may have read its last offset just before it sent a newer event.
+const LOW_OFFSETS_BEFORE_REPLAY: u32 = 2;
 
-/// What a line of the event bus amounts to.
+/// The result of processing one line of the event bus.
 #[derive(Debug)]
-pub enum Line {
-    /// It adds nothing.
+pub enum ReceivedLine {
+    /// The line contains no event that is to be applied now.
     NothingNew,
-    /// The event of that offset, and what to apply for it.
+    /// The line completes the event with this offset, which is to be applied.
     Event(u64, WatchEvent),
-    /// The event of that offset can't be parsed. It counts as received: else it would be requested for ever.
+    /// The event with this offset cannot be parsed. It counts as received, or it would be requested again
+    /// forever.
     Unreadable(u64, JsonError),
 }
 
-/// How far a replay of everything has come, which a renumbered bus was asked for.
+/// The progress of the replay of all events that a renumbered bus was asked for.
 #[derive(Debug, Default)]
 enum Replay {
-    /// No replay is under way.
+    /// No replay is in progress.
     #[default]
     None,
-    /// Nothing of the replay is a complete endpoint list yet.
+    /// A replay is requested, and it has not yet contained a complete endpoint list.
     AwaitingList,
-    /// The nodes of the complete list with the updates replayed after it.
+    /// The nodes of the complete list that was replayed, with the updates replayed after it.
     Collecting(BTreeMap<CacheId, ListedNode>),
 }
 
 /// A gap in the offsets: the last event received, and the offset that followed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Gap {
+struct OffsetGap {
     after: u64,
     before: u64,
 }
 
-/// The events received so far.
+/// The state of the event stream: the last offset received, and what is needed to detect gaps and
+/// renumbering.
 pub struct History {
     offset: u64,
-    /// Nodes that drain or have departed, with their reported start in Unix milliseconds.
+    /// The nodes that are draining or have departed, with their reported start times in Unix milliseconds.
     draining: HashMap<CacheId, f64>,
     replay: Replay,
-    /// Consecutive last offsets that were too low.
+    /// The number of consecutive last offsets from the bus that were below `offset`.
     low_offsets: u32,
-    /// The gap that the bus was last asked to fill.
-    requested_gap: Option<Gap>,
+    /// The gap whose events were last requested from the bus. `None` once an event has been accepted since.
+    requested_gap: Option<OffsetGap>,
 }
 
 impl History {
-    /// A history in which all events up to `offset` are received.
+    /// Creates a history in which all events up to `offset` count as received.
     pub fn new(offset: u64) -> History {
         History {
             offset,
@@ -71,12 +75,13 @@
         }
     }
 
-    /// Offset of the last event received: what follows it is to be requested.
+    /// Returns the offset of the last event received; a new connection requests the events after it.
     pub fn offset(&self) -> u64 {
         self.offset
     }
 
-    /// Notes the draining nodes of an event, such as one known at start.
+    /// Records which nodes an event reports as draining or departed; also called for the events known at
+    /// start.
     pub fn observe(&mut self, event: &WatchEvent) {
         let WatchEvent::EndpointList { full, nodes } = event else { return };
         if *full {
@@ -90,13 +95,14 @@
         }
     }
 
-    /// Takes one line of the bus, without its line end.
+    /// Processes one line from the bus, without its line end.
     ///
     /// # Errors
-    /// Why the connection is of no further use: events are missing, the numbering restarts, or it is no line of a bus.
-    pub fn receive(&mut self, line: &[u8], names: &Names) -> Result<Line, Reason> {
+    /// Returns the reason why the connection must be closed: events are missing, the bus has restarted its
+    /// numbering, or the line is malformed.
+    pub fn receive(&mut self, line: &[u8], names: &Names) -> Result<ReceivedLine, Reason> {
         if line.iter().all(u8::is_ascii_whitespace) {
-            return Ok(Line::NothingNew);
+            return Ok(ReceivedLine::NothingNew);
         }
         let value: Value = serde_json::from_slice(line).map_err(|_| Reason::Malformed)?;
         if let Some(last) = value.as_u64() {
@@ -104,29 +110,30 @@
         }
         let offset = value["offset"].as_u64().ok_or(Reason::Malformed)?;
         if offset <= self.offset {
-            return Ok(Line::NothingNew);
+            return Ok(ReceivedLine::NothingNew);
         }
         let parsed = watch_event::parse(&value, names);
-        self.advance(offset, &parsed)?;
+        self.advance_to(offset, &parsed)?;
         let event = match parsed {
             Ok(event) => event,
-            Err(e) => return Ok(Line::Unreadable(offset, e)),
+            Err(e) => return Ok(ReceivedLine::Unreadable(offset, e)),
         };
-        let Some(event) = self.collect_replayed(event) else { return Ok(Line::NothingNew) };
+        let Some(event) = self.collect_replayed_event(event) else { return Ok(ReceivedLine::NothingNew) };
         self.observe(&event);
-        Ok(Line::Event(offset, event))
+        Ok(ReceivedLine::Event(offset, event))
     }
 
-    /// Moves on to the event of `offset`.
+    /// Advances to the event with this `offset`.
     ///
-    /// A complete list replaces all before it. Anything else behind a gap is requested once more together with what is
-    /// missing; a bus that then repeats it without the missing events is believed, or it would be asked for ever.
+    /// A complete endpoint list replaces everything before it, so a gap before it does not matter. Any other
+    /// event after a gap is requested once more, together with the missing events. If the bus then repeats it
+    /// without them, the event is accepted, or the missing events would be requested forever.
     ///
     /// # Errors
-    /// [`Reason::Gap`]: the missing events are to be requested first.
-    fn advance(&mut self, offset: u64, parsed: &Result<WatchEvent, JsonError>) -> Result<(), Reason> {
+    /// Returns [`Reason::Gap`] if the missing events must be requested first.
+    fn advance_to(&mut self, offset: u64, parsed: &Result<WatchEvent, JsonError>) -> Result<(), Reason> {
         let is_complete = matches!(parsed, Ok(WatchEvent::EndpointList { full: true, .. }));
-        let gap = Gap { after: self.offset, before: offset };
+        let gap = OffsetGap { after: self.offset, before: offset };
         if offset > self.offset + 1 && !is_complete && self.requested_gap.replace(gap) != Some(gap) {
             return Err(Reason::Gap);
         }
@@ -134,8 +141,9 @@
         Ok(())
     }
 
-    /// Collects an endpoint-list event of a replay; gives back any other event.
-    fn collect_replayed(&mut self, event: WatchEvent) -> Option<WatchEvent> {
+    /// Collects an endpoint-list event while a replay is in progress; returns any other event for immediate
+    /// use.
+    fn collect_replayed_event(&mut self, event: WatchEvent) -> Option<WatchEvent> {
         match (&mut self.replay, event) {
             (Replay::None, event) => Some(event),
             (replay, WatchEvent::EndpointList { full, nodes }) => {
@@ -151,30 +159,31 @@
         }
     }
 
-    /// Takes the bus's last offset, which it sends each second.
-    fn receive_last_offset(&mut self, last: u64) -> Result<Line, Reason> {
+    /// Processes the bus's last offset, which the bus sends each second.
+    fn receive_last_offset(&mut self, last: u64) -> Result<ReceivedLine, Reason> {
         if last > self.offset {
             return Err(Reason::Gap);
         }
         self.low_offsets = if last < self.offset { self.low_offsets + 1 } else { 0 };
-        if self.low_offsets >= LOW_OFFSETS_OF_RENUMBERING {
+        if self.low_offsets >= LOW_OFFSETS_BEFORE_REPLAY {
             (self.offset, self.low_offsets, self.replay) = (0, 0, Replay::AwaitingList);
             return Err(Reason::Renumbered);
         }
         if last < self.offset {
-            return Ok(Line::NothingNew);
+            return Ok(ReceivedLine::NothingNew);
         }
-        // A replay, if one was under way, is complete.
+        // The bus's last offset is reached, so a replay in progress is complete.
         let Replay::Collecting(collected) = std::mem::take(&mut self.replay) else {
-            return Ok(Line::NothingNew);
+            return Ok(ReceivedLine::NothingNew);
         };
-        let event = self.list_of_replay(collected);
+        let event = self.endpoint_list_from_replay(collected);
         self.observe(&event);
-        Ok(Line::Event(self.offset, event))
+        Ok(ReceivedLine::Event(self.offset, event))
     }
 
-    /// The complete endpoint list that a replay amounts to; nodes known to be draining stay so unless they have restarted.
-    fn list_of_replay(&self, collected: BTreeMap<CacheId, ListedNode>) -> WatchEvent {
+    /// Builds the complete endpoint list from a replay. Nodes known to be draining stay draining unless they
+    /// have restarted.
+    fn endpoint_list_from_replay(&self, collected: BTreeMap<CacheId, ListedNode>) -> WatchEvent {
         let still_drains =
             |e: &Entry| self.draining.get(&e.cache).is_some_and(|started| *started >= e.started_ms);
         let present = collected.into_values().filter(|n| n.entry.phase != Phase::Out);
