--- a/crates/gossip/examples/byzantine_peer.rs
+++ b/crates/gossip/examples/byzantine_peer.rs
@@ -1,13 +1,15 @@
-//! Fronts with the real decision module and real gossip in a simulated network: a cache node dies, and byzantine peers
-//! accuse a healthy one.
+//! Simulates fronts with the real decision module and real gossip on a simulated network: one cache node
+//! fails, and byzantine peers accuse a healthy one.
 //!
-//!     cargo run --release -p fernslip-gossip --example byzantine_peer -- [fronts=20] [loss=0.1] [liars=1] [rate=1] [seeds=5]
+//!     cargo run --release -p fernslip-gossip --example byzantine_peer -- [NAME=VALUE]...
 //!     cargo run --release -p fernslip-gossip --example byzantine_peer -- table
 //!     cargo run --release -p fernslip-gossip --example byzantine_peer -- cpu
 //!
-//! `liars` is the number of byzantine peers, `rate` requests a second at each front, over twenty cache nodes. Prints one
-//! JSON object. A front avoids the dead node from when its own answers ejected it, or when hearsay has left it a quarter
-//! of its homes or less. A healthy node counts as shunned at a front that ejects it.
+//! The parameters and their defaults are `fronts=20 loss=0.1 liars=1 rate=1 seeds=5`. `liars` is the number
+//! of byzantine peers and `rate` the number of requests per second at each front, over twenty cache nodes.
+//! The first form prints one JSON object. A front counts as avoiding the failed node from the time when its
+//! own answers ejected the node, or when the gossip score left the node a quarter of its objects or less. A
+//! healthy node counts as shunned at each front that ejects it.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -20,19 +22,20 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Instant;
 
-const NODES: usize = 20;
+const NODE_COUNT: usize = 20;
 const STEP_MS: f64 = 50.0;
-/// Fronts settle this long before the node dies.
+/// Simulated time before the cache node fails, in milliseconds, in which membership and load settle.
 const SETTLE_MS: f64 = 20_000.0;
-/// Hearsay from which on a front counts as avoiding a node.
+/// The gossip score of a cache node, at or above which a front counts as avoiding the node.
 const AVOIDING_SCORE: f64 = 0.75;
-/// Attempts at the dead node are counted as wasted for so long.
-const WASTED_MS: f64 = 60_000.0;
-/// The fraction of a healthy node's answers that are errors.
+/// Period after the failure, in milliseconds, in which attempts sent to the failed node are counted as
+/// wasted.
+const WASTED_PERIOD_MS: f64 = 60_000.0;
+/// The fraction of a healthy cache node's answers that are errors.
 const ERROR_RATE: f64 = 0.001;
 
 #[derive(Clone, Copy, Debug)]
-struct Case {
+struct Scenario {
     fronts: usize,
     loss: f64,
     byzantine: usize,
@@ -40,11 +43,11 @@
     seeds: u64,
 }
 
-struct Outcome {
-    /// By front and seed, milliseconds from the death.
-    detect: Histogram<u64>,
-    /// By seed, until 90 % of the fronts avoid it.
-    ninety: Vec<u64>,
+struct Measurements {
+    /// Milliseconds from the failure until a front avoids the node; one value per honest front and seed.
+    detection_ms: Histogram<u64>,
+    /// Milliseconds from the failure until 90 % of the honest fronts avoid the node; one value per seed.
+    ninety_percent_ms: Vec<u64>,
     shunned: usize,
     lowered: f64,
     wasted: f64,
@@ -104,14 +107,15 @@
 
 struct DecidingFront {
     router: Router,
-    /// When it began to avoid the dead node, in milliseconds from the death.
+    /// When the front began to avoid the failed node, in milliseconds from the failure; `None` if it has not
+    /// yet.
     avoids_ms: Option<f64>,
-    hearsay: Vec<f64>,
+    peer_scores: Vec<f64>,
 }
 
 impl DecidingFront {
     fn new(seed: u64) -> DecidingFront {
-        let mut router = Router::new(settings(), seed).expect("sound settings");
+        let mut router = Router::new(settings(), seed).expect("the settings are valid");
         router.enable_evidence();
         let entry = |cache: String, zone, kind| Entry {
             cache: cache.as_str().into(),
@@ -122,20 +126,20 @@
             started_ms: 0.0,
             phase: Phase::In,
         };
-        let mut entries: Vec<Entry> = (0..NODES).map(|node| entry(name(node), 1, 0)).collect();
+        let mut entries: Vec<Entry> = (0..NODE_COUNT).map(|node| entry(node_name(node), 1, 0)).collect();
         entries.push(entry("origin".into(), 0, 1));
         router.handle(1.0, Event::Endpoints { kind: ListKind::Full, entries }, &mut Vec::new());
-        DecidingFront { router, avoids_ms: None, hearsay: vec![0.0; NODES] }
+        DecidingFront { router, avoids_ms: None, peer_scores: vec![0.0; NODE_COUNT] }
     }
 }
 
-fn name(node: usize) -> String {
+fn node_name(node: usize) -> String {
     format!("box-{node}")
 }
 
-/// One simulation: node 0 dies, and byzantine fronts accuse node 1.
-struct Trial {
-    case: Case,
+/// One simulation run: cache node 0 fails, and byzantine fronts accuse cache node 1.
+struct SimulationRun {
+    scenario: Scenario,
     gossips: bool,
     sim: Simulation,
     keys: Vec<CacheNodeKey>,
@@ -145,37 +149,38 @@
     wasted: u64,
 }
 
-impl Trial {
-    fn new(case: Case, gossips: bool, seed: u64) -> Trial {
-        let mut sim = Simulation::new(case.fronts, Network::with_loss(case.loss), seed);
-        let keys: Vec<CacheNodeKey> = common::cache_nodes(NODES);
-        sim.feed_all(fernslip_gossip::Event::CacheNodes(keys.clone()));
+impl SimulationRun {
+    fn new(scenario: Scenario, gossips: bool, seed: u64) -> SimulationRun {
+        let mut sim = Simulation::new(scenario.fronts, Network::with_loss(scenario.loss), seed);
+        let keys: Vec<CacheNodeKey> = common::cache_nodes(NODE_COUNT);
+        sim.handle_event_on_all(fernslip_gossip::Event::CacheNodes(keys.clone()));
         let rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
-        let fronts = (0..case.fronts).map(|n| DecidingFront::new(seed ^ n as u64)).collect();
-        Trial { case, gossips, sim, keys, rng, fronts, requests: 0, wasted: 0 }
+        let fronts = (0..scenario.fronts).map(|index| DecidingFront::new(seed ^ index as u64)).collect();
+        SimulationRun { scenario, gossips, sim, keys, rng, fronts, requests: 0, wasted: 0 }
     }
 
-    fn is_byzantine(&self, n: usize) -> bool {
-        n >= self.case.fronts - self.case.byzantine
+    fn is_byzantine(&self, index: usize) -> bool {
+        index >= self.scenario.fronts - self.scenario.byzantine
     }
 
     fn is_dead(&self) -> bool {
         self.sim.now >= SETTLE_MS
     }
 
-    /// Front `n` accuses, if it is byzantine, and serves the requests of one step.
-    fn step(&mut self, n: usize, out: &mut Outcome) {
-        if self.is_byzantine(n) && self.gossips && self.rng.random_bool(0.2) {
-            self.sim.observe(n, self.keys[1], Observation::Failing, 1.0);
+    /// Advances one front by one step: it accuses cache node 1 if it is byzantine, and serves the requests of
+    /// the step.
+    fn step_front(&mut self, index: usize, measured: &mut Measurements) {
+        if self.is_byzantine(index) && self.gossips && self.rng.random_bool(0.2) {
+            self.sim.observe_node(index, self.keys[1], Observation::Failing, 1.0);
         }
-        let due = self.case.rate * STEP_MS / 1000.0;
+        let due = self.scenario.rate * STEP_MS / 1000.0;
         let requests = due as usize + usize::from(self.rng.random_bool(due.fract()));
         for _ in 0..requests {
-            self.serve_request(n, out);
+            self.serve_request(index, measured);
         }
     }
 
-    fn serve_request(&mut self, n: usize, out: &mut Outcome) {
+    fn serve_request(&mut self, index: usize, measured: &mut Measurements) {
         self.requests += 1;
         let request = Request {
             id: RequestId(self.requests),
@@ -188,22 +193,23 @@
         };
         let (mut actions, mut attempt) = (Vec::new(), 0);
         let now = self.sim.now + 1.0;
-        self.fronts[n].router.handle(now, Event::Request(request), &mut actions);
+        self.fronts[index].router.handle(now, Event::Request(request), &mut actions);
         while let Some(Action::Forward { id, cache, .. }) =
             actions.iter().find(|a| matches!(a, Action::Forward { .. })).cloned()
         {
             actions.clear();
-            let outcome = self.attempt(id, attempt, cache);
+            let outcome = self.attempt_outcome(id, attempt, cache);
             attempt += 1;
-            self.fronts[n].router.handle(now, Event::Outcome(outcome), &mut actions);
-            actions.iter().for_each(|action| self.note_action(n, action, out));
+            self.fronts[index].router.handle(now, Event::Outcome(outcome), &mut actions);
+            actions.iter().for_each(|action| self.record_action(index, action, measured));
         }
     }
 
-    /// The outcome of an attempt: the dead node refuses, and healthy ones answer with an error now and then.
-    fn attempt(&mut self, id: RequestId, attempt: u32, cache: CacheId) -> fernslip::Outcome {
+    /// Returns the outcome of an attempt: the failed node refuses the connection; the others answer, with an
+    /// error at [`ERROR_RATE`].
+    fn attempt_outcome(&mut self, id: RequestId, attempt: u32, cache: CacheId) -> fernslip::Outcome {
         let fails = self.is_dead() && &*cache.0 == "box-0";
-        self.wasted += u64::from(fails && self.sim.now < SETTLE_MS + WASTED_MS);
+        self.wasted += u64::from(fails && self.sim.now < SETTLE_MS + WASTED_PERIOD_MS);
         let ending = match fails {
             true => Ending::ConnectionRefused,
             false if self.rng.random_bool(ERROR_RATE) => Ending::Errored,
@@ -223,154 +229,169 @@
         }
     }
 
-    /// Notes an ejection, and passes evidence to the gossip.
-    fn note_action(&mut self, n: usize, action: &Action, out: &mut Outcome) {
+    /// Records an ejection by the decision module, and passes the module's evidence to the gossip.
+    fn record_action(&mut self, index: usize, action: &Action, measured: &mut Measurements) {
         match action {
             Action::Log(line) if line.contains("trials only") => {
                 if line.starts_with("box-0 ") {
-                    self.fronts[n].avoids_ms.get_or_insert(self.sim.now - SETTLE_MS);
+                    self.fronts[index].avoids_ms.get_or_insert(self.sim.now - SETTLE_MS);
                 } else {
-                    out.shunned += 1;
+                    measured.shunned += 1;
                 }
             }
-            Action::Evidence { cache, sign, strength } if self.gossips && !self.is_byzantine(n) => {
+            Action::Evidence { cache, sign, strength } if self.gossips && !self.is_byzantine(index) => {
                 let observation = match sign {
                     Sign::Well => Observation::Healthy,
                     Sign::Silent => Observation::Unresponsive,
                     Sign::Crawling => Observation::Slow,
                     Sign::Failing => Observation::Failing,
                 };
-                self.sim.observe(n, CacheNodeKey::new(&cache.0, 0), observation, *strength);
+                self.sim.observe_node(index, CacheNodeKey::new(&cache.0, 0), observation, *strength);
             }
             _ => {}
         }
     }
 
-    /// Passes changed scores from the gossip to the decision modules.
-    fn apply_hearsay(&mut self, dead: bool, out: &mut Outcome) {
-        for (n, front) in self.fronts.iter_mut().enumerate() {
+    /// Passes changed gossip scores to the decision modules.
+    fn apply_peer_scores(&mut self, dead: bool, measured: &mut Measurements) {
+        for (index, front) in self.fronts.iter_mut().enumerate() {
             for (node, key) in self.keys.iter().enumerate() {
-                let amount = self.sim.hearsay(n, *key);
-                if amount == front.hearsay[node] {
+                let amount = self.sim.peer_score(index, *key);
+                if amount == front.peer_scores[node] {
                     continue;
                 }
-                front.hearsay[node] = amount;
+                front.peer_scores[node] = amount;
                 if node == 0 && dead && amount >= AVOIDING_SCORE {
                     front.avoids_ms.get_or_insert(self.sim.now - SETTLE_MS);
                 }
                 if node != 0 {
-                    out.lowered = out.lowered.max(amount);
+                    measured.lowered = measured.lowered.max(amount);
                 }
-                let cache = CacheId::from(name(node).as_str());
+                let cache = CacheId::from(node_name(node).as_str());
                 let event = Event::PeerSuspicion { cache, amount };
                 front.router.handle(self.sim.now + 1.0, event, &mut Vec::new());
             }
         }
     }
 
-    fn add_to(&self, horizon: f64, out: &mut Outcome) {
-        let honest = self.case.fronts - self.case.byzantine;
+    fn add_measurements(&self, horizon: f64, measured: &mut Measurements) {
+        let honest = self.scenario.fronts - self.scenario.byzantine;
         let mut times: Vec<u64> = self.fronts[..honest]
             .iter()
             .map(|front| front.avoids_ms.unwrap_or(horizon).max(1.0) as u64)
             .collect();
-        times.iter().for_each(|t| out.detect.record(*t).expect("in range"));
+        times.iter().for_each(|t| {
+            measured.detection_ms.record(*t).expect("the time is within the bounds of the histogram");
+        });
         times.sort_unstable();
-        out.ninety.push(times[(honest * 9).div_ceil(10) - 1]);
-        out.wasted += self.wasted as f64 / self.case.fronts as f64 / self.case.seeds as f64;
+        measured.ninety_percent_ms.push(times[(honest * 9).div_ceil(10) - 1]);
+        measured.wasted += self.wasted as f64 / self.scenario.fronts as f64 / self.scenario.seeds as f64;
         let max = self.sim.fronts.iter().map(|f| f.max_bytes_per_s).max().unwrap_or(0);
-        out.bytes_per_s = out.bytes_per_s.max(max);
+        measured.bytes_per_s = measured.bytes_per_s.max(max);
     }
 }
 
-fn simulate(case: Case, gossips: bool, seed: u64, out: &mut Outcome) {
-    let horizon = if case.rate >= 50.0 { 20_000.0 } else { 240_000.0 };
-    let mut trial = Trial::new(case, gossips, seed);
-    while trial.sim.now < SETTLE_MS + horizon {
-        let died_before_step = trial.is_dead();
-        (0..case.fronts).for_each(|n| trial.step(n, out));
-        trial.sim.run_for(STEP_MS);
-        trial.apply_hearsay(died_before_step, out);
-        let counted = trial.sim.now > SETTLE_MS + WASTED_MS.min(horizon);
-        if counted && trial.fronts.iter().all(|f| f.avoids_ms.is_some()) && case.byzantine == 0 {
+fn run_seed(scenario: Scenario, gossips: bool, seed: u64, measured: &mut Measurements) {
+    let horizon = if scenario.rate >= 50.0 { 20_000.0 } else { 240_000.0 };
+    let mut run = SimulationRun::new(scenario, gossips, seed);
+    while run.sim.now < SETTLE_MS + horizon {
+        let died_before_step = run.is_dead();
+        (0..scenario.fronts).for_each(|index| run.step_front(index, measured));
+        run.sim.run_for(STEP_MS);
+        run.apply_peer_scores(died_before_step, measured);
+        let counted = run.sim.now > SETTLE_MS + WASTED_PERIOD_MS.min(horizon);
+        if counted && run.fronts.iter().all(|f| f.avoids_ms.is_some()) && scenario.byzantine == 0 {
             break;
         }
     }
-    trial.add_to(horizon, out);
+    run.add_measurements(horizon, measured);
 }
 
-fn run(case: Case, gossips: bool) -> Outcome {
-    let mut out = Outcome {
-        detect: Histogram::new_with_bounds(1, 1_000_000, 3).expect("bounds"),
-        ninety: Vec::new(),
+fn run_scenario(scenario: Scenario, gossips: bool) -> Measurements {
+    let mut measured = Measurements {
+        detection_ms: Histogram::new_with_bounds(1, 1_000_000, 3)
+            .expect("the bounds of the histogram are valid"),
+        ninety_percent_ms: Vec::new(),
         shunned: 0,
         lowered: 0.0,
         wasted: 0.0,
         bytes_per_s: 0,
     };
-    (0..case.seeds).for_each(|s| simulate(case, gossips, 100 + s, &mut out));
-    out.ninety.sort_unstable();
-    out
+    (0..scenario.seeds).for_each(|s| run_seed(scenario, gossips, 100 + s, &mut measured));
+    measured.ninety_percent_ms.sort_unstable();
+    measured
 }
 
-fn at(h: &Histogram<u64>) -> serde_json::Value {
-    serde_json::json!({"p50": h.value_at_quantile(0.5), "p99": h.value_at_quantile(0.99)})
+fn percentiles(histogram: &Histogram<u64>) -> serde_json::Value {
+    serde_json::json!({"p50": histogram.value_at_quantile(0.5), "p99": histogram.value_at_quantile(0.99)})
 }
 
 fn main() {
-    let mut case = Case { fronts: 20, loss: 0.1, byzantine: 1, rate: 1.0, seeds: 5 };
+    let mut scenario = Scenario { fronts: 20, loss: 0.1, byzantine: 1, rate: 1.0, seeds: 5 };
     for arg in std::env::args().skip(1) {
-        let value = |v: &str| v.parse::<f64>().unwrap_or_else(|_| panic!("{arg}: no number"));
+        let value = |v: &str| {
+            v.parse::<f64>().unwrap_or_else(|_| panic!("argument {arg}: the value is not a number"))
+        };
         match arg.split_once('=') {
-            None if arg == "table" => return table(),
-            None if arg == "cpu" => return cpu(),
-            Some(("fronts", v)) => case.fronts = value(v) as usize,
-            Some(("loss", v)) => case.loss = value(v),
-            Some(("liars", v)) => case.byzantine = value(v) as usize,
-            Some(("rate", v)) => case.rate = value(v),
-            Some(("seeds", v)) => case.seeds = value(v) as u64,
-            _ => panic!("{arg}: fronts= loss= liars= rate= seeds=, table or cpu"),
+            None if arg == "table" => return print_table(),
+            None if arg == "cpu" => return measure_receive_cost(),
+            Some(("fronts", v)) => scenario.fronts = value(v) as usize,
+            Some(("loss", v)) => scenario.loss = value(v),
+            Some(("liars", v)) => scenario.byzantine = value(v) as usize,
+            Some(("rate", v)) => scenario.rate = value(v),
+            Some(("seeds", v)) => scenario.seeds = value(v) as u64,
+            _ => {
+                panic!("unknown argument {arg}: expected fronts=, loss=, liars=, rate=, seeds=, table or cpu")
+            }
         }
     }
-    let (with, without) = (run(case, true), run(Case { byzantine: 0, ..case }, false));
+    let (with, without) =
+        (run_scenario(scenario, true), run_scenario(Scenario { byzantine: 0, ..scenario }, false));
     println!(
         "{}",
         serde_json::json!({
-            "fronts": case.fronts, "loss": case.loss, "liars": case.byzantine, "rate": case.rate,
+            "fronts": scenario.fronts, "loss": scenario.loss,
+            "liars": scenario.byzantine, "rate": scenario.rate,
             "healthy_shunned": with.shunned, "healthy_lowered_max": with.lowered, "cap": aggregate::MAX_SCORE,
             "bytes_per_s_max": with.bytes_per_s, "budget": 4096 + 4096,
-            "detect_ms": {"with": at(&with.detect), "without": at(&without.detect)},
-            "ninety_ms": {"with": with.ninety[with.ninety.len() / 2], "without": without.ninety[without.ninety.len() / 2]},
+            "detect_ms": {
+                "with": percentiles(&with.detection_ms), "without": percentiles(&without.detection_ms)
+            },
+            "ninety_ms": {
+                "with": with.ninety_percent_ms[with.ninety_percent_ms.len() / 2],
+                "without": without.ninety_percent_ms[without.ninety_percent_ms.len() / 2]
+            },
             "wasted_a_front": {"with": with.wasted, "without": without.wasted},
         })
     );
 }
 
-/// What a datagram costs its receiver, by what it carries: the tag, the replay window, and aggregating its reports.
-fn cpu() {
+/// Measures what a datagram costs its receiver with 0, 1 and 11 reports: verifying the tag, the replay check
+/// and aggregating the reports.
+fn measure_receive_cost() {
     for reports in [0, 1, 11] {
         let mut sim = Simulation::new(3, Network { loss: 0.0, duplicated: 0.0, delay_ms: (1.0, 1.0) }, 1);
-        sim.feed_all(fernslip_gossip::Event::CacheNodes(common::cache_nodes(100)));
+        sim.handle_event_on_all(fernslip_gossip::Event::CacheNodes(common::cache_nodes(100)));
         sim.run_for(10_000.0);
-        sim.record = Some(Vec::new());
+        sim.recorded = Some(Vec::new());
         for round in 0..4_000u32 {
-            // Told anew in each round, as if it had become surer.
+            // A strength that alternates makes each round's report a new version, which is sent again.
             let strength = 0.2 + 0.6 * f64::from(round % 2);
             common::cache_nodes(100)
                 .iter()
                 .take(reports)
-                .for_each(|b| sim.observe(1, *b, Observation::Failing, strength));
+                .for_each(|b| sim.observe_node(1, *b, Observation::Failing, strength));
             sim.run_for(250.0);
         }
-        let sent = sim.record.take().expect("recorded");
+        let sent = sim.recorded.take().expect("recording is on");
         let mine: Vec<_> = sent
             .into_iter()
-            .filter(|(from, to, _)| *from == common::addr(1) && *to == common::addr(0))
+            .filter(|(from, to, _)| *from == common::front_addr(1) && *to == common::front_addr(0))
             .collect();
         let at = sim.clock(0);
         let config = fernslip_gossip::Config {
             name: "n0".into(),
-            addr: common::addr(0),
+            addr: common::front_addr(0),
             skew_ms: 1e9,
             ..Default::default()
         };
@@ -390,26 +411,31 @@
         let us = started.elapsed().as_secs_f64() * 1e6 / mine.len().max(1) as f64;
         let accepted = g.counters().accepted;
         println!(
-            "{reports} reports: {} datagrams of {} bytes, {accepted} accepted, {us:.1} us each",
+            "{reports} reports: {} datagrams of {} bytes, {accepted} accepted, {us:.1} us per datagram",
             mine.len(),
             bytes / mine.len().max(1)
         );
     }
 }
 
-fn table() {
-    println!("| fronts | loss | requests/s a front | 90 % avoid it, with | without | ratio | wasted a front, with | without | most bytes/s | shunned |");
+fn print_table() {
+    println!(
+        "| fronts | loss | requests/s per front | 90 % avoid the node, with gossip | without | ratio \
+         | wasted per front, with gossip | without | max bytes/s | shunned |"
+    );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for (fronts, rate, seeds) in [(4, 1.0, 20), (20, 1.0, 9), (200, 1.0, 3), (4, 200.0, 9), (20, 200.0, 3)] {
         for loss in [0.0, 0.1, 0.3] {
-            let case = Case { fronts, loss, byzantine: 0, rate, seeds };
-            let (with, without) = (run(case, true), run(case, false));
-            let mid = |o: &Outcome| o.ninety[o.ninety.len() / 2] as f64 / 1000.0;
+            let scenario = Scenario { fronts, loss, byzantine: 0, rate, seeds };
+            let (with, without) = (run_scenario(scenario, true), run_scenario(scenario, false));
+            let median_s = |measured: &Measurements| {
+                measured.ninety_percent_ms[measured.ninety_percent_ms.len() / 2] as f64 / 1000.0
+            };
             println!(
                 "| {fronts} | {loss} | {rate} | {:.1} s | {:.1} s | {:.1} | {:.1} | {:.1} | {} | {} |",
-                mid(&with),
-                mid(&without),
-                mid(&without) / mid(&with),
+                median_s(&with),
+                median_s(&without),
+                median_s(&without) / median_s(&with),
                 with.wasted,
                 without.wasted,
                 with.bytes_per_s,
--- a/crates/gossip/examples/model.rs
+++ b/crates/gossip/examples/model.rs
@@ -1,11 +1,12 @@
-//! The model of `tests/model.rs` within larger bounds; prints how many states were explored. A minute or two, some GB.
+//! Explores the model of `tests/model.rs` within larger bounds and prints the number of states. It takes a
+//! minute or two and several GB of memory.
 //!
 //!     cargo run --release -p fernslip-gossip --example model
 
 #[path = "../tests/common/model.rs"]
 mod model;
 
-use model::{check, GossipModel};
+use model::{explore, GossipModel};
 
 fn main() {
     let base = GossipModel {
@@ -14,22 +15,25 @@
         dead: false,
         time_steps: 1,
         drops: 1,
-        alarms: 1,
+        false_alarms: 1,
         trust: 0.95,
         fair: false,
     };
     for (bounds, model) in [
         (
-            "three fronts, a byzantine peer, one loss, one step of time",
-            GossipModel { alarms: 0, ..base.clone() },
+            "three fronts, one of them byzantine, one lost datagram, one time step",
+            GossipModel { false_alarms: 0, ..base.clone() },
         ),
-        ("the same with a dead node", GossipModel { dead: true, alarms: 0, ..base.clone() }),
-        ("the same with a false alarm", base.clone()),
         (
-            "four fronts, a byzantine peer, one loss",
-            GossipModel { fronts: 4, time_steps: 0, alarms: 0, ..base },
+            "the first case with a dead cache node",
+            GossipModel { dead: true, false_alarms: 0, ..base.clone() },
+        ),
+        ("the first case with a false accusation by an honest front", base.clone()),
+        (
+            "four fronts, one of them byzantine, one lost datagram",
+            GossipModel { fronts: 4, time_steps: 0, false_alarms: 0, ..base },
         ),
     ] {
-        println!("{bounds}: {} states, all properties hold", check(model));
+        println!("{bounds}: {} states, all properties hold", explore(model));
     }
 }
--- a/crates/gossip/src/budget/tests.rs
+++ b/crates/gossip/src/budget/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn no_interval_sees_more_than_the_burst_and_its_rate() {
+fn no_interval_lets_more_bytes_through_than_burst_and_rate_permit() {
     let mut bucket = TokenBucket::new(1000, 300, 0.0);
     let mut sent: Vec<(f64, usize)> = Vec::new();
     for step in 0..5000u32 {
@@ -20,5 +20,5 @@
         }
     }
     let before = bucket.available(1e9);
-    assert_eq!((before, bucket.available(0.0)), (300, 300), "a clock that runs back earns nothing");
+    assert_eq!((before, bucket.available(0.0)), (300, 300), "a clock that steps back adds no tokens");
 }
--- a/crates/gossip/src/codec.rs
+++ b/crates/gossip/src/codec.rs
@@ -1,25 +1,28 @@
-//! The wire format: a header, items and a tag, in 256 bytes at the most. Decoding never panics, whatever the bytes.
+//! The wire format: a header, items and an authentication tag, in at most 256 bytes. Decoding never panics,
+//! whatever the input.
 
 use crate::message::{CacheNodeKey, FrontId, Header, HealthReport, Item, Observation, DIGEST_BUCKETS};
 use std::net::{IpAddr, SocketAddr};
 
-/// No datagram is longer.
+/// The greatest length of a datagram in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// The message authentication code, truncated to 128 bits: beyond guessing within a key's lifetime.
+/// Length of the authentication tag in bytes. It is an HMAC truncated to 128 bits, which cannot be guessed
+/// within a key's lifetime.
 pub(crate) const TAG_BYTES: usize = 16;
 const HEADER_BYTES: usize = 20;
-/// What a datagram has for its items.
+/// The number of bytes that a datagram has for its items.
 pub(crate) const ITEM_CAPACITY: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - TAG_BYTES;
-/// Bytes of one [`HealthReport`].
+/// The encoded length of one [`HealthReport`] in bytes.
 pub(crate) const REPORT_BYTES: usize = 17;
-/// Bytes of [`Item::Reports`] without its reports.
+/// The encoded length of [`Item::Reports`] without its reports, in bytes.
 pub(crate) const REPORTS_HEADER_BYTES: usize = 6;
-const VERSION: u8 = 1;
-/// Names are truncated to this many bytes; fronts are told apart by the hash of the complete name.
+const FORMAT_VERSION: u8 = 1;
+/// The greatest encoded length of a front's name in bytes; longer names are truncated. Fronts are identified
+/// by the hash of the complete name.
 const MAX_NAME_BYTES: usize = 24;
 
-/// The byte that each kind of item begins with.
-mod tag {
+/// The first byte of an encoded item, which tells its kind.
+mod item_code {
     pub const PING: u8 = 1;
     pub const ACK: u8 = 2;
     pub const PING_REQUEST: u8 = 3;
@@ -33,116 +36,124 @@
     pub const SUMMARY: u8 = 11;
 }
 
-/// Why bytes can't be decoded.
+/// The reason why a datagram cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CodecError {
-    /// Longer than any datagram.
-    #[error("longer than {MAX_DATAGRAM_BYTES} bytes")]
+    /// The datagram is longer than [`MAX_DATAGRAM_BYTES`].
+    #[error("datagram is longer than {MAX_DATAGRAM_BYTES} bytes")]
     TooLong,
-    /// Truncated.
-    #[error("cut short")]
-    Short,
-    /// Of another version of the format.
-    #[error("of another version")]
-    Version,
-    /// A malformed or unknown item.
-    #[error("an item that is none")]
-    Item,
+    /// The datagram ends within its header, an item or its tag.
+    #[error("datagram is truncated")]
+    Truncated,
+    /// The datagram has another version of the wire format.
+    #[error("datagram has an unsupported format version")]
+    UnsupportedVersion,
+    /// An item is of an unknown kind or has an invalid value.
+    #[error("datagram has an unknown or malformed item")]
+    MalformedItem,
 }
 
-struct Reader<'b>(&'b [u8]);
+struct ByteReader<'b>(&'b [u8]);
 
-impl<'b> Reader<'b> {
-    fn take<const N: usize>(&mut self) -> Result<[u8; N], CodecError> {
-        let (head, rest) = self.0.split_first_chunk::<N>().ok_or(CodecError::Short)?;
+impl<'b> ByteReader<'b> {
+    fn read_array<const N: usize>(&mut self) -> Result<[u8; N], CodecError> {
+        let (head, rest) = self.0.split_first_chunk::<N>().ok_or(CodecError::Truncated)?;
         self.0 = rest;
         Ok(*head)
     }
 
-    fn u8(&mut self) -> Result<u8, CodecError> {
-        self.take::<1>().map(|b| b[0])
+    fn read_u8(&mut self) -> Result<u8, CodecError> {
+        self.read_array::<1>().map(|b| b[0])
     }
 
-    fn u16(&mut self) -> Result<u16, CodecError> {
-        self.take().map(u16::from_be_bytes)
+    fn read_u16(&mut self) -> Result<u16, CodecError> {
+        self.read_array().map(u16::from_be_bytes)
     }
 
-    fn u32(&mut self) -> Result<u32, CodecError> {
-        self.take().map(u32::from_be_bytes)
+    fn read_u32(&mut self) -> Result<u32, CodecError> {
+        self.read_array().map(u32::from_be_bytes)
     }
 
-    fn front_id(&mut self) -> Result<FrontId, CodecError> {
-        self.u32().map(FrontId)
+    fn read_front_id(&mut self) -> Result<FrontId, CodecError> {
+        self.read_u32().map(FrontId)
     }
 
-    fn age_ms(&mut self) -> Result<f64, CodecError> {
-        self.u16().map(|code| f64::from(code) * 100.0)
+    fn read_age_ms(&mut self) -> Result<f64, CodecError> {
+        self.read_u16().map(|code| f64::from(code) * 100.0)
     }
 
-    fn bytes(&mut self, n: usize) -> Result<&'b [u8], CodecError> {
-        let (head, rest) = self.0.split_at_checked(n).ok_or(CodecError::Short)?;
+    fn read_bytes(&mut self, len: usize) -> Result<&'b [u8], CodecError> {
+        let (head, rest) = self.0.split_at_checked(len).ok_or(CodecError::Truncated)?;
         self.0 = rest;
         Ok(head)
     }
 
-    fn observation(&mut self) -> Result<Observation, CodecError> {
-        Observation::ALL.get(usize::from(self.u8()?)).copied().ok_or(CodecError::Item)
+    fn read_observation(&mut self) -> Result<Observation, CodecError> {
+        Observation::ALL.get(usize::from(self.read_u8()?)).copied().ok_or(CodecError::MalformedItem)
     }
 
-    fn alive(&mut self, code: u8) -> Result<Item, CodecError> {
-        let (id, incarnation) = (self.front_id()?, self.u32()?);
-        let ip: IpAddr =
-            if code == tag::ALIVE_V4 { self.take::<4>()?.into() } else { self.take::<16>()?.into() };
-        let addr = SocketAddr::new(ip, self.u16()?);
-        let len = usize::from(self.u8()?);
+    fn read_alive(&mut self, code: u8) -> Result<Item, CodecError> {
+        let (id, incarnation) = (self.read_front_id()?, self.read_u32()?);
+        let ip: IpAddr = if code == item_code::ALIVE_V4 {
+            self.read_array::<4>()?.into()
+        } else {
+            self.read_array::<16>()?.into()
+        };
+        let addr = SocketAddr::new(ip, self.read_u16()?);
+        let len = usize::from(self.read_u8()?);
         if len > MAX_NAME_BYTES {
-            return Err(CodecError::Item);
+            return Err(CodecError::MalformedItem);
         }
-        let name = std::str::from_utf8(self.bytes(len)?).map_err(|_| CodecError::Item)?.to_string();
+        let name =
+            std::str::from_utf8(self.read_bytes(len)?).map_err(|_| CodecError::MalformedItem)?.to_string();
         Ok(Item::Alive { id, incarnation, addr, name })
     }
 
-    fn report(&mut self) -> Result<HealthReport, CodecError> {
-        let node = CacheNodeKey { id: u64::from_be_bytes(self.take()?), start: self.u32()? };
+    fn read_report(&mut self) -> Result<HealthReport, CodecError> {
+        let node = CacheNodeKey { id: u64::from_be_bytes(self.read_array()?), start: self.read_u32()? };
         Ok(HealthReport {
             node,
-            observation: self.observation()?,
-            strength: f64::from(self.u8()?) / 255.0,
-            count: self.u8()?,
-            age_ms: self.age_ms()?,
+            observation: self.read_observation()?,
+            strength: f64::from(self.read_u8()?) / 255.0,
+            count: self.read_u8()?,
+            age_ms: self.read_age_ms()?,
         })
     }
 
-    fn item(&mut self) -> Result<Item, CodecError> {
-        Ok(match self.u8()? {
-            tag::PING => Item::Ping(self.u16()?),
-            tag::ACK => Item::Ack(self.u16()?),
-            tag::PING_REQUEST => Item::PingRequest { target: self.front_id()?, number: self.u16()? },
-            code @ (tag::ALIVE_V4 | tag::ALIVE_V6) => self.alive(code)?,
-            tag::SUSPECT => Item::Suspect { id: self.front_id()?, incarnation: self.u32()? },
-            tag::DEAD => Item::Dead { id: self.front_id()?, incarnation: self.u32()? },
-            tag::DEPARTED => Item::Departed { id: self.front_id()?, incarnation: self.u32()? },
-            tag::DIGEST => {
+    fn read_item(&mut self) -> Result<Item, CodecError> {
+        Ok(match self.read_u8()? {
+            item_code::PING => Item::Ping(self.read_u16()?),
+            item_code::ACK => Item::Ack(self.read_u16()?),
+            item_code::PING_REQUEST => {
+                Item::PingRequest { target: self.read_front_id()?, number: self.read_u16()? }
+            }
+            code @ (item_code::ALIVE_V4 | item_code::ALIVE_V6) => self.read_alive(code)?,
+            item_code::SUSPECT => Item::Suspect { id: self.read_front_id()?, incarnation: self.read_u32()? },
+            item_code::DEAD => Item::Dead { id: self.read_front_id()?, incarnation: self.read_u32()? },
+            item_code::DEPARTED => {
+                Item::Departed { id: self.read_front_id()?, incarnation: self.read_u32()? }
+            }
+            item_code::DIGEST => {
                 let mut buckets = [0; DIGEST_BUCKETS];
                 for bucket in &mut buckets {
-                    *bucket = self.u32()?;
+                    *bucket = self.read_u32()?;
                 }
                 Item::Digest(buckets)
             }
-            tag::REPORTS => {
-                let witness = self.front_id()?;
-                let count = self.u8()?;
-                let reports = (0..count).map(|_| self.report()).collect::<Result<_, _>>()?;
+            item_code::REPORTS => {
+                let witness = self.read_front_id()?;
+                let count = self.read_u8()?;
+                let reports = (0..count).map(|_| self.read_report()).collect::<Result<_, _>>()?;
                 Item::Reports { witness, reports }
             }
-            tag::SUMMARY => Item::Summary {
-                witness: self.front_id()?,
-                observation: self.observation()?,
-                accused: self.u16()?,
-                known: self.u16()?,
-                age_ms: self.age_ms()?,
+            item_code::SUMMARY => Item::Summary {
+                witness: self.read_front_id()?,
+                observation: self.read_observation()?,
+                accused: self.read_u16()?,
+                known: self.read_u16()?,
+                age_ms: self.read_age_ms()?,
             },
-            _ => return Err(CodecError::Item),
+            _ => return Err(CodecError::MalformedItem),
         })
     }
 }
@@ -151,12 +162,12 @@
     ((ms / 100.0).clamp(0.0, 65535.0).round() as u16).to_be_bytes()
 }
 
-fn encode_numbered(out: &mut Vec<u8>, code: u8, number: u16) {
+fn encode_ping_number(out: &mut Vec<u8>, code: u8, number: u16) {
     out.push(code);
     out.extend(number.to_be_bytes());
 }
 
-fn encode_member(out: &mut Vec<u8>, code: u8, id: FrontId, incarnation: u32) {
+fn encode_id_and_incarnation(out: &mut Vec<u8>, code: u8, id: FrontId, incarnation: u32) {
     out.push(code);
     out.extend(id.0.to_be_bytes());
     out.extend(incarnation.to_be_bytes());
@@ -188,37 +199,41 @@
     out.extend(encode_age(report.age_ms));
 }
 
-/// Appends an item's bytes.
+/// Appends the encoding of an item to `out`.
 fn encode_item(out: &mut Vec<u8>, item: &Item) {
     match item {
-        Item::Ping(number) => encode_numbered(out, tag::PING, *number),
-        Item::Ack(number) => encode_numbered(out, tag::ACK, *number),
+        Item::Ping(number) => encode_ping_number(out, item_code::PING, *number),
+        Item::Ack(number) => encode_ping_number(out, item_code::ACK, *number),
         Item::PingRequest { target, number } => {
-            out.push(tag::PING_REQUEST);
+            out.push(item_code::PING_REQUEST);
             out.extend(target.0.to_be_bytes());
             out.extend(number.to_be_bytes());
         }
         Item::Alive { id, incarnation, addr, name } => {
-            let code = if addr.is_ipv4() { tag::ALIVE_V4 } else { tag::ALIVE_V6 };
-            encode_member(out, code, *id, *incarnation);
+            let code = if addr.is_ipv4() { item_code::ALIVE_V4 } else { item_code::ALIVE_V6 };
+            encode_id_and_incarnation(out, code, *id, *incarnation);
             encode_address(out, addr);
             encode_name(out, name);
         }
-        Item::Suspect { id, incarnation } => encode_member(out, tag::SUSPECT, *id, *incarnation),
-        Item::Dead { id, incarnation } => encode_member(out, tag::DEAD, *id, *incarnation),
-        Item::Departed { id, incarnation } => encode_member(out, tag::DEPARTED, *id, *incarnation),
+        Item::Suspect { id, incarnation } => {
+            encode_id_and_incarnation(out, item_code::SUSPECT, *id, *incarnation);
+        }
+        Item::Dead { id, incarnation } => encode_id_and_incarnation(out, item_code::DEAD, *id, *incarnation),
+        Item::Departed { id, incarnation } => {
+            encode_id_and_incarnation(out, item_code::DEPARTED, *id, *incarnation);
+        }
         Item::Digest(buckets) => {
-            out.push(tag::DIGEST);
+            out.push(item_code::DIGEST);
             buckets.iter().for_each(|b| out.extend(b.to_be_bytes()));
         }
         Item::Reports { witness, reports } => {
-            out.push(tag::REPORTS);
+            out.push(item_code::REPORTS);
             out.extend(witness.0.to_be_bytes());
             out.push(reports.len().min(255) as u8);
             reports.iter().take(255).for_each(|r| encode_report(out, r));
         }
         Item::Summary { witness, observation, accused, known, age_ms } => {
-            out.push(tag::SUMMARY);
+            out.push(item_code::SUMMARY);
             out.extend(witness.0.to_be_bytes());
             out.push(observation.code());
             out.extend(accused.to_be_bytes());
@@ -228,22 +243,22 @@
     }
 }
 
-/// How many bytes an item takes.
+/// Returns the encoded length of an item in bytes.
 pub(crate) fn encoded_len(item: &Item) -> usize {
     let mut out = Vec::new();
     encode_item(&mut out, item);
     out.len()
 }
 
-/// How many bytes these items take together.
+/// Returns the encoded length of the items together, in bytes.
 pub(crate) fn total_encoded_len(items: &[Item]) -> usize {
     items.iter().map(encoded_len).sum()
 }
 
-/// A datagram's bytes up to its tag. The caller sees to it that the items fit.
-pub fn encode(header: &Header, items: &[Item]) -> Vec<u8> {
+/// Encodes a datagram without its tag. The caller ensures that the items fit into [`MAX_DATAGRAM_BYTES`].
+pub fn encode_datagram(header: &Header, items: &[Item]) -> Vec<u8> {
     let mut out = Vec::with_capacity(MAX_DATAGRAM_BYTES);
-    out.push(VERSION);
+    out.push(FORMAT_VERSION);
     out.push(header.key);
     out.extend(header.sender.0.to_be_bytes());
     out.extend(&header.epoch_ms.to_be_bytes()[2..]);
@@ -253,32 +268,32 @@
     out
 }
 
-/// Decodes a datagram's header, and returns it with the bytes of the items: what follows the header up to the tag.
+/// Decodes a datagram's header and returns it with the still encoded items between header and tag.
 pub(crate) fn decode_header(data: &[u8]) -> Result<(Header, &[u8]), CodecError> {
     if data.len() > MAX_DATAGRAM_BYTES {
         return Err(CodecError::TooLong);
     }
     if data.len() < HEADER_BYTES + TAG_BYTES {
-        return Err(CodecError::Short);
+        return Err(CodecError::Truncated);
     }
-    let mut reader = Reader(&data[..data.len() - TAG_BYTES]);
-    if reader.u8()? != VERSION {
-        return Err(CodecError::Version);
+    let mut reader = ByteReader(&data[..data.len() - TAG_BYTES]);
+    if reader.read_u8()? != FORMAT_VERSION {
+        return Err(CodecError::UnsupportedVersion);
     }
-    let key = reader.u8()?;
-    let sender = reader.front_id()?;
+    let key = reader.read_u8()?;
+    let sender = reader.read_front_id()?;
     let mut epoch_bytes = [0; 8];
-    epoch_bytes[2..].copy_from_slice(&reader.take::<6>()?);
+    epoch_bytes[2..].copy_from_slice(&reader.read_array::<6>()?);
     let epoch_ms = u64::from_be_bytes(epoch_bytes);
-    Ok((Header { key, sender, epoch_ms, sequence: reader.u32()?, unix_s: reader.u32()? }, reader.0))
+    Ok((Header { key, sender, epoch_ms, sequence: reader.read_u32()?, unix_s: reader.read_u32()? }, reader.0))
 }
 
-/// Decodes the items of a datagram, without its header and tag.
+/// Decodes the items of a datagram; `data` holds neither its header nor its tag.
 pub(crate) fn decode_items(data: &[u8]) -> Result<Vec<Item>, CodecError> {
-    let mut reader = Reader(data);
+    let mut reader = ByteReader(data);
     let mut items = Vec::new();
     while !reader.0.is_empty() {
-        items.push(reader.item()?);
+        items.push(reader.read_item()?);
     }
     Ok(items)
 }
@@ -287,7 +302,7 @@
 ///
 /// # Errors
 /// See [`CodecError`].
-pub fn decode(data: &[u8]) -> Result<(Header, Vec<Item>), CodecError> {
+pub fn decode_datagram(data: &[u8]) -> Result<(Header, Vec<Item>), CodecError> {
     let (header, items) = decode_header(data)?;
     Ok((header, decode_items(items)?))
 }
--- a/crates/gossip/src/config.rs
+++ b/crates/gossip/src/config.rs
@@ -1,53 +1,53 @@
-//! A front's gossip settings, and the clocks that the host passes in.
+//! The gossip settings of a front, and the clock readings that the host passes in.
 
 use std::net::SocketAddr;
 
-/// The time, by two clocks.
+/// The current time on the host's two clocks.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
-    /// The host's monotonic clock, in milliseconds.
+    /// Time on the host's monotonic clock, in milliseconds.
     pub mono_ms: f64,
-    /// Unix time in milliseconds; may be wrong.
+    /// Unix time in milliseconds. It may be wrong.
     pub unix_ms: f64,
 }
 
 impl Now {
-    /// Unix time in seconds, as datagrams carry it.
+    /// Returns the Unix time in whole seconds, as it is sent in datagrams.
     pub(crate) fn unix_s(self) -> u32 {
         (self.unix_ms / 1000.0).clamp(0.0, f64::from(u32::MAX)) as u32
     }
 }
 
-/// A front's gossip settings.
+/// The gossip settings of a front.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The front's name, unique in the fleet.
+    /// The front's name, which must be unique in the fleet.
     pub name: String,
-    /// Where it listens.
+    /// The address that the front listens on.
     pub addr: SocketAddr,
-    /// Where others see its datagrams come from, and send theirs; without it: where it listens.
+    /// The address that other fronts receive its datagrams from and send theirs to; `None` means `addr`.
     pub advertise: Option<SocketAddr>,
-    /// Fronts to contact first.
+    /// Addresses of the fronts that are contacted first.
     pub seeds: Vec<SocketAddr>,
-    /// The names of all fronts that may take part; empty: whoever has the key.
+    /// The names of all fronts that may take part. If it is empty, every front with a valid key may.
     pub roster: Vec<String>,
-    /// Between two probes of other fronts, in milliseconds.
+    /// The interval between two probes of other fronts, in milliseconds.
     pub probe_period_ms: f64,
-    /// Between two rounds of dissemination, in milliseconds.
+    /// The interval between two rounds of dissemination, in milliseconds.
     pub gossip_period_ms: f64,
-    /// Fronts that membership updates go to in a round.
+    /// The number of fronts that receive membership updates in each round.
     pub fanout: usize,
-    /// Bound on the bytes of datagrams sent a second.
+    /// The greatest average number of datagram bytes sent per second.
     pub bytes_per_s: u64,
-    /// Unused bytes of that bound that may be saved up for a burst.
+    /// The capacity of the token bucket in bytes: unused budget up to this much may be sent in a burst.
     pub burst_bytes: u64,
-    /// How far others' Unix clocks may be off, in milliseconds.
+    /// The greatest accepted difference between a sender's Unix clock and this front's, in milliseconds.
     pub skew_ms: f64,
 }
 
 impl Default for Config {
-    /// 4,096 bytes a second: probes and acks take some 250 of them at any size of the fleet; a witness's report reaches
-    /// 200 fronts within four seconds.
+    /// The default limit is 4,096 bytes per second. Probes and acks use about 250 of them at any size of the
+    /// fleet, and a witness's report reaches 200 fronts within four seconds.
     fn default() -> Config {
         Config {
             name: "front".into(),
--- a/crates/gossip/src/engine/dissemination.rs
+++ b/crates/gossip/src/engine/dissemination.rs
@@ -1,4 +1,5 @@
-//! Dissemination of membership updates: piggybacked on pings and acks, and sent to a few peers each round.
+//! Dissemination of membership updates, which are piggybacked on pings and acks and sent to a few random
+//! peers each round.
 
 use super::Gossip;
 use crate::codec::{encoded_len, total_encoded_len, ITEM_CAPACITY, MAX_DATAGRAM_BYTES};
@@ -8,22 +9,23 @@
 use rand::seq::IndexedRandom;
 use std::net::SocketAddr;
 
-/// An update is sent this many times the logarithm of the fleet's size.
+/// Each update is sent this many times the binary logarithm of the fleet's size.
 const RETRANSMIT_FACTOR: f64 = 3.0;
-/// Bytes of the budget that dissemination leaves to pings and acks.
-pub(super) const RESERVED_BYTES: usize = 512;
-/// What dissemination of reports, which come after the updates, leaves of the budget.
-pub(super) const REPORTS_RESERVED_BYTES: usize = RESERVED_BYTES + MAX_DATAGRAM_BYTES;
+/// Bytes of the send budget that dissemination leaves for pings and acks.
+pub(super) const PROBE_RESERVED_BYTES: usize = 512;
+/// Bytes of the send budget that the dissemination of reports leaves unused. It is one datagram more than
+/// [`PROBE_RESERVED_BYTES`], so membership updates take precedence.
+pub(super) const REPORTS_RESERVED_BYTES: usize = PROBE_RESERVED_BYTES + MAX_DATAGRAM_BYTES;
 
-/// A membership update to disseminate.
+/// A membership update that is still being disseminated.
 pub(super) struct PendingUpdate {
-    /// How often it was sent.
+    /// How many times the update was sent.
     sends: u32,
     item: Item,
 }
 
 impl Gossip {
-    /// Begins to disseminate an update, in place of an older one on the same member.
+    /// Starts to disseminate a membership update; it replaces an older one about the same member.
     pub(super) fn disseminate(&mut self, update: Option<Item>) {
         let Some(item) = update else { return };
         let id = match &item {
@@ -36,7 +38,8 @@
         self.updates.insert(id, PendingUpdate { sends: 0, item });
     }
 
-    /// Fills what capacity `items` leave in a datagram with membership updates, the least often sent first.
+    /// Fills the remaining capacity of a datagram that holds `items` with membership updates, the least often
+    /// sent first.
     pub(super) fn piggyback_updates(&mut self, items: &mut Vec<Item>) {
         let fleet = (self.members.present().count() + 2) as f64;
         let max_sends = (RETRANSMIT_FACTOR * fleet.log2()).ceil() as u32;
@@ -58,13 +61,13 @@
         }
     }
 
-    /// Sends membership updates to a few peers at random.
+    /// Sends membership updates to [`Config::fanout`](crate::Config::fanout) random peers.
     pub(super) fn disseminate_updates(&mut self, now: Now, actions: &mut Vec<Action>) {
         if self.updates.is_empty() {
             return;
         }
         for to in self.random_peers(self.config.fanout) {
-            if self.send_budget.available(now.mono_ms) < RESERVED_BYTES {
+            if self.send_budget.available(now.mono_ms) < PROBE_RESERVED_BYTES {
                 return;
             }
             let mut items = Vec::new();
@@ -72,8 +75,8 @@
             if items.is_empty() {
                 return;
             }
-            // A peer that does not know this front yet takes nothing else from it.
-            let own = self.own_item();
+            // A peer that does not know this front yet accepts nothing else from it.
+            let own = self.own_alive_item();
             if total_encoded_len(&items) + encoded_len(&own) <= ITEM_CAPACITY {
                 items.push(own);
             }
@@ -81,7 +84,7 @@
         }
     }
 
-    /// Up to `count` present members at random.
+    /// Returns the addresses of up to `count` random members that are present.
     pub(super) fn random_peers(&mut self, count: usize) -> Vec<SocketAddr> {
         self.members.present_addrs().choose_multiple(&mut self.rng, count).copied().collect()
     }
--- a/crates/gossip/src/engine/evidence.rs
+++ b/crates/gossip/src/engine/evidence.rs
@@ -1,47 +1,49 @@
-//! This front's own evidence on cache nodes, and the scores that it and the other fronts' reports add up to.
+//! This front's own evidence on cache nodes, and the scores computed from it and the other fronts' reports.
 
-use super::reports::{OwnReport, REFRESH_MS};
+use super::reports::{OwnReport, REPORT_REFRESH_MS};
 use super::Gossip;
-use crate::aggregate::{aggregate, WitnessReport};
+use crate::aggregate::{aggregate_score, WitnessReport};
 use crate::config::Now;
 use crate::event::{Action, Evidence};
 use crate::message::{CacheNodeKey, FrontId, HealthReport, Observation};
 use crate::suspicion::REPORT_TTL_MS;
 
-/// Own evidence at least this strong counts as a witness: a refused connection, or errors in a row.
+/// The least strength at which this front's own evidence counts as a witness: that of a refused connection or
+/// of several errors in a row.
 const MIN_WITNESS_STRENGTH: f64 = 0.45;
-/// The host is not given a change of a score smaller than this.
+/// The host is not notified of a change of a score smaller than this, unless the score becomes 0.
 const MIN_SCORE_CHANGE: f64 = 0.05;
-/// A change of the own report's strength smaller than this is not disseminated at once.
+/// A change in the strength of this front's own report that is smaller than this is not disseminated at once.
 const MIN_STRENGTH_CHANGE: f64 = 0.1;
-/// A peer's trust changes by one cache node this often at the most.
+/// The shortest interval, in milliseconds, between two comparisons on the same cache node, each of which
+/// changes the witnesses' trust.
 const COMPARISON_INTERVAL_MS: f64 = 1_000.0;
-/// Only reports younger than this are compared with our own evidence.
+/// Only reports younger than this, in milliseconds, are compared with this front's own evidence.
 const MAX_COMPARED_AGE_MS: f64 = REPORT_TTL_MS / 4.0;
 
 impl Gossip {
-    /// Sets the cache nodes that exist, and forgets all others.
-    pub(super) fn set_nodes(&mut self, nodes: Vec<CacheNodeKey>, actions: &mut Vec<Action>) {
-        self.suspicions.set_nodes(nodes);
+    /// Sets the cache nodes that exist, and removes what is stored about all others.
+    pub(super) fn set_cache_nodes(&mut self, nodes: Vec<CacheNodeKey>, actions: &mut Vec<Action>) {
+        self.suspicions.set_cache_nodes(nodes);
         let suspicions = &self.suspicions;
-        self.own_reports.retain(|node, _| suspicions.is_known(*node));
-        self.last_healthy_ms.retain(|node, _| suspicions.is_known(*node));
-        self.last_compared_ms.retain(|node, _| suspicions.is_known(*node));
+        self.own_reports.retain(|node, _| suspicions.is_known_node(*node));
+        self.last_healthy_ms.retain(|node, _| suspicions.is_known_node(*node));
+        self.last_compared_ms.retain(|node, _| suspicions.is_known_node(*node));
         for deliveries in self.deliveries.values_mut() {
-            deliveries.retain(|node, _| suspicions.is_known(*node));
+            deliveries.retain(|node, _| suspicions.is_known_node(*node));
         }
         let removed: Vec<CacheNodeKey> =
-            self.hearsay.keys().filter(|node| !suspicions.is_known(**node)).copied().collect();
+            self.peer_scores.keys().filter(|node| !suspicions.is_known_node(**node)).copied().collect();
         for node in removed {
-            self.hearsay.remove(&node);
+            self.peer_scores.remove(&node);
             actions.push(Action::Hearsay { node, score: 0.0 });
         }
     }
 
-    /// Takes what the front's own answers show of a cache node.
+    /// Records what this front's own answers show of a cache node.
     pub(super) fn record_evidence(&mut self, now: Now, evidence: Evidence, actions: &mut Vec<Action>) {
         let Evidence { node, observation, .. } = evidence;
-        if !self.suspicions.is_known(node) {
+        if !self.suspicions.is_known_node(node) {
             return;
         }
         if observation == Observation::Healthy {
@@ -59,20 +61,21 @@
         self.update_score(now, node, actions);
     }
 
-    /// Updates this front's report on a cache node; a change worth disseminating raises its version.
+    /// Updates this front's report on a cache node. A change large enough to be disseminated raises the
+    /// report's version.
     fn update_own_report(&mut self, now_ms: f64, evidence: Evidence) {
         let Evidence { node, observation, count, .. } = evidence;
-        // A front that is slow itself sees slow cache nodes everywhere.
+        // To a front that is slow itself, all cache nodes appear slow.
         let damping = if observation.is_accusation() { f64::from(1 + self.tick_lag) } else { 1.0 };
         let strength = evidence.strength.clamp(0.0, 1.0) / damping;
         let old = self.own_reports.get(&node);
         let changed = old.is_none_or(|o| {
             o.observation != observation
                 || (o.strength - strength).abs() >= MIN_STRENGTH_CHANGE
-                || now_ms - o.announced_ms >= REFRESH_MS
+                || now_ms - o.announced_ms >= REPORT_REFRESH_MS
         });
         let version = old.map_or(0, |o| o.version) + u32::from(changed);
-        // The answers behind a report: those that showed the same, one after the other.
+        // `count` is the number of consecutive answers that showed the same observation.
         let earlier = old.filter(|o| o.observation == observation).map_or(0, |o| o.count);
         let announced_ms = if changed { now_ms } else { old.map_or(now_ms, |o| o.announced_ms) };
         let report = OwnReport {
@@ -86,7 +89,7 @@
         self.own_reports.insert(node, report);
     }
 
-    /// Compares what other fronts report of a cache node with what this one observed: that makes their trust.
+    /// Compares other fronts' reports on a cache node with what this front observed, and updates their trust.
     fn compare_witnesses(&mut self, now: Now, node: CacheNodeKey, observation: Observation) {
         let at = now.mono_ms;
         if self.last_compared_ms.get(&node).is_some_and(|last| at - last < COMPARISON_INTERVAL_MS) {
@@ -102,28 +105,28 @@
         }
         for (witness, report) in reports {
             let agrees = report.observation.is_accusation() == observation.is_accusation();
-            self.trust.record(witness, agrees, at);
+            self.trust.record_comparison(witness, agrees, at);
         }
     }
 
-    /// Aggregates the reports on a cache node anew, and gives the host the score if it has changed.
+    /// Recomputes the score of a cache node, and passes it to the host if it has changed enough.
     pub(super) fn update_score(&mut self, now: Now, node: CacheNodeKey, actions: &mut Vec<Action>) {
         let reports = self.witness_reports(now.mono_ms, node);
         let last_success_age_ms = self.last_healthy_ms.get(&node).map(|ms| now.mono_ms - ms);
         let fronts = self.members.present().count() + 1;
-        let score = aggregate(&reports, fronts, last_success_age_ms);
-        let old = self.hearsay(node);
+        let score = aggregate_score(&reports, fronts, last_success_age_ms);
+        let old = self.peer_score(node);
         if (score - old).abs() >= MIN_SCORE_CHANGE || score == 0.0 && old != 0.0 {
             if score == 0.0 {
-                self.hearsay.remove(&node);
+                self.peer_scores.remove(&node);
             } else {
-                self.hearsay.insert(node, score);
+                self.peer_scores.insert(node, score);
             }
             actions.push(Action::Hearsay { node, score });
         }
     }
 
-    /// The reports on a cache node of all witnesses that are present, this front included.
+    /// Returns the reports on a cache node by all witnesses that are present, this front included.
     fn witness_reports(&self, now_ms: f64, node: CacheNodeKey) -> Vec<WitnessReport> {
         let mut reports: Vec<WitnessReport> = self
             .suspicions
@@ -138,8 +141,8 @@
                 accused_fraction: self.suspicions.accused_fraction(witness, now_ms),
             })
             .collect();
-        // This front is one witness of the quorum, and the one that is trusted. Its lone error does not count: with it,
-        // one byzantine peer would lower a healthy node's score.
+        // This front counts as one fully trusted witness of the quorum. A single error does not count:
+        // otherwise a single error and one byzantine peer would suffice to change a healthy node's score.
         let own = self.own_reports.get(&node);
         let own = own.filter(|o| o.observation.is_accusation() && o.strength >= MIN_WITNESS_STRENGTH);
         reports.extend(own.map(|o| WitnessReport {
@@ -148,13 +151,13 @@
             strength: o.strength,
             age_ms: now_ms - o.observed_ms,
             trust: 1.0,
-            accused_fraction: self.suspicions.smoothed_fraction(self.own_accusations()),
+            accused_fraction: self.suspicions.smoothed_fraction(self.own_accusation_count()),
         }));
         reports
     }
 
-    /// How many cache nodes this front itself accuses.
-    pub(super) fn own_accusations(&self) -> usize {
+    /// Returns how many cache nodes this front itself accuses.
+    pub(super) fn own_accusation_count(&self) -> usize {
         self.own_reports.values().filter(|o| o.observation.is_accusation()).count()
     }
 }
--- a/crates/gossip/src/engine/receive.rs
+++ b/crates/gossip/src/engine/receive.rs
@@ -1,4 +1,4 @@
-//! Receiving: datagrams are authenticated, and their items dispatched.
+//! Authentication of received datagrams and dispatch of their items.
 
 use super::Gossip;
 use crate::codec;
@@ -8,14 +8,14 @@
 use crate::message::{FrontId, Header, HealthReport, Item};
 use std::net::SocketAddr;
 
-/// What a sender's Unix seconds are rounded by.
+/// The resolution of the clock that a sender puts into a datagram, in milliseconds.
 const CLOCK_RESOLUTION_MS: f64 = 1_000.0;
 
 impl Gossip {
-    /// Takes one datagram.
+    /// Authenticates a datagram and handles its items.
     ///
     /// # Errors
-    /// Why it is dropped.
+    /// The reason why the datagram is dropped.
     pub(super) fn receive_datagram(
         &mut self,
         now: Now,
@@ -25,21 +25,21 @@
     ) -> Result<(), RejectReason> {
         let (header, items) = self.authenticate(now, from, bytes)?;
         if !self.replay_filter.accept(header.sender, header.epoch_ms, header.sequence, now.mono_ms) {
-            return Err(RejectReason::Replay);
+            return Err(RejectReason::Replayed);
         }
         self.counters.accepted += 1;
         if self.has_departed {
             return Ok(());
         }
-        self.receive_liveness(now, header.sender, actions);
+        self.mark_sender_reachable(now, header.sender, actions);
         for item in items {
             self.receive_item(now, from, header.sender, item, actions);
         }
         Ok(())
     }
 
-    /// Decodes a datagram and checks its tag, clock, sender and address; the cheap checks come before the items are
-    /// decoded.
+    /// Decodes a datagram and checks its tag, sender, clock and address. The inexpensive checks come before
+    /// the items are decoded.
     fn authenticate(
         &self,
         now: Now,
@@ -48,27 +48,28 @@
     ) -> Result<(Header, Vec<Item>), RejectReason> {
         let (header, items) = codec::decode_header(bytes).map_err(|_| RejectReason::Malformed)?;
         if !self.keys.verify(header.key, bytes) {
-            return Err(RejectReason::Tag);
+            return Err(RejectReason::InvalidTag);
         }
         if header.sender == self.id {
-            return Err(RejectReason::Own);
+            return Err(RejectReason::OwnSender);
         }
         let offset_ms = (f64::from(header.unix_s) * 1000.0 - now.unix_ms).abs();
         if offset_ms > self.config.skew_ms + CLOCK_RESOLUTION_MS {
-            return Err(RejectReason::Clock);
+            return Err(RejectReason::ClockSkew);
         }
         if !self.is_admitted(header.sender) {
-            return Err(RejectReason::Unknown);
+            return Err(RejectReason::NotOnRoster);
         }
         let items = codec::decode_items(items).map_err(|_| RejectReason::Malformed)?;
         if !self.is_from_sender_address(from, header.sender, &items) {
-            return Err(RejectReason::Address);
+            return Err(RejectReason::AddressMismatch);
         }
         Ok((header, items))
     }
 
-    /// Whether a datagram comes from its sender's address. Whoever has the key can sign as anybody, but a further address
-    /// is harder to come by: this guards against one peer that speaks as many witnesses.
+    /// Returns whether a datagram comes from its sender's address. Every holder of the key can sign as any
+    /// front, but another address is harder to obtain: this stops a single peer from posing as many
+    /// witnesses.
     fn is_from_sender_address(&self, from: SocketAddr, sender: FrontId, items: &[Item]) -> bool {
         let announced = items.iter().find_map(|item| match item {
             Item::Alive { id, addr, incarnation, .. } if *id == sender => Some((*addr, *incarnation)),
@@ -78,7 +79,7 @@
         match (announced, known) {
             (Some((addr, incarnation)), Some((_, known))) if incarnation > known => addr == from,
             (_, Some((addr, _))) | (Some((addr, _)), None) => addr == from,
-            // A front that is not known yet and does not announce itself may ask whether we are there, and no more.
+            // A front that is unknown and does not announce itself may only ping, ack and compare digests.
             (None, None) => items.iter().all(|i| matches!(i, Item::Ping(_) | Item::Ack(_) | Item::Digest(_))),
         }
     }
@@ -107,7 +108,8 @@
                 self.receive_departure(now, id, incarnation, sender, actions);
             }
             Item::Digest(theirs) => self.receive_digest(now, from, theirs, actions),
-            // At first hand only: a report that is passed on could be anybody's.
+            // Reports are accepted only from the witness itself, because a relayed one could be attributed to
+            // any front.
             Item::Reports { witness, reports } if witness == sender => {
                 self.receive_reports(now, witness, &reports, actions);
             }
@@ -128,7 +130,7 @@
         actions: &mut Vec<Action>,
     ) {
         for report in reports {
-            if self.suspicions.insert(witness, report, now.mono_ms) {
+            if self.suspicions.insert_report(witness, report, now.mono_ms) {
                 self.update_score(now, report.node, actions);
             }
         }
--- a/crates/gossip/src/engine/reports.rs
+++ b/crates/gossip/src/engine/reports.rs
@@ -1,4 +1,4 @@
-//! Dissemination of this front's own reports on cache nodes, at first hand and to every peer.
+//! Dissemination of this front's own reports on cache nodes, which it sends directly to every peer.
 
 use super::dissemination::REPORTS_RESERVED_BYTES;
 use super::Gossip;
@@ -10,61 +10,67 @@
 use crate::suspicion::REPORT_TTL_MS;
 use std::net::SocketAddr;
 
-/// Each report goes to each peer this often at first: where a third of all is lost, one in forty peers gets none.
+/// How many times each report is sent to each peer at first. With a third of all datagrams lost, one in forty
+/// peers receives none of them.
 const INITIAL_SENDS: u8 = 3;
-/// Between the first two of these, in milliseconds; the next comes after twice the time.
-const INITIAL_GAP_MS: f64 = 400.0;
-/// A report that still holds is sent again after this time, with its age; for peers that missed it or joined since.
-pub(super) const REFRESH_MS: f64 = 4_000.0;
-/// Own reports that are sent one by one; of more only their number is sent. A front that accuses so many has nothing to
-/// say on any one of them.
+/// The gap between the first two of these sends, in milliseconds. The gap before the third is twice as long.
+const INITIAL_RESEND_GAP_MS: f64 = 400.0;
+/// The interval, in milliseconds, after which a report that still holds is sent again with its current age,
+/// for peers that missed it or joined since.
+pub(super) const REPORT_REFRESH_MS: f64 = 4_000.0;
+/// The greatest number of reports that are sent individually. Beyond it, a summary also gives the number of
+/// accused nodes: reports by a front that accuses so many say little about any one of them.
 const MAX_SENT_REPORTS: usize = 64;
 
-/// What this front itself reports of a cache node.
+/// This front's own report on a cache node.
 pub(super) struct OwnReport {
     pub observation: Observation,
     pub strength: f64,
     pub count: u8,
     pub observed_ms: f64,
-    /// Raised with each change that is worth disseminating.
+    /// The report's version, raised with each change large enough to be disseminated.
     pub version: u32,
-    /// When the version was raised last.
+    /// When the version was last raised, on the host's monotonic clock in milliseconds.
     pub announced_ms: f64,
 }
 
-/// What a peer was sent of an own report.
+/// What a peer was sent of one of this front's reports.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Delivery {
     version: u32,
-    /// How often that version was sent.
+    /// How many times that version was sent.
     sends: u8,
     sent_ms: f64,
 }
 
 impl Delivery {
-    /// Whether the peer is to be sent this version now.
+    /// Returns whether the peer is due to be sent this version.
     fn is_due(self, version: u32, now_ms: f64) -> bool {
-        let gap_ms =
-            if self.sends < INITIAL_SENDS { INITIAL_GAP_MS * f64::from(self.sends) } else { REFRESH_MS };
+        let gap_ms = if self.sends < INITIAL_SENDS {
+            INITIAL_RESEND_GAP_MS * f64::from(self.sends)
+        } else {
+            REPORT_REFRESH_MS
+        };
         self.version < version || now_ms - self.sent_ms >= gap_ms
     }
 
-    /// The delivery after this version was sent once more.
+    /// Returns the delivery state after this version was sent once more.
     fn after_send(self, version: u32, now_ms: f64) -> Delivery {
         let sends = if self.version < version { 1 } else { self.sends.saturating_add(1) };
         Delivery { version, sends, sent_ms: now_ms }
     }
 }
 
-/// A version of an own report that may be sent.
+/// A report of this front, with its version, that may be sent to peers.
 #[derive(Clone, Copy)]
-struct Candidate {
+struct ReportCandidate {
     version: u32,
     report: HealthReport,
 }
 
 impl Gossip {
-    /// Sends peers our own reports, in rotation, down to the budget's reserve: each peer those that it was sent least.
+    /// Sends this front's reports that are due to the peers in rotation, until the send budget is down to its
+    /// reserve.
     pub(super) fn disseminate_reports(&mut self, now: Now, actions: &mut Vec<Action>) {
         if self.own_reports.is_empty() {
             return;
@@ -74,9 +80,9 @@
         let summary = self.accusation_summary();
         let summary_len = summary.as_ref().map_or(0, encoded_len);
         let max_reports = (ITEM_CAPACITY - REPORTS_HEADER_BYTES - summary_len) / REPORT_BYTES;
-        for (peer, addr) in self.recipients() {
+        for (peer, addr) in self.rotated_recipients() {
             if self.send_budget.available(at) < REPORTS_RESERVED_BYTES {
-                // The next round begins with the first peer that this one did not reach.
+                // The next round starts with the first peer that this round did not reach.
                 self.next_recipient = Some(peer);
                 return;
             }
@@ -93,14 +99,17 @@
         self.next_recipient = None;
     }
 
-    /// The own reports to send, the strongest first; where there are too many, those alone.
-    fn report_candidates(&self, now_ms: f64) -> Vec<Candidate> {
+    /// Returns this front's reports, the strongest first, at most [`MAX_SENT_REPORTS`] of them.
+    fn report_candidates(&self, now_ms: f64) -> Vec<ReportCandidate> {
         let candidate = |(node, own): (&CacheNodeKey, &OwnReport)| {
             let OwnReport { observation, strength, count, observed_ms, version, .. } = *own;
             let age_ms = now_ms - observed_ms;
-            Candidate { version, report: HealthReport { node: *node, observation, strength, count, age_ms } }
+            ReportCandidate {
+                version,
+                report: HealthReport { node: *node, observation, strength, count, age_ms },
+            }
         };
-        let mut candidates: Vec<Candidate> = self.own_reports.iter().map(candidate).collect();
+        let mut candidates: Vec<ReportCandidate> = self.own_reports.iter().map(candidate).collect();
         candidates.sort_by(|a, b| {
             b.report.strength.total_cmp(&a.report.strength).then(a.report.node.cmp(&b.report.node))
         });
@@ -108,21 +117,23 @@
         candidates
     }
 
-    /// How many cache nodes this front accuses of how many, if these are too many to report one by one.
+    /// Returns a summary with the number of cache nodes that this front accuses, if they are too many to
+    /// report individually.
     fn accusation_summary(&self) -> Option<Item> {
-        let saturated = |count: usize| count.min(usize::from(u16::MAX)) as u16;
-        let accused = self.own_accusations();
+        let saturating_u16 = |count: usize| count.min(usize::from(u16::MAX)) as u16;
+        let accused = self.own_accusation_count();
         (accused > MAX_SENT_REPORTS).then(|| Item::Summary {
             witness: self.id,
             observation: Observation::Failing,
-            accused: saturated(accused),
-            known: saturated(self.suspicions.node_count()),
+            accused: saturating_u16(accused),
+            known: saturating_u16(self.suspicions.node_count()),
             age_ms: 0.0,
         })
     }
 
-    /// The present members by their ids, beginning with the first that the last round did not reach.
-    fn recipients(&self) -> Vec<(FrontId, SocketAddr)> {
+    /// Returns the present members in the order of their ids, starting with the first that the last round did
+    /// not reach.
+    fn rotated_recipients(&self) -> Vec<(FrontId, SocketAddr)> {
         let mut peers: Vec<(FrontId, SocketAddr)> =
             self.members.present().map(|m| (m.view.id, m.view.addr)).collect();
         let first = self.next_recipient.map_or(0, |next| peers.partition_point(|p| p.0 < next));
@@ -130,41 +141,41 @@
         peers
     }
 
-    /// The reports that a peer is to be sent now, which are noted as sent.
+    /// Returns the reports that are due for a peer, and records them as sent.
     fn take_due_reports(
         &mut self,
         now_ms: f64,
         peer: FrontId,
-        candidates: &[Candidate],
+        candidates: &[ReportCandidate],
         max_reports: usize,
     ) -> Vec<HealthReport> {
         let deliveries = self.deliveries.entry(peer).or_default();
-        let is_due = |candidate: &&Candidate| {
+        let is_due = |candidate: &&ReportCandidate| {
             let delivery = deliveries.get(&candidate.report.node).copied().unwrap_or_default();
             delivery.is_due(candidate.version, now_ms)
         };
-        let due: Vec<Candidate> = candidates.iter().filter(is_due).take(max_reports).copied().collect();
-        for Candidate { version, report } in &due {
+        let due: Vec<ReportCandidate> = candidates.iter().filter(is_due).take(max_reports).copied().collect();
+        for ReportCandidate { version, report } in &due {
             let delivery = deliveries.entry(report.node).or_default();
             *delivery = delivery.after_send(*version, now_ms);
         }
         due.into_iter().map(|candidate| candidate.report).collect()
     }
 
-    /// The summary, if a peer is to be sent it now; it is noted as sent.
+    /// Returns the summary if it is due for a peer, and records it as sent.
     fn take_due_summary(&mut self, now_ms: f64, peer: FrontId, summary: Option<&Item>) -> Option<Item> {
         let summary = summary?;
-        if self.summary_sent_ms.get(&peer).is_some_and(|last| now_ms - last < REFRESH_MS) {
+        if self.summary_sent_ms.get(&peer).is_some_and(|last| now_ms - last < REPORT_REFRESH_MS) {
             return None;
         }
         self.summary_sent_ms.insert(peer, now_ms);
         Some(summary.clone())
     }
 
-    /// Drops reports that have expired, and what is known of peers that departed or were forgotten.
+    /// Removes expired reports, and the state of peers that have departed or were removed.
     pub(super) fn expire_reports(&mut self, now: Now) {
         let at = now.mono_ms;
-        self.suspicions.expire(at);
+        self.suspicions.remove_expired(at);
         self.own_reports.retain(|_, own| at - own.observed_ms < REPORT_TTL_MS);
         self.last_healthy_ms.retain(|_, ms| at - *ms < REPORT_TTL_MS);
         let members = &self.members;
--- a/crates/gossip/src/engine/send.rs
+++ b/crates/gossip/src/engine/send.rs
@@ -1,14 +1,14 @@
-//! Sending: signed datagrams within the budget.
+//! Sending of signed datagrams within the send budget.
 
 use super::Gossip;
-use crate::codec::{encode, MAX_DATAGRAM_BYTES, TAG_BYTES};
+use crate::codec::{encode_datagram, MAX_DATAGRAM_BYTES, TAG_BYTES};
 use crate::config::Now;
 use crate::event::Action;
 use crate::message::{Header, Item};
 use std::net::SocketAddr;
 
 impl Gossip {
-    /// Sends a datagram if the budget has its bytes; whether it did.
+    /// Signs and sends a datagram if the send budget permits it, and returns whether it was sent.
     pub(super) fn send(
         &mut self,
         now: Now,
@@ -23,9 +23,13 @@
             sequence: self.sequence + 1,
             unix_s: now.unix_s(),
         };
-        let mut bytes = encode(&header, items);
+        let mut bytes = encode_datagram(&header, items);
         let len = bytes.len() + TAG_BYTES;
-        debug_assert!(len <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
+        debug_assert!(
+            len <= MAX_DATAGRAM_BYTES,
+            "datagram of {} bytes without its tag is too long",
+            bytes.len()
+        );
         if len > MAX_DATAGRAM_BYTES || !self.send_budget.try_take(now.mono_ms, len) {
             self.counters.over_budget += 1;
             return false;
@@ -38,8 +42,8 @@
         true
     }
 
-    /// The item that announces this front as alive.
-    pub(super) fn own_item(&self) -> Item {
+    /// Returns the item that announces this front as alive.
+    pub(super) fn own_alive_item(&self) -> Item {
         Item::Alive {
             id: self.id,
             incarnation: self.incarnation,
@@ -48,12 +52,12 @@
         }
     }
 
-    /// The digest of the members, this front included.
+    /// Returns the item with the membership digest, this front included.
     pub(super) fn digest_item(&self) -> Item {
         Item::Digest(self.members.digest((self.id, self.incarnation)))
     }
 
-    /// The number of the next ping.
+    /// Returns a new ping number.
     pub(super) fn next_ping_number(&mut self) -> u16 {
         self.ping_number = self.ping_number.wrapping_add(1);
         self.ping_number
--- a/crates/gossip/src/engine/status.rs
+++ b/crates/gossip/src/engine/status.rs
@@ -1,4 +1,4 @@
-//! What the host and the operators may read of the state.
+//! Read access to the state, for the host and for operators.
 
 use super::Gossip;
 use crate::config::{Config, Now};
@@ -10,27 +10,27 @@
 use std::net::SocketAddr;
 
 impl Gossip {
-    /// The settings.
+    /// Returns the settings that the front was created with.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// The address that others are to reach this front at.
+    /// Returns the address that other fronts use to reach this front.
     pub fn advertised_addr(&self) -> SocketAddr {
         self.config.advertise.unwrap_or(self.config.addr)
     }
 
-    /// This front's own id.
+    /// Returns this front's own id.
     pub fn id(&self) -> FrontId {
         self.id
     }
 
-    /// The counters since the start.
+    /// Returns the counters since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// All fronts that are known, this one first.
+    /// Returns all known fronts, starting with this one.
     pub fn members(&self) -> impl Iterator<Item = MemberView> + '_ {
         let own = MemberView {
             id: self.id,
@@ -42,27 +42,27 @@
         std::iter::once(own).chain(self.members.iter().map(|m| m.view.clone()))
     }
 
-    /// All reports of other fronts that are held.
+    /// Returns all stored reports of other fronts.
     pub fn suspicions(&self, now: Now) -> impl Iterator<Item = Suspicion> + '_ {
         self.suspicions.iter(now.mono_ms)
     }
 
-    /// A peer's record of agreeing with this front's own evidence, from 0 to 1.
+    /// Returns a peer's record of agreeing with this front's own evidence, from 0 to 1.
     pub fn trust(&self, peer: FrontId, now: Now) -> f64 {
         self.trust.trust(peer, now.mono_ms)
     }
 
-    /// The score of a cache node by the other fronts' reports, as given to the host last.
-    pub fn hearsay(&self, node: CacheNodeKey) -> f64 {
-        self.hearsay.get(&node).copied().unwrap_or(0.0)
+    /// Returns the score of a cache node as last given to the host; 0 if there is none.
+    pub fn peer_score(&self, node: CacheNodeKey) -> f64 {
+        self.peer_scores.get(&node).copied().unwrap_or(0.0)
     }
 
-    /// All cache nodes whose score is not 0, as given to the host last.
+    /// Returns all cache nodes with a score other than 0, as last given to the host.
     pub fn all_hearsay(&self) -> impl Iterator<Item = (CacheNodeKey, f64)> + '_ {
-        self.hearsay.iter().map(|(node, score)| (*node, *score))
+        self.peer_scores.iter().map(|(node, score)| (*node, *score))
     }
 
-    /// How much is held.
+    /// Returns the number of entries in each table.
     pub fn table_sizes(&self) -> TableSizes {
         TableSizes {
             members: self.members.iter().count(),
--- a/crates/gossip/src/event.rs
+++ b/crates/gossip/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of [`Gossip`](crate::Gossip).
+//! The inputs and outputs of [`Gossip`](crate::Gossip).
 
 use crate::keys::Keyring;
 use crate::member::{MembershipChange, PeerAddress};
@@ -6,129 +6,131 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What the front's own answers show of a cache node.
+/// What this front's own answers show of a cache node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Evidence {
-    /// The cache node.
+    /// The cache node that was observed.
     pub node: CacheNodeKey,
-    /// What was observed.
+    /// What was observed of the node.
     pub observation: Observation,
-    /// How sure, from 0 to 1.
+    /// The confidence in the observation, from 0 to 1.
     pub strength: f64,
-    /// Answers that show it; those of the same observation before it are added.
+    /// The number of answers that show the observation. It is added to the count of earlier evidence with the
+    /// same observation.
     pub count: u8,
 }
 
 /// An input of [`Gossip::handle`](crate::Gossip::handle).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed.
+    /// Time has passed: periodic tasks that are due are run.
     Tick,
     /// A datagram was received.
     Datagram {
-        /// Its source address.
+        /// The address that the datagram came from.
         from: SocketAddr,
-        /// Its bytes.
+        /// The datagram as it was received.
         bytes: Vec<u8>,
     },
-    /// The front's own answers show something of a cache node.
+    /// This front's own answers show something of a cache node.
     Evidence(Evidence),
-    /// These are all cache nodes that exist.
+    /// The complete set of cache nodes that exist.
     CacheNodes(Vec<CacheNodeKey>),
-    /// The keys from now on.
+    /// Replaces the shared keys.
     Keys(Keyring),
-    /// By a view that the fleet maintains these fronts exist beside this one, and no others.
+    /// The complete set of other fronts in the fleet, from a membership view maintained outside the gossip.
     Peers(Vec<PeerAddress>),
-    /// This front leaves.
+    /// This front leaves the fleet.
     Leave,
 }
 
-/// What the host is to do.
+/// An action that the host is to take.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a datagram; it may be lost.
+    /// Send a datagram. The network may lose it.
     Send {
-        /// Its destination.
+        /// The destination address.
         to: SocketAddr,
-        /// Its bytes.
+        /// The complete, signed datagram.
         bytes: Vec<u8>,
     },
-    /// The score of a cache node by the other fronts' reports has changed.
+    /// The score of a cache node, aggregated from the fronts' reports, has changed.
     Hearsay {
-        /// The cache node.
+        /// The cache node that the score is for.
         node: CacheNodeKey,
-        /// From -[`crate::aggregate::MAX_SCORE`] (healthy) to [`crate::aggregate::MAX_SCORE`] (failing); 0: no opinion.
+        /// The score from -[`crate::aggregate::MAX_SCORE`] (healthy) to [`crate::aggregate::MAX_SCORE`]
+        /// (failing); 0 if there is no evidence either way.
         score: f64,
     },
     /// A front joined, died or departed.
     Member {
-        /// Which.
+        /// The front whose membership changed.
         id: FrontId,
-        /// How.
+        /// How its membership changed.
         change: MembershipChange,
     },
 }
 
-/// Why a received datagram is dropped.
+/// The reason why a received datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RejectReason {
-    /// It can't be decoded.
+    /// The datagram cannot be decoded.
     Malformed,
-    /// Its key is not known, or its tag is wrong.
-    Tag,
-    /// Its sender's clock, or ours, is too far off.
-    Clock,
-    /// It came before, or is older than the replay window.
-    Replay,
-    /// It names this front itself as its sender.
-    Own,
-    /// Its sender is not on the roster.
-    Unknown,
-    /// It did not come from its sender's address.
-    Address,
+    /// The key is unknown or the authentication tag is wrong.
+    InvalidTag,
+    /// The sender's Unix clock and this front's differ by more than the accepted skew.
+    ClockSkew,
+    /// The datagram was received before, or is older than the replay window.
+    Replayed,
+    /// The datagram names this front itself as its sender.
+    OwnSender,
+    /// The sender is not on the roster.
+    NotOnRoster,
+    /// The datagram did not come from its sender's address.
+    AddressMismatch,
 }
 
 impl RejectReason {
-    /// Its label in the output of `fernslip gossip status`.
+    /// Returns the reason's label in the output of `fernslip gossip status`.
     pub fn label(self) -> &'static str {
         match self {
             RejectReason::Malformed => "malformed",
-            RejectReason::Tag => "tag",
-            RejectReason::Clock => "clock",
-            RejectReason::Replay => "replay",
-            RejectReason::Own => "own",
-            RejectReason::Unknown => "unknown",
-            RejectReason::Address => "address",
+            RejectReason::InvalidTag => "tag",
+            RejectReason::ClockSkew => "clock",
+            RejectReason::Replayed => "replay",
+            RejectReason::OwnSender => "own",
+            RejectReason::NotOnRoster => "unknown",
+            RejectReason::AddressMismatch => "address",
         }
     }
 }
 
-/// Counters since the start, for the operators.
+/// Counters since the start, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Datagrams sent.
+    /// The number of datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// The number of bytes sent.
     pub sent_bytes: u64,
-    /// Datagrams that were not sent, as the send budget was exhausted.
+    /// The number of datagrams that were not sent because the send budget was exhausted.
     pub over_budget: u64,
-    /// Datagrams accepted.
+    /// The number of received datagrams that were accepted.
     pub accepted: u64,
-    /// Datagrams dropped, by reason.
+    /// The number of received datagrams that were dropped, by reason.
     pub rejected: BTreeMap<RejectReason, u64>,
-    /// Suspicions of this front that it refuted.
+    /// The number of suspicions of this front that it refuted.
     pub refuted: u64,
 }
 
-/// Sizes of the tables, for watching memory.
+/// The number of entries in each table, for memory monitoring.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TableSizes {
-    /// Members other than this front.
+    /// The number of known fronts other than this one.
     pub members: usize,
-    /// Other fronts' reports.
+    /// The number of stored reports by other fronts.
     pub suspicions: usize,
-    /// This front's own reports.
+    /// The number of this front's own reports.
     pub own_reports: usize,
-    /// Deliveries of own reports that are tracked, over all peers.
+    /// The number of tracked deliveries of own reports, over all peers.
     pub deliveries: usize,
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,25 +1,27 @@
-//! Fronts tell each other what their own answers show of slow or failing cache nodes.
+//! A gossip protocol by which fronts exchange what their own answers show of slow or failing cache nodes.
 //!
-//! [`Gossip`] is one front's part: it takes [`Event`]s and the time and returns [`Action`]s. It has no sockets, threads
-//! or clocks; equal inputs and seeds give equal outputs. Cache nodes are not probed: evidence comes from the host, which
-//! has it from their answers. Only fronts probe each other, by the SWIM protocol with Lifeguard-like extensions.
+//! [`Gossip`] is the state machine of one front: it takes [`Event`]s and the time and returns [`Action`]s. It
+//! has no sockets, threads or clocks, and equal inputs and seeds give equal outputs. Cache nodes are not
+//! probed: the host passes in evidence from their answers. Only fronts probe each other, by the SWIM protocol
+//! with extensions in the manner of Lifeguard.
 //!
 //! # The contract
 //!
-//! - [`Now`] holds the host's monotonic clock and the Unix time, which may be wrong: datagrams are accepted within
-//!   [`Config::skew_ms`] of it.
-//! - [`Action::Send`] may be lost, late, duplicated or out of order; what is received is passed in as
-//!   [`Event::Datagram`] as it is. What is not signed by a known key, is too old or came before is counted and dropped,
-//!   and never answered.
-//! - All that is sent together stays under [`Config::bytes_per_s`], whatever happens: a token bucket of that rate and
-//!   [`Config::burst_bytes`]. What is most useful goes first; the remainder waits for the next round or is summarised.
-//! - [`Action::Hearsay`] gives the score of a cache node by the other fronts' reports, from -[`aggregate::MAX_SCORE`]
-//!   (healthy) to [`aggregate::MAX_SCORE`] (failing). It is advice: the host may lower a node's share of the load or
-//!   retry it sooner, and must not eject it by the score.
-//! - A cache node is known by its id and its start: reports on one that was replaced or restarted are never carried
-//!   over.
-//! - [`Gossip::wake_at`] tells when the next [`Event::Tick`] is due. One that comes late shows that this front is slow,
-//!   which makes it slower to suspect others and its own evidence weaker.
+//! - [`Now`] holds the host's monotonic clock and the Unix time. The Unix time may be wrong; datagrams are
+//!   accepted if they are within [`Config::skew_ms`] of it.
+//! - The datagram of an [`Action::Send`] may be lost, delayed, duplicated or reordered. Received bytes are
+//!   passed in unchanged as [`Event::Datagram`]. A datagram that is not signed by a known key, is too old or
+//!   was received before is counted and dropped, and is never answered.
+//! - All datagrams together stay within [`Config::bytes_per_s`], enforced by a token bucket of that rate and
+//!   the capacity [`Config::burst_bytes`]. The most useful data is sent first; the remainder waits for the
+//!   next round or is summarised.
+//! - [`Action::Hearsay`] gives the score of a cache node by the fronts' reports, from
+//!   -[`aggregate::MAX_SCORE`] (healthy) to [`aggregate::MAX_SCORE`] (failing). It is advice: the host may
+//!   lower a node's load or retry it sooner, but must not eject the node because of the score.
+//! - A cache node is identified by its id and its start: reports on a node that was replaced or restarted do
+//!   not apply to its successor.
+//! - [`Gossip::wake_at`] returns when the next [`Event::Tick`] is due. A late tick shows that this front is
+//!   slow. It then waits longer before it suspects others, and its own evidence counts for less.
 //!
 //! ```
 //! use fernslip_gossip::*;
@@ -32,7 +34,7 @@
 //!     Gossip::new(config, keys.clone(), u64::from(n), now(0.0))
 //! };
 //! let mut fronts = vec![front(0, vec![]), front(1, vec![addr(0)])];
-//! // A second of a network that loses nothing.
+//! // One second on a network without loss.
 //! for step in 1..=40 {
 //!     let at = now(f64::from(step) * 25.0);
 //!     let mut sent = Vec::new();
@@ -42,7 +44,8 @@
 //!     for a in sent {
 //!         if let Action::Send { to, bytes } = a {
 //!             let from = fronts.iter().position(|f| f.config().addr != to).unwrap_or(0);
-//!             let f = fronts.iter_mut().find(|f| f.config().addr == to).expect("one of them");
+//!             let f = fronts.iter_mut().find(|f| f.config().addr == to);
+//!             let f = f.expect("the destination is one of the fronts");
 //!             f.handle(at, Event::Datagram { from: addr(from as u8), bytes }, &mut Vec::new());
 //!         }
 //!     }
@@ -65,7 +68,7 @@
 mod trust;
 
 pub use budget::TokenBucket;
-pub use codec::{decode, encode, CodecError, MAX_DATAGRAM_BYTES};
+pub use codec::{decode_datagram, encode_datagram, CodecError, MAX_DATAGRAM_BYTES};
 pub use config::{Config, Now};
 pub use engine::Gossip;
 pub use event::{Action, Counters, Event, Evidence, RejectReason, TableSizes};
--- a/crates/gossip/src/member.rs
+++ b/crates/gossip/src/member.rs
@@ -1,44 +1,47 @@
-//! The membership table: which fronts are alive, suspected, dead or departed, by their incarnations.
+//! The membership table: the state and incarnation of each front.
 
 use crate::message::{FrontId, Item, DIGEST_BUCKETS};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Members held, dead ones included. Far more than a fleet; only forgeries under a valid key come near it.
+/// The greatest number of members in the table, dead ones included. It is far more than a fleet has; only
+/// forgeries under a valid key come near it.
 const MAX_MEMBERS: usize = 2048;
-/// A dead or departed front is remembered for this long: old messages don't bring it back, and it is contacted now and
-/// then, in case a partition has healed.
+/// How long a dead or departed front remains in the table, in milliseconds. Until then old messages cannot
+/// bring it back, and a dead one is contacted now and then in case a partition has healed.
 const DEAD_RETENTION_MS: f64 = 600_000.0;
-/// Independent suspicions shorten the timeout; this many bring it to its minimum.
+/// Suspicions by further fronts shorten the suspicion timeout; this many of them bring it to its minimum.
 const MAX_CONFIRMATIONS: usize = 3;
-/// The minimum of a suspicion's timeout, in probe periods, times the logarithm of the fleet.
-const MIN_TIMEOUT_PERIODS: f64 = 4.0;
-/// The maximum of a suspicion's timeout over its minimum.
-const MAX_OVER_MIN_TIMEOUT: f64 = 3.0;
-/// An incarnation counts up from the start's Unix seconds; one this far ahead of ours is a forgery, which would leave
-/// its victim no higher one to answer with.
+/// The minimum suspicion timeout is this many probe periods, times the decimal logarithm of the fleet's size
+/// (at least 1).
+const MIN_SUSPICION_PERIODS: f64 = 4.0;
+/// The ratio of the maximum suspicion timeout to the minimum.
+const MAX_TO_MIN_TIMEOUT_RATIO: f64 = 3.0;
+/// A front's incarnation starts at the Unix seconds of its start. An incarnation that is further ahead of
+/// this front's clock than this many seconds is a forgery, which would leave its victim no higher one for a
+/// refutation.
 pub(crate) const MAX_INCARNATION_LEAD_S: u32 = 86_400;
 
 /// The state of a front in the membership table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// It answers.
+    /// The front answers probes.
     Alive,
-    /// It did not answer a probe; unless it does, it is declared dead after the suspicion's timeout.
+    /// The front did not answer a probe. It is declared dead unless it answers before the suspicion timeout.
     Suspect,
-    /// It was declared dead.
+    /// The front was declared dead.
     Dead,
-    /// It announced that it leaves.
+    /// The front announced that it leaves.
     Departed,
 }
 
 impl MemberState {
-    /// Whether the front counts as present: a suspected one may answer yet.
+    /// Returns whether the front counts as present. A suspected front does, because it may still answer.
     pub fn is_present(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 
-    /// Its label in the output of `fernslip gossip status`.
+    /// Returns the state's label in the output of `fernslip gossip status`.
     pub fn label(self) -> &'static str {
         match self {
             MemberState::Alive => "alive",
@@ -49,19 +52,19 @@
     }
 }
 
-/// A member's change, for the operators.
+/// A change in a front's membership, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// It is present, for the first time or again.
+    /// The front is present, for the first time or again.
     Joined,
-    /// It is dead.
+    /// The front was declared dead.
     Died,
-    /// It announced that it leaves.
+    /// The front announced that it leaves.
     Departed,
 }
 
 impl MembershipChange {
-    /// Its label in the log.
+    /// Returns the change's label in the log.
     pub fn label(self) -> &'static str {
         match self {
             MembershipChange::Joined => "joined",
@@ -71,37 +74,37 @@
     }
 }
 
-/// A front's name and the address that it gossips at.
+/// A front's name and gossip address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerAddress {
-    /// The name.
+    /// The front's name.
     pub name: String,
-    /// The address.
+    /// The address that the front receives gossip at.
     pub addr: SocketAddr,
 }
 
-/// A front, for the operators.
+/// The state of a front in the membership table, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberView {
-    /// Its id.
+    /// The front's id.
     pub id: FrontId,
-    /// Its name, as far as it was announced: it may be truncated.
+    /// The front's name as it was announced, which may be truncated.
     pub name: String,
-    /// Its address.
+    /// The front's gossip address.
     pub addr: SocketAddr,
-    /// Its incarnation.
+    /// The front's highest known incarnation.
     pub incarnation: u32,
-    /// Its state.
+    /// The front's current state.
     pub state: MemberState,
 }
 
-/// A front in the membership table.
+/// An entry of the membership table.
 #[derive(Clone, Debug)]
 pub(crate) struct Member {
     pub view: MemberView,
-    /// When its state began.
+    /// When the current state began, on the host's monotonic clock in milliseconds.
     since_ms: f64,
-    /// Who suspects it.
+    /// The fronts that suspect the member.
     suspected_by: BTreeSet<FrontId>,
 }
 
@@ -115,13 +118,13 @@
         self.since_ms = now_ms;
     }
 
-    /// The item that announces it as alive.
+    /// Returns the item that announces the member as alive.
     pub fn alive_item(&self) -> Item {
         let MemberView { id, incarnation, addr, ref name, .. } = self.view;
         Item::Alive { id, incarnation, addr, name: name.clone() }
     }
 
-    /// The item that announces its state.
+    /// Returns the item that announces the member's current state.
     pub fn state_item(&self) -> Item {
         let MemberView { id, incarnation, state, .. } = self.view;
         match state {
@@ -133,7 +136,7 @@
     }
 }
 
-/// What a front announces of itself: its id, incarnation, address and name.
+/// The content of an alive announcement: a front's id, incarnation, address and name.
 pub(crate) struct Announcement {
     pub id: FrontId,
     pub incarnation: u32,
@@ -141,16 +144,16 @@
     pub name: String,
 }
 
-/// What became of an announcement.
+/// The result of applying an announcement to the membership table.
 #[derive(Default)]
-pub(crate) struct Announced {
-    /// What to disseminate, if the table changed.
+pub(crate) struct AnnouncementOutcome {
+    /// The membership update to disseminate, if the table changed.
     pub update: Option<Item>,
     /// Whether the front is present now and was not before.
     pub joined: bool,
 }
 
-/// All fronts but this one.
+/// The membership table of all fronts but this one.
 #[derive(Default)]
 pub(crate) struct MemberTable {
     members: BTreeMap<FrontId, Member>,
@@ -165,48 +168,54 @@
         self.members.values()
     }
 
-    /// The members that are alive or suspected.
+    /// Returns the members that are alive or suspected.
     pub fn present(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|m| m.view.state.is_present())
     }
 
-    /// Whether this front is a member that is alive or suspected.
+    /// Returns whether the table has this front as alive or suspected.
     pub fn is_present(&self, id: FrontId) -> bool {
         self.get(id).is_some_and(|m| m.view.state.is_present())
     }
 
-    /// The addresses of the members that are alive or suspected.
+    /// Returns the addresses of the members that are alive or suspected.
     pub fn present_addrs(&self) -> Vec<SocketAddr> {
         self.present().map(|m| m.view.addr).collect()
     }
 
-    /// A front is announced as alive; `unix_s` is this front's clock.
-    pub fn announce(&mut self, announced: Announcement, unix_s: u32, now_ms: f64) -> Announced {
+    /// Applies the announcement that a front is alive. `unix_s` is this front's clock, in Unix seconds.
+    pub fn apply_announcement(
+        &mut self,
+        announced: Announcement,
+        unix_s: u32,
+        now_ms: f64,
+    ) -> AnnouncementOutcome {
         let Announcement { id, incarnation, addr, name } = announced;
         if incarnation > unix_s.saturating_add(MAX_INCARNATION_LEAD_S) {
-            return Announced::default();
+            return AnnouncementOutcome::default();
         }
         let view = MemberView { id, name, addr, incarnation, state: MemberState::Alive };
         let member = Member::new(view, now_ms);
         let update = Some(member.alive_item());
         let full = self.members.len() >= MAX_MEMBERS;
         match self.members.get_mut(&id) {
-            None if full => Announced::default(),
+            None if full => AnnouncementOutcome::default(),
             None => {
                 self.members.insert(id, member);
-                Announced { update, joined: true }
+                AnnouncementOutcome { update, joined: true }
             }
             Some(known) if incarnation > known.view.incarnation => {
                 let joined = !known.view.state.is_present();
                 *known = member;
-                Announced { update, joined }
+                AnnouncementOutcome { update, joined }
             }
-            Some(_) => Announced::default(),
+            Some(_) => AnnouncementOutcome::default(),
         }
     }
 
-    /// Sets the members that exist by the fleet's own view; all others are dead. Returns who joined or died by it.
-    pub fn set_listed(
+    /// Replaces the set of present members by those of the fleet's membership view; all others are dead.
+    /// Returns the fronts that joined or died by it.
+    pub fn apply_peer_list(
         &mut self,
         listed: &[(FrontId, PeerAddress)],
         now_ms: f64,
@@ -224,7 +233,7 @@
                 Some(_) => {}
                 None if full => {}
                 None => {
-                    // Its own announcement, with its incarnation, replaces this entry when it comes.
+                    // The front's own announcement, which has its incarnation, later replaces this entry.
                     let (incarnation, state) = (0, MemberState::Alive);
                     let view = MemberView { id: *id, name: name.clone(), addr: *addr, incarnation, state };
                     self.members.insert(*id, Member::new(view, now_ms));
@@ -241,8 +250,8 @@
         changes
     }
 
-    /// Something signed by the front itself came: it is alive, whatever others say. A departed front stays departed until
-    /// it comes with a higher incarnation. Returns whether it was dead.
+    /// Marks a front as alive, whatever other fronts say, because it signed a datagram itself. A departed
+    /// front remains departed until it announces a higher incarnation. Returns whether the front was dead.
     pub fn mark_reachable(&mut self, id: FrontId, now_ms: f64) -> bool {
         match self.members.get_mut(&id) {
             Some(m) if matches!(m.view.state, MemberState::Suspect | MemberState::Dead) => {
@@ -255,9 +264,10 @@
         }
     }
 
-    /// A front is suspected, by this one or by another. Another's suspicion begins ours or shortens its timeout, and no
-    /// more: only our own clock ends it. Returns what to disseminate.
-    pub fn suspect(&mut self, id: FrontId, incarnation: u32, by: FrontId, now_ms: f64) -> Option<Item> {
+    /// Records that the front `by`, which may be this one, suspects a member. Another front's suspicion only
+    /// starts the timeout here or shortens it: a member is declared dead by this front's own clock alone.
+    /// Returns the update to disseminate.
+    pub fn add_suspicion(&mut self, id: FrontId, incarnation: u32, by: FrontId, now_ms: f64) -> Option<Item> {
         let m = self.members.get_mut(&id)?;
         if incarnation < m.view.incarnation {
             return None;
@@ -277,7 +287,8 @@
         }
     }
 
-    /// A front announces that it leaves. Returns what to disseminate, if that is new.
+    /// Marks a front as departed after its own announcement. Returns the update to disseminate, if the
+    /// departure is new.
     pub fn mark_departed(&mut self, id: FrontId, incarnation: u32, now_ms: f64) -> Option<Item> {
         let m = self.members.get_mut(&id).filter(|m| m.view.incarnation <= incarnation)?;
         if m.view.state == MemberState::Departed {
@@ -288,19 +299,20 @@
         Some(m.state_item())
     }
 
-    /// The timeout of a suspicion that `suspecting` fronts share, in milliseconds; `slowness` from 1 up stretches it.
+    /// Returns the timeout of a suspicion that `suspecting` fronts share, in milliseconds. `slowness`, from
+    /// 1, lengthens it.
     fn suspicion_timeout_ms(&self, suspecting: usize, period_ms: f64, slowness: f64) -> f64 {
         let fleet = ((self.present().count() + 1) as f64).log10().max(1.0);
-        let min = MIN_TIMEOUT_PERIODS * fleet * period_ms;
-        let max = MAX_OVER_MIN_TIMEOUT * min;
+        let min = MIN_SUSPICION_PERIODS * fleet * period_ms;
+        let max = MAX_TO_MIN_TIMEOUT_RATIO * min;
         let confirmations = suspecting.saturating_sub(1).min(MAX_CONFIRMATIONS);
         let part = ((confirmations + 1) as f64).ln() / ((MAX_CONFIRMATIONS + 1) as f64).ln();
         (max - (max - min) * part) * slowness
     }
 
-    /// Declares the suspects dead whose timeout is over, and forgets fronts that have been dead or departed for long.
-    /// Returns who died.
-    pub fn expire(&mut self, period_ms: f64, slowness: f64, now_ms: f64) -> Vec<FrontId> {
+    /// Declares suspected members dead whose timeout has passed, and removes those that have been dead or
+    /// departed for [`DEAD_RETENTION_MS`]. Returns the members that died.
+    pub fn expire_suspects(&mut self, period_ms: f64, slowness: f64, now_ms: f64) -> Vec<FrontId> {
         let timed_out: Vec<FrontId> = self
             .members
             .values()
@@ -319,17 +331,19 @@
         timed_out
     }
 
-    /// The digest's bucket that a front is in.
+    /// Returns the digest bucket of a front.
     pub fn digest_bucket(id: FrontId) -> usize {
         id.0 as usize % DIGEST_BUCKETS
     }
 
-    /// Hashes of the present members, by bucket; this front itself counts too, by its `own` id and incarnation.
+    /// Returns a hash of the present members in each bucket. This front is included with its `own` id and
+    /// incarnation.
     pub fn digest(&self, own: (FrontId, u32)) -> [u32; DIGEST_BUCKETS] {
         let mut buckets = [0u32; DIGEST_BUCKETS];
         let present = self.present().map(|m| (m.view.id, m.view.incarnation));
         for (id, incarnation) in present.chain([own]) {
-            // A sum of mixed words: the same whatever the order, and no two fronts cancel.
+            // Summing the mixed values makes the hash independent of the order, and no two fronts cancel each
+            // other out.
             let mut x = u64::from(id.0) << 32 | u64::from(incarnation);
             x = (x ^ (x >> 31)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
             x = (x ^ (x >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -1,34 +1,36 @@
-//! The values that datagrams carry: ids, reports on cache nodes, and the items of a datagram.
+//! The values that datagrams carry: ids, reports on cache nodes, and other items.
 
 use sha2::{Digest, Sha256};
 use std::net::SocketAddr;
 
-/// Buckets of a membership digest: in a fleet of 200 fronts a bucket's members fill about a datagram.
+/// The number of buckets of a membership digest. In a fleet of 200 fronts, the members of one bucket fill
+/// about one datagram.
 pub(crate) const DIGEST_BUCKETS: usize = 16;
 
-/// A front, by the hash of its name.
+/// The id of a front: a hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FrontId(pub u32);
 
 impl FrontId {
-    /// The id of the front with this name.
+    /// Returns the id of the front with this name.
     pub fn from_name(name: &str) -> FrontId {
         let hash = Sha256::digest(name.as_bytes());
         FrontId(u32::from_be_bytes([hash[0], hash[1], hash[2], hash[3]]))
     }
 }
 
-/// A cache node: the hash of its id, and its start. A node that restarted has another key.
+/// Identifies a run of a cache node by a hash of the node's id and by its start. A restarted node has another
+/// key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CacheNodeKey {
-    /// Hash of the id.
+    /// Hash of the cache node's id.
     pub id: u64,
-    /// Low bits of its start in Unix milliseconds; 0: long ago.
+    /// The low 32 bits of the node's start in Unix milliseconds; 0 means that it started long ago.
     pub start: u32,
 }
 
 impl CacheNodeKey {
-    /// The key of the cache node with this id that started at this time.
+    /// Returns the key of the cache node with this id that started at this time.
     pub fn new(id: &str, started_unix_ms: u64) -> CacheNodeKey {
         let hash = Sha256::digest(id.as_bytes());
         let mut first = [0; 8];
@@ -40,32 +42,32 @@
 /// What a front observed of a cache node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Observation {
-    /// It refuses or breaks connections, or answers with errors.
+    /// The node refuses or breaks connections, or answers with errors.
     Failing,
-    /// It does not answer.
+    /// The node does not answer.
     Unresponsive,
-    /// It answers, far slower than its peers.
+    /// The node answers, but far more slowly than its peers.
     Slow,
-    /// It answers as it should, after it was accused.
+    /// The node answers normally, after it was accused.
     Healthy,
 }
 
 impl Observation {
-    /// All observations, by their wire codes.
+    /// All observations, in the order of their wire codes.
     pub(crate) const ALL: [Observation; 4] =
         [Observation::Failing, Observation::Unresponsive, Observation::Slow, Observation::Healthy];
 
-    /// Its code on the wire.
+    /// Returns the observation's code on the wire.
     pub(crate) fn code(self) -> u8 {
         Observation::ALL.iter().position(|o| *o == self).unwrap_or(0) as u8
     }
 
-    /// Whether it speaks against the cache node.
+    /// Returns whether the observation counts against the cache node.
     pub fn is_accusation(self) -> bool {
         self != Observation::Healthy
     }
 
-    /// Its label in the output of `fernslip gossip status`.
+    /// Returns the observation's label in the output of `fernslip gossip status`.
     pub fn label(self) -> &'static str {
         match self {
             Observation::Failing => "failing",
@@ -76,101 +78,101 @@
     }
 }
 
-/// One witness's report on a cache node.
+/// A witness's report on a cache node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthReport {
-    /// The cache node.
+    /// The cache node that is reported on.
     pub node: CacheNodeKey,
-    /// What was observed.
+    /// What the witness observed.
     pub observation: Observation,
-    /// How sure the witness is, from 0 to 1, in steps of 1/255 on the wire.
+    /// The witness's confidence, from 0 to 1. The wire has it in steps of 1/255.
     pub strength: f64,
-    /// Answers that the report rests on, up to 255.
+    /// The number of answers that the report is based on; at most 255.
     pub count: u8,
-    /// How long ago it was observed, in milliseconds; on the wire in steps of 100 up to 6,553,500.
+    /// The time since the observation, in milliseconds. The wire has it in steps of 100 up to 6,553,500.
     pub age_ms: f64,
 }
 
-/// What a datagram carries.
+/// One item of a datagram.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Item {
-    /// Asks for an [`Item::Ack`] of the same number.
+    /// Requests an [`Item::Ack`] with the same number.
     Ping(u16),
-    /// Answers a ping.
+    /// Answers the ping with this number.
     Ack(u16),
-    /// Asks the receiver to ping another front on the sender's behalf: an indirect probe.
+    /// Asks the receiver to ping another front on the sender's behalf, as an indirect probe.
     PingRequest {
         /// The front to ping.
         target: FrontId,
-        /// The number of the sender's own ping, which the answer is to carry.
+        /// The number of the sender's own ping, which the ack is to carry.
         number: u16,
     },
-    /// A front is alive, under that address.
+    /// Announces that a front is alive at the given address.
     Alive {
-        /// Its id.
+        /// The id of the front that is alive.
         id: FrontId,
-        /// Its incarnation, which it raises to refute suspicions of it.
+        /// The front's incarnation, which it raises to refute suspicions.
         incarnation: u32,
-        /// Its address.
+        /// The front's gossip address.
         addr: SocketAddr,
-        /// Its name, perhaps truncated.
+        /// The front's name, which may be truncated.
         name: String,
     },
-    /// A front did not answer somebody.
+    /// Reports that a front did not answer a probe.
     Suspect {
-        /// Its id.
+        /// The id of the suspected front.
         id: FrontId,
         /// The incarnation that is suspected.
         incarnation: u32,
     },
-    /// A front is declared dead.
+    /// Reports that a front was declared dead.
     Dead {
-        /// Its id.
+        /// The id of the dead front.
         id: FrontId,
-        /// The incarnation that is dead.
+        /// The incarnation that was declared dead.
         incarnation: u32,
     },
-    /// A front announced that it leaves.
+    /// Announces that a front leaves.
     Departed {
-        /// Its id.
+        /// The id of the departing front.
         id: FrontId,
-        /// Its last incarnation.
+        /// The front's last incarnation.
         incarnation: u32,
     },
-    /// Hashes of the members that the sender knows, by bucket.
+    /// A hash of the members in each bucket, as the sender knows them.
     Digest([u32; DIGEST_BUCKETS]),
-    /// A witness's reports.
+    /// The individual reports of a witness.
     Reports {
-        /// The witness.
+        /// The front that made the reports.
         witness: FrontId,
-        /// Its reports.
+        /// The reports, each on another cache node.
         reports: Vec<HealthReport>,
     },
-    /// A witness accuses more cache nodes than it reports one by one: how many of how many.
+    /// The number of cache nodes that a witness accuses, if they are too many to report individually.
     Summary {
-        /// The witness.
+        /// The front that accuses the nodes.
         witness: FrontId,
-        /// What it observed of them.
+        /// What the witness observed of the accused nodes.
         observation: Observation,
-        /// Cache nodes that it observed this of.
+        /// The number of cache nodes that the witness accuses.
         accused: u16,
-        /// Cache nodes that it knows.
+        /// The number of cache nodes that the witness knows.
         known: u16,
-        /// How long ago, in milliseconds.
+        /// The age of the summary, in milliseconds.
         age_ms: f64,
     },
 }
 
-/// Who sent a datagram, and when.
+/// The header of a datagram: its sender, its key and its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Header {
-    /// The number of the key that it is signed with.
+    /// The number of the key that signs the datagram.
     pub key: u8,
-    /// The sender.
+    /// The id of the front that sent the datagram.
     pub sender: FrontId,
     /// When the sender started, in Unix milliseconds.
     pub epoch_ms: u64,
-    /// The datagram's number since then.
+    /// The datagram's sequence number since the sender started.
     pub sequence: u32,
     /// The sender's clock, in Unix seconds.
     pub unix_s: u32,
--- a/crates/gossip/src/replay/tests.rs
+++ b/crates/gossip/src/replay/tests.rs
@@ -4,12 +4,12 @@
 fn each_sequence_number_is_accepted_once_in_any_order() {
     let mut filter = ReplayFilter::default();
     for n in [10, 12, 11, 9, 200, 73] {
-        assert!(filter.accept(5, 1, n, 0.0), "{n}");
-        assert!(!filter.accept(5, 1, n, 0.0), "{n} again");
+        assert!(filter.accept(5, 1, n, 0.0), "sequence number {n} is new");
+        assert!(!filter.accept(5, 1, n, 0.0), "sequence number {n} is accepted only once");
     }
-    assert!(!filter.accept(5, 1, 72, 0.0), "too far behind to be remembered");
-    assert!(filter.accept(5, 2, 1, 0.0), "a restart");
-    assert!(!filter.accept(5, 1, 201, 0.0), "from before the restart");
+    assert!(!filter.accept(5, 1, 72, 0.0), "sequence numbers below the window are rejected");
+    assert!(filter.accept(5, 2, 1, 0.0), "a restarted sender starts a new epoch");
+    assert!(!filter.accept(5, 1, 201, 0.0), "datagrams of an earlier epoch are rejected");
     assert!(filter.accept(5, 2, u32::MAX, 0.0));
 }
 
--- a/crates/gossip/src/suspicion.rs
+++ b/crates/gossip/src/suspicion.rs
@@ -1,26 +1,28 @@
-//! Suspicions of cache nodes: what each witness reports at first hand, and the bounds on how much of it is stored.
+//! The other fronts' reports on cache nodes, as received from each witness directly, within bounds on their
+//! number.
 
 use crate::message::{CacheNodeKey, FrontId, HealthReport, Observation};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A report expires after this time, in milliseconds: its weight is a sixteenth then.
+/// The time after which a report expires, in milliseconds. Its weight has decayed to a sixteenth by then.
 pub(crate) const REPORT_TTL_MS: f64 = 32_000.0;
-/// Witnesses stored for a cache node: far more than any quorum.
+/// The greatest number of witnesses stored for a cache node, far more than any quorum.
 const MAX_WITNESSES_PER_NODE: usize = 16;
-/// Reports stored in all.
+/// The greatest number of reports stored in all.
 const MAX_REPORTS: usize = 16_384;
-/// A report that is newer than the stored one by less than this is the same one: ages travel in steps of 100 ms.
-const SAME_REPORT_MS: f64 = 150.0;
-/// A change of strength up to this is none.
-const SAME_STRENGTH: f64 = 0.02;
+/// A report that is less than this many milliseconds newer than the stored one is a duplicate, because ages
+/// are sent in steps of 100 ms.
+const DUPLICATE_REPORT_TOLERANCE_MS: f64 = 150.0;
+/// A change of strength up to this amount counts as none.
+const STRENGTH_TOLERANCE: f64 = 0.02;
 
-/// A report that is stored; its witness and cache node are its keys.
+/// A stored report. Its witness and cache node are the keys of the table.
 #[derive(Clone, Copy, Debug)]
 struct StoredReport {
     observation: Observation,
     strength: f64,
     count: u8,
-    /// When it was observed, on our clock.
+    /// When the witness observed it, on this front's monotonic clock in milliseconds.
     observed_ms: f64,
 }
 
@@ -31,36 +33,37 @@
     }
 }
 
-/// A report that is stored, for the operators.
+/// A stored report of another front, for operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Suspicion {
-    /// Who reports it.
+    /// The front that made the report.
     pub witness: FrontId,
-    /// What.
+    /// The witness's report.
     pub report: HealthReport,
 }
 
-/// How large a fraction of all cache nodes a witness accuses, by its own count.
+/// The fraction of all cache nodes that a witness accuses, according to its own summary.
 #[derive(Clone, Copy, Debug)]
 struct AccusationSummary {
     fraction: f64,
     observed_ms: f64,
 }
 
-/// All reports of other fronts.
+/// The reports of all other fronts.
 #[derive(Default)]
 pub(crate) struct SuspicionTable {
     nodes: BTreeSet<CacheNodeKey>,
     reports: BTreeMap<CacheNodeKey, BTreeMap<FrontId, StoredReport>>,
     len: usize,
-    /// How many cache nodes each witness accuses, by its reports stored here.
+    /// How many cache nodes each witness accuses in its stored reports.
     accused_by: BTreeMap<FrontId, usize>,
     summaries: BTreeMap<FrontId, AccusationSummary>,
 }
 
 impl SuspicionTable {
-    /// Sets the cache nodes that exist: reports on others are dropped, also those on a node that was replaced.
-    pub fn set_nodes(&mut self, nodes: impl IntoIterator<Item = CacheNodeKey>) {
+    /// Sets the cache nodes that exist, and removes reports on all others, including those on a node that was
+    /// replaced.
+    pub fn set_cache_nodes(&mut self, nodes: impl IntoIterator<Item = CacheNodeKey>) {
         self.nodes = nodes.into_iter().collect();
         let removed: Vec<CacheNodeKey> =
             self.reports.keys().filter(|node| !self.nodes.contains(node)).copied().collect();
@@ -69,12 +72,12 @@
         }
     }
 
-    /// Whether this cache node exists.
-    pub fn is_known(&self, node: CacheNodeKey) -> bool {
+    /// Returns whether this cache node exists.
+    pub fn is_known_node(&self, node: CacheNodeKey) -> bool {
         self.nodes.contains(&node)
     }
 
-    /// How many cache nodes exist.
+    /// Returns how many cache nodes exist.
     pub fn node_count(&self) -> usize {
         self.nodes.len()
     }
@@ -83,11 +86,11 @@
         let witnesses: Vec<FrontId> =
             self.reports.get(&node).into_iter().flat_map(|all| all.keys().copied()).collect();
         for witness in witnesses {
-            self.remove(node, witness);
+            self.remove_report(node, witness);
         }
     }
 
-    fn remove(&mut self, node: CacheNodeKey, witness: FrontId) {
+    fn remove_report(&mut self, node: CacheNodeKey, witness: FrontId) {
         let Some(reports) = self.reports.get_mut(&node) else { return };
         let Some(removed) = reports.remove(&witness) else { return };
         if reports.is_empty() {
@@ -104,20 +107,20 @@
         }
     }
 
-    /// Takes a report; whether it says something new. One on an unknown cache node is dropped.
-    pub fn insert(&mut self, witness: FrontId, report: &HealthReport, now_ms: f64) -> bool {
-        if !self.is_known(report.node) || report.age_ms >= REPORT_TTL_MS {
+    /// Stores a report and returns whether it is new. A report on an unknown cache node is dropped.
+    pub fn insert_report(&mut self, witness: FrontId, report: &HealthReport, now_ms: f64) -> bool {
+        if !self.is_known_node(report.node) || report.age_ms >= REPORT_TTL_MS {
             return false;
         }
         let observed_ms = now_ms - report.age_ms.max(0.0);
         let old = self.reports.get(&report.node).and_then(|all| all.get(&witness)).copied();
-        if old.is_some_and(|o| observed_ms <= o.observed_ms + SAME_REPORT_MS) {
+        if old.is_some_and(|o| observed_ms <= o.observed_ms + DUPLICATE_REPORT_TOLERANCE_MS) {
             return false;
         }
-        if old.is_none() && !self.evict_for(report.node, observed_ms) {
+        if old.is_none() && !self.make_space_for_report(report.node, observed_ms) {
             return false;
         }
-        self.remove(report.node, witness);
+        self.remove_report(report.node, witness);
         let HealthReport { observation, strength, count, .. } = *report;
         let stored = StoredReport { observation, strength, count, observed_ms };
         self.reports.entry(report.node).or_default().insert(witness, stored);
@@ -127,14 +130,15 @@
         }
         old.is_none_or(|o| {
             o.observation != observation
-                || (o.strength - strength).abs() > SAME_STRENGTH
+                || (o.strength - strength).abs() > STRENGTH_TOLERANCE
                 || observed_ms > o.observed_ms
         })
     }
 
-    /// Sees to it that a report of a further witness on `node` stays within the bounds: the oldest report on the node
-    /// is evicted. Where none is older than the new one, the new one is not to be taken, and this returns `false`.
-    fn evict_for(&mut self, node: CacheNodeKey, observed_ms: f64) -> bool {
+    /// Makes room for a report by another witness on `node`: if a bound is reached, the oldest report on the
+    /// node is evicted. Returns `false` if none of them is older than the new report, which is then to be
+    /// dropped.
+    fn make_space_for_report(&mut self, node: CacheNodeKey, observed_ms: f64) -> bool {
         let reports = self.reports.get(&node);
         let crowded = reports.is_some_and(|all| all.len() >= MAX_WITNESSES_PER_NODE);
         if !crowded && self.len < MAX_REPORTS {
@@ -147,21 +151,22 @@
         });
         match oldest {
             Some((witness, oldest_ms)) if oldest_ms < observed_ms => {
-                self.remove(node, witness);
+                self.remove_report(node, witness);
                 true
             }
             _ => false,
         }
     }
 
-    /// Notes that a witness accuses `accused` of the `known` cache nodes that it knows.
+    /// Records a summary: the witness accuses `accused` of the `known` cache nodes that it knows.
     pub fn set_summary(&mut self, witness: FrontId, accused: u16, known: u16, age_ms: f64, now_ms: f64) {
         let fraction = (f64::from(accused) / f64::from(known.max(1))).min(1.0);
         let observed_ms = now_ms - age_ms.max(0.0);
         self.summaries.insert(witness, AccusationSummary { fraction, observed_ms });
     }
 
-    /// The fraction of all cache nodes that a witness accuses, by its reports stored here and by its own count.
+    /// Returns the fraction of all cache nodes that a witness accuses, the greater of those by its stored
+    /// reports and by its own summary.
     pub fn accused_fraction(&self, witness: FrontId, now_ms: f64) -> f64 {
         let accused = self.accused_by.get(&witness).copied().unwrap_or(0);
         let reported = self.smoothed_fraction(accused);
@@ -169,13 +174,13 @@
         reported.max(summary.map_or(0.0, |s| s.fraction))
     }
 
-    /// The fraction of all cache nodes that `accused` of them are. Of two or three nodes, one is no storm: the fraction
-    /// is computed as if there were a few more.
+    /// Returns the fraction that `accused` nodes are of all cache nodes, computed as if there were a few more
+    /// nodes: a single accusation among two or three nodes does not show that the witness accuses everything.
     pub fn smoothed_fraction(&self, accused: usize) -> f64 {
         (accused as f64 - 1.0).max(0.0) / (self.nodes.len() as f64 + 2.0)
     }
 
-    /// The reports on a cache node, with their ages.
+    /// Returns the reports on a cache node with their witnesses and current ages.
     pub fn reports_on(
         &self,
         node: CacheNodeKey,
@@ -185,17 +190,17 @@
         reports.map(move |(witness, stored)| (*witness, stored.to_report(node, now_ms)))
     }
 
-    /// Whether any report accuses a cache node.
+    /// Returns whether any report accuses a cache node.
     pub fn is_accused(&self, node: CacheNodeKey) -> bool {
         self.reports.get(&node).is_some_and(|all| all.values().any(|h| h.observation.is_accusation()))
     }
 
-    /// Cache nodes with reports on them.
+    /// Returns the cache nodes with at least one report.
     pub fn reported_nodes(&self) -> impl Iterator<Item = CacheNodeKey> + '_ {
         self.reports.keys().copied()
     }
 
-    /// Every report, for the operators.
+    /// Returns all stored reports, for operators.
     pub fn iter(&self, now_ms: f64) -> impl Iterator<Item = Suspicion> + '_ {
         self.reports.iter().flat_map(move |(node, all)| {
             all.iter().map(move |(witness, stored)| Suspicion {
@@ -205,13 +210,13 @@
         })
     }
 
-    /// How many reports are stored.
+    /// Returns how many reports are stored.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Drops the reports and summaries whose time is over.
-    pub fn expire(&mut self, now_ms: f64) {
+    /// Removes the reports and summaries that have expired.
+    pub fn remove_expired(&mut self, now_ms: f64) {
         let expired: Vec<(CacheNodeKey, FrontId)> = self
             .reports
             .iter()
@@ -222,7 +227,7 @@
             .map(|(node, witness, _)| (node, witness))
             .collect();
         for (node, witness) in expired {
-            self.remove(node, witness);
+            self.remove_report(node, witness);
         }
         self.summaries.retain(|_, s| now_ms - s.observed_ms < REPORT_TTL_MS);
     }
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -1,6 +1,7 @@
-//! A simulated network, by seed: loss, delay, duplication, reordering, partitions, clocks that are off and fronts that
-//! stall, with real gossip instances. Invariants are checked at every step.
-#![allow(dead_code, reason = "each test and example uses a part")]
+//! A deterministic simulation of gossip instances on a network with loss, delay, duplication, reordering,
+//! partitions, clock skew and stalled fronts. Equal seeds give equal runs. Invariants are checked at every
+//! step.
+#![allow(dead_code, reason = "each test and example uses only some of the items")]
 
 use fernslip_gossip::*;
 use rand::{Rng, SeedableRng};
@@ -9,15 +10,16 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::net::SocketAddr;
 
-/// Unix time at the start of every simulation.
-pub const UNIX_MS: f64 = 1.8e12;
+/// Unix time at the start of every simulation, in milliseconds.
+pub const START_UNIX_MS: f64 = 1.8e12;
 
-/// What the network does.
+/// The faults and delays of the simulated network; `loss` and `duplicated` are probabilities from 0 to 1.
 #[derive(Clone, Copy, Debug)]
 pub struct Network {
     pub loss: f64,
     pub duplicated: f64,
-    /// Delays from the first to the second, so that datagrams overtake each other.
+    /// The least and the greatest delay of a datagram, in milliseconds. Random delays make datagrams overtake
+    /// each other.
     pub delay_ms: (f64, f64),
 }
 
@@ -27,60 +29,60 @@
     }
 }
 
-/// A front of the simulation.
+/// A front of the simulation. `gossip` is `None` while the front is down.
 pub struct Front {
     pub gossip: Option<Gossip>,
     pub addr: SocketAddr,
-    /// Its Unix clock is off by this.
+    /// The difference of the front's Unix clock from the simulated time, in milliseconds.
     pub skew_ms: f64,
-    /// It does nothing until then: what is received waits.
+    /// The front processes nothing until this simulated time; datagrams for it are queued.
     pub stalled_until_ms: f64,
-    pub hearsay: BTreeMap<CacheNodeKey, f64>,
-    pub max_hearsay: f64,
+    pub peer_scores: BTreeMap<CacheNodeKey, f64>,
+    pub max_peer_score: f64,
     sent: VecDeque<(f64, usize)>,
-    in_window: usize,
+    bytes_in_window: usize,
     pub max_bytes_per_s: usize,
 }
 
-/// The simulation.
+/// The simulated fleet and its network.
 pub struct Simulation {
     pub now: f64,
     pub net: Network,
     pub fronts: Vec<Front>,
     pub keys: Keyring,
-    /// Fronts of different partitions don't reach each other.
+    /// The partition of each front. Fronts in different partitions do not reach each other.
     pub partition: Vec<u32>,
     rng: ChaCha8Rng,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     in_flight: BTreeMap<u64, (SocketAddr, SocketAddr, Vec<u8>)>,
-    next: u64,
-    /// Every datagram sent, if it is to be recorded.
-    pub record: Option<Vec<(SocketAddr, SocketAddr, Vec<u8>)>>,
-    /// Of everything that was sent, in its order: equal simulations have equal hashes.
+    next_datagram: u64,
+    /// All datagrams sent, as sender, destination and bytes, while recording is on.
+    pub recorded: Option<Vec<(SocketAddr, SocketAddr, Vec<u8>)>>,
+    /// A hash of all datagrams sent, in their order. Equal simulations have equal hashes.
     pub hash: u64,
     pub config: Config,
-    by_addr: BTreeMap<SocketAddr, usize>,
+    index_by_addr: BTreeMap<SocketAddr, usize>,
 }
 
 pub fn is_present(state: MemberState) -> bool {
     matches!(state, MemberState::Alive | MemberState::Suspect)
 }
 
-pub fn addr(n: usize) -> SocketAddr {
-    SocketAddr::from(([127, 1, (n >> 8) as u8, (n & 255) as u8], 7946))
+pub fn front_addr(index: usize) -> SocketAddr {
+    SocketAddr::from(([127, 1, (index >> 8) as u8, (index & 255) as u8], 7946))
 }
 
-pub fn cache_nodes(n: usize) -> Vec<CacheNodeKey> {
-    (0..n).map(|i| CacheNodeKey::new(&format!("box-{i}"), 0)).collect()
+pub fn cache_nodes(count: usize) -> Vec<CacheNodeKey> {
+    (0..count).map(|i| CacheNodeKey::new(&format!("box-{i}"), 0)).collect()
 }
 
 impl Simulation {
-    /// A simulation of `fronts` fronts, each of which has the first two as seeds.
+    /// Creates a simulation of `fronts` fronts that all have the first two as seeds.
     pub fn new(fronts: usize, net: Network, seed: u64) -> Simulation {
-        Simulation::with(fronts, net, seed, Config::default())
+        Simulation::with_config(fronts, net, seed, Config::default())
     }
 
-    pub fn with(fronts: usize, net: Network, seed: u64, config: Config) -> Simulation {
+    pub fn with_config(fronts: usize, net: Network, seed: u64, config: Config) -> Simulation {
         let mut sim = Simulation {
             now: 0.0,
             net,
@@ -90,56 +92,58 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
             in_flight: BTreeMap::new(),
-            next: 0,
-            record: None,
+            next_datagram: 0,
+            recorded: None,
             hash: 0,
             config,
-            by_addr: (0..fronts).map(|n| (addr(n), n)).collect(),
+            index_by_addr: (0..fronts).map(|index| (front_addr(index), index)).collect(),
         };
-        for n in 0..fronts {
+        for index in 0..fronts {
             sim.fronts.push(Front {
                 gossip: None,
-                addr: addr(n),
+                addr: front_addr(index),
                 skew_ms: 0.0,
                 stalled_until_ms: 0.0,
-                hearsay: BTreeMap::new(),
-                max_hearsay: 0.0,
+                peer_scores: BTreeMap::new(),
+                max_peer_score: 0.0,
                 sent: VecDeque::new(),
-                in_window: 0,
+                bytes_in_window: 0,
                 max_bytes_per_s: 0,
             });
-            sim.start(n, seed ^ (n as u64) << 8);
+            sim.start_front(index, seed ^ (index as u64) << 8);
         }
         sim
     }
 
-    /// Starts a front, anew if it was there.
-    pub fn start(&mut self, n: usize, seed: u64) {
+    /// Starts or restarts a front.
+    pub fn start_front(&mut self, index: usize, seed: u64) {
         let config = Config {
-            name: format!("n{n}"),
-            addr: addr(n),
-            seeds: vec![addr(0), addr(1)],
+            name: format!("n{index}"),
+            addr: front_addr(index),
+            seeds: vec![front_addr(0), front_addr(1)],
             ..self.config.clone()
         };
-        let now = self.clock(n);
-        self.fronts[n].gossip = Some(Gossip::new(config, self.keys.clone(), seed, now));
-        self.fronts[n].hearsay.clear();
+        let now = self.clock(index);
+        self.fronts[index].gossip = Some(Gossip::new(config, self.keys.clone(), seed, now));
+        self.fronts[index].peer_scores.clear();
     }
 
-    pub fn clock(&self, n: usize) -> Now {
-        Now { mono_ms: self.now, unix_ms: UNIX_MS + self.now + self.fronts[n].skew_ms }
+    pub fn clock(&self, index: usize) -> Now {
+        Now { mono_ms: self.now, unix_ms: START_UNIX_MS + self.now + self.fronts[index].skew_ms }
     }
 
-    pub fn gossip(&self, n: usize) -> &Gossip {
-        self.fronts[n].gossip.as_ref().expect("it runs")
+    pub fn gossip(&self, index: usize) -> &Gossip {
+        self.fronts[index].gossip.as_ref().expect("the front is running")
     }
 
-    pub fn feed(&mut self, n: usize, event: Event) {
-        let now = self.clock(n);
-        let Some(g) = &mut self.fronts[n].gossip else { return };
+    pub fn handle_event(&mut self, index: usize, event: Event) {
+        let now = self.clock(index);
+        let Some(g) = &mut self.fronts[index].gossip else { return };
         let mut actions = Vec::new();
         g.handle(now, event, &mut actions);
-        let bound = |len: usize, max: usize, table: &str| assert!(len <= max, "{len} {table}");
+        let bound = |len: usize, max: usize, table: &str| {
+            assert!(len <= max, "the table of {table} has {len} entries, more than {max}");
+        };
         let TableSizes { members, suspicions, own_reports, deliveries } = g.table_sizes();
         bound(members, 2048, "members");
         bound(suspicions, 16_384, "suspicions");
@@ -147,63 +151,63 @@
         bound(deliveries, members * 256, "deliveries");
         for action in actions {
             match action {
-                Action::Send { to, bytes } => self.sent(n, to, bytes),
+                Action::Send { to, bytes } => self.record_sent(index, to, bytes),
                 Action::Hearsay { node, score } => {
-                    assert!(score.abs() <= aggregate::MAX_SCORE, "hearsay is capped");
-                    self.fronts[n].hearsay.insert(node, score);
-                    self.fronts[n].max_hearsay = self.fronts[n].max_hearsay.max(score);
+                    assert!(score.abs() <= aggregate::MAX_SCORE, "a score is within the cap");
+                    self.fronts[index].peer_scores.insert(node, score);
+                    self.fronts[index].max_peer_score = self.fronts[index].max_peer_score.max(score);
                 }
                 Action::Member { .. } => {}
             }
         }
     }
 
-    pub fn feed_all(&mut self, event: Event) {
-        (0..self.fronts.len()).for_each(|n| self.feed(n, event.clone()));
+    pub fn handle_event_on_all(&mut self, event: Event) {
+        (0..self.fronts.len()).for_each(|index| self.handle_event(index, event.clone()));
     }
 
-    fn sent(&mut self, n: usize, to: SocketAddr, bytes: Vec<u8>) {
+    fn record_sent(&mut self, index: usize, to: SocketAddr, bytes: Vec<u8>) {
         assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         let (rate, burst) = (self.config.bytes_per_s as usize, self.config.burst_bytes as usize);
-        let f = &mut self.fronts[n];
+        let f = &mut self.fronts[index];
         f.sent.push_back((self.now, bytes.len()));
-        f.in_window += bytes.len();
+        f.bytes_in_window += bytes.len();
         while f.sent.front().is_some_and(|s| s.0 <= self.now - 1000.0) {
-            f.in_window -= f.sent.pop_front().map_or(0, |s| s.1);
+            f.bytes_in_window -= f.sent.pop_front().map_or(0, |s| s.1);
         }
-        f.max_bytes_per_s = f.max_bytes_per_s.max(f.in_window);
-        assert!(f.in_window <= rate + burst, "{} bytes in a second", f.in_window);
+        f.max_bytes_per_s = f.max_bytes_per_s.max(f.bytes_in_window);
+        assert!(f.bytes_in_window <= rate + burst, "{} bytes were sent within one second", f.bytes_in_window);
         for b in &bytes {
             self.hash = (self.hash ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3);
         }
-        if let Some(r) = &mut self.record {
-            r.push((addr(n), to, bytes.clone()));
+        if let Some(r) = &mut self.recorded {
+            r.push((front_addr(index), to, bytes.clone()));
         }
-        self.inject(addr(n), to, bytes);
+        self.send_datagram(front_addr(index), to, bytes);
     }
 
-    /// Puts a datagram on its way, as if that front had sent it.
-    pub fn inject(&mut self, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
+    /// Sends a datagram through the simulated network as if it came from `from`.
+    pub fn send_datagram(&mut self, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
         let copies = 1 + usize::from(self.rng.random_bool(self.net.duplicated));
         for _ in 0..copies {
             if self.rng.random_bool(self.net.loss) {
                 continue;
             }
             let at = self.now + self.rng.random_range(self.net.delay_ms.0..=self.net.delay_ms.1);
-            self.next += 1;
-            self.queue.push(Reverse(((at * 1000.0) as u64, self.next)));
-            self.in_flight.insert(self.next, (from, to, bytes.clone()));
+            self.next_datagram += 1;
+            self.queue.push(Reverse(((at * 1000.0) as u64, self.next_datagram)));
+            self.in_flight.insert(self.next_datagram, (from, to, bytes.clone()));
         }
     }
 
-    /// Runs for some simulated time, every event in its order.
+    /// Advances the simulated time by `ms` milliseconds, handling all events in their order.
     pub fn run_for(&mut self, ms: f64) {
         let end = self.now + ms;
         loop {
             let datagram = self.queue.peek().map(|Reverse((at, _))| *at as f64 / 1000.0);
             let due = |f: &Front| f.gossip.as_ref().map(|g| g.wake_at().max(f.stalled_until_ms));
             let tick = (0..self.fronts.len())
-                .filter_map(|n| Some((due(&self.fronts[n])?, n)))
+                .filter_map(|index| Some((due(&self.fronts[index])?, index)))
                 .min_by(|a, b| a.0.total_cmp(&b.0));
             let next = [datagram, tick.map(|t| t.0)].into_iter().flatten().fold(f64::MAX, f64::min);
             if next > end {
@@ -213,34 +217,37 @@
             if datagram.is_some_and(|at| at <= next) {
                 let Some(Reverse((_, key))) = self.queue.pop() else { continue };
                 let Some((from, to, bytes)) = self.in_flight.remove(&key) else { continue };
-                self.arrive(from, to, bytes);
-            } else if let Some((_, n)) = tick {
-                self.feed(n, Event::Tick);
+                self.deliver(from, to, bytes);
+            } else if let Some((_, index)) = tick {
+                self.handle_event(index, Event::Tick);
             }
         }
         self.now = end;
     }
 
-    fn arrive(&mut self, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
-        let (Some(a), Some(b)) = (self.by_addr.get(&from).copied(), self.by_addr.get(&to).copied()) else {
+    fn deliver(&mut self, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
+        let (Some(a), Some(b)) =
+            (self.index_by_addr.get(&from).copied(), self.index_by_addr.get(&to).copied())
+        else {
             return;
         };
         if self.partition[a] != self.partition[b] {
             return;
         }
         if self.now < self.fronts[b].stalled_until_ms {
-            // It waits in the socket.
-            self.next += 1;
-            self.queue.push(Reverse(((self.fronts[b].stalled_until_ms * 1000.0) as u64 + 1, self.next)));
-            self.in_flight.insert(self.next, (from, to, bytes));
+            // The datagram waits in the socket buffer of the stalled front.
+            self.next_datagram += 1;
+            self.queue
+                .push(Reverse(((self.fronts[b].stalled_until_ms * 1000.0) as u64 + 1, self.next_datagram)));
+            self.in_flight.insert(self.next_datagram, (from, to, bytes));
             return;
         }
-        self.feed(b, Event::Datagram { from, bytes });
+        self.handle_event(b, Event::Datagram { from, bytes });
     }
 
-    /// How many of the running fronts see all running fronts, and nobody else, as there, be it under suspicion: where
-    /// half of all is lost somebody always is.
-    pub fn agreeing(&self) -> usize {
+    /// Returns how many of the running fronts see exactly the running fronts as present. Suspected ones count
+    /// as present, because where half of all datagrams is lost some front is always suspected.
+    pub fn agreeing_fronts(&self) -> usize {
         let running: Vec<FrontId> =
             self.fronts.iter().filter_map(|f| f.gossip.as_ref().map(Gossip::id)).collect();
         let sees = |g: &Gossip| {
@@ -253,11 +260,12 @@
         self.fronts.iter().filter_map(|f| f.gossip.as_ref()).filter(|g| sees(g) == all).count()
     }
 
-    /// Runs until all agree; how long that took, if it did.
-    pub fn run_until_agreed(&mut self, max_ms: f64) -> Option<f64> {
+    /// Runs until the membership views of all running fronts agree. Returns the simulated time that it took
+    /// in milliseconds, or `None` if it took more than `max_ms`.
+    pub fn run_until_agreement(&mut self, max_ms: f64) -> Option<f64> {
         let start = self.now;
         let running = self.fronts.iter().filter(|f| f.gossip.is_some()).count();
-        while self.agreeing() < running {
+        while self.agreeing_fronts() < running {
             if self.now - start > max_ms {
                 return None;
             }
@@ -266,15 +274,21 @@
         Some(self.now - start)
     }
 
-    pub fn observe(&mut self, n: usize, node: CacheNodeKey, observation: Observation, strength: f64) {
-        self.feed(n, Event::Evidence(Evidence { node, observation, strength, count: 5 }));
+    pub fn observe_node(
+        &mut self,
+        index: usize,
+        node: CacheNodeKey,
+        observation: Observation,
+        strength: f64,
+    ) {
+        self.handle_event(index, Event::Evidence(Evidence { node, observation, strength, count: 5 }));
     }
 
-    pub fn hearsay(&self, n: usize, node: CacheNodeKey) -> f64 {
-        self.fronts[n].hearsay.get(&node).copied().unwrap_or(0.0)
+    pub fn peer_score(&self, index: usize, node: CacheNodeKey) -> f64 {
+        self.fronts[index].peer_scores.get(&node).copied().unwrap_or(0.0)
     }
 
-    pub fn rejected(&self, n: usize, reason: RejectReason) -> u64 {
-        self.gossip(n).counters().rejected.get(&reason).copied().unwrap_or(0)
+    pub fn rejected_count(&self, index: usize, reason: RejectReason) -> u64 {
+        self.gossip(index).counters().rejected.get(&reason).copied().unwrap_or(0)
     }
 }
--- a/crates/gossip/tests/common/model.rs
+++ b/crates/gossip/tests/common/model.rs
@@ -1,93 +1,95 @@
-//! A model of the reports on one cache node, for a checker that tries every order: honest fronts, one byzantine peer,
-//! datagrams that are lost, late and out of order. The rule that aggregates the reports is the real one, [`fernslip_gossip::aggregate`].
+//! A model of the reports on one cache node for a model checker, which explores every order of events: honest
+//! fronts, one byzantine peer, and datagrams that are lost, late or out of order. Scores come from the real
+//! aggregation, [`fernslip_gossip::aggregate`].
 
-use fernslip_gossip::aggregate::{aggregate, WitnessReport, MAX_SCORE};
+use fernslip_gossip::aggregate::{aggregate_score, WitnessReport, MAX_SCORE};
 use fernslip_gossip::{FrontId, Observation};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
-/// A step of time in milliseconds: a report expires after eight of them.
+/// The duration of a time step, in milliseconds. A report expires after eight of them.
 const STEP_MS: f64 = 4_000.0;
 
-/// What is explored.
+/// The bounds and assumptions of the exploration.
 #[derive(Clone, Debug)]
 pub struct GossipModel {
-    /// Fronts; the last is byzantine, unless `honest`.
+    /// The number of fronts. The last one is byzantine unless `honest` is set.
     pub fronts: usize,
-    /// No front is byzantine.
+    /// Whether all fronts are honest.
     pub honest: bool,
-    /// The cache node is dead; else it is healthy.
+    /// Whether the cache node is dead; otherwise it is healthy.
     pub dead: bool,
-    /// Steps of time.
+    /// The greatest number of time steps.
     pub time_steps: u8,
-    /// Datagrams that may be lost.
+    /// The greatest number of lost datagrams.
     pub drops: u8,
-    /// Times that honest fronts may be wrong about a healthy node, all together.
-    pub alarms: u8,
-    /// The trust of the others in the byzantine peer: any record that it may have earned.
+    /// The greatest number of false accusations of a healthy node by honest fronts, all fronts together.
+    pub false_alarms: u8,
+    /// The other fronts' trust in the byzantine peer, which may have earned any value.
     pub trust: f64,
-    /// No datagram is in flight when time passes.
+    /// Whether the network is fair: time advances only when no datagram is in flight and all honest fronts
+    /// have reported.
     pub fair: bool,
 }
 
-/// A report in flight or received.
+/// A report that is in flight or was received. `at` is the time step of the observation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Report {
-    against: bool,
-    at: u8,
+    accuses: bool,
+    observed_at: u8,
 }
 
 /// A state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ModelState {
     time: u8,
-    /// By receiver, by witness.
+    /// The latest report from each witness, indexed by receiver and then by witness.
     received: Vec<Vec<Option<Report>>>,
-    /// From, to, what.
+    /// The datagrams in flight, as sender, receiver and report.
     in_flight: BTreeSet<(usize, usize, Report)>,
-    /// By front: when it last reported.
+    /// The time step of each front's last report.
     last_report: Vec<Option<u8>>,
-    /// By front: when it last had a successful answer of its own.
+    /// The time step of the last successful answer that each front had from the node.
     last_success: Vec<Option<u8>>,
     drops: u8,
-    alarms: u8,
+    false_alarms: u8,
 }
 
 /// A transition of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ModelAction {
-    /// A front reports to all others.
-    Report(usize, bool),
-    /// A front has a successful answer of its own.
-    Success(usize),
-    /// A datagram is delivered.
-    Deliver(usize, usize, Report),
-    /// A datagram is lost.
-    Drop(usize, usize, Report),
-    /// Time passes.
+    /// A front sends all others a report, which accuses the node if the flag is set.
+    SendReport(usize, bool),
+    /// A front gets a successful answer from the node.
+    ObserveSuccess(usize),
+    /// The network delivers a datagram.
+    DeliverDatagram(usize, usize, Report),
+    /// The network loses a datagram.
+    LoseDatagram(usize, usize, Report),
+    /// Time advances by one step.
     AdvanceTime,
 }
 
 impl GossipModel {
-    fn is_byzantine(&self, n: usize) -> bool {
-        !self.honest && n + 1 == self.fronts
+    fn is_byzantine(&self, front: usize) -> bool {
+        !self.honest && front + 1 == self.fronts
     }
 
-    /// The node's score by the reports that a front received.
-    pub fn hearsay(&self, m: &ModelState, n: usize) -> f64 {
-        let reports: Vec<WitnessReport> = m.received[n]
+    /// Returns the node's score by the reports that a front received.
+    pub fn peer_score(&self, state: &ModelState, front: usize) -> f64 {
+        let reports: Vec<WitnessReport> = state.received[front]
             .iter()
             .enumerate()
             .filter_map(|(w, report)| {
-                // Of a front's own reports only accusations count as a witness.
-                let report = (*report).filter(|report| w != n || report.against)?;
+                // A front's own report counts as a witness only if it is an accusation.
+                let report = (*report).filter(|report| w != front || report.accuses)?;
                 Some(WitnessReport {
                     witness: FrontId(w as u32),
-                    observation: if report.against { Observation::Failing } else { Observation::Healthy },
+                    observation: if report.accuses { Observation::Failing } else { Observation::Healthy },
                     strength: 1.0,
-                    age_ms: f64::from(m.time - report.at) * STEP_MS,
+                    age_ms: f64::from(state.time - report.observed_at) * STEP_MS,
                     trust: match () {
-                        () if w == n => 1.0,
+                        () if w == front => 1.0,
                         () if self.is_byzantine(w) => self.trust,
                         () => 0.5,
                     },
@@ -95,11 +97,15 @@
                 })
             })
             .collect();
-        aggregate(&reports, self.fronts, m.last_success[n].map(|at| f64::from(m.time - at) * STEP_MS))
+        aggregate_score(
+            &reports,
+            self.fronts,
+            state.last_success[front].map(|at| f64::from(state.time - at) * STEP_MS),
+        )
     }
 
     fn honest_fronts(&self) -> impl Iterator<Item = usize> + '_ {
-        (0..self.fronts).filter(|n| !self.is_byzantine(*n))
+        (0..self.fronts).filter(|front| !self.is_byzantine(*front))
     }
 }
 
@@ -108,119 +114,142 @@
     type Action = ModelAction;
 
     fn init_states(&self) -> Vec<ModelState> {
-        let n = self.fronts;
+        let count = self.fronts;
         vec![ModelState {
             time: 0,
-            received: vec![vec![None; n]; n],
+            received: vec![vec![None; count]; count],
             in_flight: BTreeSet::new(),
-            last_report: vec![None; n],
-            last_success: vec![None; n],
+            last_report: vec![None; count],
+            last_success: vec![None; count],
             drops: 0,
-            alarms: 0,
+            false_alarms: 0,
         }]
     }
 
-    fn actions(&self, m: &ModelState, actions: &mut Vec<ModelAction>) {
-        for n in 0..self.fronts {
-            if m.last_report[n] == Some(m.time) {
+    fn actions(&self, state: &ModelState, actions: &mut Vec<ModelAction>) {
+        for front in 0..self.fronts {
+            if state.last_report[front] == Some(state.time) {
                 continue;
             }
-            for against in [true, false] {
-                let permitted = match (self.is_byzantine(n), against == self.dead) {
+            for accuses in [true, false] {
+                let permitted = match (self.is_byzantine(front), accuses == self.dead) {
                     (true, _) | (false, true) => true,
-                    (false, false) => against && m.alarms < self.alarms,
+                    (false, false) => accuses && state.false_alarms < self.false_alarms,
                 };
                 if permitted {
-                    actions.push(ModelAction::Report(n, against));
+                    actions.push(ModelAction::SendReport(front, accuses));
                 }
             }
-            if !self.dead && !self.is_byzantine(n) && m.last_success[n] != Some(m.time) {
-                actions.push(ModelAction::Success(n));
+            if !self.dead && !self.is_byzantine(front) && state.last_success[front] != Some(state.time) {
+                actions.push(ModelAction::ObserveSuccess(front));
             }
         }
-        for (from, to, report) in &m.in_flight {
-            actions.push(ModelAction::Deliver(*from, *to, *report));
-            if m.drops < self.drops {
-                actions.push(ModelAction::Drop(*from, *to, *report));
+        for (from, to, report) in &state.in_flight {
+            actions.push(ModelAction::DeliverDatagram(*from, *to, *report));
+            if state.drops < self.drops {
+                actions.push(ModelAction::LoseDatagram(*from, *to, *report));
             }
         }
-        let all_reported = self.honest_fronts().all(|n| m.last_report[n] == Some(m.time));
-        if m.time < self.time_steps && (!self.fair || m.in_flight.is_empty() && all_reported) {
+        let all_reported = self.honest_fronts().all(|front| state.last_report[front] == Some(state.time));
+        if state.time < self.time_steps && (!self.fair || state.in_flight.is_empty() && all_reported) {
             actions.push(ModelAction::AdvanceTime);
         }
     }
 
-    fn next_state(&self, m: &ModelState, step: ModelAction) -> Option<ModelState> {
-        let mut m = m.clone();
+    fn next_state(&self, state: &ModelState, step: ModelAction) -> Option<ModelState> {
+        let mut state = state.clone();
         match step {
-            ModelAction::Report(n, against) => {
-                m.alarms += u8::from(!self.is_byzantine(n) && against && !self.dead);
-                m.last_report[n] = Some(m.time);
-                let report = Report { against, at: m.time };
-                m.received[n][n] = Some(report);
-                m.in_flight.extend((0..self.fronts).filter(|to| *to != n).map(|to| (n, to, report)));
+            ModelAction::SendReport(front, accuses) => {
+                state.false_alarms += u8::from(!self.is_byzantine(front) && accuses && !self.dead);
+                state.last_report[front] = Some(state.time);
+                let report = Report { accuses, observed_at: state.time };
+                state.received[front][front] = Some(report);
+                state
+                    .in_flight
+                    .extend((0..self.fronts).filter(|to| *to != front).map(|to| (front, to, report)));
             }
-            ModelAction::Success(n) => m.last_success[n] = Some(m.time),
-            ModelAction::Deliver(from, to, report) => {
-                m.in_flight.remove(&(from, to, report));
-                let known = &mut m.received[to][from];
-                if known.is_none_or(|k| k.at < report.at) {
+            ModelAction::ObserveSuccess(front) => state.last_success[front] = Some(state.time),
+            ModelAction::DeliverDatagram(from, to, report) => {
+                state.in_flight.remove(&(from, to, report));
+                let known = &mut state.received[to][from];
+                if known.is_none_or(|k| k.observed_at < report.observed_at) {
                     *known = Some(report);
                 }
             }
-            ModelAction::Drop(from, to, report) => {
-                m.in_flight.remove(&(from, to, report));
-                m.drops += 1;
+            ModelAction::LoseDatagram(from, to, report) => {
+                state.in_flight.remove(&(from, to, report));
+                state.drops += 1;
             }
-            ModelAction::AdvanceTime => m.time += 1,
+            ModelAction::AdvanceTime => state.time += 1,
         }
-        Some(m)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            // A share of 1 - MAX_SCORE remains whatever is reported: no node is unused because of the score.
-            Property::always("capped", |model: &GossipModel, m: &ModelState| {
-                model.honest_fronts().all(|n| model.hearsay(m, n).abs() <= MAX_SCORE && MAX_SCORE < 1.0)
+            // A load of 1 - MAX_SCORE remains whatever is reported, so no node goes unused because of its
+            // score.
+            Property::always("every score is within the cap", |model: &GossipModel, state: &ModelState| {
+                model
+                    .honest_fronts()
+                    .all(|front| model.peer_score(state, front).abs() <= MAX_SCORE && MAX_SCORE < 1.0)
             }),
             Property::always(
                 "no single accusation of a healthy node has an effect",
-                |model: &GossipModel, m: &ModelState| {
-                    model.dead || m.alarms > 0 || model.honest_fronts().all(|n| model.hearsay(m, n) <= 0.0)
+                |model: &GossipModel, state: &ModelState| {
+                    model.dead
+                        || state.false_alarms > 0
+                        || model.honest_fronts().all(|front| model.peer_score(state, front) <= 0.0)
                 },
             ),
             Property::always(
-                "an answer of one's own just now outweighs all",
-                |model: &GossipModel, m: &ModelState| {
-                    model
-                        .honest_fronts()
-                        .all(|n| m.last_success[n] != Some(m.time) || model.hearsay(m, n) <= 0.0)
+                "a successful answer of the front itself just now outweighs all reports",
+                |model: &GossipModel, state: &ModelState| {
+                    model.honest_fronts().all(|front| {
+                        state.last_success[front] != Some(state.time) || model.peer_score(state, front) <= 0.0
+                    })
                 },
             ),
             Property::always(
-                "one healthy report protects no dead node",
-                |model: &GossipModel, m: &ModelState| {
-                    let against = |n: usize| {
-                        m.received[n].iter().flatten().filter(|w| w.against && w.at == m.time).count()
+                "one report of a dead node as healthy does not cancel the accusations",
+                |model: &GossipModel, state: &ModelState| {
+                    let accusations = |front: usize| {
+                        state.received[front]
+                            .iter()
+                            .flatten()
+                            .filter(|w| w.accuses && w.observed_at == state.time)
+                            .count()
                     };
-                    !model.dead || model.honest_fronts().all(|n| against(n) < 2 || model.hearsay(m, n) > 0.0)
+                    !model.dead
+                        || model
+                            .honest_fronts()
+                            .all(|front| accusations(front) < 2 || model.peer_score(state, front) > 0.0)
+                },
+            ),
+            Property::eventually(
+                "every honest front learns of the dead node",
+                |model: &GossipModel, state: &ModelState| {
+                    !model.dead
+                        || !model.fair
+                        || model.honest_fronts().all(|front| model.peer_score(state, front) > 0.0)
+                },
+            ),
+            Property::sometimes(
+                "some reports have an effect on a score",
+                |model: &GossipModel, state: &ModelState| {
+                    !model.dead && model.false_alarms == 0
+                        || model.honest_fronts().any(|front| model.peer_score(state, front) > 0.0)
                 },
             ),
-            Property::eventually("what all see all hear", |model: &GossipModel, m: &ModelState| {
-                !model.dead || !model.fair || model.honest_fronts().all(|n| model.hearsay(m, n) > 0.0)
-            }),
-            Property::sometimes("reports have an effect at all", |model: &GossipModel, m: &ModelState| {
-                !model.dead && model.alarms == 0 || model.honest_fronts().any(|n| model.hearsay(m, n) > 0.0)
-            }),
         ]
     }
 }
 
-/// Explores everything; how many states there are.
-pub fn check(model: GossipModel) -> usize {
+/// Explores all states, checks the properties and returns the number of states.
+pub fn explore(model: GossipModel) -> usize {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let checker = model.clone().checker().threads(threads).spawn_bfs().join();
-    assert!(checker.is_done(), "{model:?}: not all was tried");
+    assert!(checker.is_done(), "not all states of {model:?} were explored");
     checker.assert_properties();
     checker.unique_state_count()
 }
