--- a/crates/gossip/examples/byzantine_peer.rs
+++ b/crates/gossip/examples/byzantine_peer.rs
@@ -54,7 +54,7 @@
     bytes_per_s: usize,
 }
 
-fn settings() -> Settings {
+fn router_settings() -> Settings {
     Settings {
         zones: vec!["hub".into(), "branch".into()],
         zone: 1,
@@ -115,7 +115,7 @@
 
 impl DecidingFront {
     fn new(seed: u64) -> DecidingFront {
-        let mut router = Router::new(settings(), seed).expect("the settings are valid");
+        let mut router = Router::new(router_settings(), seed).expect("the settings are valid");
         router.enable_evidence();
         let entry = |cache: String, zone, kind| Entry {
             cache: cache.as_str().into(),
@@ -163,7 +163,7 @@
         index >= self.scenario.fronts - self.scenario.byzantine
     }
 
-    fn is_dead(&self) -> bool {
+    fn is_node_dead(&self) -> bool {
         self.sim.now >= SETTLE_MS
     }
 
@@ -208,7 +208,7 @@
     /// Returns the outcome of an attempt: the failed node refuses the connection; the others answer, with an
     /// error at [`ERROR_RATE`].
     fn attempt_outcome(&mut self, id: RequestId, attempt: u32, cache: CacheId) -> fernslip::Outcome {
-        let fails = self.is_dead() && &*cache.0 == "box-0";
+        let fails = self.is_node_dead() && &*cache.0 == "box-0";
         self.wasted += u64::from(fails && self.sim.now < SETTLE_MS + WASTED_PERIOD_MS);
         let ending = match fails {
             true => Ending::ConnectionRefused,
@@ -295,9 +295,9 @@
     let horizon = if scenario.rate >= 50.0 { 20_000.0 } else { 240_000.0 };
     let mut run = SimulationRun::new(scenario, gossips, seed);
     while run.sim.now < SETTLE_MS + horizon {
-        let died_before_step = run.is_dead();
+        let died_before_step = run.is_node_dead();
         (0..scenario.fronts).for_each(|index| run.step_front(index, measured));
-        run.sim.run_for(STEP_MS);
+        run.sim.run_for_ms(STEP_MS);
         run.apply_peer_scores(died_before_step, measured);
         let counted = run.sim.now > SETTLE_MS + WASTED_PERIOD_MS.min(horizon);
         if counted && run.fronts.iter().all(|f| f.avoids_ms.is_some()) && scenario.byzantine == 0 {
@@ -372,7 +372,7 @@
     for reports in [0, 1, 11] {
         let mut sim = Simulation::new(3, Network { loss: 0.0, duplicated: 0.0, delay_ms: (1.0, 1.0) }, 1);
         sim.handle_event_on_all(fernslip_gossip::Event::CacheNodes(common::cache_nodes(100)));
-        sim.run_for(10_000.0);
+        sim.run_for_ms(10_000.0);
         sim.recorded = Some(Vec::new());
         for round in 0..4_000u32 {
             // A strength that alternates makes each round's report a new version, which is sent again.
@@ -381,7 +381,7 @@
                 .iter()
                 .take(reports)
                 .for_each(|b| sim.observe_node(1, *b, Observation::Failing, strength));
-            sim.run_for(250.0);
+            sim.run_for_ms(250.0);
         }
         let sent = sim.recorded.take().expect("recording is on");
         let mine: Vec<_> = sent
--- a/crates/gossip/src/codec.rs
+++ b/crates/gossip/src/codec.rs
@@ -45,8 +45,8 @@
     /// The datagram ends within its header, an item or its tag.
     #[error("datagram is truncated")]
     Truncated,
-    /// The datagram has another version of the wire format.
-    #[error("datagram has an unsupported format version")]
+    /// The datagram has a version of the wire format that is not supported.
+    #[error("datagram has a format version other than {FORMAT_VERSION}")]
     UnsupportedVersion,
     /// An item is of an unknown kind or has an invalid value.
     #[error("datagram has an unknown or malformed item")]
--- a/crates/gossip/src/engine.rs
+++ b/crates/gossip/src/engine.rs
@@ -156,20 +156,20 @@
             return;
         }
         self.request_indirect_probes(now, actions);
-        if self.schedule.take_due(PeriodicTask::Probe, self.config.probe_period_ms, at) {
+        if self.schedule.take_due_task(PeriodicTask::Probe, self.config.probe_period_ms, at) {
             self.probe_next(now, actions);
         }
-        if self.schedule.take_due(PeriodicTask::Contact, CONTACT_PERIOD_MS, at) {
+        if self.schedule.take_due_task(PeriodicTask::Contact, CONTACT_PERIOD_MS, at) {
             self.contact_absent_front(now, actions);
         }
-        if self.schedule.take_due(PeriodicTask::Expire, EXPIRY_PERIOD_MS, at) {
+        if self.schedule.take_due_task(PeriodicTask::Expire, EXPIRY_PERIOD_MS, at) {
             self.expire_and_rescore(now, actions);
         }
-        if self.schedule.take_due(PeriodicTask::Disseminate, self.config.gossip_period_ms, at) {
+        if self.schedule.take_due_task(PeriodicTask::Disseminate, self.config.gossip_period_ms, at) {
             self.disseminate_updates(now, actions);
             self.disseminate_reports(now, actions);
         }
-        if self.schedule.take_due(PeriodicTask::Digest, DIGEST_PERIOD_MS, at) {
+        if self.schedule.take_due_task(PeriodicTask::Digest, DIGEST_PERIOD_MS, at) {
             self.send_digest(now, actions);
         }
     }
--- a/crates/gossip/src/engine/reports.rs
+++ b/crates/gossip/src/engine/reports.rs
@@ -55,7 +55,7 @@
     }
 
     /// Returns the delivery state after this version was sent once more.
-    fn after_send(self, version: u32, now_ms: f64) -> Delivery {
+    fn updated_after_send(self, version: u32, now_ms: f64) -> Delivery {
         let sends = if self.version < version { 1 } else { self.sends.saturating_add(1) };
         Delivery { version, sends, sent_ms: now_ms }
     }
@@ -157,7 +157,7 @@
         let due: Vec<ReportCandidate> = candidates.iter().filter(is_due).take(max_reports).copied().collect();
         for ReportCandidate { version, report } in &due {
             let delivery = deliveries.entry(report.node).or_default();
-            *delivery = delivery.after_send(*version, now_ms);
+            *delivery = delivery.updated_after_send(*version, now_ms);
         }
         due.into_iter().map(|candidate| candidate.report).collect()
     }
--- a/crates/gossip/src/engine/schedule.rs
+++ b/crates/gossip/src/engine/schedule.rs
@@ -51,7 +51,7 @@
     }
 
     /// Returns whether a task is due; if so, its next round is scheduled. Missed rounds are skipped.
-    pub fn take_due(&mut self, task: PeriodicTask, period_ms: f64, now_ms: f64) -> bool {
+    pub fn take_due_task(&mut self, task: PeriodicTask, period_ms: f64, now_ms: f64) -> bool {
         let due_ms = &mut self.due_ms[task as usize];
         if now_ms < *due_ms {
             return false;
--- a/crates/gossip/src/keys.rs
+++ b/crates/gossip/src/keys.rs
@@ -31,7 +31,7 @@
         self.id
     }
 
-    fn start_mac(&self, data: &[u8]) -> HmacSha256 {
+    fn keyed_mac(&self, data: &[u8]) -> HmacSha256 {
         // HMAC accepts keys of any length, so this cannot fail.
         let mut mac = HmacSha256::new_from_slice(&self.secret)
             .unwrap_or_else(|_| unreachable!("HMAC accepts keys of any length"));
@@ -150,7 +150,7 @@
 
     /// Appends the authentication tag to a datagram.
     pub fn sign(&self, data: &mut Vec<u8>) {
-        let tag = self.signing.start_mac(data).finalize().into_bytes();
+        let tag = self.signing.keyed_mac(data).finalize().into_bytes();
         data.extend(&tag[..TAG_BYTES]);
     }
 
@@ -160,7 +160,7 @@
         let Some(body_len) = data.len().checked_sub(TAG_BYTES) else { return false };
         let (body, tag) = data.split_at(body_len);
         let key = self.keys().find(|k| k.id == key);
-        key.is_some_and(|k| k.start_mac(body).verify_truncated_left(tag).is_ok())
+        key.is_some_and(|k| k.keyed_mac(body).verify_truncated_left(tag).is_ok())
     }
 }
 
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -201,7 +201,7 @@
     }
 
     /// Advances the simulated time by `ms` milliseconds, handling all events in their order.
-    pub fn run_for(&mut self, ms: f64) {
+    pub fn run_for_ms(&mut self, ms: f64) {
         let end = self.now + ms;
         loop {
             let datagram = self.queue.peek().map(|Reverse((at, _))| *at as f64 / 1000.0);
@@ -269,7 +269,7 @@
             if self.now - start > max_ms {
                 return None;
             }
-            self.run_for(250.0);
+            self.run_for_ms(250.0);
         }
         Some(self.now - start)
     }
