--- a/crates/front/examples/loopback.rs
+++ b/crates/front/examples/loopback.rs
@@ -1,5 +1,5 @@
-//! Stand-ins, on loopback, for everything that a front connects to: the event bus, a cache node, a parent and the origin.
-//! The addresses are those of `examples/config.json`.
+//! Simulates on loopback everything that a front connects to: the event bus, a cache node, a parent and the
+//! origin. The addresses are those in `examples/config.json`.
 
 use fernslip_front::buffer::Buffer;
 use fernslip_front::resp;
@@ -9,10 +9,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The objects that a cache node has, by id.
+/// The ids of the objects that a cache node holds.
 type Cached = Mutex<HashSet<String>>;
 
-/// Answers each request of a front at once until it disconnects.
+/// Answers each request of a front immediately until the front disconnects.
 fn serve_front(node: &str, mut stream: TcpStream, cached: &Cached) -> io::Result<()> {
     let mut buffer = Buffer::default();
     while buffer.read_from(&mut stream)? > 0 {
@@ -22,7 +22,7 @@
             println!("{node}: {}", parts.join(" "));
             if let [command, id, fields, _] = &parts[..] {
                 if command == "ASK" {
-                    stream.write_all(&answer(id, fields, cached))?;
+                    stream.write_all(&encode_answer(id, fields, cached))?;
                 }
             }
         }
@@ -30,8 +30,9 @@
     Ok(())
 }
 
-/// The answer to a request: a hit if the object was requested before, else a fill if the request names a source for it.
-fn answer(id: &str, fields: &str, cached: &Cached) -> Vec<u8> {
+/// Builds the answer to a request: a hit if the object was requested before, a fill if the request names a
+/// source, and otherwise `not_here`.
+fn encode_answer(id: &str, fields: &str, cached: &Cached) -> Vec<u8> {
     let field = |name: &str| fields.split(',').filter_map(|f| f.split_once('=')).find(|f| f.0 == name);
     let item = field("item").map_or("?", |f| f.1);
     let is_cached = cached.lock().is_ok_and(|mut c| !c.insert(item.to_string()));
@@ -46,8 +47,9 @@
     resp::array(&[id.as_bytes(), outcome.as_bytes(), fields.as_bytes(), body.as_bytes()])
 }
 
-/// The endpoint list of the configuration stays: no event, and each second the number of the last one.
-fn serve_watch(stream: TcpStream) -> io::Result<()> {
+/// Serves an event bus without new events: it sends the offset of the last event each second, so that the
+/// endpoint list in the configuration stays in effect.
+fn serve_event_bus(stream: TcpStream) -> io::Result<()> {
     let mut line = String::new();
     BufReader::new(stream.try_clone()?).read_line(&mut line)?;
     println!("bus: {}", line.trim());
@@ -57,9 +59,9 @@
     }
 }
 
-/// Serves each connection to that address on a thread of its own.
+/// Listens on `addr` and serves each connection on its own thread.
 fn listen(addr: &str, serve: impl Fn(TcpStream) -> io::Result<()> + Send + Sync + 'static) {
-    let listener = TcpListener::bind(addr).unwrap_or_else(|e| panic!("{addr}: {e}"));
+    let listener = TcpListener::bind(addr).unwrap_or_else(|e| panic!("cannot listen on {addr}: {e}"));
     let serve = Arc::new(serve);
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -70,14 +72,14 @@
 }
 
 fn main() {
-    listen("127.0.0.1:4222", serve_watch);
+    listen("127.0.0.1:4222", serve_event_bus);
     for (node, addr) in
         [("cache-1", "127.0.0.1:4201"), ("parent-1", "127.0.0.1:4202"), ("origin-1", "127.0.0.1:4203")]
     {
         let cached = Cached::default();
         listen(addr, move |stream| serve_front(node, stream, &cached));
     }
-    println!("loopback: bus on 127.0.0.1:4222, nodes on 4201 to 4203");
+    println!("listening on loopback: event bus on port 4222, nodes on ports 4201 to 4203");
     loop {
         std::thread::park();
     }
--- a/crates/front/examples/request.rs
+++ b/crates/front/examples/request.rs
@@ -1,4 +1,5 @@
-//! Requests an object from the front of `examples/config.json`, as a client does: `request OBJECT`.
+//! A client that requests one object from the front of `examples/config.json`. Usage: `request [OBJECT]`,
+//! with the object's id as 16 hex digits.
 
 use rmpv::Value;
 use std::net::TcpStream;
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -1,39 +1,40 @@
-//! The module's time: the monotonic clock in milliseconds. What the wall clock says is [`crate::wall_clock`]'s.
+//! Module time, the time that the decision crate is given: a monotonic clock in milliseconds. For the wall
+//! clock see [`crate::wall_clock`].
 
 use std::time::{Duration, Instant};
 
-/// Module time at the start. Above 0, so that what started a while before this front has a time too: the
-/// module takes 0 for 'long ago'.
-const BASE_MS: f64 = 10_000_000.0;
+/// Module time at the start of the clock, in milliseconds. It is far above 0, so that events from before the
+/// start have a time too; the decision crate takes 0 for 'long ago'.
+const START_MS: f64 = 10_000_000.0;
 
-/// A clock that never runs back.
+/// A monotonic clock that gives module time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn start() -> Clock {
         Clock { start: Instant::now() }
     }
 
-    /// Time since the start.
+    /// The time since the clock was started.
     pub fn age(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// Module time now.
+    /// The current module time, in milliseconds.
     pub fn now(&self) -> f64 {
         self.at(Instant::now())
     }
 
-    /// Module time at that instant.
+    /// The module time at `when`, in milliseconds; instants before the start count as the start.
     pub fn at(&self, when: Instant) -> f64 {
-        BASE_MS + when.saturating_duration_since(self.start).as_secs_f64() * 1000.0
+        START_MS + when.saturating_duration_since(self.start).as_secs_f64() * 1000.0
     }
 
-    /// How long from now until that module time.
+    /// The time from now until `module_ms`: zero if it has passed, and at most one hour.
     pub fn until(&self, module_ms: f64) -> Duration {
         Duration::from_secs_f64(((module_ms - self.now()) / 1000.0).clamp(0.0, 3600.0))
     }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,7 +1,8 @@
-//! The front on real sockets. Clients speak MessagePack-RPC, cache nodes RESP; what is done with a request is
-//! decided by [`fernslip`] behind its facade.
+//! The front as a network server. Clients connect over MessagePack-RPC and cache nodes over RESP; the
+//! [`fernslip`] crate decides what is done with each request.
 //!
-//! [`start`] takes a [`LoadedConfig`] (a configuration and perhaps a site document), and serves until SIGTERM.
+//! [`start`] takes a [`LoadedConfig`] (the configuration and an optional site document) and serves until
+//! SIGTERM.
 
 pub mod buffer;
 pub mod clients;
--- a/crates/front/src/loaded_config.rs
+++ b/crates/front/src/loaded_config.rs
@@ -1,4 +1,4 @@
-//! What a front runs with, read from its files and checked: at the start, and again at each reload.
+//! Reads and checks the configuration files of a front, at the start and at each reload.
 
 use crate::config::{Config, ConfigError};
 use crate::plan::{self, Plan};
@@ -6,26 +6,26 @@
 use fernslip_site::Site;
 use std::path::PathBuf;
 
-/// The files that a front runs with, read and checked.
+/// The checked content of a front's configuration files.
 pub struct LoadedConfig {
-    /// The configuration.
+    /// The platform's configuration, or the one derived from the site document.
     pub config: Config,
-    /// What the site document describes, if there is one.
+    /// The pools, routes and members of the site document; `None` without a document.
     pub plan: Option<Plan>,
-    /// Gossip with other fronts, if the document has it.
+    /// The gossip settings; `None` if the site document configures no gossip.
     pub gossip: Option<gossip::Plan>,
-    /// The membership view of the fleet, if the document has it.
+    /// The settings of the fleet's membership view; `None` if the site document configures none.
     pub view: Option<view::Plan>,
-    /// The site document's file, to be read again on SIGHUP.
+    /// The path of the site document, which is read again on SIGHUP.
     pub(crate) site: Option<PathBuf>,
 }
 
 impl LoadedConfig {
-    /// Reads the files: the configuration, which is the one that `RELAY_CONFIG` names where none is given, and the
-    /// site document. A document that describes the front itself needs no configuration.
+    /// Reads the configuration and the site document. Without a `config` path the file that `RELAY_CONFIG`
+    /// names is read; a site document that describes the front itself needs neither.
     ///
     /// # Errors
-    /// Files that can't be read, mistakes in them, and all that keeps a front from serving from the document.
+    /// Fails if a file cannot be read or is invalid, or if the front cannot serve from the document.
     pub fn read(config: Option<PathBuf>, site: Option<PathBuf>) -> Result<LoadedConfig, ConfigError> {
         let document = site.as_ref().map(read_document).transpose()?;
         let file = config.or_else(|| std::env::var_os("RELAY_CONFIG").map(PathBuf::from));
@@ -57,7 +57,8 @@
     Ok(Site::parse(&file.display().to_string(), &text).map_err(ConfigError::Site)?.site)
 }
 
-/// The membership view's settings, with a hash of the configuration that other fronts compare with theirs.
+/// The settings of the membership view, with a hash of the configuration that other fronts compare with their
+/// own.
 fn view_plan(
     document: &Site,
     config: &Config,
@@ -65,7 +66,8 @@
 ) -> Result<Option<view::Plan>, ConfigError> {
     let Some(settings) = document.effective().view else { return Ok(None) };
     let zone = document.front.as_ref().and_then(|f| f.zone.clone()).unwrap_or_default();
-    // The documents, not what they say of this front alone: fronts of one configuration show the same.
+    // The hash leaves out what describes this front alone, so that all fronts of one configuration have the
+    // same hash.
     let config_text = file.and_then(|file| std::fs::read_to_string(file).ok());
     let texts = format!("{:?}{:?}", config_text, Some(plan::common_to_all_fronts(document)));
     let hash = fernslip_view::Id::of(&texts).0 as u32;
--- a/crates/front/src/main_loop.rs
+++ b/crates/front/src/main_loop.rs
@@ -1,4 +1,4 @@
-//! The main loop: periodic sweeps, reloads, and the way from SIGTERM to the end of the process.
+//! The main loop: periodic sweeps, configuration reloads, and the shutdown after SIGTERM.
 
 use crate::invariants::Invariant;
 use crate::reload::Reload;
@@ -12,28 +12,28 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How often the main loop runs.
-const SWEEP: Duration = Duration::from_millis(100);
-/// How often it runs once SIGTERM has come.
-const SWEEP_AT_SHUTDOWN: Duration = Duration::from_millis(10);
-/// After `evacuate` connections are closed as they fall idle: the platform sends new ones for 0.2 s more, and
-/// clients that are between two requests get a moment to send the second.
+/// The pause between two passes of the main loop.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
+/// The pause between two passes of the main loop once SIGTERM was received.
+const SHUTDOWN_SWEEP_INTERVAL: Duration = Duration::from_millis(10);
+/// How long after the `evacuate` command the front begins to close idle client connections. The platform
+/// opens new connections for another 0.2 s, and a client between two requests gets time to send its second.
 const EVACUATE_GRACE: Duration = Duration::from_millis(300);
 
-/// The main loop's state. It runs in a coroutine on the worker.
+/// The state of the main loop, which runs in a coroutine on the worker thread.
 pub(crate) struct MainLoop {
     front: Arc<Shared>,
-    /// Set when SIGTERM has come.
+    /// Set by the signal handler when SIGTERM is received.
     terminate: Arc<AtomicBool>,
     reload: Reload,
     plan: ShutdownPlan,
-    /// Wakes the coroutine that accepts clients.
+    /// Wakes the coroutine that accepts client connections.
     acceptor: WaitIoWaker,
-    /// When SIGTERM was noticed.
+    /// When the main loop noticed SIGTERM; `None` before.
     shutdown_began: Option<Instant>,
-    /// Log lines that were dropped, as last reported.
+    /// The total number of dropped log lines at the last report.
     reported_log_lines: usize,
-    /// Peers' messages that were dropped, as last reported.
+    /// The total number of dropped peer messages at the last report.
     reported_peer_messages: u64,
 }
 
@@ -57,18 +57,24 @@
         }
     }
 
-    /// Runs until the front has shut down: within the time of the plan it has answered all it took, closed its
-    /// connections gracefully and returned.
+    /// Runs until the front has shut down: after SIGTERM it answers all accepted requests, closes its
+    /// connections gracefully and returns within the time that the shutdown plan gives.
     pub(crate) fn run(mut self) {
         loop {
-            sleep::sleep(if self.shutdown_began.is_some() { SWEEP_AT_SHUTDOWN } else { SWEEP });
+            sleep::sleep(if self.shutdown_began.is_some() {
+                SHUTDOWN_SWEEP_INTERVAL
+            } else {
+                SWEEP_INTERVAL
+            });
             self.report_drops();
             self.front.wall_clock.observe();
             self.front.upstream.sweep();
             self.front.bus.sweep();
             match self.reload.poll() {
                 Some(Ok(new)) => reconfigure::apply(&self.front, *new),
-                Some(Err(why)) => tracing::warn!("reload: the old one stays: {why}"),
+                Some(Err(why)) => tracing::warn!(
+                    "reload: the old one stays in effect, the new configuration is rejected: {why}"
+                ),
                 None => {}
             }
             self.publish_state();
@@ -81,11 +87,15 @@
         }
     }
 
-    /// Logs how many log lines and peers' messages were dropped since the last report.
+    /// Logs how many log lines and peer messages were dropped since the last report.
     fn report_drops(&mut self) {
         let dropped = log::dropped();
         if dropped > self.reported_log_lines {
-            tracing::warn!(dropped = dropped - self.reported_log_lines, total = dropped, "log");
+            tracing::warn!(
+                dropped = dropped - self.reported_log_lines,
+                total = dropped,
+                "log lines were dropped"
+            );
             self.reported_log_lines = dropped;
         }
         let dropped = self.front.dropped_peer_messages();
@@ -93,13 +103,14 @@
             tracing::warn!(
                 dropped = dropped - self.reported_peer_messages,
                 total = dropped,
-                "odd messages of peers"
+                "messages from peers were dropped"
             );
             self.reported_peer_messages = dropped;
         }
     }
 
-    /// Publishes in the fleet's view whether this front is ready. From SIGTERM on its state is published there once.
+    /// Publishes this front's state in the fleet's membership view. From SIGTERM on this does nothing:
+    /// `begin_shutdown` publishes the last state once.
     fn publish_state(&self) {
         if let Some(fleet) = self.front.fleet.as_ref().filter(|_| self.shutdown_began.is_none()) {
             fleet.set_state(match (self.front.is_ready(), self.front.server.is_evacuated()) {
@@ -128,8 +139,8 @@
         self.shutdown_began = Some(now);
     }
 
-    /// Closes connections that are due, and ends the front once all is answered or the time for it is over. Whether the
-    /// front has ended.
+    /// Closes the client connections that may be closed, and finishes the shutdown once every request is
+    /// answered or the time for that is over. Returns whether the front has shut down.
     fn sweep_clients(&self) -> bool {
         let (front, plan) = (&self.front, &self.plan);
         let elapsed = self.shutdown_began.map(|at| at.elapsed());
@@ -161,15 +172,16 @@
         tracing::info!(?held, attempts = front.upstream.attempts_in_flight(), open, "left");
     }
 
-    /// Accepts no client any more and sees the last ones out. The exit of the process would close all connections at
-    /// once, those with unread bytes by a reset.
+    /// Stops accepting clients and closes the remaining connections gracefully. The exit of the process would
+    /// close all of them at once, and reset those with unread bytes.
     fn close_remaining(&self, deadline: Instant) {
         let front = &self.front;
         self.stop_accepting();
         loop {
-            sleep::sleep(SWEEP_AT_SHUTDOWN);
+            sleep::sleep(SHUTDOWN_SWEEP_INTERVAL);
             front.server.sweep(front, true);
-            // A cancelled attempt still ends by itself, as a rule within the same moment.
+            // A cancelled attempt ends on its own, usually at once, so the loop waits for attempts in flight
+            // too.
             if Instant::now() >= deadline
                 || front.server.is_empty() && front.upstream.attempts_in_flight() == 0
             {
--- a/crates/front/src/reconfigure.rs
+++ b/crates/front/src/reconfigure.rs
@@ -1,12 +1,13 @@
-//! Applying a reloaded configuration to a running front, as far as one can without a restart.
+//! Applies a reloaded configuration to a running front, as far as that is possible without a restart.
 
 use crate::loaded_config::LoadedConfig;
 use crate::shared::Shared;
 
-/// Applies what a running front can take over: the bus's address, keys, and the plan of the site document.
+/// Applies the parts that can change at run time: the bus address, the keys, and the plan of the site
+/// document.
 pub(crate) fn apply(front: &Shared, new: LoadedConfig) {
     if let Some(bus) = new.config.bus {
-        tracing::info!("reload: bus={bus}; what else is new in the configuration takes a restart");
+        tracing::info!("reload: bus={bus}; other changes to the configuration require a restart");
         front.bus.set_address(bus);
     }
     if let (Some(gossip), Some(plan)) = (&front.gossip, new.gossip) {
@@ -23,7 +24,9 @@
                 front.announce_members();
                 tracing::info!("reload: site: {changes}");
             }
-            Err(why) => tracing::warn!("reload: the old site stays: {why}"),
+            Err(why) => {
+                tracing::warn!("reload: the old site stays in effect, the new document is rejected: {why}");
+            }
         }
     }
 }
--- a/crates/front/src/shared.rs
+++ b/crates/front/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all parts of a running front share.
+//! The state that all parts of a running front share.
 
 use crate::clock::Clock;
 use crate::discovery_watch::DiscoveryWatch;
@@ -18,50 +18,51 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Without an endpoint list for so long the front reports itself ready all the same: what delays the list must not hold
-/// up the platform's release. Requests are rejected at once until the list has come.
-const LIST_WAIT: Duration = Duration::from_millis(1000);
+/// How long after its start a front without an endpoint list reports itself as not ready. Then it reports
+/// ready, so that a late list does not hold up the platform's release; requests are rejected at once until
+/// the list arrives.
+const ENDPOINT_LIST_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// What all parts of a front share.
+/// The state that all parts of a running front share.
 pub struct Shared {
-    /// Module time.
+    /// The monotonic clock, whose time the decision crate is given.
     pub clock: Clock,
-    /// The wall clock beside it.
+    /// The wall clock, for times that come from other machines.
     pub wall_clock: WallClock,
-    /// Names in the settings.
+    /// The names of zones, kinds and classes in the settings.
     pub names: Names,
-    /// The pools, each in front of its decisions.
+    /// The dispatch queues, one for each pool.
     pub queues: DispatchQueues,
-    /// Connections to cache nodes.
+    /// The connections to cache nodes.
     pub upstream: Arc<ConnectionPool>,
-    /// The clients' connections.
+    /// The server side of the clients' connections.
     pub server: Server,
-    /// Gossip with other fronts, if the site document has it.
+    /// The gossip with other fronts; `None` if the site document configures none.
     pub gossip: Option<Arc<GossipService>>,
-    /// The membership view of the fleet, if the site document has it.
+    /// The fleet's membership view; `None` if the site document configures none.
     pub fleet: Option<Arc<Fleet>>,
-    /// Messages between fronts, if there are peers.
+    /// The datagram socket for messages between fronts; `None` if no peers are configured.
     pub peers: Option<Arc<Peers>>,
-    /// The event bus.
+    /// The watch on the event bus, which delivers endpoint updates and purges.
     pub bus: DiscoveryWatch,
-    /// The endpoint list has come.
+    /// Whether an endpoint list was received.
     pub endpoints_listed: AtomicBool,
-    /// SIGTERM came.
+    /// Whether SIGTERM was received.
     pub(crate) shutting_down: AtomicBool,
-    /// Counters for the operators.
+    /// The counters of the admin interface.
     pub metrics: Metrics,
-    /// Why things happened, by kind and reason.
+    /// Counters of closed connections, retries and the like, by kind and reason.
     pub reason_counts: Arc<ReasonCounts>,
-    /// What must hold, and how often it did not.
+    /// The invariants that are checked at run time, with their violation counts.
     pub invariants: Arc<Invariants>,
-    /// After a node was told to drain, attempts on it may still begin for so long, in milliseconds.
+    /// How long attempts on a node may still begin after it was set to draining, in milliseconds.
     pub drain_grace_ms: f64,
-    /// Where manual exclusions are stored for a process that replaces this one.
+    /// The files in which manual exclusions are stored for a process that replaces this one.
     pub manual_exclusions: ManualExclusions,
 }
 
 impl Shared {
-    /// Tells the gossip which cache nodes there are, where the site document lists them.
+    /// Passes the list of cache nodes to the gossip, if the site document lists them.
     pub(crate) fn announce_members(&self) {
         if let (Some(gossip), Some(members)) = (&self.gossip, self.queues.members()) {
             gossip.update_nodes(
@@ -72,22 +73,23 @@
         }
     }
 
-    /// Passes a message of the peer in `slot` to the decisions of every pool.
+    /// Passes a message of the peer with the number `slot` to the dispatcher of every pool.
     pub(crate) fn deliver_peer_message(&self, slot: u32, message: &[u8]) {
         for queue in self.queues.all() {
             queue.dispatcher.peer_message(self.clock.now(), slot, message.to_vec());
         }
     }
 
-    /// Messages of peers that were dropped so far: from no peer, too long, or malformed.
+    /// The number of peer messages dropped so far: from an unknown sender, too long, or malformed.
     pub(crate) fn dropped_peer_messages(&self) -> u64 {
-        let odd: u64 = self.queues.all().iter().map(|q| q.dispatcher.malformed_messages()).sum();
-        self.peers.as_ref().map_or(0, |p| p.foreign()) + odd
+        let malformed: u64 = self.queues.all().iter().map(|q| q.dispatcher.malformed_messages()).sum();
+        self.peers.as_ref().map_or(0, |p| p.foreign()) + malformed
     }
 
-    /// Whether new clients should be sent here.
+    /// Whether the platform should send new clients to this front: endpoints are listed (or waited for long
+    /// enough), and it is neither shutting down nor evacuated.
     pub fn is_ready(&self) -> bool {
-        (self.endpoints_listed.load(Ordering::Acquire) || self.clock.age() >= LIST_WAIT)
+        (self.endpoints_listed.load(Ordering::Acquire) || self.clock.age() >= ENDPOINT_LIST_TIMEOUT)
             && !self.shutting_down.load(Ordering::Acquire)
             && !self.server.is_evacuated()
     }
--- a/crates/front/src/shutdown.rs
+++ b/crates/front/src/shutdown.rs
@@ -1,43 +1,48 @@
-//! The plan of a graceful shutdown after SIGTERM, from the platform's times and the longest deadline of the settings.
+//! The time plan of a graceful shutdown after SIGTERM, computed from the platform's time limits and the
+//! longest deadline in the settings.
 
 use crate::listen::Origin;
 use std::time::Duration;
 
-/// After SIGTERM new work may come for so long, and is taken: the platform sends new connections for 0.4 s at the
-/// longest, and calls on open ones for 0.2 s more.
-const ACCEPTING_FOR: Duration = Duration::from_millis(650);
-/// The platform kills the process that much after SIGTERM and the longest deadline, which counts as `MIN_LONGEST_DEADLINE_MS`
-/// where it is shorter.
-const KILLED_AFTER: Duration = Duration::from_millis(700);
+/// How long after SIGTERM new calls are still accepted: the platform opens new connections for up to 0.4 s,
+/// and sends calls on open ones for 0.2 s more.
+const ACCEPT_PERIOD: Duration = Duration::from_millis(650);
+/// The time between the end of the longest deadline, counted from SIGTERM, and the platform's kill. A longest
+/// deadline below `MIN_LONGEST_DEADLINE_MS` counts as that value.
+const KILL_DELAY: Duration = Duration::from_millis(700);
+/// The shortest value, in milliseconds, that the platform assumes for the longest deadline.
 const MIN_LONGEST_DEADLINE_MS: f64 = 3000.0;
-/// Of that time, reserved for closing connections gracefully once all is answered.
-const GRACEFUL_CLOSES: Duration = Duration::from_millis(450);
-/// A margin, for the delivery of the signal and a machine that is busy.
-const MARGIN: Duration = Duration::from_millis(20);
+/// The last part of the time before the kill, reserved for closing connections gracefully after the last
+/// answer.
+const GRACEFUL_CLOSE_PERIOD: Duration = Duration::from_millis(450);
+/// A margin before the kill for signal delivery and a busy machine.
+const EXIT_MARGIN: Duration = Duration::from_millis(20);
 
-/// Times after SIGTERM.
+/// The time limits of a shutdown, each counted from SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownPlan {
-    /// Work is accepted up to then, and rejected at once afterwards.
+    /// Until then new calls are accepted; later ones are rejected at once.
     pub accepting_for: Duration,
-    /// All that was accepted is answered by then, be it with an error.
+    /// By then every accepted call is answered, if need be with an error.
     pub answered_by: Duration,
-    /// The process has exited by then.
+    /// By then the process has exited.
     pub exit_by: Duration,
-    /// Another process accepts on the clients' socket: what this one does not accept is accepted there, and not rejected.
+    /// Whether another process accepts on the same socket. Connections that this process does not accept are
+    /// then accepted there, and not rejected.
     pub hands_over: bool,
 }
 
 impl ShutdownPlan {
-    /// Where the longest that a client waits is so many milliseconds. A handed socket is served by the process that
-    /// replaces this one: nothing more is accepted here.
-    pub fn of(longest_ms: f64, origin: Origin) -> ShutdownPlan {
-        let kill = Duration::from_secs_f64(longest_ms.max(MIN_LONGEST_DEADLINE_MS) / 1000.0) + KILLED_AFTER;
-        let accepting_for = if origin == Origin::Passed { Duration::ZERO } else { ACCEPTING_FOR };
-        let exit_by = kill - MARGIN;
+    /// Computes the plan from the longest deadline of any class, in milliseconds. With a passed socket this
+    /// process accepts nothing after SIGTERM, because the process that replaces it serves the socket.
+    pub fn new(longest_deadline_ms: f64, origin: Origin) -> ShutdownPlan {
+        let kill =
+            Duration::from_secs_f64(longest_deadline_ms.max(MIN_LONGEST_DEADLINE_MS) / 1000.0) + KILL_DELAY;
+        let accepting_for = if origin == Origin::Passed { Duration::ZERO } else { ACCEPT_PERIOD };
+        let exit_by = kill - EXIT_MARGIN;
         ShutdownPlan {
             accepting_for,
-            answered_by: exit_by - GRACEFUL_CLOSES,
+            answered_by: exit_by - GRACEFUL_CLOSE_PERIOD,
             exit_by,
             hands_over: origin == Origin::Passed,
         }
--- a/crates/front/src/shutdown/tests.rs
+++ b/crates/front/src/shutdown/tests.rs
@@ -1,28 +1,34 @@
 use super::*;
 
-/// Guards what is taken late against the kill: the front took work for 1 s, and ended up to 1.5 s after the longest
-/// deadline, while the kill comes 0.7 s after it.
+/// Guards against a kill before the last answer: a front that accepted calls for 1 s after SIGTERM exited up
+/// to 1.5 s after the longest deadline, while the platform kills it 0.7 s after that deadline.
 #[test]
-fn the_front_has_ended_before_the_platform_kills_it() {
-    for longest_ms in [200.0, 1_500.0, 3_000.0, 5_000.0, 60_000.0] {
+fn the_front_exits_before_the_platform_kills_it() {
+    for longest_deadline_ms in [200.0, 1_500.0, 3_000.0, 5_000.0, 60_000.0] {
         for origin in [Origin::Bound, Origin::Passed] {
-            let e = ShutdownPlan::of(longest_ms, origin);
-            let kill =
-                Duration::from_secs_f64(f64::max(longest_ms, 3_000.0) / 1000.0) + Duration::from_millis(700);
+            let plan = ShutdownPlan::new(longest_deadline_ms, origin);
+            let kill = Duration::from_secs_f64(f64::max(longest_deadline_ms, 3_000.0) / 1000.0)
+                + Duration::from_millis(700);
             assert!(
-                e.accepting_for < e.answered_by && e.answered_by < e.exit_by && e.exit_by < kill,
-                "{e:?}"
+                plan.accepting_for < plan.answered_by
+                    && plan.answered_by < plan.exit_by
+                    && plan.exit_by < kill,
+                "unexpected time limits: {plan:?}"
             );
-            // Connections come for 0.4 s, calls on them for 0.2 s more; what comes after 0.7 s must not be lost.
+            // New connections arrive for 0.4 s and calls on them for 0.2 s more; calls after 0.7 s must not
+            // be lost.
             if origin == Origin::Bound {
                 assert!(
-                    e.accepting_for >= Duration::from_millis(600)
-                        && e.accepting_for <= Duration::from_millis(700),
-                    "{e:?}"
+                    plan.accepting_for >= Duration::from_millis(600)
+                        && plan.accepting_for <= Duration::from_millis(700),
+                    "unexpected time limits: {plan:?}"
                 );
             }
-            // A graceful close reads on for 0.4 s.
-            assert!(e.exit_by - e.answered_by > Duration::from_millis(400), "{e:?}");
+            // A graceful close reads for another 0.4 s.
+            assert!(
+                plan.exit_by - plan.answered_by > Duration::from_millis(400),
+                "unexpected time limits: {plan:?}"
+            );
         }
     }
 }
--- a/crates/front/src/spawn.rs
+++ b/crates/front/src/spawn.rs
@@ -1,17 +1,17 @@
-//! Starting coroutines.
+//! Functions that start coroutines.
 
-/// Starts a coroutine. May asks its callers to keep off thread-local storage and deep stacks; nothing here uses
-/// the one, and the stacks are sized in `startup.rs`.
-pub fn spawn(f: impl FnOnce() + Send + 'static) {
-    may::go!(f);
+/// Starts a coroutine with the ordinary stack size. `may` requires that coroutines use no thread-local
+/// storage and no deep stacks: the front has no thread-local storage, and `startup.rs` sets the stack size.
+pub fn spawn(run: impl FnOnce() + Send + 'static) {
+    may::go!(run);
 }
 
-/// Words of the stack of what reads JSON: its parser goes down 128 levels before it refuses.
-const DEEP_WORDS: usize = 0x20000;
+/// The stack size, in words, of a coroutine that parses JSON: the parser accepts up to 128 levels of nesting.
+const DEEP_STACK_WORDS: usize = 0x20000;
 
-/// Starts a coroutine that reads JSON. Guards against a nested line of the bus: on an ordinary stack it ended the
-/// coroutine without a word, and the front heard of no change any more.
-pub fn spawn_deep(f: impl FnOnce() + Send + 'static) {
-    // Fails only where memory for the stack can't be had, at the start.
-    let _ = may::go_with!(DEEP_WORDS, f);
+/// Starts a coroutine with a stack that is large enough for parsing JSON. On an ordinary stack a deeply
+/// nested line from the event bus ended the coroutine silently, and the front received no further change.
+pub fn spawn_deep(run: impl FnOnce() + Send + 'static) {
+    // Fails only if memory for the stack cannot be allocated when the front starts.
+    let _ = may::go_with!(DEEP_STACK_WORDS, run);
 }
--- a/crates/front/src/start_error.rs
+++ b/crates/front/src/start_error.rs
@@ -1,29 +1,29 @@
-//! Why a front could not start, or had to stop.
+//! The error that `start` returns.
 
 use crate::admin::ADDRESS_VARIABLE;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a front could not start, or had to stop.
+/// The reason why a front could not start or had to stop.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Its settings are impossible.
+    /// The settings contradict each other or are out of range.
     #[error("configuration: {0}")]
     Settings(fernslip::SettingsError),
-    /// An address can't be bound.
+    /// A socket address could not be bound.
     #[error("cannot listen on {0}: {1}")]
     Bind(SocketAddr, std::io::Error),
-    /// The operators' local socket can't be bound.
-    #[error("cannot answer at {}: {_1}", .0.display())]
+    /// The local control socket for operators could not be bound.
+    #[error("cannot listen on control socket {}: {_1}", .0.display())]
     Control(PathBuf, std::io::Error),
-    /// `$RELAY_OPS` is no address.
-    #[error("{ADDRESS_VARIABLE}={0:?} is no address")]
+    /// The value of `$RELAY_OPS` is not a socket address.
+    #[error("{ADDRESS_VARIABLE}={0:?} is not an address of the form IP:PORT")]
     AdminAddress(String),
-    /// A thread can't be started.
+    /// A thread could not be started.
     #[error("cannot start a thread: {0}")]
     Thread(std::io::Error),
-    /// The coroutine of the main loop has panicked.
-    #[error("a defect ended what keeps house; its message is above")]
+    /// The main loop panicked.
+    #[error("the main loop panicked; the panic message is above")]
     Panic,
 }
 
--- a/crates/front/src/startup.rs
+++ b/crates/front/src/startup.rs
@@ -1,7 +1,8 @@
-//! Starting a front, in phases: sockets, gossip and view, shared state, known endpoints, background work, serving.
+//! Starts a front in phases: sockets, gossip and view, shared state, known endpoints, background work,
+//! serving.
 //!
-//! Their order is part of the contract: every address is bound before anything is restored, manual exclusions are back
-//! before any endpoint is listed, and a front accepts clients last.
+//! The order of the phases matters: every address is bound before any state is restored, manual exclusions
+//! are restored before any endpoint is listed, and the front accepts clients last.
 
 use crate::clock::Clock;
 use crate::config::Config;
@@ -39,64 +40,68 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// One core: one worker.
-const WORKERS: usize = 1;
-/// Size of a coroutine's stack in words; only what is touched costs memory.
-const STACK_WORDS: usize = 0x4000;
-/// The decision crate's timers are run this often at least.
-const TICK: Duration = Duration::from_millis(5);
-/// An address that can't be bound is retried for so long: a process that is ready within 6 s may replace another.
-const BIND_WITHIN: Duration = Duration::from_secs(2);
+/// The number of worker threads that run coroutines; a front is given one core.
+const WORKER_THREADS: usize = 1;
+/// The stack size of a coroutine, in words. Only pages that are touched use memory.
+const COROUTINE_STACK_WORDS: usize = 0x4000;
+/// The longest pause between two runs of the decision crate's timers.
+const MAX_TIMER_INTERVAL: Duration = Duration::from_millis(5);
+/// How long binding an address is retried. A process that replaces another has 6 s to become ready.
+const BIND_RETRY_PERIOD: Duration = Duration::from_secs(2);
 
-/// Starts a front and serves until SIGTERM, and then until all that came is answered.
+/// Starts a front, serves until SIGTERM, and returns once the accepted requests are answered.
 ///
 /// # Errors
-/// An address, a thread or the settings can't be had, or the main loop panicked.
+/// Fails if an address cannot be bound, a thread cannot be started, the settings are invalid, or the main
+/// loop panicked.
 pub fn start(loaded: LoadedConfig, signals: Signals) -> Result<(), StartError> {
     let LoadedConfig { mut config, plan, gossip, view, site } = loaded;
-    may::config().set_workers(WORKERS).set_stack_size(STACK_WORDS);
+    may::config().set_workers(WORKER_THREADS).set_stack_size(COROUTINE_STACK_WORDS);
     let clock = Clock::start();
     let reload = Reload::new(signals.hup, config.file.take(), site);
     let mut checks = Startup { signals_caught: true, ..Startup::default() };
-    let core = Core::new(&config, clock);
+    let core = CoreComponents::new(&config, clock);
     let Sockets { peers, clients, origin } = Sockets::open(&config)?;
     let listen = clients.local_addr().unwrap_or(config.listen);
     let gossip_from_view = gossip.as_ref().is_some_and(|g| g.from_view);
     let gossip = gossip.map(|g| open_gossip(&g, &config, &core)).transpose()?;
     let fleet = view.map(|v| open_view(&v, &config, &core.clock, gossip.as_deref())).transpose()?;
     let serving = ServingConfig::take(&mut config, gossip_from_view);
-    let front = assemble(config, plan, core, Services { peers, gossip, fleet })?;
+    let front = build_shared_state(config, plan, core, PeerServices { peers, gossip, fleet })?;
     admin::restore_manual_exclusions(&front);
     checks.exclusions_restored = true;
     let history = load_known_endpoints(&front, &serving);
     spawn_services(&front, &serving, history)?;
     if origin == Origin::Passed {
-        tracing::info!("the clients' socket is the one handed over in {}", listen::PASSED_SOCKET_VARIABLE);
+        tracing::info!(
+            "clients are accepted on the socket handed over in {}",
+            listen::PASSED_SOCKET_VARIABLE
+        );
         admin::follow_manual_exclusions(front.clone()).map_err(StartError::Thread)?;
     }
-    open_admin(&front, &serving)?;
+    open_admin_interface(&front, &serving)?;
     checks.may_serve(&front.invariants);
     tracing::info!("front {} listens on {listen}", serving.name);
     let acceptor = clients.waker();
     spawn_serving(&front, clients, origin);
-    let plan = ShutdownPlan::of(serving.longest_deadline_ms, origin);
+    let plan = ShutdownPlan::new(serving.longest_deadline_ms, origin);
     let main_loop = MainLoop::new(front, signals.term, reload, plan, acceptor);
     let running = may::go!(move || main_loop.run());
     running.join().map_err(|_| StartError::Panic)
 }
 
-/// What every later phase builds on; made without any system call that may fail.
-struct Core {
+/// The components that every later phase uses. Creating them makes no system call that can fail.
+struct CoreComponents {
     clock: Clock,
     invariants: Arc<Invariants>,
     reason_counts: Arc<ReasonCounts>,
     upstream: Arc<ConnectionPool>,
-    /// Signs of faults on their way from the decisions to the gossip.
+    /// Evidence of faulty cache nodes, queued by the dispatchers for the gossip.
     evidence: EvidenceQueue,
 }
 
-impl Core {
-    fn new(config: &Config, clock: Clock) -> Core {
+impl CoreComponents {
+    fn new(config: &Config, clock: Clock) -> CoreComponents {
         let limits = ConnectionLimits {
             streams: config.streams,
             connect_timeout: config.connect_timeout,
@@ -106,15 +111,15 @@
         let (invariants, reason_counts) =
             (Arc::new(Invariants::default()), Arc::new(ReasonCounts::default()));
         let upstream = Arc::new(ConnectionPool::new(limits, invariants.clone(), reason_counts.clone()));
-        Core { clock, invariants, reason_counts, upstream, evidence: EvidenceQueue::default() }
+        CoreComponents { clock, invariants, reason_counts, upstream, evidence: EvidenceQueue::default() }
     }
 }
 
-/// The sockets of the configuration.
+/// The sockets that the configuration names, bound.
 struct Sockets {
     peers: Option<Arc<Peers>>,
     clients: Listener,
-    /// Where the clients' socket came from.
+    /// Whether the clients' socket was bound by this process or passed to it.
     origin: Origin,
 }
 
@@ -122,23 +127,28 @@
     fn open(config: &Config) -> Result<Sockets, StartError> {
         let peers = match config.peer_listen {
             Some(at) => {
-                let peers = bind(at, || Peers::bind(at, config.peers.clone(), config.peers_all))?;
+                let peers = bind_with_retry(at, || Peers::bind(at, config.peers.clone(), config.peers_all))?;
                 Some(Arc::new(peers))
             }
             None => None,
         };
-        let (clients, origin) = bind(config.listen, || listen::clients(config.listen))?;
+        let (clients, origin) = bind_with_retry(config.listen, || listen::clients(config.listen))?;
         Ok(Sockets { peers, clients, origin })
     }
 }
 
-/// Binds an address, and retries for a while where this machine lacks a resource, or an earlier process still has it.
-fn bind<T>(at: SocketAddr, bind: impl Fn() -> std::io::Result<T>) -> Result<T, StartError> {
+/// Binds an address. Retries for `BIND_RETRY_PERIOD` while this machine lacks a resource or an earlier
+/// process still holds the address.
+fn bind_with_retry<T>(at: SocketAddr, bind: impl Fn() -> std::io::Result<T>) -> Result<T, StartError> {
     let retry = |e: &std::io::Error| Failure::of(e) != Failure::Remote;
-    retry_with_backoff(BIND_WITHIN, retry, |_| bind()).map_err(|e| StartError::Bind(at, e))
+    retry_with_backoff(BIND_RETRY_PERIOD, retry, |_| bind()).map_err(|e| StartError::Bind(at, e))
 }
 
-fn open_gossip(plan: &gossip::Plan, config: &Config, core: &Core) -> Result<Arc<GossipService>, StartError> {
+fn open_gossip(
+    plan: &gossip::Plan,
+    config: &Config,
+    core: &CoreComponents,
+) -> Result<Arc<GossipService>, StartError> {
     let at = plan.config.addr;
     let gossip = GossipService::bind(plan, &core.clock, config.seed, core.evidence.clone());
     let gossip = Arc::new(gossip.map_err(|e| StartError::Bind(at, e))?);
@@ -149,8 +159,8 @@
     Ok(gossip)
 }
 
-/// Opens the membership view of the fleet, with what its durable store remembers if it has one, and starts the store's
-/// thread.
+/// Opens the fleet's membership view with the peers restored from its durable store, if it has one, and
+/// starts the store's thread.
 fn open_view(
     plan: &view::Plan,
     config: &Config,
@@ -158,7 +168,8 @@
     gossip: Option<&GossipService>,
 ) -> Result<Arc<Fleet>, StartError> {
     let opened = plan.store.as_deref().and_then(|file| Snapshot::open_with_timeout(file, random_store_id()));
-    // Another number for each process: births and orders must differ where all else is the same.
+    // Each process gets its own seed: generations and message order numbers that are drawn from it must
+    // differ between processes with the same configuration.
     let seed = config.seed ^ unix_nanos() ^ u64::from(std::process::id()).rotate_left(32);
     let gossip_addr = gossip.map(super::control::gossip::GossipService::advertised_addr);
     let (snapshot, restored) =
@@ -176,7 +187,7 @@
     Ok(fleet)
 }
 
-/// An id for a store that is empty: another each time.
+/// A random id for a new, empty store; each call returns a different one.
 fn random_store_id() -> u64 {
     let seed = unix_nanos() ^ u64::from(std::process::id()).rotate_left(40);
     rand::Rng::random(&mut <rand_chacha::ChaCha8Rng as rand::SeedableRng>::seed_from_u64(seed))
@@ -191,22 +202,22 @@
     thread.map(drop).map_err(StartError::Thread)
 }
 
-/// What the phases after [`assemble`] need of the configuration.
+/// The parts of the configuration that the phases after [`build_shared_state`] need.
 struct ServingConfig {
     /// The front's name.
     name: String,
-    /// The last event known.
+    /// The bus offset of the last event that the configuration contains.
     offset: u64,
-    /// The events up to it.
+    /// The bus events up to `offset` that the configuration contains.
     known_events: Vec<serde_json::Value>,
     has_bus: bool,
-    /// The admin interface, where `$RELAY_OPS` names no other.
+    /// The address of the admin interface, used where `$RELAY_OPS` names none; `None` for no interface.
     admin: Option<SocketAddr>,
-    /// Callers of the admin interface at once.
+    /// How many callers the admin interface serves at the same time.
     admin_callers: usize,
-    /// The gossip takes its members from the fleet's view.
+    /// Whether the gossip takes its members from the fleet's membership view.
     gossip_from_view: bool,
-    /// The longest deadline of any class, in milliseconds.
+    /// The longest deadline of any request class, in milliseconds.
     longest_deadline_ms: f64,
 }
 
@@ -225,22 +236,22 @@
     }
 }
 
-/// What a front talks to other fronts with, as far as it is configured.
-struct Services {
+/// The services that communicate with other fronts; `None` for each that is not configured.
+struct PeerServices {
     peers: Option<Arc<Peers>>,
     gossip: Option<Arc<GossipService>>,
     fleet: Option<Arc<Fleet>>,
 }
 
-/// Puts the shared state together.
-fn assemble(
+/// Builds the shared state of the front.
+fn build_shared_state(
     config: Config,
     plan: Option<Plan>,
-    core: Core,
-    services: Services,
+    core: CoreComponents,
+    services: PeerServices,
 ) -> Result<Arc<Shared>, StartError> {
-    let Core { clock, invariants, reason_counts, upstream, evidence } = core;
-    let Services { peers, gossip, fleet } = services;
+    let CoreComponents { clock, invariants, reason_counts, upstream, evidence } = core;
+    let PeerServices { peers, gossip, fleet } = services;
     let registry = Arc::new(NodeRegistry::default());
     let effects: Arc<[_]> = config.settings.classes.iter().map(|c| c.effect).collect();
     let host = || DispatchHost {
@@ -278,8 +289,8 @@
     }))
 }
 
-/// Makes the endpoints known that the site document and the configuration list; the history of the bus's events up to
-/// the last one that the configuration has.
+/// Registers the endpoints that the site document and the configuration list. Returns the history of bus
+/// events up to the last one in the configuration.
 fn load_known_endpoints(front: &Shared, serving: &ServingConfig) -> History {
     front.queues.start(&front.clock, &front.upstream);
     front.announce_members();
@@ -296,13 +307,13 @@
                 history.observe(&event);
                 discovery_watch::apply(front, event, None);
             }
-            Err(e) => tracing::warn!("known: {e}"),
+            Err(e) => tracing::warn!("ignoring an event in the configuration's `known` list: {e}"),
         }
     }
     history
 }
 
-/// Starts the coroutines and threads that talk to other fronts and to the bus.
+/// Starts the coroutines and threads that communicate with other fronts and with the event bus.
 fn spawn_services(front: &Arc<Shared>, serving: &ServingConfig, history: History) -> Result<(), StartError> {
     if let Some(gossip) = front.gossip.clone() {
         let (listening, f) = (gossip.clone(), front.clone());
@@ -324,13 +335,13 @@
     Ok(())
 }
 
-fn open_admin(front: &Arc<Shared>, serving: &ServingConfig) -> Result<(), StartError> {
+fn open_admin_interface(front: &Arc<Shared>, serving: &ServingConfig) -> Result<(), StartError> {
     let address = match std::env::var(admin::ADDRESS_VARIABLE) {
         Ok(v) if !v.trim().is_empty() => Some(v.trim().parse().map_err(|_| StartError::AdminAddress(v))?),
         _ => serving.admin,
     };
     if let Some(at) = address {
-        let bound = bind(at, || admin::open(front.clone(), at, serving.admin_callers))?;
+        let bound = bind_with_retry(at, || admin::open(front.clone(), at, serving.admin_callers))?;
         tracing::info!("operators' door at {bound}");
     }
     Ok(())
@@ -343,8 +354,10 @@
     let f = front.clone();
     spawn(move || loop {
         let next = f.queues.all().iter().filter_map(|q| q.tick(&f.clock)).reduce(f64::min);
-        // The decisions and what they want of the host stand behind locks.
-        let wait = next.map_or(TICK, |at| f.clock.until(at).clamp(Duration::from_millis(1), TICK));
-        sleep::sleep_beside_the_worker(wait);
+        // Off the worker is safe here: the dispatchers and their host are guarded by locks.
+        let wait = next.map_or(MAX_TIMER_INTERVAL, |at| {
+            f.clock.until(at).clamp(Duration::from_millis(1), MAX_TIMER_INTERVAL)
+        });
+        sleep::sleep_off_the_worker(wait);
     });
 }
--- a/crates/front/tests/sleep.rs
+++ b/crates/front/tests/sleep.rs
@@ -1,10 +1,11 @@
-//! Where coroutines go on after a wait, with one worker as the program has it.
+//! Checks on which thread a coroutine resumes after a wait, with one worker thread as in the program.
 
 use fernslip_front::sleep::{park, sleep};
 use may::sync::Blocker;
 use std::time::Duration;
 
-/// The front rests on one thread for all its coroutines: what does not yield is not interrupted.
+/// The front relies on a single thread for all its coroutines: code that does not yield must not be
+/// interrupted.
 #[test]
 fn a_coroutine_resumes_on_the_worker_after_a_timed_wait() {
     may::config().set_workers(1);
@@ -22,7 +23,7 @@
         (worker, thread())
     });
     for (what, ended) in [("sleep", slept.join()), ("park", parked.join())] {
-        let (before, after) = ended.expect("no panic");
-        assert_eq!(before, after, "{what} ended on another thread");
+        let (before, after) = ended.expect("the coroutine does not panic");
+        assert_eq!(before, after, "after {what} the coroutine resumes on the worker thread");
     }
 }
