--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,20 +1,20 @@
-//! The command line. Doc comments on arguments and variants are the help texts that users read.
+//! The command-line arguments. The doc comments on arguments and variants are shown to users as help texts.
 
 use clap::{Args as ClapArgs, Parser, Subcommand, ValueEnum};
 use clap_complete::Shell;
 use std::path::PathBuf;
 
-/// A front for a network of object caches, and the tools around its configuration.
+/// A front for a network of object caches, with tools for its configuration.
 #[derive(Debug, Parser)]
 #[command(name = "fernslip", version, about)]
 pub struct Args {
-    /// Form of the log's lines.
+    /// Format of the log lines.
     #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
     pub log_format: LogFormat,
-    /// Least level that is logged.
+    /// Lowest level that is logged.
     #[arg(long, global = true, value_enum, default_value_t = LogLevel::Info)]
     pub log_level: LogLevel,
-    /// What to do; without one: run.
+    /// Sub-command to execute; the default is `run`.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
@@ -36,55 +36,55 @@
 
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Serve as a front until SIGTERM; SIGHUP reads the files again.
+    /// Serve as a front until SIGTERM; SIGHUP reloads the configuration files.
     Run(RunOptions),
-    /// Read site documents and tell every mistake in them.
+    /// Check site documents and report every error in them.
     Check {
-        /// The documents.
+        /// Site documents to check.
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
     },
-    /// Show a site document as it takes effect, with every default filled in.
+    /// Print a site document with all defaults filled in.
     Show {
-        /// The document.
+        /// Site document to print.
         file: PathBuf,
-        /// As which.
+        /// Output format.
         #[arg(long, value_enum, default_value_t = ShowFormat::Kdl)]
         format: ShowFormat,
     },
-    /// Make a site document of another program's files, with a report of every directive.
+    /// Convert another program's configuration to a site document, with a report on every directive.
     Import {
         #[command(subcommand)]
         source: ImportSource,
     },
-    /// Ask a running front about its gossip.
+    /// Query the gossip of a running front.
     Gossip {
         #[command(subcommand)]
         command: GossipCommand,
     },
-    /// Ask a running front about its view of the fleet.
+    /// Query a running front's view of the fleet.
     Fleet {
         #[command(subcommand)]
         command: FleetCommand,
     },
-    /// Make, rotate or show the keys that gossip is signed with.
+    /// Create, rotate or list the keys that sign gossip messages.
     Keys {
         #[command(subcommand)]
         command: KeysCommand,
     },
-    /// Write a shell's completions to standard output.
+    /// Print a shell completion script.
     Completions {
-        /// For which shell.
+        /// Shell to generate the script for.
         shell: Shell,
     },
 }
 
 #[derive(Debug, Default, ClapArgs)]
 pub struct RunOptions {
-    /// The platform's configuration, JSON; without it what RELAY_CONFIG names.
+    /// The platform's JSON configuration; the default is the file that RELAY_CONFIG names.
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
-    /// The site document.
+    /// Site document to serve from.
     #[arg(long, value_name = "FILE")]
     pub site: Option<PathBuf>,
 }
@@ -97,23 +97,23 @@
 
 #[derive(Debug, Subcommand)]
 pub enum ImportSource {
-    /// Files of Apache httpd: mod_proxy, its balancers, and mod_jk's directives.
+    /// Convert Apache httpd files: mod_proxy with its balancers, and the directives of mod_jk.
     Httpd {
-        /// Read one after the other as if they were one.
+        /// Configuration files, read in this order as if they were one file.
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
         #[command(flatten)]
         out: ImportOutput,
     },
-    /// Files of mod_jk: workers and mounts.
+    /// Convert mod_jk files: workers and mounts.
     Modjk {
-        /// workers.properties.
+        /// A `workers.properties` file; may be repeated.
         #[arg(long, required = true, value_name = "FILE")]
         workers: Vec<PathBuf>,
-        /// uriworkermap.properties.
+        /// A `uriworkermap.properties` file; may be repeated.
         #[arg(long, value_name = "FILE")]
         mounts: Vec<PathBuf>,
-        /// httpd's files that hold JkMount and its kin.
+        /// An httpd file with JkMount and related directives; may be repeated.
         #[arg(long, value_name = "FILE")]
         httpd: Vec<PathBuf>,
         #[command(flatten)]
@@ -123,101 +123,102 @@
 
 #[derive(Debug, Subcommand)]
 pub enum GossipCommand {
-    /// Members, words, trust, hearsay and bytes.
+    /// Show the members, their reports and trust, what is known by hearsay only, and the bytes sent.
     Status {
-        /// The front's local socket, as `gossip control=` names it.
+        /// Path of the front's gossip control socket, as set by `gossip control=`.
         socket: PathBuf,
     },
 }
 
 #[derive(Debug, Subcommand)]
 pub enum FleetCommand {
-    /// The fronts that it knows, and whether all hold the same view; 4 where they don't.
+    /// List the known fronts and whether all hold the same view; the exit code is 4 if they do not.
     Members {
-        /// The front's local socket, as `view control=` names it.
+        /// Path of the front's view control socket, as set by `view control=`.
         socket: PathBuf,
-        /// As JSON.
+        /// Print JSON instead of a table.
         #[arg(long)]
         json: bool,
     },
-    /// The same again at each change, until it is interrupted.
+    /// Print the list of `members` at each change, until interrupted.
     Watch {
-        /// The front's local socket.
+        /// Path of the front's view control socket, as set by `view control=`.
         socket: PathBuf,
-        /// As JSON, a line each.
+        /// Print each list as one line of JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Why a front is in its state: who said what, and when.
+    /// Explain the state of a front: which front reported what, and when.
     Explain {
-        /// The front's local socket.
+        /// Path of the front's view control socket, as set by `view control=`.
         socket: PathBuf,
-        /// The front's name.
+        /// Name of the front to explain.
         name: String,
-        /// As JSON.
+        /// Print JSON instead of a table.
         #[arg(long)]
         json: bool,
     },
-    /// The figures of its view, as OpenMetrics.
+    /// Print the metrics of the view in the OpenMetrics format.
     Metrics {
-        /// The front's local socket.
+        /// Path of the front's view control socket, as set by `view control=`.
         socket: PathBuf,
     },
 }
 
 #[derive(Debug, Subcommand)]
 pub enum KeysCommand {
-    /// Make a file with one new key; one that is there is left alone.
+    /// Create a key file with one new key; an existing file is never overwritten.
     New {
-        /// The file.
+        /// Path of the key file.
         file: PathBuf,
     },
-    /// Take one step of a rotation: on every front, with SIGHUP to each, before the next.
+    /// Execute one step of a key rotation. Install the file on every front and send SIGHUP to each before the
+    /// next step.
     Rotate {
-        /// The file.
+        /// Path of the key file.
         file: PathBuf,
-        /// Which step.
+        /// Step of the rotation.
         #[arg(long, value_enum)]
         step: RotationStep,
     },
-    /// Show the numbers of the keys, not the keys.
+    /// Show the numbers of the keys, without the secret keys.
     Show {
-        /// The file.
+        /// Path of the key file.
         file: PathBuf,
     },
 }
 
 #[derive(Clone, Copy, Debug, ValueEnum)]
 pub enum RotationStep {
-    /// A new key is accepted; the old one signs. Copy the file to the other fronts.
+    /// Accept a new key; the old one still signs. Copy the file to the other fronts.
     Add,
-    /// The new key signs; the old one is accepted.
+    /// Sign with the new key; the old one is still accepted.
     Switch,
-    /// The old key is dropped.
+    /// Remove the old key.
     Drop,
 }
 
 #[derive(Debug, ClapArgs)]
 pub struct ImportOutput {
-    /// Where the site document goes; without it to standard output.
+    /// File for the site document; the default is standard output.
     #[arg(short, long, value_name = "SITE.kdl")]
     pub output: Option<PathBuf>,
-    /// Where the report goes, as JSON.
+    /// File for the JSON report.
     #[arg(long, value_name = "REPORT.json")]
     pub report: Option<PathBuf>,
-    /// Exit with 3 if anything was left out.
+    /// Exit with code 3 if the import left anything out.
     #[arg(long)]
     pub strict: bool,
-    /// The site's name.
+    /// Name of the site.
     #[arg(long, default_value = "imported")]
     pub name: String,
-    /// Where relative names in httpd's files begin.
+    /// Folder that relative paths in httpd files start from.
     #[arg(long, value_name = "FOLDER")]
     pub root: Option<PathBuf>,
-    /// A variable as `Define` sets it.
+    /// Define a variable, as the `Define` directive does; may be repeated.
     #[arg(short = 'D', long = "define", value_name = "NAME[=VALUE]")]
     pub defines: Vec<String>,
-    /// No table on standard error.
+    /// Print no table of the directives to standard error.
     #[arg(short, long)]
     pub quiet: bool,
 }
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -1,7 +1,7 @@
 //! Dispatch and implementation of the sub-commands.
 //!
-//! Exit codes: 0 for success, 1 for a failure, 2 for a usage error (clap's own), 3 when `import --strict` left something
-//! out, 4 when `fleet members` finds a view that has not settled (see [`crate::fleet`]).
+//! Exit codes: 0 for success, 1 for a failure, 2 for a usage error (set by clap), 3 if `import --strict` left
+//! something out, 4 if `fleet members` finds a view that has not settled (see [`crate::fleet`]).
 
 use crate::args::{
     Args, Command, GossipCommand, ImportOutput, ImportSource, KeysCommand, LogFormat, LogLevel, RotationStep,
@@ -24,12 +24,12 @@
 use std::time::Duration;
 use tracing::level_filters::LevelFilter;
 
-/// Read timeout on a front's local control socket.
-const CONTROL_SOCKET_TIMEOUT: Duration = Duration::from_secs(5);
-/// Exit code when `--strict` is given and the import left something out.
+/// How long a read from a front's gossip control socket may take.
+const CONTROL_SOCKET_READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// The exit code if `--strict` is given and the import left something out.
 const EXIT_INCOMPLETE_IMPORT: u8 = 3;
 
-/// Runs the sub-command that was parsed; without one, serves as a front.
+/// Runs the parsed sub-command, or serves as a front if there is none.
 pub fn run(args: Args) -> ExitCode {
     match args.command {
         None => serve(RunOptions::default(), args.log_format, args.log_level),
@@ -37,10 +37,10 @@
         Some(Command::Check { files }) => check(&files),
         Some(Command::Show { file, format }) => show(&file, format),
         Some(Command::Import { source }) => import(source),
-        Some(Command::Gossip { command: GossipCommand::Status { socket } }) => gossip_status(&socket),
+        Some(Command::Gossip { command: GossipCommand::Status { socket } }) => print_gossip_status(&socket),
         Some(Command::Fleet { command }) => fleet::run(&command),
-        Some(Command::Keys { command }) => keys(&command),
-        Some(Command::Completions { shell }) => completions(shell),
+        Some(Command::Keys { command }) => manage_keys(&command),
+        Some(Command::Completions { shell }) => print_completions(shell),
     }
 }
 
@@ -57,7 +57,8 @@
         LogLevel::Debug => LevelFilter::DEBUG,
         LogLevel::Trace => LevelFilter::TRACE,
     };
-    // Installed before any file is read: the default action of either signal would end the process.
+    // The handlers are installed before any file is read: the default action of SIGHUP or SIGTERM ends the
+    // process.
     let signals = match Signals::catch() {
         Ok(signals) => signals,
         Err(error) => return fail(error),
@@ -79,7 +80,7 @@
 
 /// Prints a site document with every default filled in.
 fn show(file: &Path, format: ShowFormat) -> ExitCode {
-    match read(file) {
+    match read_document(file) {
         Ok(read) => {
             let site = read.site.effective();
             print(&match format {
@@ -91,32 +92,32 @@
     }
 }
 
-/// Prints the shell completions.
-fn completions(shell: Shell) -> ExitCode {
+/// Prints the completion script for a shell.
+fn print_completions(shell: Shell) -> ExitCode {
     let mut script = Vec::new();
     clap_complete::generate(shell, &mut Args::command(), "fernslip", &mut script);
     print(&String::from_utf8_lossy(&script))
 }
 
 /// Prints the gossip status of a running front.
-fn gossip_status(socket: &Path) -> ExitCode {
+fn print_gossip_status(socket: &Path) -> ExitCode {
     match read_gossip_status(socket) {
         Ok(text) => print(&text),
         Err(error) => fail(format!("{}: {error}", socket.display())),
     }
 }
 
-/// Reads the status that a front writes to every connection on its gossip control socket.
+/// Reads the status that a front writes to each connection on its gossip control socket.
 fn read_gossip_status(socket: &Path) -> io::Result<String> {
     let mut front = UnixStream::connect(socket)?;
-    front.set_read_timeout(Some(CONTROL_SOCKET_TIMEOUT))?;
+    front.set_read_timeout(Some(CONTROL_SOCKET_READ_TIMEOUT))?;
     let mut text = String::new();
     front.read_to_string(&mut text)?;
     Ok(text)
 }
 
-/// Creates, rotates or shows a key file, and prints the key numbers it then holds.
-fn keys(command: &KeysCommand) -> ExitCode {
+/// Creates, rotates or reads a key file, and prints the numbers of the keys that it then holds.
+fn manage_keys(command: &KeysCommand) -> ExitCode {
     let (file, result) = match command {
         KeysCommand::New { file } => (file, keyfile::create(file)),
         KeysCommand::Rotate { file, step } => {
@@ -138,19 +139,20 @@
     }
 }
 
-/// Reads and parses one site document; the error names the file.
-fn read(file: &Path) -> Result<ParsedSite, String> {
+/// Reads and parses one site document; the error text names the file.
+fn read_document(file: &Path) -> Result<ParsedSite, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
     Site::parse(&name, &text).map_err(|e| e.to_string())
 }
 
-/// Checks every document and reports all of their errors and warnings before the exit code is decided.
+/// Checks all documents and prints their errors and warnings; the exit code is a failure if any document is
+/// invalid.
 fn check(files: &[PathBuf]) -> ExitCode {
     let mut code = ExitCode::SUCCESS;
     for file in files {
-        match read(file) {
-            Ok(read) => report_checked(file, &read),
+        match read_document(file) {
+            Ok(read) => print_check_result(file, &read),
             Err(error) => {
                 eprintln!("{error}");
                 code = ExitCode::FAILURE;
@@ -160,8 +162,9 @@
     code
 }
 
-/// Prints the warnings and the summary of a document that parsed.
-fn report_checked(file: &Path, read: &ParsedSite) {
+/// Prints the warnings of a valid document, its summary, and a note on each member whose protocol is
+/// unsupported.
+fn print_check_result(file: &Path, read: &ParsedSite) {
     let name = file.display();
     for warning in &read.warnings {
         eprintln!("{name}:{}:{}: warning: {warning}", warning.line, warning.column);
@@ -177,7 +180,8 @@
     }
 }
 
-/// Converts another program's files, writes the document and the report, and prints what has no file of its own.
+/// Converts another program's files and writes the site document and the report. A document without an output
+/// file goes to standard output.
 fn import(source: ImportSource) -> ExitCode {
     let (imported, out) = match source {
         ImportSource::Httpd { files, out } => {
@@ -192,9 +196,12 @@
         Err(error) => return fail(error),
     };
     let text = site.to_kdl();
-    // Parsed back before it is written: a document that can't be read would otherwise be noticed only by the operators.
+    // The document is parsed before it is written, so that a bug in the importer never leaves an unreadable
+    // document.
     if let Err(error) = Site::parse("the imported document", &text) {
-        return fail(format!("this is a mistake of the importer, please report it: {error}"));
+        return fail(format!(
+            "the imported document is invalid; please report this bug of the importer: {error}"
+        ));
     }
     let json = report.to_json();
     let files: Vec<(&Path, &str)> = [(&out.output, &text), (&out.report, &json)]
@@ -216,7 +223,7 @@
     }
 }
 
-/// The importer's options as the command line gives them; a define without `=` has an empty value.
+/// Converts the command-line options to those of the importer. A define without `=` gets an empty value.
 fn import_options(out: &ImportOutput) -> Options {
     Options {
         name: out.name.clone(),
--- a/crates/cli/src/files.rs
+++ b/crates/cli/src/files.rs
@@ -1,10 +1,10 @@
-//! Atomic file writes: a file is replaced completely or not at all.
+//! Atomic file writes: each file is replaced completely or not at all.
 
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use tempfile::NamedTempFile;
 
-/// A file that could not be written.
+/// The error of a file that could not be written, with its path.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {source}", .path.display())]
 pub struct WriteError {
@@ -12,11 +12,12 @@
     source: io::Error,
 }
 
-/// Writes several files: each to a temporary file in its own folder first, then all are renamed into position.
+/// Writes several files. Each content is written to a temporary file in the target's folder; then all are
+/// renamed to their targets.
 ///
 /// # Errors
-/// A folder can't be written to, or a path is a folder. An error before the first rename changes nothing; one of a later
-/// rename leaves the earlier files replaced and complete.
+/// Fails if a folder cannot be written to or a path is a folder. An error before the first rename changes no
+/// file; an error of a later rename leaves the earlier files completely replaced.
 pub fn write_all(files: &[(&Path, &str)]) -> Result<(), WriteError> {
     let error = |path: &Path, source| WriteError { path: path.into(), source };
     let mut written = Vec::new();
@@ -39,7 +40,8 @@
     Ok(())
 }
 
-/// Temporary files are created for their owner alone; a site document gets the usual permissions.
+/// Sets the mode 0644: temporary files are created readable by their owner only, which would not suit a site
+/// document.
 #[cfg(unix)]
 fn make_world_readable(file: &std::fs::File) -> io::Result<()> {
     use std::os::unix::fs::PermissionsExt;
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,4 +1,5 @@
-//! `fernslip fleet`: queries a front's view of the fleet over its control socket and renders it for operators.
+//! The sub-command `fleet`: queries a front's view of the fleet over its control socket and prints it for
+//! operators.
 
 use crate::args::FleetCommand;
 use crate::output::{fail, print};
@@ -10,26 +11,26 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Read timeout on the control socket.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Poll interval of `watch`.
+/// How long a read from the control socket may take.
+const CONTROL_SOCKET_READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// The pause between two queries of `fleet watch`.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Exit code when the view has not settled.
+/// The exit code of `fleet members` if the view has not settled.
 const EXIT_UNSETTLED: u8 = 4;
 
-/// Sends one command to a front's control socket and reads the answer to its end.
-fn call(socket: &Path, command: &str) -> io::Result<String> {
+/// Sends one command to a front's control socket and reads the answer until the front closes the connection.
+fn send_command(socket: &Path, command: &str) -> io::Result<String> {
     let mut front = UnixStream::connect(socket)?;
-    front.set_read_timeout(Some(ANSWER_TIMEOUT))?;
+    front.set_read_timeout(Some(CONTROL_SOCKET_READ_TIMEOUT))?;
     front.write_all(format!("{command}\n").as_bytes())?;
     let mut text = String::new();
     front.read_to_string(&mut text)?;
     Ok(text)
 }
 
-/// The JSON answer to a command; an answer that holds `error` is an error.
+/// Sends a command and parses its JSON answer. An answer with the key `error` is returned as an error.
 fn query(socket: &Path, command: &str) -> Result<Value, String> {
-    let text = call(socket, command).map_err(|e| format!("{}: {e}", socket.display()))?;
+    let text = send_command(socket, command).map_err(|e| format!("{}: {e}", socket.display()))?;
     let v: Value = serde_json::from_str(&text).map_err(|e| format!("{}: {e}", socket.display()))?;
     match v["error"].as_str() {
         Some(error) => Err(format!("{}: {error}", socket.display())),
@@ -55,14 +56,14 @@
             Ok(v) => print(&if *json { format!("{v}\n") } else { render_explanation(&v) }),
             Err(error) => fail(error),
         },
-        FleetCommand::Metrics { socket } => match call(socket, "metrics") {
+        FleetCommand::Metrics { socket } => match send_command(socket, "metrics") {
             Ok(text) => print(&text),
             Err(error) => fail(format!("{}: {error}", socket.display())),
         },
     }
 }
 
-/// Prints the view whenever its digest, its settled flag or the state of a member has changed.
+/// Prints the view at the start and whenever its digest, its settled flag or the state of a member changes.
 fn watch(socket: &Path, json: bool) -> ExitCode {
     let mut last = None;
     loop {
@@ -76,7 +77,7 @@
         if last.as_ref() != Some(&now) {
             last = Some(now);
             let text = if json { format!("{v}\n") } else { render_members(&v) + "\n" };
-            // A reader that has closed its end ends the watch.
+            // A closed pipe on standard output ends the command without an error.
             if io::stdout().lock().write_all(text.as_bytes()).is_err() {
                 return ExitCode::SUCCESS;
             }
@@ -85,18 +86,18 @@
     }
 }
 
-/// A JSON string without its quotes; any other value as JSON.
-fn scalar(v: &Value) -> String {
+/// Formats a JSON string without its quotes, and any other value as JSON.
+fn format_scalar(v: &Value) -> String {
     v.as_str().map_or_else(|| v.to_string(), str::to_string)
 }
 
-/// An array's elements, separated by commas.
-fn list(v: &Value) -> String {
-    v.as_array().into_iter().flatten().map(scalar).collect::<Vec<_>>().join(", ")
+/// Formats the elements of an array, separated by commas.
+fn format_list(v: &Value) -> String {
+    v.as_array().into_iter().flatten().map(format_scalar).collect::<Vec<_>>().join(", ")
 }
 
-/// A duration given in milliseconds, in the unit that suits its size.
-fn duration(v: &Value) -> String {
+/// Formats a duration, given in milliseconds, in seconds, minutes or hours, depending on its size.
+fn format_duration(v: &Value) -> String {
     match v.as_u64().unwrap_or(0) {
         ms if ms < 10_000 => format!("{:.1} s", ms as f64 / 1000.0),
         ms if ms < 600_000 => format!("{} s", ms / 1000),
@@ -105,8 +106,8 @@
     }
 }
 
-/// Rows as aligned columns, each as wide as its widest cell.
-fn table(rows: &[Vec<String>]) -> String {
+/// Formats rows as left-aligned columns, each as wide as its widest cell.
+fn format_table(rows: &[Vec<String>]) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |c: usize| rows.iter().filter_map(|r| r.get(c)).map(|t| t.chars().count()).max().unwrap_or(0);
     let widths: Vec<usize> = (0..columns).map(width).collect();
@@ -118,16 +119,20 @@
     out
 }
 
-/// A view as `fleet members` prints it: a summary line and a table of members.
+/// Formats a view as `fleet members` prints it: a summary line and a table of the members.
 fn render_members(v: &Value) -> String {
-    let mut out =
-        format!("front {}: view {}, {} fronts, ", scalar(&v["front"]), scalar(&v["digest"]), v["count"]);
+    let mut out = format!(
+        "front {}: view {}, {} fronts, ",
+        format_scalar(&v["front"]),
+        format_scalar(&v["digest"]),
+        v["count"]
+    );
     match v["settled"] == true {
         true => {
-            let _ = writeln!(out, "settled for {}", duration(&v["settled_for_ms"]));
+            let _ = writeln!(out, "settled for {}", format_duration(&v["settled_for_ms"]));
         }
         false => {
-            let missing = list(&v["missing"]);
+            let missing = format_list(&v["missing"]);
             let reason = if missing.is_empty() {
                 "in doubt".into()
             } else {
@@ -143,29 +148,29 @@
     let mut rows = vec![head.map(String::from).to_vec()];
     for m in v["members"].as_array().into_iter().flatten() {
         rows.push(vec![
-            scalar(&m["name"]),
-            scalar(&m["state"]),
-            duration(&m["for_ms"]),
-            scalar(&m["address"]),
-            scalar(&m["location"]),
-            scalar(&m["program"]),
-            scalar(&m["configuration"]),
-            list(&m["suspected_by"]),
+            format_scalar(&m["name"]),
+            format_scalar(&m["state"]),
+            format_duration(&m["for_ms"]),
+            format_scalar(&m["address"]),
+            format_scalar(&m["location"]),
+            format_scalar(&m["program"]),
+            format_scalar(&m["configuration"]),
+            format_list(&m["suspected_by"]),
         ]);
     }
-    out + &table(&rows)
+    out + &format_table(&rows)
 }
 
-/// The explanation of one member's state: a summary line and the recorded state changes.
+/// Formats the explanation of one member's state: a summary line and a table of the recorded state changes.
 fn render_explanation(v: &Value) -> String {
     let m = &v["member"];
     let mut out = format!(
         "{} is {} for {}: {} in `{}`, generation {}, incarnation {}\n",
-        scalar(&m["name"]),
-        scalar(&m["state"]),
-        duration(&m["for_ms"]),
-        scalar(&m["address"]),
-        scalar(&m["location"]),
+        format_scalar(&m["name"]),
+        format_scalar(&m["state"]),
+        format_duration(&m["for_ms"]),
+        format_scalar(&m["address"]),
+        format_scalar(&m["location"]),
         m["generation"],
         m["incarnation"]
     );
@@ -176,12 +181,12 @@
             Some(by) => by.to_string(),
         };
         rows.push(vec![
-            format!("{} ago", duration(&t["ago_ms"])),
-            scalar(&t["what"]),
+            format!("{} ago", format_duration(&t["ago_ms"])),
+            format_scalar(&t["what"]),
             format!("told by {by}"),
         ]);
     }
-    out += &table(&rows);
+    out += &format_table(&rows);
     out
 }
 
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,5 @@
-//! The `fernslip` program. Without arguments it serves as a front that is configured by its environment alone.
+//! The `fernslip` program. Without arguments it serves as a front with the configuration that `RELAY_CONFIG`
+//! names.
 
 mod args;
 mod commands;
--- a/crates/cli/tests/architecture_doc.rs
+++ b/crates/cli/tests/architecture_doc.rs
@@ -1,14 +1,13 @@
-//! `docs/ARCHITECTURE.md` names files of the repository in backticks; every one of them must exist.
+//! Checks that every repository path that `docs/ARCHITECTURE.md` names in backticks exists.
 //!
-//! Files are being renamed while the page stands, so this test tells whoever merges a rename which lines of the page
-//! still name the old file.
+//! When a file is renamed and the page is not updated, the test names the paths that no longer exist.
 
 use std::path::{Path, PathBuf};
 
 /// Prefixes that mark a backticked span as a repository-relative path.
 const PATH_PREFIXES: [&str; 4] = ["crates/", "docs/", "deploy/", "examples/"];
 
-/// The root of the repository: two folders above this crate's manifest.
+/// Returns the repository root, two folders above this crate's manifest.
 fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../..")
@@ -16,7 +15,7 @@
         .expect("the repository root two folders above crates/cli exists")
 }
 
-/// Every span between a pair of single backticks, in order; fenced code blocks are skipped.
+/// Returns the text of every span between single backticks, in order; fenced code blocks are skipped.
 fn backticked_spans(text: &str) -> Vec<String> {
     let mut spans = Vec::new();
     let mut in_fence = false;
@@ -38,7 +37,8 @@
     spans
 }
 
-/// A span names a repository path when it starts with one of the prefixes; a trailing `/` or `:line` is not part of it.
+/// Returns the repository path that a span names, without a trailing `/` or `:line`; `None` if the span
+/// starts with none of the prefixes.
 fn repository_path(span: &str) -> Option<&str> {
     let span = span.trim();
     if !PATH_PREFIXES.iter().any(|prefix| span.starts_with(prefix)) {
@@ -52,8 +52,8 @@
 fn every_repository_path_named_in_the_architecture_page_exists() {
     let root = repository_root();
     let page = root.join("docs/ARCHITECTURE.md");
-    let text =
-        std::fs::read_to_string(&page).unwrap_or_else(|error| panic!("reading {}: {error}", page.display()));
+    let text = std::fs::read_to_string(&page)
+        .unwrap_or_else(|error| panic!("cannot read {}: {error}", page.display()));
     let named: Vec<String> =
         backticked_spans(&text).iter().filter_map(|span| repository_path(span)).map(String::from).collect();
     assert!(!named.is_empty(), "docs/ARCHITECTURE.md names no repository path in backticks");
--- a/crates/cli/tests/common/scripted.rs
+++ b/crates/cli/tests/common/scripted.rs
@@ -1,5 +1,6 @@
-//! The program with a configuration of the platform's, and scripted counterparts around it: two cache nodes, the event bus,
-//! a peer, clients. Each sends what the test scripts, in the order of the script.
+//! The program as a child process with the platform's JSON configuration, and scripted counterparts: two
+//! cache nodes, the event bus, a peer and clients. Each counterpart sends what the test's script says, in
+//! that order.
 
 use rmpv::Value;
 use serde_json::{json, Value as Json};
@@ -12,9 +13,10 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-/// Far longer than any step takes on a busy machine.
+/// The longest wait of any step, far longer than a step takes on a busy machine.
 pub const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// Converts JSON to MessagePack; a string that begins with `b:` becomes a binary value.
 pub fn to_msgpack(v: &Json) -> Value {
     match v {
         Json::String(s) => match s.strip_prefix("b:") {
@@ -29,6 +31,7 @@
     }
 }
 
+/// Converts MessagePack to JSON; a binary value becomes a string that begins with `b:`.
 pub fn to_json(v: &Value) -> Json {
     match v {
         Value::Binary(b) => format!("b:{}", String::from_utf8_lossy(b)).into(),
@@ -41,18 +44,22 @@
     }
 }
 
+/// Decodes hexadecimal digits; white space between them is ignored.
 pub fn decode_hex(text: &str) -> Vec<u8> {
     let digits: String = text.split_whitespace().collect();
-    (0..digits.len() / 2).map(|i| u8::from_str_radix(&digits[2 * i..2 * i + 2], 16).expect("hex")).collect()
+    (0..digits.len() / 2)
+        .map(|i| u8::from_str_radix(&digits[2 * i..2 * i + 2], 16).expect("the text is hexadecimal"))
+        .collect()
 }
 
-/// A connection that a scripted server accepted, and what was read from it and not taken yet.
+/// A connection that a scripted server accepted, with the bytes that were read from it and not parsed yet.
 pub struct ScriptedConnection {
     pub stream: TcpStream,
     pub buffer: Vec<u8>,
 }
 
-/// A scripted server's listener, and the connections that it accepted, the one that was read from last first.
+/// A scripted server: its listener and its connections. The connection of the last received message comes
+/// first.
 pub struct ScriptedServer {
     pub listener: TcpListener,
     pub connections: Vec<ScriptedConnection>,
@@ -60,26 +67,27 @@
 
 impl ScriptedServer {
     pub fn new() -> ScriptedServer {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        listener.set_nonblocking(true).expect("a socket option");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port can be bound");
+        listener.set_nonblocking(true).expect("the socket option can be set");
         ScriptedServer { listener, connections: Vec::new() }
     }
 
-    /// One whose backlog is full until [`ScriptedServer::empty_backlog`]: what connects keeps trying. Returns the
-    /// connections that fill it, too.
+    /// Creates a server whose backlog is full until [`ScriptedServer::empty_backlog`], so that clients keep
+    /// trying to connect. Also returns the connections that fill the backlog.
     pub fn with_full_backlog() -> (ScriptedServer, Vec<TcpStream>) {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
-        socket.listen(0).expect("a listener");
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket can be created");
+        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a loopback port can be bound");
+        socket.listen(0).expect("the socket can listen");
         let server = ScriptedServer { listener: socket.into(), connections: Vec::new() };
-        server.listener.set_nonblocking(true).expect("a socket option");
+        server.listener.set_nonblocking(true).expect("the socket option can be set");
         let backlog = server.fill_backlog();
         (server, backlog)
     }
 
-    /// Fills the backlog: no further connection comes up until [`ScriptedServer::empty_backlog`].
+    /// Fills the backlog with connections, and returns them. No further connection is established until
+    /// [`ScriptedServer::empty_backlog`].
     pub fn fill_backlog(&self) -> Vec<TcpStream> {
-        socket2::SockRef::from(&self.listener).listen(0).expect("a listener");
+        socket2::SockRef::from(&self.listener).listen(0).expect("the socket can listen");
         let mut backlog = Vec::new();
         while let Ok(s) = TcpStream::connect_timeout(&self.addr(), Duration::from_millis(200)) {
             backlog.push(s);
@@ -87,31 +95,34 @@
         backlog
     }
 
-    /// Takes away the connections that fill the backlog, so that others come up.
+    /// Closes the connections that fill the backlog, so that others can be established.
     pub fn empty_backlog(&mut self, backlog: Vec<TcpStream>) {
         for _ in &backlog {
-            drop(self.listener.accept().expect("it waits"));
+            drop(self.listener.accept().expect("a connection waits in the backlog"));
         }
     }
 
     pub fn addr(&self) -> SocketAddr {
-        self.listener.local_addr().expect("bound")
+        self.listener.local_addr().expect("the socket is bound")
     }
 
-    /// The next message on any connection, as `parse` takes it off the buffer: its length and its text.
+    /// Waits for the next message on any connection. `parse` returns the length and the text of the first
+    /// message in a buffer, or `None` if the message is not complete.
     pub fn next_message(&mut self, parse: impl Fn(&[u8]) -> Option<(usize, String)>) -> String {
         let deadline = Instant::now() + STEP_TIMEOUT;
         while Instant::now() < deadline {
             if let Ok((stream, _)) = self.listener.accept() {
-                stream.set_read_timeout(Some(Duration::from_millis(2))).expect("a socket option");
-                stream.set_nonblocking(false).expect("a socket option");
+                stream
+                    .set_read_timeout(Some(Duration::from_millis(2)))
+                    .expect("the socket option can be set");
+                stream.set_nonblocking(false).expect("the socket option can be set");
                 self.connections.insert(0, ScriptedConnection { stream, buffer: Vec::new() });
             }
             for i in 0..self.connections.len() {
                 let ScriptedConnection { stream, buffer } = &mut self.connections[i];
                 if let Some((len, text)) = parse(buffer) {
                     buffer.drain(..len);
-                    // Answers go where it came from.
+                    // Answers are sent on the connection that the message came from.
                     self.connections[..=i].rotate_right(1);
                     return text;
                 }
@@ -124,28 +135,28 @@
                 std::thread::yield_now();
             }
         }
-        panic!("nothing came")
+        panic!("no message arrived within {STEP_TIMEOUT:?}")
     }
 
     pub fn send(&mut self, bytes: &[u8]) {
-        self.connections[0].stream.write_all(bytes).expect("the front reads");
+        self.connections[0].stream.write_all(bytes).expect("the front accepts the bytes");
     }
 }
 
-/// The first RESP array of what was read, its parts joined by spaces; `None`: it is not complete.
+/// Parses the first RESP array in `data`; its parts are joined by spaces. `None` if it is not complete.
 pub fn next_resp_array(data: &[u8]) -> Option<(usize, String)> {
-    let (len, parts) = fernslip_front::resp::parts(data).expect("RESP")?;
+    let (len, parts) = fernslip_front::resp::parts(data).expect("the bytes are valid RESP")?;
     let texts: Vec<_> = parts.iter().map(|p| String::from_utf8_lossy(p).into_owned()).collect();
     Some((len, texts.join(" ")))
 }
 
-/// The first line of what was read; `None`: it is not complete.
+/// Parses the first line in `data`; `None` if it is not complete.
 pub fn next_line(data: &[u8]) -> Option<(usize, String)> {
     let end = data.iter().position(|b| *b == b'\n')?;
     Some((end + 1, String::from_utf8_lossy(&data[..end]).into_owned()))
 }
 
-/// Masks the remaining times, which no two runs share.
+/// Masks the values of `limit` and `fresh`, times that differ from run to run.
 pub fn mask_times(text: &str) -> String {
     let mut out = String::new();
     for part in text.split_inclusive([',', ' ']) {
@@ -160,7 +171,7 @@
     out
 }
 
-/// The program, with everything that it communicates with scripted by the test.
+/// The program as a child process, with every counterpart scripted by the test.
 pub struct ScriptedFront {
     pub child: Child,
     pub file: PathBuf,
@@ -172,14 +183,16 @@
     pub client: Option<TcpStream>,
 }
 
-pub fn configuration(servers: &BTreeMap<&'static str, ScriptedServer>, peer: SocketAddr) -> Json {
+/// The example configuration with the addresses of these servers and this peer.
+pub fn test_configuration(servers: &BTreeMap<&'static str, ScriptedServer>, peer: SocketAddr) -> Json {
     let text = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/config.json"));
-    let mut c: Json = serde_json::from_str(&text.expect("the example")).expect("JSON");
+    let mut c: Json =
+        serde_json::from_str(&text.expect("the example file can be read")).expect("the text is valid JSON");
     let server = |id: &str, zone: &str, kind: &str, addr: SocketAddr| {
         json!({"id": id, "addr": addr.to_string(), "zone": zone, "kind": kind, "cell": 0, "state": "Ready",
                "weight": 1, "started_ms": 0})
     };
-    let upstream = servers["bus"].addr(); // gets no request: caches go there
+    let upstream = servers["bus"].addr(); // receives no request; only caches would connect to it
     let nodes = json!([
         server("a", "edge-1", "standard", servers["a"].addr()),
         server("b", "edge-1", "standard", servers["b"].addr()),
@@ -202,33 +215,34 @@
         ScriptedFront::start_with(name, |_| {})
     }
 
-    /// Starts it with a change to the usual configuration.
+    /// Starts the program with a configuration that `change` has edited.
     pub fn start_with(name: &str, change: impl Fn(&mut Json)) -> ScriptedFront {
         ScriptedFront::start_prepared(name, Vec::new(), change, |_| {})
     }
 
-    /// Starts it with servers of the test's own, and its command prepared further.
+    /// Starts the program with the test's own servers in place of the usual ones, after `change` has edited
+    /// the configuration and `prepare` the command.
     pub fn start_prepared(
         name: &str,
-        own: Vec<(&'static str, ScriptedServer)>,
+        replaced_servers: Vec<(&'static str, ScriptedServer)>,
         change: impl Fn(&mut Json),
         prepare: impl FnOnce(&mut Command),
     ) -> ScriptedFront {
         let mut servers: BTreeMap<_, _> =
             ["a", "b", "bus", "bus2"].into_iter().map(|n| (n, ScriptedServer::new())).collect();
-        servers.extend(own);
-        let peer = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        peer.set_read_timeout(Some(STEP_TIMEOUT)).expect("a socket option");
+        servers.extend(replaced_servers);
+        let peer = UdpSocket::bind("127.0.0.1:0").expect("a loopback port can be bound");
+        peer.set_read_timeout(Some(STEP_TIMEOUT)).expect("the socket option can be set");
         let file = std::env::temp_dir().join(format!("fernslip-{}-{name}.json", std::process::id()));
-        let mut config = configuration(&servers, peer.local_addr().expect("bound"));
+        let mut config = test_configuration(&servers, peer.local_addr().expect("the socket is bound"));
         change(&mut config);
-        std::fs::write(&file, config.to_string()).expect("a temporary file");
+        std::fs::write(&file, config.to_string()).expect("the temporary file can be written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_fernslip"));
         command.env("RELAY_CONFIG", &file).stderr(Stdio::piped());
         prepare(&mut command);
-        let mut child = command.spawn().expect("the program");
+        let mut child = command.spawn().expect("the program can be started");
         let (to, lines) = channel();
-        let err = BufReader::new(child.stderr.take().expect("piped"));
+        let err = BufReader::new(child.stderr.take().expect("standard error is piped"));
         std::thread::spawn(move || err.lines().map_while(Result::ok).try_for_each(|l| to.send(l)));
         let mut front = ScriptedFront {
             child,
@@ -241,14 +255,16 @@
             client: None,
         };
         let line = front.wait_for_log("listens on ");
-        front.addr = line.rsplit(' ').next().expect("an address").to_string();
+        front.addr = line.rsplit(' ').next().expect("the log line ends with an address").to_string();
         front
     }
 
     pub fn wait_for_log(&mut self, text: &str) -> String {
         loop {
-            let line =
-                self.lines.recv_timeout(STEP_TIMEOUT).unwrap_or_else(|e| panic!("no line {text:?}: {e}"));
+            let line = self
+                .lines
+                .recv_timeout(STEP_TIMEOUT)
+                .unwrap_or_else(|e| panic!("no log line contains {text:?}: {e}"));
             if line.contains(text) {
                 return line;
             }
@@ -258,29 +274,30 @@
     pub fn client(&mut self) -> &mut TcpStream {
         let addr = self.addr.clone();
         self.client.get_or_insert_with(|| {
-            let s = TcpStream::connect(addr).expect("the front listens");
-            s.set_read_timeout(Some(STEP_TIMEOUT)).expect("a socket option");
+            let s = TcpStream::connect(addr).expect("the front accepts the connection");
+            s.set_read_timeout(Some(STEP_TIMEOUT)).expect("the socket option can be set");
             s
         })
     }
 
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
-        assert!(Command::new("sh").args(["-c", &kill]).status().expect("a shell").success());
+        assert!(Command::new("sh").args(["-c", &kill]).status().expect("a shell can be started").success());
     }
 
-    /// Another connection of a client's.
+    /// Opens another client connection.
     pub fn connect(&self) -> TcpStream {
-        let s = TcpStream::connect(&self.addr).expect("the front listens");
-        s.set_read_timeout(Some(STEP_TIMEOUT)).expect("a socket option");
-        s.set_nodelay(true).expect("a socket option");
+        let s = TcpStream::connect(&self.addr).expect("the front accepts the connection");
+        s.set_read_timeout(Some(STEP_TIMEOUT)).expect("the socket option can be set");
+        s.set_nodelay(true).expect("the socket option can be set");
         s
     }
 
-    /// The next request that a node gets: its trace and its fields.
+    /// Waits for the next request at a node and returns its trace and its fields.
     pub fn next_request(&mut self, node: &'static str) -> (String, String) {
         loop {
-            let message = self.servers.get_mut(node).expect("a server").next_message(next_resp_array);
+            let message =
+                self.servers.get_mut(node).expect("the scripted server exists").next_message(next_resp_array);
             let parts: Vec<&str> = message.split(' ').collect();
             if parts[0] == "ASK" {
                 return (parts[1].into(), parts[2].into());
@@ -288,12 +305,12 @@
         }
     }
 
-    /// A node answers on the connection of the last request.
-    pub fn answer(&mut self, node: &'static str, trace: &str, what: &str) {
-        self.step(node, ">", &format!("{trace} {what}"));
+    /// Sends an answer from a node, on the connection of the node's last request.
+    pub fn answer(&mut self, node: &'static str, trace: &str, answer: &str) {
+        self.step(node, ">", &format!("{trace} {answer}"));
     }
 
-    /// Waits until the program ends; its exit code, and all lines that it still wrote.
+    /// Waits until the program exits; returns its exit code and the log lines not read before.
     pub fn wait_for_exit(&mut self) -> (Option<i32>, Vec<String>) {
         let code = self.wait_for_exit_code();
         (code, self.lines.iter().collect())
@@ -302,36 +319,37 @@
     fn wait_for_exit_code(&mut self) -> Option<i32> {
         let deadline = Instant::now() + STEP_TIMEOUT;
         loop {
-            match self.child.try_wait().expect("a child") {
+            match self.child.try_wait().expect("the state of the child process is known") {
                 Some(status) => return status.code(),
                 None if Instant::now() < deadline => std::thread::sleep(Duration::from_millis(2)),
-                None => panic!("it goes on"),
+                None => panic!("the program did not exit within {STEP_TIMEOUT:?}"),
             }
         }
     }
 
-    /// One step of a script: `>` sends, `<` receives, `!` closes. Returns what the front sent, where it is received.
-    pub fn step(&mut self, who: &str, what: &str, argument: &str) -> String {
-        match (who, what) {
-            ("client", _) => return self.client_step(what, argument),
-            ("peer", _) => return self.peer_step(what, argument),
+    /// Executes one step of a script: `>` sends, `<` receives, `!` closes. Returns what was received from the
+    /// front, or an empty string.
+    pub fn step(&mut self, counterpart: &str, action: &str, argument: &str) -> String {
+        match (counterpart, action) {
+            ("client", _) => return self.client_step(action, argument),
+            ("peer", _) => return self.peer_step(action, argument),
             ("log", _) => drop(self.wait_for_log(argument)),
             ("term", _) => self.signal("TERM"),
             ("reload", _) => self.reload_with_bus(argument),
             ("exit", _) => return format!("{:?}", self.wait_for_exit_code()),
-            (name, _) => return self.server_step(name, what, argument),
+            (name, _) => return self.server_step(name, action, argument),
         }
         String::new()
     }
 
-    fn client_step(&mut self, what: &str, argument: &str) -> String {
-        match what {
+    fn client_step(&mut self, action: &str, argument: &str) -> String {
+        match action {
             ">" => {
                 let bytes = match argument.strip_prefix("hex ") {
                     Some(hex) => decode_hex(hex),
-                    None => encode_msgpack(&serde_json::from_str(argument).expect("JSON")),
+                    None => encode_msgpack(&serde_json::from_str(argument).expect("the text is valid JSON")),
                 };
-                self.client().write_all(&bytes).expect("the front reads");
+                self.client().write_all(&bytes).expect("the front accepts the bytes");
             }
             "<" => {
                 return match rmpv::decode::read_value(self.client()) {
@@ -344,32 +362,36 @@
         String::new()
     }
 
-    fn peer_step(&mut self, what: &str, argument: &str) -> String {
-        if what == "<" {
+    fn peer_step(&mut self, action: &str, argument: &str) -> String {
+        if action == "<" {
             let mut data = [0; 300];
-            let (n, from) = self.peer.recv_from(&mut data).expect("a datagram");
+            let (n, from) = self.peer.recv_from(&mut data).expect("a datagram arrives");
             self.last_peer = Some(from);
             return data[..n].iter().map(|b| format!("{b:02x}")).collect();
         }
-        let to = self.last_peer.expect("the front sent first");
-        self.peer.send_to(&decode_hex(argument.trim_start_matches("hex ")), to).expect("sent");
+        let to = self.last_peer.expect("the front has sent a datagram before");
+        self.peer
+            .send_to(&decode_hex(argument.trim_start_matches("hex ")), to)
+            .expect("the datagram can be sent");
         String::new()
     }
 
-    /// Writes the configuration with that server as event bus (none of that name: an empty file), and sends SIGHUP.
+    /// Writes a configuration with the server `bus` as event bus, or an empty file if there is no such
+    /// server, and sends SIGHUP.
     fn reload_with_bus(&mut self, bus: &str) {
         let text = self.servers.get(bus).map(|bus| {
-            let mut c = configuration(&self.servers, self.peer.local_addr().expect("bound"));
+            let mut c =
+                test_configuration(&self.servers, self.peer.local_addr().expect("the socket is bound"));
             c["bus"] = bus.addr().to_string().into();
             c.to_string()
         });
-        std::fs::write(&self.file, text.unwrap_or_default()).expect("a temporary file");
+        std::fs::write(&self.file, text.unwrap_or_default()).expect("the temporary file can be written");
         self.signal("HUP");
     }
 
-    fn server_step(&mut self, name: &str, what: &str, argument: &str) -> String {
-        let server = self.servers.get_mut(name).expect("a server");
-        match (name, what) {
+    fn server_step(&mut self, name: &str, action: &str, argument: &str) -> String {
+        let server = self.servers.get_mut(name).expect("the scripted server exists");
+        match (name, action) {
             (_, ">") => {
                 let bytes = match (name, argument.strip_prefix("raw ")) {
                     ("bus" | "bus2", _) => format!("{argument}\n").into_bytes(),
@@ -400,11 +422,11 @@
 
 fn encode_msgpack(v: &Json) -> Vec<u8> {
     let mut bytes = Vec::new();
-    rmpv::encode::write_value(&mut bytes, &to_msgpack(v)).expect("memory");
+    rmpv::encode::write_value(&mut bytes, &to_msgpack(v)).expect("encoding to memory cannot fail");
     bytes
 }
 
-/// The bytes of a call.
+/// Encodes a call; `more` adds fields to the usual ones or replaces them.
 pub fn encode_call(number: u32, class: &str, trace: u64, patience_ms: u64, more: &[(&str, &str)]) -> Vec<u8> {
     let mut fields = json!({"trace": format!("{trace:016x}"), "patience": patience_ms.to_string(),
                             "entity": "00000000000000a1", "slice": "0", "set": "1", "size": "40"});
@@ -414,12 +436,13 @@
     encode_msgpack(&json!([0, number, class, [fields, "b:"]]))
 }
 
-/// The bytes that cancel a call.
+/// Encodes the notification that cancels a call.
 pub fn encode_cancel(number: u32) -> Vec<u8> {
     encode_msgpack(&json!([2, "forget", [number]]))
 }
 
-/// The next answer on a client's connection, as JSON; `closed` at its end, `reset` where it was reset.
+/// Waits for the next answer on a client connection and returns it as JSON; `closed` if the connection was
+/// closed, `reset` if it was reset.
 pub fn read_answer(client: &mut TcpStream) -> String {
     match rmpv::decode::read_value(client) {
         Ok(v) => to_json(&v).to_string(),
@@ -430,7 +453,7 @@
     }
 }
 
-/// The bytes of a health check of the front.
+/// Encodes a health check of the front.
 pub fn encode_health_check(number: u32) -> Vec<u8> {
     encode_msgpack(&json!([0, number, "isWell", [{}]]))
 }
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Fronts that keep a view, as processes, with faults on the links between them: the main scenarios of the rig with few
-//! fronts, and what operators are shown.
+//! Fronts with a membership view, as processes, with faults on the links between them: the main scenarios of
+//! the rig with few fronts, and the output of `fernslip fleet`.
 
 use fernslip_rig::run::{run_scenario, Options, RunReport};
 use fernslip_rig::scenario::{Scenario, Step};
@@ -8,7 +8,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// Far longer than any step takes on a busy machine.
+/// The longest wait of any step, far longer than a step takes on a busy machine.
 const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn options(fronts: usize, seed: u64) -> Options {
@@ -22,25 +22,26 @@
     }
 }
 
-fn runtime() -> tokio::runtime::Runtime {
+fn start_runtime() -> tokio::runtime::Runtime {
     let mut builder = tokio::runtime::Builder::new_multi_thread();
-    builder.worker_threads(2).enable_all().build().expect("a runtime")
+    builder.worker_threads(2).enable_all().build().expect("the runtime can be started")
 }
 
-fn run(scenario: &Scenario, options: &Options) -> RunReport {
-    runtime().block_on(run_scenario(scenario, options)).expect("addresses and processes")
+fn run_to_end(scenario: &Scenario, options: &Options) -> RunReport {
+    start_runtime().block_on(run_scenario(scenario, options)).expect("the scenario can be run")
 }
 
-/// Nothing that must hold broke; times are for the suite to measure, not for a machine that is busy.
+/// Asserts that the run broke no rule. Times are not checked: they depend on how busy the machine is, and the
+/// rig's suite measures them.
 fn assert_no_breach(p: &RunReport) {
     assert_eq!(p.breaches.len(), 0, "{:#?}", p.breaches);
     assert_eq!(p.stale_members, 0);
     assert_eq!(p.rule_violations, 0);
 }
 
-/// A scenario with longer timeouts, as it runs beside other tests.
+/// Parses a scenario and sets all its timeouts to [`STEP_TIMEOUT`], because it runs beside other tests.
 fn parse_with_long_timeouts(text: &str) -> Scenario {
-    let mut s = Scenario::parse("test.kdl", text).expect("a scenario");
+    let mut s = Scenario::parse("test.kdl", text).expect("the scenario can be parsed");
     for step in &mut s.steps {
         if let Step::Await { within, .. } = step {
             *within = STEP_TIMEOUT;
@@ -55,55 +56,57 @@
         "scenario \"crash\" load=40 serves-all=#false { kill part=0.33; await \"known\" within-ms=1; \
          await \"settled\" within-ms=1; restart; await \"settled\" within-ms=1; }",
     );
-    let p = run(&s, &options(7, 1));
+    let p = run_to_end(&s, &options(7, 1));
     assert_no_breach(&p);
     assert_eq!(p.awaited.len(), 3);
     assert!(p.load["served"].as_u64().is_some_and(|n| n > 0), "{}", p.load);
 }
 
 #[test]
-fn all_fronts_agree_on_newcomers() {
+fn all_fronts_agree_after_new_fronts_join() {
     let s = parse_with_long_timeouts("scenario \"join\" { join count=3; await \"settled\" within-ms=1; }");
-    assert_no_breach(&run(&s, &options(5, 2)));
+    assert_no_breach(&run_to_end(&s, &options(5, 2)));
 }
 
 #[test]
-fn partitioned_halves_agree_apart_and_together_again() {
+fn each_half_of_a_partition_agrees_and_all_agree_after_it_heals() {
     let s = parse_with_long_timeouts(
         "scenario \"halves\" load=40 { partition sides=2; await \"settled\" within-ms=1; heal; \
          await \"settled\" within-ms=1; }",
     );
-    let p = run(&s, &options(8, 3));
+    let p = run_to_end(&s, &options(8, 3));
     assert_no_breach(&p);
-    // Each half saw the other's end.
-    let cut = p.events.iter().find(|m| m.name == "partition").expect("it happened").at_ms;
+    // Each half removed the other half from its view.
+    let cut =
+        p.events.iter().find(|m| m.name == "partition").expect("the partition is among the events").at_ms;
     let least = p.samples.iter().filter(|s| s.at_ms > cut).map(|s| s.member_count).min();
     assert_eq!(least, Some(4), "{:?}", p.awaited);
 }
 
 #[test]
-fn a_front_that_moved_and_one_that_was_paused_come_back() {
+fn fronts_that_restart_at_another_address_or_were_paused_rejoin() {
     let s = parse_with_long_timeouts(
         "scenario \"moved\" serves-all=#false { kill count=1; restart moved=#true; await \"settled\" within-ms=1; \
          stop count=1; wait ms=4000; go-on; await \"settled\" within-ms=1; }",
     );
-    assert_no_breach(&run(&s, &options(6, 4)));
+    assert_no_breach(&run_to_end(&s, &options(6, 4)));
 }
 
 #[test]
-fn a_breach_is_reported_with_evidence_from_the_fronts() {
-    // Too short a time for a crash to be known: the checker must find that, or it would find nothing.
+fn a_rule_breach_is_reported_with_evidence_from_the_fronts() {
+    // The time is too short for a crash to become known. If the checker does not report this, it would report
+    // nothing.
     let text = "scenario \"short\" serves-all=#false { kill count=2; await \"known\" within-ms=5; }";
-    let s = Scenario::parse("short.kdl", text).expect("a scenario");
-    let p = run(&s, &options(5, 5));
+    let s = Scenario::parse("short.kdl", text).expect("the scenario can be parsed");
+    let p = run_to_end(&s, &options(5, 5));
     assert_eq!(p.breaches.len(), 1);
     let b = &p.breaches[0];
     assert!(b.description.contains("Known") && b.evidence.iter().any(|t| t.contains("digest")), "{b:?}");
 }
 
-fn processes_of(dir: &Path) -> Vec<u32> {
+fn processes_with_folder(dir: &Path) -> Vec<u32> {
     let mut found = Vec::new();
-    for entry in std::fs::read_dir("/proc").expect("proc").flatten() {
+    for entry in std::fs::read_dir("/proc").expect("/proc can be read").flatten() {
         let Some(id) = entry.file_name().to_str().and_then(|n| n.parse().ok()) else { continue };
         let line = std::fs::read(entry.path().join("cmdline")).unwrap_or_default();
         if String::from_utf8_lossy(&line).contains(&dir.display().to_string()) {
@@ -116,32 +119,36 @@
 #[test]
 fn an_aborted_run_leaves_no_process_behind() {
     let dir = std::env::temp_dir().join(format!("rig-off-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).expect("a folder");
-    let s = bundled("steady").expect("it comes with the rig");
+    std::fs::create_dir_all(&dir).expect("the folder can be created");
+    let s = bundled("steady").expect("the rig has the scenario `steady`");
     let options = Options { tmp: dir.clone(), ..options(4, 6) };
-    let rt = runtime();
+    let rt = start_runtime();
     rt.block_on(async {
         let running = async {
             let deadline = Instant::now() + STEP_TIMEOUT;
-            while processes_of(&dir).len() < 4 {
-                assert!(Instant::now() < deadline, "they never started");
+            while processes_with_folder(&dir).len() < 4 {
+                assert!(Instant::now() < deadline, "the fronts did not start within {STEP_TIMEOUT:?}");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
         tokio::select! {
-            _ = run_scenario(&s, &options) => panic!("it takes longer than starting its fronts"),
+            _ = run_scenario(&s, &options) => panic!("the run ended before its fronts had started"),
             () = running => {}
         }
     });
     let deadline = Instant::now() + STEP_TIMEOUT;
-    while !processes_of(&dir).is_empty() {
-        assert!(Instant::now() < deadline, "still there: {:?}", processes_of(&dir));
+    while !processes_with_folder(&dir).is_empty() {
+        assert!(
+            Instant::now() < deadline,
+            "processes of the aborted run are still running: {:?}",
+            processes_with_folder(&dir)
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
     let _ = std::fs::remove_dir_all(dir);
 }
 
-/// A process that is killed at the end of its test, also when that fails.
+/// A process that is killed when its test ends, even if the test fails.
 struct KillOnDrop(std::process::Child);
 
 impl Drop for KillOnDrop {
@@ -152,12 +159,15 @@
 }
 
 #[test]
-fn operators_are_shown_the_view_and_its_reasons() {
+fn fleet_commands_show_the_view_and_explain_its_states() {
     let dir = std::env::temp_dir().join(format!("fleet-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).expect("a folder");
+    std::fs::create_dir_all(&dir).expect("the folder can be created");
     let name = |file: &str| dir.join(file).display().to_string();
     let run = |args: &[&str]| {
-        let out = Command::new(env!("CARGO_BIN_EXE_fernslip")).args(args).output().expect("the program");
+        let out = Command::new(env!("CARGO_BIN_EXE_fernslip"))
+            .args(args)
+            .output()
+            .expect("the program can be started");
         (out.status.code(), String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned())
     };
     assert_eq!(run(&["keys", "new", &name("keys")]).0, Some(0));
@@ -168,8 +178,8 @@
          view listen=\"127.0.0.1:0\" key-file={:?} control={socket:?}\n",
         name("keys")
     );
-    std::fs::write(dir.join("site.kdl"), &site).expect("a file");
-    // Shown and read again, the document says the same.
+    std::fs::write(dir.join("site.kdl"), &site).expect("the file can be written");
+    // `show` prints the document with its defaults filled in.
     let (code, shown) = run(&["show", &name("site.kdl")]);
     assert!(
         code == Some(0) && shown.contains("watchers=7") && shown.contains("bytes-per-s=32768"),
@@ -177,7 +187,7 @@
     );
     let mut command = Command::new(env!("CARGO_BIN_EXE_fernslip"));
     command.args(["run", "--site", &name("site.kdl")]).env_remove("RELAY_CONFIG").env_remove("RELAY_OPS");
-    let _front = KillOnDrop(command.spawn().expect("the program"));
+    let _front = KillOnDrop(command.spawn().expect("the program can be started"));
     let deadline = Instant::now() + STEP_TIMEOUT;
     let shown = loop {
         let (code, text) = run(&["fleet", "members", &socket]);
@@ -189,7 +199,7 @@
     };
     assert!(shown.contains("front n1: view ") && shown.contains("1 fronts, settled for"), "{shown}");
     let (code, text) = run(&["fleet", "members", &socket, "--json"]);
-    let v: serde_json::Value = serde_json::from_str(&text).expect("JSON");
+    let v: serde_json::Value = serde_json::from_str(&text).expect("the text is valid JSON");
     assert_eq!((code, &v["members"][0]["location"]), (Some(0), &"east".into()), "{text}");
     let (code, text) = run(&["fleet", "explain", &socket, "n1"]);
     assert!(
@@ -206,7 +216,7 @@
     let (code, text) = run(&["fleet", "members", &name("none")]);
     assert!(code == Some(1) && text.contains("none: "), "{text}");
     let bad = site.replace("listen=\"127.0.0.1:0\" key", "listen=\"nowhere\" watchers=1 key");
-    std::fs::write(dir.join("bad.kdl"), bad).expect("a file");
+    std::fs::write(dir.join("bad.kdl"), bad).expect("the file can be written");
     let (code, text) = run(&["check", &name("bad.kdl")]);
     assert!(code == Some(1) && text.contains("nowhere") && text.contains("watchers"), "{text}");
     let _ = std::fs::remove_dir_all(dir);
--- a/crates/cli/tests/handover.rs
+++ b/crates/cli/tests/handover.rs
@@ -1,11 +1,11 @@
-//! Replacing a process while it serves: the platform owns the clients' listening socket and passes it to each process
-//! as descriptor 3, named in `$RELAY_PASSED_SOCKET`. Two processes serve from it together; the old one ends by
-//! SIGTERM, and clients are served throughout.
+//! Replacing a process while it serves. The platform owns the clients' listening socket and passes it to each
+//! process as descriptor 3, named in `$RELAY_PASSED_SOCKET`. Both processes accept from it; the old one exits
+//! after SIGTERM, and clients are served throughout.
 
 mod common;
 
 use command_fds::{CommandFdExt, FdMapping};
-use common::{members, Answer, Front, Node};
+use common::{members_kdl, Answer, Front, Node};
 use std::net::TcpListener;
 use std::os::fd::OwnedFd;
 
@@ -13,18 +13,20 @@
     zone \"here\"\nclass \"docs\" aim-ms=600 deadline-ms=3000\n";
 
 fn start_with_socket(name: &str, site: &str, listener: &TcpListener) -> Front {
-    let fd = OwnedFd::from(listener.try_clone().expect("a copy of the socket"));
+    let fd = OwnedFd::from(listener.try_clone().expect("the socket can be duplicated"));
     Front::start_prepared(name, site, &[], &[("RELAY_PASSED_SOCKET", "3")], |command| {
-        command.fd_mappings(vec![FdMapping { parent_fd: fd, child_fd: 3 }]).expect("descriptor 3");
+        command
+            .fd_mappings(vec![FdMapping { parent_fd: fd, child_fd: 3 }])
+            .expect("the socket can be mapped to descriptor 3");
     })
 }
 
 #[test]
 fn two_processes_serve_from_one_inherited_socket_and_the_old_one_shuts_down() {
     let (a, origin) = (Node::start(), Node::start());
-    let site = format!("{SITE}{}", members(&[("a", &a)], &origin));
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("bound").to_string();
+    let site = format!("{SITE}{}", members_kdl(&[("a", &a)], &origin));
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port can be bound");
+    let at = listener.local_addr().expect("the socket is bound").to_string();
 
     let mut old = start_with_socket("old", &site, &listener);
     assert!(
@@ -32,7 +34,7 @@
         "{:?}",
         old.log_lines
     );
-    assert_eq!(old.addr, at, "it listens where the platform does, not on a port of its own");
+    assert_eq!(old.addr, at, "the front listens on the passed socket, not on a port of its own");
     let mut persistent = old.client();
     assert_eq!(persistent.call("docs", 1), Answer::Served);
 
@@ -40,8 +42,8 @@
     assert_eq!(new.addr, at);
     old.signal("TERM");
     old.wait_for_log("left");
-    assert!(old.child.wait().expect("its end").success(), "the old process ends well");
-    // The persistent connection was closed by the old process; a new one is the new process's.
+    assert!(old.child.wait().expect("the old process exits").success(), "the old process exits with code 0");
+    // The old process has closed the persistent connection; the new process accepts all new ones.
     for n in 0..20 {
         assert_eq!(new.client().call("docs", 100 + n), Answer::Served);
     }
@@ -50,13 +52,13 @@
     new.wait_for_log("left");
 }
 
-/// While the old process still answers its open calls, all new connections are the new one's: none is accepted only to be
-/// rejected.
+/// While the old process still answers its open calls, only the new process accepts connections: none is
+/// accepted by the old one, which would reject its calls.
 #[test]
-fn clients_that_connect_while_the_old_process_shuts_down_are_served_by_the_new() {
+fn clients_that_connect_during_a_handover_are_served_by_the_new_process() {
     let (a, origin) = (Node::start(), Node::start());
-    let site = format!("{SITE}{}", members(&[("a", &a)], &origin));
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let site = format!("{SITE}{}", members_kdl(&[("a", &a)], &origin));
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port can be bound");
     let mut old = start_with_socket("old-busy", &site, &listener);
     let mut persistent = old.client();
     a.state.delay_ms.store(600, std::sync::atomic::Ordering::SeqCst);
@@ -76,9 +78,9 @@
 }
 
 #[test]
-fn an_invalid_descriptor_is_reported_and_the_front_binds_its_own() {
+fn an_invalid_descriptor_is_logged_and_the_front_binds_its_own_socket() {
     let (a, origin) = (Node::start(), Node::start());
-    let site = format!("{SITE}{}", members(&[("a", &a)], &origin));
+    let site = format!("{SITE}{}", members_kdl(&[("a", &a)], &origin));
     let front = Front::start_with_env("nodesc", &site, &[], &[("RELAY_PASSED_SOCKET", "fd3")]);
     assert!(
         front.log_lines.iter().any(|l| l.contains("is no descriptor of 3 or more")),
@@ -89,13 +91,15 @@
 }
 
 #[test]
-fn an_inherited_socket_that_is_no_tcp_listener_is_reported_and_the_front_binds_its_own() {
+fn an_inherited_socket_that_is_no_tcp_listener_is_logged_and_the_front_binds_its_own_socket() {
     let (a, origin) = (Node::start(), Node::start());
-    let site = format!("{SITE}{}", members(&[("a", &a)], &origin));
-    let datagrams = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let site = format!("{SITE}{}", members_kdl(&[("a", &a)], &origin));
+    let datagrams = std::net::UdpSocket::bind("127.0.0.1:0").expect("a loopback port can be bound");
     let fd = OwnedFd::from(datagrams);
     let front = Front::start_prepared("udp", &site, &[], &[("RELAY_PASSED_SOCKET", "3")], |command| {
-        command.fd_mappings(vec![FdMapping { parent_fd: fd, child_fd: 3 }]).expect("descriptor 3");
+        command
+            .fd_mappings(vec![FdMapping { parent_fd: fd, child_fd: 3 }])
+            .expect("the socket can be mapped to descriptor 3");
     });
     assert!(
         front.log_lines.iter().any(|l| l.contains("RELAY_PASSED_SOCKET: descriptor 3")),
--- a/crates/cli/tests/machine.rs
+++ b/crates/cli/tests/machine.rs
@@ -1,5 +1,6 @@
-//! Faults of the front's own machine, under the real program: a wall clock that is stepped, system calls that fail for a
-//! moment, a folder that can't be written. All rules hold, and what was answered is durable.
+//! The program under faults of its own machine: a wall clock that is stepped, system calls that fail for a
+//! short time, and a folder that cannot be written to. All invariants hold, and a change that was answered
+//! with success is stored.
 
 mod common;
 
@@ -10,32 +11,34 @@
 use std::io::Write;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-const READ: &str = "statement-docs";
+/// A class of the example configuration whose calls are reads.
+const READ_CLASS: &str = "statement-docs";
 const HOUR_NS: i64 = 3_600_000_000_000;
 
-/// The program under faults that the test sets, none at first.
+/// Starts the program with a shim through which the test sets faults; there are none at first.
 fn start_with_faults(name: &str, change: impl Fn(&mut Json)) -> (ScriptedFront, Shim, ProcessFaults) {
-    let shim = Shim::build().expect("a C compiler");
-    let faults = shim.faults(name, 1).expect("a file");
+    let shim = Shim::build().expect("the shim can be built with a C compiler");
+    let faults = shim.faults(name, 1).expect("the file of faults can be created");
     let front = ScriptedFront::start_prepared(name, Vec::new(), change, |command| {
         command.envs(faults.environment());
     });
     (front, shim, faults)
 }
 
-/// The wall clock as the whole machine has it after a step.
+/// The time of the wall clock after a step of `offset_ns`, in Unix milliseconds.
 fn unix_ms(offset_ns: i64) -> u64 {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as i64;
+    let now =
+        SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is past 1970").as_millis() as i64;
     (now + offset_ns / 1_000_000) as u64
 }
 
-/// The oldest copy that a request names as good enough, in milliseconds.
+/// The maximum age, in milliseconds, that a request allows for a copy; `None` if it allows any copy.
 fn max_copy_age_ms(fields: &str) -> Option<u64> {
     fields.split(',').find_map(|f| f.strip_prefix("fresh=")?.parse().ok())
 }
 
-/// The wall clock of all is stepped, or the front's alone; then comes a purge. What the front names as good enough is
-/// younger than the purge.
+/// The wall clock is stepped on all machines or on the front's alone, and then a purge arrives. The front
+/// must not accept a copy that is older than the purge.
 fn a_purge_after_a_wall_clock_step_limits_the_age_of_copies() {
     for (name, step_ns, everybody) in [
         ("back-hour", -HOUR_NS, true),
@@ -48,8 +51,8 @@
     ] {
         let (mut front, _shim, faults) = start_with_faults(name, |_| {});
         assert_eq!(front.step("bus", "<", ""), "from 1");
-        faults.set(MachineFault::WallOffsetNs, step_ns).expect("a file");
-        // The bus goes on, as it does each second.
+        faults.set(MachineFault::WallOffsetNs, step_ns).expect("the fault can be set");
+        // The bus sends its offset, as it does each second.
         front.step("bus", ">", "1");
         std::thread::sleep(Duration::from_millis(300));
         let purged = Instant::now();
@@ -58,18 +61,26 @@
         front.wait_for_log("bus offset=2");
         std::thread::sleep(Duration::from_millis(700));
         let mut client = front.connect();
-        client.write_all(&encode_call(1, READ, 1, 15_000, &[])).expect("the front reads");
+        client.write_all(&encode_call(1, READ_CLASS, 1, 15_000, &[])).expect("the front accepts the bytes");
         let (trace, fields) = front.next_request("a");
-        let oldest = max_copy_age_ms(&fields).unwrap_or_else(|| panic!("{name}: any copy will do: {fields}"));
-        assert!(oldest <= purged.elapsed().as_millis() as u64, "{name}: a copy of {oldest} ms will do");
+        let oldest = max_copy_age_ms(&fields)
+            .unwrap_or_else(|| panic!("{name}: the request does not limit the age of copies: {fields}"));
+        assert!(
+            oldest <= purged.elapsed().as_millis() as u64,
+            "{name}: the request accepts a copy that is {oldest} ms old, older than the purge"
+        );
         front.answer("a", &trace, "served tell=fill x");
         assert_eq!(read_answer(&mut client), r#"[1,1,null,["b:x",{}]]"#);
     }
 }
 
-/// The program with an admin interface and a folder of its own, which another process of it may share.
-fn start_with_folder(name: &str, folder: &std::path::Path) -> (ScriptedFront, String) {
-    let listen = std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
+/// Starts the program with an admin interface and a folder for stored exclusions, which another process may
+/// share.
+fn start_with_exclusions_folder(name: &str, folder: &std::path::Path) -> (ScriptedFront, String) {
+    let listen = std::net::TcpListener::bind("127.0.0.1:0")
+        .expect("a loopback port can be bound")
+        .local_addr()
+        .expect("the socket is bound");
     let folder = folder.to_path_buf();
     let front = ScriptedFront::start_prepared(
         name,
@@ -82,77 +93,86 @@
     (front, listen.to_string())
 }
 
-/// The program on a clients' socket that the platform owns, with that folder.
+/// Starts the program on a client socket that the platform owns, with `folder` for stored exclusions.
 fn start_with_socket(
     name: &str,
     folder: &std::path::Path,
     socket: &std::net::TcpListener,
 ) -> (ScriptedFront, String) {
     use command_fds::{CommandFdExt, FdMapping};
-    let admin = std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
-    let fd = std::os::fd::OwnedFd::from(socket.try_clone().expect("a copy of the socket"));
+    let admin = std::net::TcpListener::bind("127.0.0.1:0")
+        .expect("a loopback port can be bound")
+        .local_addr()
+        .expect("the socket is bound");
+    let fd = std::os::fd::OwnedFd::from(socket.try_clone().expect("the socket can be duplicated"));
     let folder = folder.to_path_buf();
     let front = ScriptedFront::start_prepared(
         name,
         Vec::new(),
         |c| {
             c["name"] = "kept".into();
-            c["listen"] = socket.local_addr().expect("bound").to_string().into();
+            c["listen"] = socket.local_addr().expect("the socket is bound").to_string().into();
         },
         |command| {
             command
                 .env("TMPDIR", &folder)
                 .env("RELAY_OPS", admin.to_string())
                 .env("RELAY_PASSED_SOCKET", "3");
-            command.fd_mappings(vec![FdMapping { parent_fd: fd, child_fd: 3 }]).expect("descriptor 3");
+            command
+                .fd_mappings(vec![FdMapping { parent_fd: fd, child_fd: 3 }])
+                .expect("the socket can be mapped to descriptor 3");
         },
     );
     (front, admin.to_string())
 }
 
-/// A folder that can't be written: an exclusion that can't be stored for the next process is rejected.
+/// An exclusion is rejected if the folder cannot be written to, because it could not be stored for the next
+/// process.
 fn an_exclusion_that_cannot_be_stored_is_rejected() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let (front, admin) = start_with_folder("unkept", folder.path());
-    std::fs::remove_dir_all(folder.path()).expect("ours");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
+    let (front, admin) = start_with_exclusions_folder("unkept", folder.path());
+    std::fs::remove_dir_all(folder.path()).expect("the folder can be removed");
     let answer = send_admin_command(&admin, "exclude a\n");
     assert!(answer.starts_with("400 "), "{answer}");
-    std::fs::create_dir(folder.path()).expect("a folder");
+    std::fs::create_dir(folder.path()).expect("the folder can be created");
     assert_eq!(send_admin_command(&admin, "exclude a\n"), "200 excluded a\n");
-    std::fs::remove_dir_all(folder.path()).expect("ours");
+    std::fs::remove_dir_all(folder.path()).expect("the folder can be removed");
     let answer = send_admin_command(&admin, "include a\n");
     assert!(answer.starts_with("400 "), "{answer}");
-    let figures = send_admin_command(&admin, "telemetry\n");
-    assert!(figures.contains("relay.cluster_unhealthy=1\n"), "it is out as before: {figures}");
-    std::fs::create_dir(folder.path()).expect("a folder");
+    let counters = send_admin_command(&admin, "telemetry\n");
+    assert!(counters.contains("relay.cluster_unhealthy=1\n"), "node `a` is excluded as before: {counters}");
+    std::fs::create_dir(folder.path()).expect("the folder can be created");
     assert_eq!(send_admin_command(&admin, "include a\n"), "200 included a\n");
     drop(front);
 }
 
-/// SIGHUP comes while the new configuration's file can't be read for a moment: it is applied once it can.
-fn a_configuration_unreadable_for_a_moment_is_applied_later() {
+/// SIGHUP arrives while the configuration file cannot be read for a short time; the configuration is applied
+/// once it can.
+fn a_temporarily_unreadable_configuration_is_applied_later() {
     let mut front = ScriptedFront::start("moment");
     assert_eq!(front.step("bus", "<", ""), "from 1");
     let file = front.file.clone();
-    let text = std::fs::read_to_string(&file).expect("the configuration");
-    let mut config: Json = serde_json::from_str(&text).expect("JSON");
+    let text = std::fs::read_to_string(&file).expect("the configuration can be read");
+    let mut config: Json = serde_json::from_str(&text).expect("the text is valid JSON");
     config["bus"] = front.servers["bus2"].addr().to_string().into();
-    std::fs::remove_file(&file).expect("ours");
+    std::fs::remove_file(&file).expect("the file can be removed");
     front.signal("HUP");
     std::thread::sleep(Duration::from_millis(400));
-    std::fs::write(&file, config.to_string()).expect("a temporary file");
+    std::fs::write(&file, config.to_string()).expect("the temporary file can be written");
     assert_eq!(front.step("bus2", "<", ""), "from 1");
 }
 
-/// This machine has no port, buffer or route for a moment: calls meanwhile are served once it has, and no node counts
-/// as failed.
-fn local_connect_failures_are_not_attributed_to_nodes() {
+/// The front's machine has no free port, buffer or route for a short time. Calls made then are served once it
+/// has, and no node counts as failed.
+fn local_connect_failures_do_not_count_as_node_failures() {
     let (mut front, _shim, faults) = start_with_faults("ports", |_| {});
     let mut client = front.connect();
-    faults.set(MachineFault::Connect, 1000).expect("a file");
-    client.write_all(&encode_call(1, "contribution-change", 1, 15_000, &[])).expect("the front reads");
+    faults.set(MachineFault::Connect, 1000).expect("the fault can be set");
+    client
+        .write_all(&encode_call(1, "contribution-change", 1, 15_000, &[]))
+        .expect("the front accepts the bytes");
     std::thread::sleep(Duration::from_millis(150));
-    faults.clear_rates().expect("a file");
+    faults.clear_rates().expect("the faults can be cleared");
     let (trace, _) = front.next_request("a");
     front.answer("a", &trace, "served - done");
     assert_eq!(read_answer(&mut client), r#"[1,1,null,["b:done",{}]]"#);
@@ -163,9 +183,9 @@
     assert!(!lines.iter().any(|l| l.contains("reason=refused") || l.contains("ejected")), "{lines:?}");
 }
 
-/// Sends, receives, accepts, waits and registrations fail for a moment again and again: every call has its answer, also those
-/// of the last moment.
-fn calls_are_answered_in_spite_of_failing_system_calls() {
+/// System calls for sending, receiving, accepting, waiting and registering fail repeatedly for a short time.
+/// Every call is answered, the last ones included.
+fn calls_are_answered_while_system_calls_fail() {
     let (mut front, _shim, faults) = start_with_faults("calls", |_| {});
     for (fault, rate) in [
         (MachineFault::Accept, 300),
@@ -173,28 +193,29 @@
         (MachineFault::Wait, 200),
         (MachineFault::Register, 100),
     ] {
-        faults.set(fault, rate).expect("a file");
+        faults.set(fault, rate).expect("the fault can be set");
     }
     let calls = 200;
     for n in 1..=calls {
         let mut client = front.connect();
-        client.write_all(&encode_call(1, READ, n, 15_000, &[])).expect("the front reads");
+        client.write_all(&encode_call(1, READ_CLASS, n, 15_000, &[])).expect("the front accepts the bytes");
         let (trace, _) = front.next_request("a");
         assert_eq!(trace, format!("{n:016x}"));
         front.answer("a", &trace, "served tell=fill x");
-        assert_eq!(read_answer(&mut client), r#"[1,1,null,["b:x",{}]]"#, "call {n}");
+        assert_eq!(read_answer(&mut client), r#"[1,1,null,["b:x",{}]]"#, "the answer to call {n}");
     }
-    faults.clear_rates().expect("a file");
+    faults.clear_rates().expect("the faults can be cleared");
     front.signal("TERM");
     let (code, lines) = front.wait_for_exit();
     assert_eq!(code, Some(0), "{lines:?}");
     assert!(!lines.iter().any(|l| l.contains("violation")), "{lines:?}");
 }
 
-/// Another process of the front takes over: what is excluded or included at the one after the other has started holds at both.
-fn exclusions_hold_at_both_processes_during_a_handover() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let socket = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+/// Another process of the front takes over. While both run, a node excluded or included at one process is
+/// excluded or included at both.
+fn exclusions_apply_at_both_processes_during_a_handover() {
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
+    let socket = std::net::TcpListener::bind("127.0.0.1:0").expect("a loopback port can be bound");
     let (old, old_admin) = start_with_socket("over-old", folder.path(), &socket);
     let (new, new_admin) = start_with_socket("over-new", folder.path(), &socket);
     for (at, other, line, unhealthy) in [
@@ -206,17 +227,17 @@
         let deadline = Instant::now() + STEP_TIMEOUT;
         let wanted = format!("relay.cluster_unhealthy={unhealthy}\n");
         while !send_admin_command(other, "telemetry\n").contains(&wanted) {
-            assert!(Instant::now() < deadline, "{line:?} does not hold at the other process");
+            assert!(Instant::now() < deadline, "the command {line:?} has no effect at the other process");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
     drop((old, new));
 }
 
-/// Calls that come at once are each kept: the file has what was answered with yes.
+/// Concurrent exclusions are all stored: the file contains every change that was answered with success.
 fn concurrent_exclusions_are_all_stored() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let (front, admin) = start_with_folder("at-once", folder.path());
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
+    let (front, admin) = start_with_exclusions_folder("at-once", folder.path());
     for _ in 0..10 {
         for what in ["exclude", "include"] {
             let callers = ["a", "b", "p"].map(|id| {
@@ -224,14 +245,15 @@
                 std::thread::spawn(move || send_admin_command(&admin, &line))
             });
             for caller in callers {
-                assert!(caller.join().expect("no panic").starts_with("200 "));
+                assert!(caller.join().expect("the thread does not panic").starts_with("200 "));
             }
-            let files = std::fs::read_dir(folder.path()).expect("a folder").flatten();
+            let files = std::fs::read_dir(folder.path()).expect("the folder can be read").flatten();
             let line_counts: Vec<usize> = files
                 .filter_map(|f| std::fs::read_to_string(f.path()).ok())
                 .map(|t| t.lines().count())
                 .collect();
-            // A header, the deployment's line in the one of the two, and the three nodes.
+            // Each file has a header line and the excluded nodes; one of the two files also has a line with
+            // the deployment.
             let nodes = if what == "exclude" { 3 } else { 0 };
             assert!(
                 line_counts.iter().all(|n| (nodes + 1..=nodes + 2).contains(n)) && line_counts.len() == 2,
@@ -251,9 +273,9 @@
 cases! {
     a_purge_after_a_wall_clock_step_limits_the_age_of_copies
     an_exclusion_that_cannot_be_stored_is_rejected
-    a_configuration_unreadable_for_a_moment_is_applied_later
-    local_connect_failures_are_not_attributed_to_nodes
-    calls_are_answered_in_spite_of_failing_system_calls
-    exclusions_hold_at_both_processes_during_a_handover
+    a_temporarily_unreadable_configuration_is_applied_later
+    local_connect_failures_do_not_count_as_node_failures
+    calls_are_answered_while_system_calls_fail
+    exclusions_apply_at_both_processes_during_a_handover
     concurrent_exclusions_are_all_stored
 }
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -1,10 +1,11 @@
-//! A short soak with few fronts, so that the rig's own keeps working; `fernslip-rig soak` plays dozens of fronts and many seeds.
+//! A short soak with four fronts, which checks that the rig's soak works; `fernslip-rig soak` runs dozens of
+//! fronts and many seeds.
 
 use fernslip_rig::soak::options::Options;
 use fernslip_rig::soak::run::run_soak;
 use std::time::Duration;
 
-fn soak(seed: u64, without_faults: bool) {
+fn run_short_soak(seed: u64, without_faults: bool) {
     let options = Options {
         program: env!("CARGO_BIN_EXE_fernslip").into(),
         fronts: 4,
@@ -14,18 +15,19 @@
         logs: None,
         without_faults,
     };
-    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
-    let report = runtime.block_on(run_soak(&options)).expect("a run");
+    let runtime =
+        tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("the runtime can be started");
+    let report = runtime.block_on(run_soak(&options)).expect("the soak can be run");
     assert!(report.breaches.is_empty(), "{report:#?}");
     assert!(report.counts.get("served").is_some_and(|n| *n > 50), "{:?}", report.counts);
 }
 
 #[test]
 fn fronts_without_faults_break_no_rule() {
-    soak(1, true);
+    run_short_soak(1, true);
 }
 
 #[test]
 fn fronts_under_overlapping_faults_break_no_rule() {
-    soak(2, false);
+    run_short_soak(2, false);
 }
--- a/crates/cli/tests/source_layout.rs
+++ b/crates/cli/tests/source_layout.rs
@@ -1,7 +1,7 @@
-//! What the sources keep to, so that they stay readable: file lengths, unit tests in test files, no import cycle between
-//! the files of a crate, and identifiers in the terms of `docs/GLOSSARY.md`.
+//! Checks rules that keep the sources readable: file lengths, unit tests in test files, no import cycle
+//! between the files of a crate, and identifiers that use the terms of `docs/GLOSSARY.md`.
 //!
-//! Function lengths are clippy's (`too_many_lines`, threshold in `clippy.toml`).
+//! Function lengths are checked by clippy (`too_many_lines`, with the threshold in `clippy.toml`).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -9,13 +9,13 @@
 
 use proc_macro2::{Delimiter, TokenStream, TokenTree};
 
-/// The longest that a source file outside tests may be, in lines.
-const MOST_LINES_OF_A_FILE: usize = 600;
+/// The maximum length of a source file outside tests, in lines.
+const MAX_LINES_PER_FILE: usize = 600;
 
-/// The most identifiers, in all crates together, that may hold a withdrawn word.
-const MOST_WITHDRAWN_WORDS: usize = 200;
+/// The limit for identifiers that contain a withdrawn word, in all crates together.
+const MAX_WITHDRAWN_WORDS: usize = 200;
 
-/// Words of the earlier style, as parts of identifiers; `docs/GLOSSARY.md` has the terms in their place.
+/// Words that identifiers should no longer contain; `docs/GLOSSARY.md` lists the terms that replace them.
 const WITHDRAWN_WORDS: [&str; 57] = [
     "aim", "ask", "asked", "asks", "box", "boxes", "careful", "cold", "dark", "door", "fellow", "fellows",
     "gone", "hand", "heard", "held", "keep", "kept", "lane", "lanes", "liar", "life", "lives", "mate",
@@ -24,8 +24,8 @@
     "trouble", "turn", "turns", "weigh", "weighs", "welcome", "whole", "width", "word", "words", "worth",
 ];
 
-/// Modules that import each other for a reason: the front's shared state holds the server and the discovery watch, and
-/// both act on the other state that it holds.
+/// The modules that may import each other: the front's shared state contains the server and the discovery
+/// watch, and both use the rest of that state.
 const MUTUAL_IMPORTS: [&str; 5] = [
     "front: clients::connection",
     "front: clients::forward",
@@ -34,10 +34,10 @@
     "front: shared",
 ];
 
-/// One source file of a crate, outside tests.
+/// A source file of a crate, outside tests.
 struct SourceFile {
     crate_name: String,
-    /// Relative to the repository's root.
+    /// The file's path relative to the repository root.
     path: PathBuf,
     /// The module's path within its crate; empty for `lib.rs` and `main.rs`.
     module: Vec<String>,
@@ -46,7 +46,9 @@
 
 impl SourceFile {
     fn tokens(&self) -> TokenStream {
-        self.text.parse().unwrap_or_else(|error| panic!("{} is no Rust source: {error}", self.path.display()))
+        self.text
+            .parse()
+            .unwrap_or_else(|error| panic!("{} cannot be parsed as Rust: {error}", self.path.display()))
     }
 }
 
@@ -54,10 +56,11 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").canonicalize().expect("the repository's root exists")
 }
 
-/// Every `.rs` file under `folder`, in order of its path.
+/// Returns every `.rs` file under `folder`, sorted by path.
 fn rust_files(folder: &Path) -> Vec<PathBuf> {
     let mut found = Vec::new();
-    let entries = fs::read_dir(folder).unwrap_or_else(|error| panic!("{}: {error}", folder.display()));
+    let entries = fs::read_dir(folder)
+        .unwrap_or_else(|error| panic!("cannot read the folder {}: {error}", folder.display()));
     for entry in entries {
         let path = entry.expect("a folder's entry can be read").path();
         if path.is_dir() {
@@ -70,7 +73,7 @@
     found
 }
 
-/// The module that a file below `src` holds: `a/mod.rs` and `a.rs` are both `a`.
+/// Returns the module path of a file below `src`: `a/mod.rs` and `a.rs` are both the module `a`.
 fn module_of(relative: &Path) -> Vec<String> {
     let mut parts: Vec<String> = relative
         .with_extension("")
@@ -97,28 +100,28 @@
             if module.iter().any(|part| part == "tests") {
                 continue;
             }
-            let text =
-                fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
+            let text = fs::read_to_string(&path)
+                .unwrap_or_else(|error| panic!("cannot read {}: {error}", path.display()));
             let path = path.strip_prefix(&root).expect("the file is in the repository").to_path_buf();
             files.push(SourceFile { crate_name: crate_name.clone(), path, module, text });
         }
     }
-    assert!(files.len() > 100, "only {} source files were found", files.len());
+    assert!(files.len() > 100, "expected more than 100 source files, found {}", files.len());
     files
 }
 
-/// Calls `visit` with every identifier of `tokens`; strings and comments hold none.
-fn each_identifier(tokens: TokenStream, visit: &mut impl FnMut(&str)) {
+/// Calls `visit` with every identifier in `tokens`; the text of strings and comments is not visited.
+fn visit_identifiers(tokens: TokenStream, visit: &mut impl FnMut(&str)) {
     for token in tokens {
         match token {
-            TokenTree::Group(group) => each_identifier(group.stream(), visit),
+            TokenTree::Group(group) => visit_identifiers(group.stream(), visit),
             TokenTree::Ident(identifier) => visit(&identifier.to_string()),
             TokenTree::Punct(_) | TokenTree::Literal(_) => {}
         }
     }
 }
 
-/// The words of `CamelCase`, `snake_case` and `SCREAMING_CASE` identifiers, in lower case.
+/// Splits a `CamelCase`, `snake_case` or `SCREAMING_CASE` identifier into its words, in lower case.
 fn words_of(identifier: &str) -> Vec<String> {
     let mut words = vec![String::new()];
     let mut after_lower = false;
@@ -136,17 +139,18 @@
     words
 }
 
-/// Every path in `tokens` that begins with `crate` or `super`, as its parts; use trees are taken apart.
-fn module_paths(tokens: TokenStream, found: &mut Vec<Vec<String>>) {
+/// Collects every path in `tokens` that begins with `crate` or `super`, split into its parts; use trees are
+/// expanded.
+fn collect_module_paths(tokens: TokenStream, found: &mut Vec<Vec<String>>) {
     let tokens: Vec<TokenTree> = tokens.into_iter().collect();
     let mut at = 0;
     while at < tokens.len() {
         match &tokens[at] {
             TokenTree::Ident(identifier) if identifier == "crate" || identifier == "super" => {
-                at = follow_path(&tokens, at, &[], found);
+                at = collect_path(&tokens, at, &[], found);
             }
             TokenTree::Group(group) => {
-                module_paths(group.stream(), found);
+                collect_module_paths(group.stream(), found);
                 at += 1;
             }
             _ => at += 1,
@@ -154,8 +158,9 @@
     }
 }
 
-/// Reads the path that begins at `at` behind `prefix`, and gives the index of the token after it.
-fn follow_path(
+/// Collects the path that begins at token `at`, with `prefix` before it, and returns the index of the token
+/// after it.
+fn collect_path(
     tokens: &[TokenTree],
     mut at: usize,
     prefix: &[String],
@@ -166,7 +171,7 @@
         match tokens.get(at) {
             Some(TokenTree::Ident(identifier)) => path.push(identifier.to_string()),
             Some(TokenTree::Group(group)) if group.delimiter() == Delimiter::Brace => {
-                follow_tree(group.stream(), &path, found);
+                collect_use_tree(group.stream(), &path, found);
                 return at + 1;
             }
             _ => break,
@@ -184,18 +189,19 @@
     at
 }
 
-/// Reads the branches of a use tree, `{a::B, c::{D, E}}`, behind `prefix`.
-fn follow_tree(tokens: TokenStream, prefix: &[String], found: &mut Vec<Vec<String>>) {
+/// Collects the paths of a use tree such as `{a::B, c::{D, E}}`, with `prefix` before each.
+fn collect_use_tree(tokens: TokenStream, prefix: &[String], found: &mut Vec<Vec<String>>) {
     let tokens: Vec<TokenTree> = tokens.into_iter().collect();
     for branch in tokens.split(|token| matches!(token, TokenTree::Punct(mark) if mark.as_char() == ',')) {
         if !branch.is_empty() {
-            follow_path(branch, 0, prefix, found);
+            collect_path(branch, 0, prefix, found);
         }
     }
 }
 
-/// The module of `known` that `path`, written in `module`, leads into; `None` where that is the crate's root.
-fn resolve(path: &[String], module: &[String], known: &BTreeSet<Vec<String>>) -> Option<Vec<String>> {
+/// Returns the module in `known` that `path`, used in `module`, refers to; `None` if that is the crate's
+/// root.
+fn resolve_module(path: &[String], module: &[String], known: &BTreeSet<Vec<String>>) -> Option<Vec<String>> {
     let mut base: Vec<String> = Vec::new();
     let mut remainder = path;
     if path[0] == "crate" {
@@ -212,34 +218,35 @@
         base.pop();
     }
     if base.is_empty() {
-        return re_exported(remainder.first()?, known);
+        return re_exported_module(remainder.first()?, known);
     }
     Some(base)
 }
 
-/// The module that the crate's root exports again under its own name, where only one has that name.
-fn re_exported(name: &str, known: &BTreeSet<Vec<String>>) -> Option<Vec<String>> {
+/// Returns the module that the crate's root re-exports as `name`; `None` unless exactly one module has that
+/// name.
+fn re_exported_module(name: &str, known: &BTreeSet<Vec<String>>) -> Option<Vec<String>> {
     let mut named = known.iter().filter(|module| module.last().is_some_and(|last| last == name));
     let first = named.next()?;
     named.next().is_none().then(|| first.clone())
 }
 
-/// For each module of one crate, the modules that it imports from. A module and those within it are one unit in this
-/// respect: a parent declares its children, and they extend it.
+/// Returns the modules that each module of a crate imports from. Imports between a module and its submodules
+/// are left out: a parent declares its children, and they extend it.
 fn imports_of(files: &[&SourceFile]) -> BTreeMap<Vec<String>, BTreeSet<Vec<String>>> {
     let known: BTreeSet<Vec<String>> = files.iter().map(|file| file.module.clone()).collect();
     let mut imports: BTreeMap<Vec<String>, BTreeSet<Vec<String>>> = BTreeMap::new();
     for file in files.iter().filter(|file| !file.module.is_empty()) {
         let mut paths = Vec::new();
-        module_paths(file.tokens(), &mut paths);
-        let targets = paths.iter().filter_map(|path| resolve(path, &file.module, &known));
+        collect_module_paths(file.tokens(), &mut paths);
+        let targets = paths.iter().filter_map(|path| resolve_module(path, &file.module, &known));
         let apart = targets.filter(|to| !to.starts_with(&file.module) && !file.module.starts_with(to));
         imports.entry(file.module.clone()).or_default().extend(apart);
     }
     imports
 }
 
-/// Everything that can be reached from `start` along `imports`.
+/// Returns all modules that can be reached from `start` along `imports`.
 fn reachable(
     start: &[String],
     imports: &BTreeMap<Vec<String>, BTreeSet<Vec<String>>>,
@@ -256,46 +263,48 @@
     seen
 }
 
-/// A row of the glossary's table of words that stay: how often a word may stand in the identifiers of a crate.
-fn words_that_stay() -> BTreeMap<(String, String), usize> {
+/// Reads the glossary's table of words that stay: for each crate and word, how many identifiers may contain
+/// the word.
+fn allowed_word_counts() -> BTreeMap<(String, String), usize> {
     let page = repository_root().join("docs/GLOSSARY.md");
-    let text = fs::read_to_string(&page).unwrap_or_else(|error| panic!("{}: {error}", page.display()));
+    let text =
+        fs::read_to_string(&page).unwrap_or_else(|error| panic!("cannot read {}: {error}", page.display()));
     let table = text.split("## Words that stay in identifiers").nth(1).expect("the glossary has the table");
     let mut rows = BTreeMap::new();
     for line in table.lines().filter(|line| line.starts_with('|')) {
         let cells: Vec<&str> = line.trim_matches('|').split('|').map(str::trim).collect();
         let [crate_name, word, count, reason] = cells[..] else {
-            panic!("docs/GLOSSARY.md: `{line}` is not | crate | word | count | reason |");
+            panic!("docs/GLOSSARY.md: `{line}` lacks the cells crate, word, count and reason");
         };
         let Ok(count) = count.parse() else { continue };
-        assert!(!reason.is_empty(), "docs/GLOSSARY.md: `{line}` gives no reason");
+        assert!(!reason.is_empty(), "docs/GLOSSARY.md: the row `{line}` gives no reason");
         rows.insert((crate_name.to_string(), word.to_string()), count);
     }
     rows
 }
 
 #[test]
-fn no_source_file_is_too_long_to_be_read_in_one_go() {
+fn source_files_stay_within_the_maximum_length() {
     let long: Vec<String> = source_files()
         .iter()
-        .filter(|file| file.text.lines().count() > MOST_LINES_OF_A_FILE)
+        .filter(|file| file.text.lines().count() > MAX_LINES_PER_FILE)
         .map(|file| format!("{}: {} lines", file.path.display(), file.text.lines().count()))
         .collect();
-    assert!(long.is_empty(), "over {MOST_LINES_OF_A_FILE} lines:\n{}", long.join("\n"));
+    assert!(long.is_empty(), "files with more than {MAX_LINES_PER_FILE} lines:\n{}", long.join("\n"));
 }
 
 #[test]
-fn unit_tests_stand_in_files_of_their_own() {
+fn unit_tests_are_in_separate_files() {
     let inline: Vec<String> = source_files()
         .iter()
         .filter(|file| file.text.lines().any(|line| line.trim_start().starts_with("mod tests {")))
         .map(|file| file.path.display().to_string())
         .collect();
-    assert!(inline.is_empty(), "with an inline test module:\n{}", inline.join("\n"));
+    assert!(inline.is_empty(), "files with an inline test module:\n{}", inline.join("\n"));
 }
 
 #[test]
-fn files_of_a_crate_import_each_other_in_one_direction() {
+fn modules_of_a_crate_have_no_import_cycles_but_the_listed_ones() {
     let files = source_files();
     let mut by_crate: BTreeMap<&str, Vec<&SourceFile>> = BTreeMap::new();
     for file in &files {
@@ -307,14 +316,14 @@
         let cyclic = imports.keys().filter(|module| reachable(module, &imports).contains(*module));
         cycles.extend(cyclic.map(|module| format!("{crate_name}: {}", module.join("::"))));
     }
-    assert_eq!(cycles, MUTUAL_IMPORTS, "modules that import themselves through others");
+    assert_eq!(cycles, MUTUAL_IMPORTS, "exactly the listed modules may import themselves through others");
 }
 
 #[test]
 fn identifiers_use_the_terms_of_the_glossary() {
     let mut counts: BTreeMap<(String, String), usize> = BTreeMap::new();
     for file in source_files() {
-        each_identifier(file.tokens(), &mut |identifier| {
+        visit_identifiers(file.tokens(), &mut |identifier| {
             let is_language_type = identifier == "Box";
             for word in words_of(identifier).into_iter().filter(|_| !is_language_type) {
                 if WITHDRAWN_WORDS.contains(&word.as_str()) {
@@ -323,28 +332,35 @@
             }
         });
     }
-    let stays = words_that_stay();
+    let stays = allowed_word_counts();
     let unlisted: Vec<String> = counts
         .iter()
         .filter(|(at, count)| **count > stays.get(at).copied().unwrap_or(0))
         .map(|((crate_name, word), count)| format!("| {crate_name} | {word} | {count} | |"))
         .collect();
-    assert!(unlisted.is_empty(), "more than docs/GLOSSARY.md lists:\n{}", unlisted.join("\n"));
+    assert!(
+        unlisted.is_empty(),
+        "more identifiers with withdrawn words than docs/GLOSSARY.md lists:\n{}",
+        unlisted.join("\n")
+    );
     let total: usize = counts.values().sum();
-    assert!(total < MOST_WITHDRAWN_WORDS, "{total} identifiers hold a withdrawn word");
+    assert!(
+        total < MAX_WITHDRAWN_WORDS,
+        "{total} identifiers contain a withdrawn word; fewer than {MAX_WITHDRAWN_WORDS} are allowed"
+    );
 }
 
 #[test]
-fn identifiers_are_taken_apart_in_every_case() {
+fn identifiers_of_every_case_style_are_split_into_words() {
     assert_eq!(words_of("DispatchQueue"), ["dispatch", "queue"]);
     assert_eq!(words_of("open_ms2"), ["open", "ms2"]);
     assert_eq!(words_of("MOST_LINES"), ["most", "lines"]);
 }
 
 #[test]
-fn use_trees_are_taken_apart_into_their_paths() {
+fn use_trees_are_expanded_into_their_paths() {
     let mut found = Vec::new();
-    module_paths("use crate::{a::{B, C}, d}; fn f() { super::e::g() }".parse().unwrap(), &mut found);
+    collect_module_paths("use crate::{a::{B, C}, d}; fn f() { super::e::g() }".parse().unwrap(), &mut found);
     let found: Vec<String> = found.iter().map(|path| path.join("::")).collect();
     assert_eq!(found, ["crate::a::B", "crate::a::C", "crate::d", "super::e::g"]);
 }
