--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -67,7 +67,7 @@
         #[command(subcommand)]
         command: FleetCommand,
     },
-    /// Create, rotate or list the keys that sign gossip messages.
+    /// Create, rotate or show the keys that sign gossip messages.
     Keys {
         #[command(subcommand)]
         command: KeysCommand,
--- a/crates/cli/tests/admin.rs
+++ b/crates/cli/tests/admin.rs
@@ -111,8 +111,8 @@
 
 /// A client that sends its next call as soon as the last is answered never leaves its connection idle. During
 /// shutdown the front rejects such calls at once and closes the connection after its last answer. It exits
-/// soon after its grace of 1 s with all calls answered, and not at the end of the longest deadline (here 5
-/// s).
+/// with all calls answered soon after its grace period of 1 s, and not at the end of the longest deadline,
+/// which is 5 s here.
 #[test]
 fn a_busy_persistent_connection_is_drained_at_shutdown() {
     let (a, origin) = (Node::start(), Node::start());
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -104,7 +104,7 @@
     assert!(b.description.contains("Known") && b.evidence.iter().any(|t| t.contains("digest")), "{b:?}");
 }
 
-fn processes_with_folder(dir: &Path) -> Vec<u32> {
+fn process_ids_using_folder(dir: &Path) -> Vec<u32> {
     let mut found = Vec::new();
     for entry in std::fs::read_dir("/proc").expect("/proc can be read").flatten() {
         let Some(id) = entry.file_name().to_str().and_then(|n| n.parse().ok()) else { continue };
@@ -126,7 +126,7 @@
     rt.block_on(async {
         let running = async {
             let deadline = Instant::now() + STEP_TIMEOUT;
-            while processes_with_folder(&dir).len() < 4 {
+            while process_ids_using_folder(&dir).len() < 4 {
                 assert!(Instant::now() < deadline, "the fronts did not start within {STEP_TIMEOUT:?}");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
@@ -137,11 +137,11 @@
         }
     });
     let deadline = Instant::now() + STEP_TIMEOUT;
-    while !processes_with_folder(&dir).is_empty() {
+    while !process_ids_using_folder(&dir).is_empty() {
         assert!(
             Instant::now() < deadline,
             "processes of the aborted run are still running: {:?}",
-            processes_with_folder(&dir)
+            process_ids_using_folder(&dir)
         );
         std::thread::sleep(Duration::from_millis(20));
     }
--- a/crates/cli/tests/gossip.rs
+++ b/crates/cli/tests/gossip.rs
@@ -206,7 +206,7 @@
     (0..60).for_each(|n| assert_eq!(client.call("docs", 5_000 + n), Answer::Served));
     assert!(
         nodes[0].request_count() > before + 5,
-        "the accused node still receives requests as the home of its objects"
+        "the reported node still receives requests as the home of its objects"
     );
     let _ = std::fs::remove_dir_all(dir);
 }
--- a/crates/front/src/main_loop.rs
+++ b/crates/front/src/main_loop.rs
@@ -180,8 +180,8 @@
         loop {
             sleep::sleep(SHUTDOWN_SWEEP_INTERVAL);
             front.server.sweep(front, true);
-            // A cancelled attempt ends on its own, usually at once, so the loop waits for attempts in flight
-            // too.
+            // A cancelled attempt ends on its own, usually at once, so the loop also waits until none is in
+            // flight.
             if Instant::now() >= deadline
                 || front.server.is_empty() && front.upstream.attempts_in_flight() == 0
             {
--- a/crates/front/src/startup.rs
+++ b/crates/front/src/startup.rs
@@ -168,7 +168,7 @@
     gossip: Option<&GossipService>,
 ) -> Result<Arc<Fleet>, StartError> {
     let opened = plan.store.as_deref().and_then(|file| Snapshot::open_with_timeout(file, random_store_id()));
-    // Each process gets its own seed: generations and message order numbers that are drawn from it must
+    // Each process gets its own seed: the process id and the order of contacts that are drawn from it must
     // differ between processes with the same configuration.
     let seed = config.seed ^ unix_nanos() ^ u64::from(std::process::id()).rotate_left(32);
     let gossip_addr = gossip.map(super::control::gossip::GossipService::advertised_addr);
