--- a/crates/view/src/config.rs
+++ b/crates/view/src/config.rs
@@ -1,48 +1,50 @@
-//! What a front's view is configured with.
+//! The configuration of a front's view.
 
 use std::net::SocketAddr;
 
-/// A front's name and an address of it.
+/// The name of a front and one of its addresses: either the view's or the gossip address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerAddress {
-    /// The front's name.
+    /// The name of the front.
     pub name: String,
-    /// The address.
+    /// The UDP address at which the front receives datagrams.
     pub addr: SocketAddr,
 }
 
 /// The configuration of one front's view.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The front's name, unique in the fleet.
+    /// The name of this front, unique in the fleet.
     pub name: String,
-    /// Where others reach it.
+    /// The UDP address at which the other fronts reach this one.
     pub addr: SocketAddr,
-    /// Where it receives gossip on suspicions, if it does; announced to the others.
+    /// The UDP address at which this front receives gossip on suspicions, announced to the others; `None` if
+    /// it receives none.
     pub gossip: Option<SocketAddr>,
-    /// Its location.
+    /// The name of the location that this front runs in; may be empty.
     pub location: String,
-    /// Its program's version.
+    /// The version of the program that this front runs.
     pub program: String,
-    /// A hash of its configuration.
+    /// A hash of this front's configuration, announced to the others.
     pub configuration: u32,
-    /// Fronts to join by.
+    /// Addresses that this front polls in order to join the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// Fronts that this one knew when it last ran, with their addresses then: polled beside the seeds. One address that is
-    /// still valid is enough to bring all together.
+    /// Fronts that this one knew when it last ran, with their addresses at that time. They are polled in
+    /// addition to the seeds; one address that is still valid is enough to bring the whole fleet together.
     pub remembered: Vec<PeerAddress>,
-    /// Number of watchers of each front.
+    /// The number of other fronts that watch each front.
     pub watchers: usize,
-    /// Bytes of datagrams sent per second, at most, whatever happens.
+    /// The upper limit of bytes sent per second, under all circumstances.
     pub bytes_per_s: u64,
-    /// Bytes of unused budget that may accumulate.
+    /// The largest unused send budget that may accumulate, in bytes.
     pub burst_bytes: u64,
 }
 
 impl Default for Config {
-    /// Seven watchers: where a third of all crashes at once, nearly each front keeps two. 32 KiB per second: where a hundred
-    /// join at once each forwards some 60 KiB in all, and where they are partitioned in halves each sends some 20 KiB per
-    /// second until both have settled; in steady state it is about 1 KiB per second.
+    /// Default limits. With seven watchers, nearly every front keeps two of them when a third of the fleet
+    /// crashes at once. A budget of 32 KiB per second suffices: when a hundred fronts join at once, each
+    /// forwards about 60 KiB in total; when they are partitioned in halves, each sends about 20 KiB per
+    /// second until both halves have settled; in steady state each sends about 1 KiB per second.
     fn default() -> Config {
         Config {
             name: "front".into(),
@@ -61,7 +63,8 @@
 }
 
 impl Config {
-    /// The addresses polled before any member is known: the seeds, and where others were when this front last ran.
+    /// The addresses polled before any member is known: the seeds, and the addresses that other fronts had
+    /// when this front last ran.
     pub(crate) fn initial_contacts(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.seeds.iter().copied().chain(self.remembered.iter().map(|r| r.addr))
     }
--- a/crates/view/src/engine.rs
+++ b/crates/view/src/engine.rs
@@ -1,8 +1,9 @@
-//! One front's view of the fleet: takes events and the time, returns datagrams to send and changes to report.
+//! One front's view of the fleet. It takes events and the time, and returns datagrams to send and changes to
+//! report.
 
 use crate::config::{Config, PeerAddress};
 use crate::fact::{Fact, FrontProcess, FrontState, Id, Member, MemberTable, MergeOutcome, Rank};
-use crate::failure_detector::{Answered, Due, FailureDetector, Suspicion, Verdict};
+use crate::failure_detector::{AnsweredPing, DueMessage, FailureDetector, Suspicion, Verdict};
 use crate::interface::{Action, Counters, Event, HistoryEntry, MemberStatus, Now};
 use crate::ring::Rings;
 use crate::settlement::Settlement;
@@ -29,35 +30,35 @@
 mod tests;
 mod tick;
 
-/// An update on a member that is still to be sent.
+/// An update about a member that is still to be sent to other fronts.
 #[derive(Clone, Copy, Debug)]
 struct PendingUpdate {
-    /// How often it was sent.
+    /// The number of times that the update was sent.
     sent: u32,
-    /// Whether the complete fact is to be sent, or its rank alone.
+    /// Whether the complete fact is sent, or only its rank.
     full: bool,
 }
 
-/// A reported failure that is deferred while the member concerned may refute it.
+/// A reported failure that is not applied yet, so that the member concerned can refute it.
 struct DeferredFailure {
     rank: Rank,
     from: Id,
     until_ms: f64,
-    /// How often it was gossiped meanwhile.
+    /// The number of times that the report was gossiped while it was deferred.
     sent: u32,
-    /// When the member concerned was last notified.
+    /// The time at which the member concerned was last notified, in milliseconds.
     notified_ms: f64,
 }
 
-/// A ping made for another front, whose answer is outstanding.
+/// An unanswered ping that this front sent on behalf of another one.
 struct ForwardedPing {
     origin: SocketAddr,
-    /// The number under which `origin` expects the answer.
+    /// The ping number under which `origin` expects the answer.
     number: u32,
     sent_ms: f64,
 }
 
-/// Another process under this front's name.
+/// Another process that runs under this front's name.
 #[derive(Clone, Copy)]
 struct DuplicateProcess {
     addr: SocketAddr,
@@ -65,7 +66,7 @@
     last_seen_ms: f64,
 }
 
-/// One front's view of the fleet.
+/// One front's view of the fleet: the known fronts, and whether all live fronts hold the same view.
 pub struct View {
     config: Config,
     keys: Keyring,
@@ -73,37 +74,40 @@
     own: Fact,
     table: MemberTable,
     rings: Rings,
-    rings_drawn_ms: f64,
-    /// When the rings are to be redrawn, if the members have changed.
+    rings_built_ms: f64,
+    /// The time at which the rings are to be recomputed, in milliseconds; `None` if the members have not
+    /// changed.
     rings_due_ms: Option<f64>,
     detector: FailureDetector,
     settlement: Settlement,
     send_budget: TokenBucket,
-    /// The ids of the live members, in order: the positions in [`Settlement`].
+    /// The ids of the live members, in order. Indices into this list are the positions used in
+    /// [`Settlement`].
     live_ids: Vec<Id>,
     updates: BTreeMap<Id, PendingUpdate>,
     deferred: BTreeMap<Id, DeferredFailure>,
-    /// The messages received, by process.
+    /// Sequence numbers of the messages received from each process, for the rejection of replays.
     replays: ReplayFilter<u64>,
-    /// Pings made for other fronts, by this front's ping number.
+    /// Pings sent on behalf of other fronts, by the number that this front gave them.
     forwarded_pings: BTreeMap<u32, ForwardedPing>,
     history: BTreeMap<Id, VecDeque<HistoryEntry>>,
     duplicate: Option<DuplicateProcess>,
     ping_number: u32,
     sequence: u32,
     suspicion_number: u32,
-    /// Whether others are known to have admitted this front, or it is the first.
+    /// Whether another front is known to have admitted this one, or this front is the first of the fleet.
     is_admitted: bool,
-    /// When the remembered addresses are dropped, as departed members are.
+    /// The time from which the remembered addresses are dropped, in milliseconds: after the same retention as
+    /// departed members.
     remembered_until_ms: f64,
-    /// Whether the table changed since the last [`View::refresh`].
+    /// Whether the table changed since the last call of [`View::refresh_derived_state`].
     members_changed: bool,
     reported_settled: bool,
     has_left: bool,
     last_event_ms: f64,
     last_received_ms: f64,
     last_gossip_ms: f64,
-    /// When a failure was last taken over that not all watchers could confirm.
+    /// The time at which a failure was last recorded that not all watchers could confirm, in milliseconds.
     last_unconfirmed_ms: f64,
     last_comparison_ms: f64,
     next_poll_ms: f64,
@@ -112,8 +116,8 @@
 }
 
 impl View {
-    /// The view of a front that knows no other yet. Equal configurations, seeds and events give equal actions; the seed is
-    /// to differ from process to process.
+    /// Creates the view of a front that knows no other front yet. Equal configurations, seeds and events give
+    /// equal actions; the seed has to differ from process to process.
     pub fn new(config: Config, keys: Keyring, seed: u64, now: Now) -> View {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let own = Fact {
@@ -139,7 +143,7 @@
             own,
             table: MemberTable::default(),
             rings: Rings::default(),
-            rings_drawn_ms: now_ms,
+            rings_built_ms: now_ms,
             rings_due_ms: None,
             detector: FailureDetector::default(),
             settlement: Settlement::default(),
@@ -170,85 +174,89 @@
             config,
         };
         view.table.merge(&view.own.clone(), now_ms);
-        view.refresh(now_ms, &mut Vec::new());
+        view.refresh_derived_state(now_ms, &mut Vec::new());
         view
     }
 
-    /// Its configuration.
+    /// Returns the configuration of this view. Seeds may have been added, and remembered addresses dropped,
+    /// since the start.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// Counts since the start.
+    /// Returns the counters since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// What this front announces of itself.
+    /// Returns the fact that this front announces about itself.
     pub fn own(&self) -> &Fact {
         &self.own
     }
 
-    /// All fronts in the view, itself included, by id.
+    /// Returns all fronts in the view, this one and departed ones included, in the order of their ids.
     pub fn members(&self, now_ms: f64) -> Vec<MemberStatus> {
         let status = |(id, member): (Id, &Member)| {
-            let suspecting = self.detector.suspected_by(id, member.fact.process_id, now_ms);
+            let suspecting = self.detector.suspecting_watchers(id, member.fact.process_id, now_ms);
             MemberStatus {
                 fact: member.fact.clone(),
                 since_ms: member.since_ms,
-                suspected_by: suspecting.iter().map(|by| self.name(*by)).collect(),
+                suspected_by: suspecting.iter().map(|by| self.front_name(*by)).collect(),
             }
         };
         self.table.iter().map(status).collect()
     }
 
-    /// Addresses of the other live members.
+    /// Returns the addresses of the other live members.
     pub fn peers(&self) -> Vec<SocketAddr> {
         self.live_peers().map(|(_, m)| m.fact.addr).collect()
     }
 
-    /// Names and gossip addresses of the other live members that gossip.
+    /// Returns the names and gossip addresses of the other live members that have a gossip address.
     pub fn gossip_peers(&self) -> Vec<PeerAddress> {
         self.live_peers()
             .filter_map(|(_, m)| Some(PeerAddress { name: m.fact.name.clone(), addr: m.fact.gossip? }))
             .collect()
     }
 
-    /// The view's digest: equal for all who hold the same view.
+    /// Returns the digest of the view, which is equal for all fronts that hold the same view.
     pub fn digest(&self) -> u64 {
         self.table.digest()
     }
 
-    /// Since when all live members are known to hold this view, in milliseconds; `None` where some are not, or where this
-    /// front has reason to doubt it: it is cut off, or suspects a member.
+    /// Returns the time since which all live members are known to hold this view, in milliseconds. `None` if
+    /// some are not, or if this front has reason to doubt it: it is not admitted, is cut off, suspects a
+    /// member or shares its name with another process.
     pub fn settled_since(&self, now_ms: f64) -> Option<f64> {
-        // A front that is not admitted yet holds a view of itself alone, and the others may hold another one.
-        let is_in_doubt = !self.is_admitted || self.detector.suspected().next().is_some();
+        // A front that is not admitted yet lists only itself in its view, and the others may hold another
+        // view.
+        let is_in_doubt = !self.is_admitted || self.detector.suspected_members().next().is_some();
         let is_cut_off = self.table.live_count() > 1 && now_ms - self.last_received_ms > CUT_OFF_AFTER_MS;
         self.settlement.settled_since().filter(|_| !is_in_doubt && !is_cut_off && self.duplicate.is_none())
     }
 
-    /// Names of the live members that are not known to hold this view; before any has answered, of those that this front
-    /// knew when it last ran.
+    /// Returns the names of the live members that are not known to hold this view. Before this front is
+    /// admitted, returns the names of the fronts that it knew when it last ran.
     pub fn missing(&self) -> Vec<String> {
         if !self.is_admitted {
             return self.config.remembered.iter().map(|r| r.name.clone()).collect();
         }
-        let live = self.table.live().enumerate();
+        let live = self.table.live_members().enumerate();
         live.filter(|(i, _)| !self.settlement.is_holder(*i)).map(|(_, (_, m))| m.fact.name.clone()).collect()
     }
 
-    /// The address of another process under this front's name, if there is one.
+    /// Returns the address of another process that runs under this front's name, if there is one.
     pub fn duplicate_addr(&self) -> Option<SocketAddr> {
         self.duplicate.map(|d| d.addr)
     }
 
-    /// The history of a front, oldest entry first.
+    /// Returns the latest history entries of the named front, oldest first.
     pub fn history(&self, name: &str) -> Vec<HistoryEntry> {
         self.history.get(&Id::of(name)).into_iter().flatten().cloned().collect()
     }
 
-    /// When the next [`Event::Tick`] is due, on the host's own clock.
+    /// Returns the time at which the next [`Event::Tick`] is due, by the host's monotonic clock in
+    /// milliseconds; `f64::MAX` after this front left.
     pub fn wake_at(&self) -> f64 {
         if self.has_left {
             return f64::MAX;
@@ -260,13 +268,14 @@
         self.detector.wake_at().min(rings).min(gossip).min(own).min(deferred)
     }
 
-    /// Handles one event and adds what is to be done to `actions`.
+    /// Handles one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Now, event: Event, actions: &mut Vec<Action>) {
         let now_ms = now.mono_ms;
-        // Any event may be the first after a pause. What became due by an event was due then, not before it.
+        // Any event may be the first one after a pause of this process. Work that an event makes due counts
+        // as due from the time of that event, hence the maximum with the last event.
         let late_ms = now_ms - self.wake_at().max(self.last_event_ms);
         if late_ms > LATE_TICK_MS && !self.has_left {
-            self.detector.resume(late_ms, now_ms);
+            self.detector.reset_after_pause(late_ms, now_ms);
         }
         self.last_event_ms = now_ms;
         match event {
@@ -275,62 +284,63 @@
             Event::State(state) => {
                 if self.own.state != state && !self.has_left {
                     self.own.state = state;
-                    self.bump_incarnation(now_ms, actions);
+                    self.raise_incarnation(now_ms, actions);
                 }
             }
             Event::Configuration(hash) => {
                 if self.own.configuration != hash {
                     self.own.configuration = hash;
-                    self.bump_incarnation(now_ms, actions);
+                    self.raise_incarnation(now_ms, actions);
                 }
             }
             Event::Keys(keys) => self.keys = keys,
             Event::Leave => {
                 self.own.state = FrontState::Left;
-                self.bump_incarnation(now_ms, actions);
+                self.raise_incarnation(now_ms, actions);
                 for to in self.random_peers(DEPARTURE_FANOUT) {
                     self.send(now_ms, to, vec![Item::FullFact(self.own.clone())], actions);
                 }
                 self.has_left = true;
             }
         }
-        self.refresh(now_ms, actions);
+        self.refresh_derived_state(now_ms, actions);
     }
 
-    fn name(&self, id: Id) -> String {
+    fn front_name(&self, id: Id) -> String {
         self.table.get(id).map_or_else(|| format!("{:016x}", id.0), |m| m.fact.name.clone())
     }
 
-    fn id(&self) -> Id {
+    fn own_id(&self) -> Id {
         self.own.id()
     }
 
-    /// The other live members.
+    /// Iterates over the other live members.
     fn live_peers(&self) -> impl Iterator<Item = (Id, &Member)> {
-        let own = self.id();
-        self.table.live().filter(move |(id, _)| *id != own)
+        let own = self.own_id();
+        self.table.live_members().filter(move |(id, _)| *id != own)
     }
 
-    /// After each event: redraws the rings where they are due, and reports whether the view is settled.
-    fn refresh(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
-        let own = self.id();
+    /// Updates what follows from the member table after each event: recomputes the rings if they are due, and
+    /// reports whether the view is settled if that changed.
+    fn refresh_derived_state(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
+        let own = self.own_id();
         if std::mem::take(&mut self.members_changed) {
-            self.live_ids = self.table.live().map(|(id, _)| id).collect();
+            self.live_ids = self.table.live_members().map(|(id, _)| id).collect();
             self.rings_due_ms = self.rings_due_ms.or(Some(
-                now_ms.max(self.rings_drawn_ms + self.live_ids.len() as f64 * RING_REDRAW_MS_PER_MEMBER),
+                now_ms.max(self.rings_built_ms + self.live_ids.len() as f64 * RING_REBUILD_MS_PER_MEMBER),
             ));
-            let position = self.position(own, self.own.process_id);
+            let position = self.live_position(own, self.own.process_id);
             self.settlement.set_view(self.table.digest(), self.live_ids.len(), position, now_ms);
         }
         if self.rings_due_ms.is_some_and(|due| now_ms >= due) {
-            (self.rings_due_ms, self.rings_drawn_ms) = (None, now_ms);
+            (self.rings_due_ms, self.rings_built_ms) = (None, now_ms);
             self.rings = Rings::new(&self.live_ids, own, self.config.watchers);
             let process = |id: &Id| {
                 self.table.get(*id).map(|m| FrontProcess { id: *id, process_id: m.fact.process_id })
             };
             let subjects: Vec<FrontProcess> = self.rings.subjects().iter().filter_map(process).collect();
             let offset: f64 = self.rng.random();
-            self.detector.assign(&subjects, now_ms, offset);
+            self.detector.set_subjects(&subjects, now_ms, offset);
         }
         let settled = self.settled_since(now_ms).is_some();
         if settled != self.reported_settled {
@@ -339,8 +349,9 @@
         }
     }
 
-    /// A process's position among the live members; `None` where the view holds another process of its name, or none.
-    fn position(&self, id: Id, process_id: u64) -> Option<usize> {
+    /// Returns the position of a process among the live members; `None` if the view lists another process of
+    /// its name, or none.
+    fn live_position(&self, id: Id, process_id: u64) -> Option<usize> {
         self.table.get(id).filter(|m| m.fact.process_id == process_id)?;
         self.live_ids.binary_search(&id).ok()
     }
--- a/crates/view/src/engine/budget.rs
+++ b/crates/view/src/engine/budget.rs
@@ -1,10 +1,10 @@
-//! The send budget: packs items into datagrams and keeps everything sent under the byte rate.
+//! Packs items into datagrams and limits everything sent to the configured byte rate.
 
 use super::*;
 
 impl View {
-    /// Sends items in as many datagrams as they take, up to [`MAX_DATAGRAMS_PER_SEND`]; returns whether the budget
-    /// sufficed.
+    /// Sends items in as many datagrams as they need, but at most [`MAX_DATAGRAMS_PER_SEND`]; returns whether
+    /// the budget sufficed.
     pub(super) fn send(
         &mut self,
         now_ms: f64,
@@ -12,10 +12,11 @@
         items: Vec<Item>,
         actions: &mut Vec<Action>,
     ) -> bool {
-        for items in self.pack(items).into_iter().take(MAX_DATAGRAMS_PER_SEND) {
+        for items in self.pack_items(items).into_iter().take(MAX_DATAGRAMS_PER_SEND) {
             let (digest, holders) = (self.table.digest(), self.settlement.holders().to_vec());
             let (key, sequence) = (self.keys.signing_key(), self.sequence + 1);
-            let mut message = Message::new(key, self.id(), self.own.process_id, sequence, digest, holders);
+            let mut message =
+                Message::new(key, self.own_id(), self.own.process_id, sequence, digest, holders);
             message.items = items;
             let bytes = message.seal(&self.keys);
             if bytes.len() > MAX_DATAGRAM_BYTES || !self.send_budget.try_take(now_ms, bytes.len()) {
@@ -30,8 +31,8 @@
         true
     }
 
-    /// Splits items into the parts that fit into one datagram each; one part at least.
-    fn pack(&self, items: Vec<Item>) -> Vec<Vec<Item>> {
+    /// Splits items into parts that each fit into one datagram; returns at least one part.
+    fn pack_items(&self, items: Vec<Item>) -> Vec<Vec<Item>> {
         let capacity = self.item_capacity();
         let mut parts: Vec<Vec<Item>> = vec![Vec::new()];
         let mut used = 0;
@@ -49,12 +50,13 @@
         parts
     }
 
-    /// Bytes of items that fit into one datagram.
+    /// Returns the number of item bytes that fit into one datagram.
     pub(super) fn item_capacity(&self) -> usize {
         MAX_DATAGRAM_BYTES.saturating_sub(TAG_BYTES + HEADER_BYTES + self.settlement.holders().len())
     }
 
-    /// Whether there is budget for what can wait: pings, answers and suspicions take precedence.
+    /// Whether more than an eighth of the burst budget is left. Traffic that can wait is sent only then;
+    /// pings, answers and suspicions take precedence.
     pub(super) fn has_spare_budget(&mut self, now_ms: f64) -> bool {
         self.send_budget.available(now_ms) as u64 > self.config.burst_bytes / 8
     }
@@ -64,7 +66,7 @@
         self.ping_number
     }
 
-    /// The addresses of up to `count` other live members, drawn at random.
+    /// Returns the addresses of up to `count` randomly chosen other live members.
     pub(super) fn random_peers(&mut self, count: usize) -> Vec<SocketAddr> {
         let all = self.peers();
         all.choose_multiple(&mut self.rng, count).copied().collect()
--- a/crates/view/src/engine/comparison.rs
+++ b/crates/view/src/engine/comparison.rs
@@ -1,13 +1,13 @@
-//! Comparing two views bucket by bucket, once their digests differ.
+//! Comparison of two views bucket by bucket, used when their digests differ.
 
 use super::*;
 
 impl View {
-    /// Answers another front's bucket sums with the ranks in the buckets that differ, each bucket announced by an
-    /// [`Item::DifferingBuckets`].
-    pub(super) fn answer_sums(&mut self, theirs: &[u32], reply: &mut Vec<Item>) {
-        let own = self.table.sums();
-        // Starting at another bucket each time: where all differ, only a few fit into an answer.
+    /// Answers another front's bucket sums with the ranks in the buckets that differ. An
+    /// [`Item::DifferingBuckets`] precedes the ranks of each bucket.
+    pub(super) fn answer_bucket_sums(&mut self, theirs: &[u32], reply: &mut Vec<Item>) {
+        let own = self.table.bucket_sums();
+        // The first bucket is random, because only a few buckets fit into an answer when all of them differ.
         let first = self.rng.random_range(0..own.len());
         let buckets = (0..own.len()).map(|b| (b + first) % own.len());
         for bucket in buckets.filter(|b| theirs.get(*b).is_some_and(|t| *t != own[*b])) {
@@ -17,8 +17,8 @@
         }
     }
 
-    /// Answers the ranks that another front has in those buckets (a bit each), which are the first items of `following`,
-    /// with the ranks that it lacks or has lower.
+    /// Answers the ranks that another front has in `buckets` (a bit mask) with the ranks that it lacks or has
+    /// lower. The other front's ranks are the first items of `following`.
     pub(super) fn answer_differing_buckets(&self, buckets: u32, following: &[Item], reply: &mut Vec<Item>) {
         let theirs: BTreeMap<Id, Rank> = following
             .iter()
--- a/crates/view/src/engine/joining.rs
+++ b/crates/view/src/engine/joining.rs
@@ -1,9 +1,10 @@
-//! Joining: answering the hello of a newcomer.
+//! Admission of joining fronts: answers their hellos.
 
 use super::*;
 
 impl View {
-    /// Takes the hello of a newcomer, or of a front that polls this one since it holds it for failed.
+    /// Handles the hello of a newcomer, or of a front that polls this one because it lists this one as
+    /// failed.
     pub(super) fn receive_hello(
         &mut self,
         now_ms: f64,
@@ -21,14 +22,16 @@
         if let Some(other) = other {
             let is_replaced = !other.state.is_live() || other.addr == fact.addr;
             if !is_replaced || other.rank() >= fact.rank() {
-                // It learns which process the view holds: it waits, or comes again with a higher generation.
-                if id == self.id() {
+                // The reply says which process the view lists; the newcomer waits, or polls again with a
+                // higher generation.
+                if id == self.own_id() {
                     self.resolve_own_name(now_ms, fact, actions);
                 } else if other.state.is_live() {
-                    // The process that the view holds learns of it too, as the newcomer does not know its address.
+                    // The process that the view lists is notified too, because the newcomer does not know its
+                    // address.
                     self.send(now_ms, other.addr, vec![Item::DuplicateName(fact.addr)], actions);
                 }
-                reply.push(Item::FullFact(if id == self.id() { self.own.clone() } else { other }));
+                reply.push(Item::FullFact(if id == self.own_id() { self.own.clone() } else { other }));
                 return;
             }
         }
--- a/crates/view/src/engine/receive.rs
+++ b/crates/view/src/engine/receive.rs
@@ -1,10 +1,11 @@
-//! Receiving datagrams: opening and checking them, handling their items, and trimming the reply to the budget.
+//! Handling of received datagrams: verifies them, handles their items, and limits the reply to the budget.
 
 use super::failure_detection::ReceivedSuspicion;
 use super::*;
 
 impl View {
-    /// Handles one datagram: checks it, notes its sender, handles its items, and replies within the budget.
+    /// Handles one datagram: verifies it, records that its sender is alive, handles its items, and replies
+    /// within the budget.
     pub(super) fn receive_datagram(
         &mut self,
         now_ms: f64,
@@ -16,22 +17,23 @@
         self.counters.accepted += 1;
         self.last_received_ms = now_ms;
         let mut reply = self.answer_sender(now_ms, from, &message, actions);
-        let sender = self.position(message.from, message.process_id);
-        self.settlement.merge(message.digest, &message.holders, sender, now_ms);
+        let sender = self.live_position(message.from, message.process_id);
+        self.settlement.merge_holders(message.digest, &message.holders, sender, now_ms);
         let has_hello = message.items.iter().any(|i| matches!(i, Item::Hello(_)));
         if has_hello || message.items.iter().any(|i| matches!(i, Item::FullFact(f) if f.id() == message.from))
         {
             reply.retain(|i| !matches!(i, Item::FactRequest(_)));
         }
         let missing = self.receive_items(now_ms, from, &message, &mut reply, actions);
-        self.complete_reply(now_ms, &message, missing, &mut reply);
+        self.append_requests(now_ms, &message, missing, &mut reply);
         self.trim_reply(now_ms, message.from, &mut reply);
         if !reply.is_empty() {
             self.send(now_ms, from, reply, actions);
         }
     }
 
-    /// The datagram's message, where it is valid under a known key and no replay; else counts it and drops it.
+    /// Returns the message of a datagram if it is valid, signed with a known key and not a replay; otherwise
+    /// counts the datagram as dropped.
     fn open_datagram(&mut self, now_ms: f64, bytes: &[u8]) -> Option<Message> {
         let Some(message) = Message::open(bytes, &self.keys) else {
             self.counters.malformed += 1;
@@ -46,7 +48,7 @@
         Some(message)
     }
 
-    /// The reply's first items, by what the view holds of the sender's name.
+    /// Returns the first items of the reply, which depend on what the view knows of the sender's name.
     fn answer_sender(
         &mut self,
         now_ms: f64,
@@ -60,26 +62,28 @@
             Some((process_id, state, _)) if process_id == message.process_id && state.is_live() => {
                 self.detector.received_from(message.from, now_ms);
             }
-            // The view holds it for failed: it is notified, and refutes that with a higher incarnation.
+            // The view lists the sender as failed. It is notified, and refutes that with a higher
+            // incarnation.
             Some((process_id, FrontState::Failed, rank)) if process_id == message.process_id => {
                 reply.push(Item::FactRank(message.from, rank));
             }
-            Some((_, state, _)) if message.from != self.id() && state.is_live() => {
-                // Another process of that name: it learns which one the view holds.
+            Some((_, state, _)) if message.from != self.own_id() && state.is_live() => {
+                // The view lists another process of the sender's name; the reply says which one.
                 reply.extend(self.full_fact(message.from));
             }
-            _ if message.from != self.id() => reply.push(Item::FactRequest(vec![message.from])),
+            _ if message.from != self.own_id() => reply.push(Item::FactRequest(vec![message.from])),
             _ => {
                 let is_suspended =
                     self.table.get(message.from).is_some_and(|k| k.fact.process_id == message.process_id);
-                self.note_duplicate(now_ms, from, is_suspended || !self.is_admitted, actions);
+                self.record_duplicate(now_ms, from, is_suspended || !self.is_admitted, actions);
                 reply.push(Item::FullFact(self.own.clone()));
             }
         }
         reply
     }
 
-    /// Handles each item of the message, adding answers to `reply`; returns the members whose complete facts are missing.
+    /// Handles each item of the message and appends answers to `reply`; returns the members whose complete
+    /// facts are missing.
     fn receive_items(
         &mut self,
         now_ms: f64,
@@ -98,16 +102,16 @@
                 }
                 Item::Hello(fact) => self.receive_hello(now_ms, fact, message, reply, actions),
                 Item::DuplicateName(addr) if *addr != self.own.addr => {
-                    self.note_duplicate(now_ms, *addr, false, actions);
+                    self.record_duplicate(now_ms, *addr, false, actions);
                 }
                 Item::DuplicateName(_) => {}
                 Item::FullFact(fact) => {
-                    // Others announce this process: it has been admitted.
+                    // Another front announces this process as live, so it has been admitted.
                     self.is_admitted |= fact.process_id == self.own.process_id && fact.state.is_live();
                     self.receive_fact(now_ms, fact, message.from, actions);
                 }
                 Item::FactRank(id, rank) => {
-                    let is_own = *id == self.id() && rank.process_id == self.own.process_id;
+                    let is_own = *id == self.own_id() && rank.process_id == self.own.process_id;
                     self.is_admitted |= is_own && rank.state.is_live();
                     let is_missing = self.receive_rank(now_ms, *id, *rank, message.from, actions);
                     if is_missing && missing.len() < MAX_REQUESTED_FACTS {
@@ -115,14 +119,14 @@
                     }
                 }
                 Item::FactRequest(ids) => {
-                    let own = ids.contains(&self.id()).then(|| Item::FullFact(self.own.clone()));
-                    let others = ids.iter().filter(|id| **id != self.id());
+                    let own = ids.contains(&self.own_id()).then(|| Item::FullFact(self.own.clone()));
+                    let others = ids.iter().filter(|id| **id != self.own_id());
                     let known = others.filter_map(|id| self.full_fact(*id));
                     reply.extend(own.into_iter().chain(known.take(MAX_REQUESTED_FACTS)));
                 }
                 Item::BucketSums(theirs) => {
                     if self.has_spare_budget(now_ms) {
-                        self.answer_sums(theirs, reply);
+                        self.answer_bucket_sums(theirs, reply);
                     }
                 }
                 Item::DifferingBuckets(buckets) => {
@@ -139,13 +143,14 @@
         missing
     }
 
-    /// A member's complete fact, as an item.
+    /// Returns the complete fact about a member as an item; `None` if the member is unknown.
     fn full_fact(&self, id: Id) -> Option<Item> {
         self.table.get(id).map(|m| Item::FullFact(m.fact.clone()))
     }
 
-    /// Adds a request for the missing facts and, where the digests differ, the start of a comparison of the views.
-    fn complete_reply(&mut self, now_ms: f64, message: &Message, missing: Vec<Id>, reply: &mut Vec<Item>) {
+    /// Appends a request for the missing facts and, if the digests differ, the bucket sums that start a
+    /// comparison of the views.
+    fn append_requests(&mut self, now_ms: f64, message: &Message, missing: Vec<Id>, reply: &mut Vec<Item>) {
         if !missing.is_empty() && self.has_spare_budget(now_ms) {
             reply.push(Item::FactRequest(missing));
         }
@@ -157,16 +162,17 @@
             && self.has_spare_budget(now_ms)
         {
             self.last_comparison_ms = now_ms;
-            reply.push(Item::BucketSums(self.table.sums()));
+            reply.push(Item::BucketSums(self.table.bucket_sums()));
         }
     }
 
-    /// Removes from a reply to `sender` what may not be sent now: before this front is admitted, and without spare budget.
+    /// Removes from a reply to `sender` the items that may not be sent before this front is admitted or
+    /// without spare budget.
     fn trim_reply(&mut self, now_ms: f64, sender: Id, reply: &mut Vec<Item>) {
         if !self.is_admitted {
-            // Until it is admitted, this front's own fact reaches the others by its hello alone: another process of its name
-            // may be live.
-            let own = self.id();
+            // Until this front is admitted, its own fact is sent in its hello alone, because another process
+            // of its name may be live.
+            let own = self.own_id();
             reply.retain(|i| match i {
                 Item::FullFact(f) => f.id() != own,
                 Item::FactRank(id, _) => *id != own,
@@ -175,8 +181,9 @@
             });
         }
         if !self.has_spare_budget(now_ms) {
-            // The remaining budget is for acknowledgements: a seed that spends all on newcomers would seem to have failed. A
-            // newcomer that gets no answer polls again; one that got half of an answer would know no other and poll no more.
+            // The remaining budget is reserved for acknowledgements: a seed that spends it all on newcomers
+            // would appear to have failed. A newcomer without an answer polls again, whereas one that got
+            // only part of an answer would know no other front and stop polling.
             reply.retain(|i| match i {
                 Item::Ack(_) => true,
                 Item::FactRank(id, rank) => *id == sender && !rank.state.is_live(),
@@ -185,7 +192,8 @@
         }
     }
 
-    /// Takes the answer to a ping of this front, or forwards it where the ping was made for another.
+    /// Handles the answer to a ping. If the ping was sent on behalf of another front, forwards the answer to
+    /// that front.
     fn receive_ack(&mut self, now_ms: f64, number: u32, message: &Message, actions: &mut Vec<Action>) {
         if let Some(forwarded) = self.forwarded_pings.remove(&number) {
             self.send(now_ms, forwarded.origin, vec![Item::Ack(forwarded.number)], actions);
@@ -193,12 +201,12 @@
         }
         let sender = FrontProcess { id: message.from, process_id: message.process_id };
         let answered = self.detector.ping_answered(number, Some(sender), now_ms);
-        if let Some(Answered { id, ends_suspicion: true }) = answered {
+        if let Some(AnsweredPing { id, ends_suspicion: true }) = answered {
             self.broadcast_suspicion(now_ms, id, false, actions);
         }
     }
 
-    /// Pings a member's process on behalf of the front at `from`, which expects the answer under `number`.
+    /// Pings a process of a member on behalf of the front at `from`, which expects the answer under `number`.
     fn forward_ping(
         &mut self,
         now_ms: f64,
@@ -208,7 +216,7 @@
         from: SocketAddr,
         actions: &mut Vec<Action>,
     ) {
-        let member = self.table.get(id).filter(|m| m.fact.process_id == process_id && id != self.id());
+        let member = self.table.get(id).filter(|m| m.fact.process_id == process_id && id != self.own_id());
         if let Some(to) =
             member.map(|m| m.fact.addr).filter(|_| self.forwarded_pings.len() < MAX_FORWARDED_PINGS)
         {
--- a/crates/view/src/engine/rejoin.rs
+++ b/crates/view/src/engine/rejoin.rs
@@ -1,11 +1,13 @@
-//! Polling fronts that the view does not hold, rejoining after a long isolation, and expiring old entries.
+//! Polls fronts that are not live in the view, joins again after a long isolation, and removes expired
+//! entries.
 
 use super::*;
 
 impl View {
-    /// Sends a hello to fronts that may run though the view does not hold them: while this front joins, to seeds and
-    /// remembered addresses; later to unknown seeds and failed members, at a bounded rate.
-    pub(super) fn poll_unreached(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
+    /// Sends a hello to fronts that may run although they are not live in the view. While this front is not
+    /// admitted, polls a random member, seeds and remembered addresses; afterwards, unknown seeds and failed
+    /// members at a bounded rate.
+    pub(super) fn poll_absent_fronts(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         let hello = Item::Hello(self.own.clone());
         if self.duplicate.is_some() || !self.is_admitted {
             let mut targets = self.random_peers(1);
@@ -20,7 +22,7 @@
             }
             return;
         }
-        let live: Vec<SocketAddr> = self.table.live().map(|(_, m)| m.fact.addr).collect();
+        let live: Vec<SocketAddr> = self.table.live_members().map(|(_, m)| m.fact.addr).collect();
         let seeds = self.config.initial_contacts().filter(|a| *a != self.own.addr);
         let failed = self.table.iter().filter(|(_, m)| m.fact.state == FrontState::Failed);
         let failed = failed.map(|(_, m)| m.fact.addr);
@@ -33,7 +35,8 @@
         }
     }
 
-    /// Joins anew: this front was isolated for so long that others may no longer remember what it missed.
+    /// Joins the fleet again, after an isolation so long that others may have forgotten departures that this
+    /// front missed.
     pub(super) fn rejoin(&mut self, now_ms: f64) {
         let known: Vec<SocketAddr> = self.peers().into_iter().take(MAX_REJOIN_PEERS).collect();
         self.config
@@ -48,14 +51,15 @@
         self.last_received_ms = now_ms;
     }
 
-    /// Drops what is out of date.
+    /// Removes expired members, suspicions, history entries and forwarded pings, and forgets remembered
+    /// addresses and a duplicate process that are out of date.
     pub(super) fn expire_old_entries(&mut self, now_ms: f64) {
-        self.table.expire(RETENTION_MS, now_ms);
+        self.table.remove_expired(RETENTION_MS, now_ms);
         if self.is_admitted && now_ms > self.remembered_until_ms {
             self.config.remembered.clear();
         }
         let table = &self.table;
-        self.detector.expire(|id| table.get(id).is_some_and(|m| m.fact.state.is_live()), now_ms);
+        self.detector.remove_expired(|id| table.get(id).is_some_and(|m| m.fact.state.is_live()), now_ms);
         self.history.retain(|id, _| table.get(*id).is_some());
         self.forwarded_pings.retain(|_, ping| now_ms - ping.sent_ms < FORWARDED_PING_LIFETIME_MS);
         if self.duplicate.is_some_and(|d| now_ms - d.last_seen_ms > DUPLICATE_LIFETIME_MS) {
--- a/crates/view/src/engine/tests.rs
+++ b/crates/view/src/engine/tests.rs
@@ -1,10 +1,10 @@
-//! Unit tests of the engine that reach into its private state.
+//! Unit tests of the engine that need access to its private state.
 
 use super::*;
 use fernslip_gossip::Key;
 
 #[test]
-fn a_front_that_many_newcomers_poll_still_answers_pings() {
+fn a_front_polled_by_many_newcomers_still_answers_pings() {
     let keys = Keyring::new(Key::new(1, [7; 32]));
     let now = Now { mono_ms: 0.0, unix_ms: 1.8e12 };
     let config = Config { bytes_per_s: 4096, burst_bytes: 65_536, ..Config::default() };
@@ -27,8 +27,9 @@
     for process_id in 1..=400 {
         replies(process_id, 1, hello.clone());
     }
-    // Many, as a few small datagrams pass where a large one does not.
+    // Many pings are sent, because a few small datagrams can still pass where the budget no longer suffices
+    // for a large one.
     for n in 2..32 {
-        assert!(replies(7, n, Item::Ping(n)).contains(&Item::Ack(n)), "ping {n}");
+        assert!(replies(7, n, Item::Ping(n)).contains(&Item::Ack(n)), "ping {n} is acknowledged under load");
     }
 }
--- a/crates/view/src/engine/tick.rs
+++ b/crates/view/src/engine/tick.rs
@@ -1,4 +1,4 @@
-//! What a tick does: whatever has become due by then.
+//! Handling of a tick: carries out everything that is due by then.
 
 use super::*;
 
@@ -11,11 +11,11 @@
             self.rejoin(now_ms);
         }
         self.detect_failures(now_ms, actions);
-        self.renew_notifications(now_ms, actions);
-        self.apply_deferred(now_ms, actions);
+        self.repeat_notifications(now_ms, actions);
+        self.apply_expired_deferrals(now_ms, actions);
         if now_ms >= self.next_poll_ms {
             self.next_poll_ms = now_ms + if self.is_admitted { POLL_INTERVAL_MS } else { JOIN_INTERVAL_MS };
-            self.poll_unreached(now_ms, actions);
+            self.poll_absent_fronts(now_ms, actions);
         }
         if now_ms >= self.next_expiry_ms {
             self.next_expiry_ms = now_ms + EXPIRY_INTERVAL_MS;
@@ -27,24 +27,24 @@
         }
     }
 
-    /// Sends the pings and suspicions that are due, and judges the members that this front suspects.
+    /// Sends the pings and suspicions that are due, and decides whether the suspected members have failed.
     fn detect_failures(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
-        for due in self.detector.due(now_ms) {
+        for due in self.detector.due_messages(now_ms) {
             match due {
-                Due::Suspicion(id) => self.broadcast_suspicion(now_ms, id, true, actions),
-                Due::Ping { id, indirect } => self.ping_member(now_ms, id, indirect, actions),
+                DueMessage::Suspicion(id) => self.broadcast_suspicion(now_ms, id, true, actions),
+                DueMessage::Ping { id, indirect } => self.ping_member(now_ms, id, indirect, actions),
             }
         }
-        let suspected: Vec<Id> = self.detector.suspected().collect();
+        let suspected: Vec<Id> = self.detector.suspected_members().collect();
         for id in suspected {
-            self.judge_member(now_ms, id, actions);
+            self.decide_on_suspected_member(now_ms, id, actions);
         }
     }
 
-    /// Notifies again the members whose failure this front detected and defers: their side of a partition may join this
-    /// one at any moment.
-    fn renew_notifications(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
-        let own = self.id();
+    /// Repeats the notification of members whose failure this front detected but still defers: if a partition
+    /// heals, the notification reaches the member and lets it refute the failure.
+    fn repeat_notifications(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
+        let own = self.own_id();
         let mut renewed = Vec::new();
         for (id, deferred) in &mut self.deferred {
             let is_due = now_ms - deferred.notified_ms >= NOTIFICATION_INTERVAL_MS;
@@ -54,18 +54,18 @@
             }
         }
         for (id, rank) in renewed {
-            self.notify_suspected(now_ms, id, rank, actions);
+            self.notify_reported_member(now_ms, id, rank, actions);
         }
     }
 
-    /// Applies the deferred failures whose members did not refute them in time.
-    fn apply_deferred(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
+    /// Applies the deferred failures that the members concerned did not refute in time.
+    fn apply_expired_deferrals(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         let expired = self.deferred.iter().filter(|(_, d)| now_ms >= d.until_ms);
         let expired: Vec<(Id, Rank, Id)> = expired.map(|(id, d)| (*id, d.rank, d.from)).collect();
         for (id, rank, from) in expired {
             self.deferred.remove(&id);
             let merged = self.table.merge_rank(id, rank, now_ms);
-            self.apply_merged(now_ms, id, merged, Some(from), false, actions);
+            self.handle_merge_outcome(now_ms, id, merged, Some(from), false, actions);
         }
     }
 }
--- a/crates/view/src/fact.rs
+++ b/crates/view/src/fact.rs
@@ -1,69 +1,70 @@
-//! Facts on fronts, and the table of the highest fact of each: whoever received the same facts holds the same table, in
-//! whatever order they came.
+//! Facts about fronts, and the table that holds the highest-ranked fact of each front. Fronts that received
+//! the same facts hold the same table, in whatever order the facts arrived.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Most members in a table, departed ones included. Far more than a fleet has; only forgeries with a valid key come near
-/// it.
+/// The maximum number of members in a table, departed ones included. It is far above the size of any fleet;
+/// only forged facts signed with a valid key come near it.
 pub const MAX_MEMBERS: usize = 16_384;
-/// Longest text of a fact, in bytes, so that a datagram holds any fact.
+/// The maximum length of each text of a fact, in bytes. It ensures that any fact fits into a datagram.
 pub const MAX_TEXT_BYTES: usize = 64;
-/// Highest generation: one that can't be exceeded would leave its front unable to refute it.
+/// The highest valid generation. A front could not refute a forged fact whose generation cannot be exceeded.
 const MAX_GENERATION: u64 = 1 << 53;
-/// Buckets of [`MemberTable::sums`].
-pub(crate) const BUCKETS: usize = 32;
+/// The number of buckets of [`MemberTable::bucket_sums`].
+pub(crate) const BUCKET_COUNT: usize = 32;
 
-/// Identifies a front, by the hash of its name.
+/// The identifier of a front: the first eight bytes of the SHA-256 hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Id(pub u64);
 
 impl Id {
-    /// The id of the front of that name.
+    /// Returns the id of the front named `name`.
     pub fn of(name: &str) -> Id {
-        Id(hash(name.as_bytes()))
+        Id(hash64(name.as_bytes()))
     }
 }
 
-/// A process of a front: of two processes of one name each has its own.
+/// One process of a front. Two processes that run under the same name differ in their process ids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrontProcess {
-    /// The front.
+    /// The front that the process belongs to.
     pub id: Id,
-    /// Drawn at random by the process.
+    /// A random number that the process draws at its start.
     pub process_id: u64,
 }
 
-fn hash(bytes: &[u8]) -> u64 {
+fn hash64(bytes: &[u8]) -> u64 {
     let h = Sha256::digest(bytes);
     h.iter().take(8).fold(0, |n, b| n << 8 | u64::from(*b))
 }
 
-/// The state of a front. Of two states at one incarnation the later in this order holds: a front's own changes raise the
-/// incarnation, so only a failure reported by others competes with its own state at the same one.
+/// The state of a front. If two facts have the same incarnation, the one whose state comes later in this
+/// order replaces the other. A front's own changes raise the incarnation, so only a failure reported by
+/// others competes with the front's own state at the same incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum FrontState {
-    /// It runs and is not ready to serve.
+    /// The front runs but is not ready to serve.
     Joining,
-    /// It serves.
+    /// The front serves requests.
     Ready,
-    /// It drains: it accepts nothing new.
+    /// The front drains: it accepts no new requests.
     Draining,
-    /// It announced its departure.
+    /// The front announced its departure.
     Left,
-    /// Its watchers agreed that it has failed.
+    /// The front's watchers agreed that it has failed.
     Failed,
 }
 
 impl FrontState {
-    /// Whether the front runs, as far as is known.
+    /// Whether the front runs, as far as this view knows.
     pub fn is_live(self) -> bool {
         self < FrontState::Left
     }
 
-    /// Its name in logs and answers.
+    /// The name of the state in logs and in answers to operators.
     pub fn name(self) -> &'static str {
         match self {
             FrontState::Joining => "joining",
@@ -75,61 +76,66 @@
     }
 }
 
-/// Everything announced about a front.
+/// All that the fronts know and exchange about one front.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fact {
-    /// Its name.
+    /// The name of the front.
     pub name: String,
-    /// Where others reach it.
+    /// The UDP address at which the other fronts reach this front.
     pub addr: SocketAddr,
-    /// Where it receives gossip, if it does.
+    /// The UDP address at which the front receives gossip; `None` if it receives none.
     pub gossip: Option<SocketAddr>,
-    /// Its location.
+    /// The name of the location that the front runs in.
     pub location: String,
-    /// Its program's version.
+    /// The version of the program that the front runs.
     pub program: String,
-    /// A hash of its configuration.
+    /// A hash of the front's configuration.
     pub configuration: u32,
-    /// Drawn at random by each process.
+    /// A random number that identifies the process, drawn at its start.
     pub process_id: u64,
-    /// Rises with each start: Unix milliseconds, or one more than the highest received for its name, whichever is higher.
+    /// A number that rises with each start of the front: Unix milliseconds, or one more than the highest
+    /// value received for its name if that is higher.
     pub generation: u64,
-    /// Raised by the front itself at each change of its own, and to refute its failure.
+    /// A number that only the front itself raises, at each change of its own fact and to refute a report of
+    /// its failure.
     pub incarnation: u32,
-    /// Its state.
+    /// The state of the front.
     pub state: FrontState,
-    /// Whether all its watchers were in reach of those who detected its failure; true in its own announcements.
+    /// Whether the failure was detected while all watchers of the front were in reach; `true` in a front's
+    /// own announcements.
     pub confirmed: bool,
-    /// Who detected its failure; 0 in its own announcements.
+    /// The front that detected the failure; 0 in a front's own announcements.
     pub detected_by: Id,
 }
 
-/// The order of the facts of one front: of two facts the one of the higher rank holds.
+/// The rank of a fact. Of two facts about the same front, the one with the higher rank replaces the other;
+/// the fields are compared in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Rank {
-    /// Its generation.
+    /// The generation of the front, see [`Fact::generation`].
     pub generation: u64,
-    /// Its incarnation.
+    /// The incarnation of the front, see [`Fact::incarnation`].
     pub incarnation: u32,
-    /// Its state.
+    /// The state of the front.
     pub state: FrontState,
-    /// Its process.
+    /// The process that the fact is about, see [`Fact::process_id`].
     pub process_id: u64,
-    /// A hash of its texts and addresses.
+    /// A hash of the texts, the addresses and the configuration hash of the fact.
     pub text_hash: u32,
-    /// Whether all its watchers were in reach of those who detected its failure.
+    /// Whether the failure was detected while all watchers of the front were in reach, see
+    /// [`Fact::confirmed`].
     pub confirmed: bool,
-    /// Who detected its failure.
+    /// The front that detected the failure, see [`Fact::detected_by`].
     pub detected_by: Id,
 }
 
 impl Fact {
-    /// The front's id.
+    /// Returns the id of the front, derived from its name.
     pub fn id(&self) -> Id {
         Id::of(&self.name)
     }
 
-    /// Its rank among the facts of the same front.
+    /// Returns the rank of this fact among the facts about the same front.
     pub fn rank(&self) -> Rank {
         let texts = format!(
             "{}\0{}\0{:?}\0{}\0{}\0{}",
@@ -140,13 +146,14 @@
             incarnation: self.incarnation,
             state: self.state,
             process_id: self.process_id,
-            text_hash: hash(texts.as_bytes()) as u32,
+            text_hash: hash64(texts.as_bytes()) as u32,
             confirmed: self.confirmed,
             detected_by: self.detected_by,
         }
     }
 
-    /// Whether its texts and counts are within their bounds.
+    /// Whether the texts and numbers of this fact are within their limits, the name is not empty and the port
+    /// is not 0.
     pub fn is_valid(&self) -> bool {
         let texts = [&self.name, &self.location, &self.program];
         !self.name.is_empty()
@@ -157,40 +164,43 @@
     }
 }
 
-/// What merging a fact or a rank changed.
+/// The result of merging a fact or a rank into a [`MemberTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// Nothing: it was known, older, or invalid.
+    /// Nothing changed: the fact was already known, has a lower rank, is invalid, or the table is full.
     Stale,
-    /// It is the highest now; the front's state before, if it was known.
+    /// The fact is now the member's highest-ranked one. Holds the previous state of the front; `None` if it
+    /// was unknown.
     Updated(Option<FrontState>),
-    /// Nothing: only a rank came, and the texts of its fact are not known here.
+    /// Nothing changed: only a rank was received, and this table does not have the texts that belong to it.
     MissingTexts,
 }
 
-/// A front in the table.
+/// The entry of one front in a [`MemberTable`].
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its highest fact.
+    /// The highest-ranked fact known about the front.
     pub fact: Fact,
     /// The rank of that fact.
     pub rank: Rank,
-    /// Since when it has its state, by this front's clock, in milliseconds.
+    /// The time at which the front entered its current state, by the clock of this process, in milliseconds.
     pub since_ms: f64,
-    /// When it last became live again after a departure, in milliseconds.
+    /// The time at which the front last became live again after a departure, in milliseconds; `None` if it
+    /// never did.
     pub returned_ms: Option<f64>,
 }
 
-/// The highest fact of each front.
+/// A table of the highest-ranked fact known about each front.
 #[derive(Clone, Debug, Default)]
 pub struct MemberTable {
     members: BTreeMap<Id, Member>,
-    /// Sums of the live members' fingerprints, by bucket.
-    sums: [u64; BUCKETS],
+    /// Sums of the live members' fingerprints, one for each bucket.
+    sums: [u64; BUCKET_COUNT],
     live_count: usize,
 }
 
-/// A hash of a member's rank. Sums of fingerprints are the same in any order, and no two members cancel out.
+/// Returns a hash of a member's id and rank. Fingerprints are summed, so the order of members does not matter
+/// and no two members cancel each other out.
 fn fingerprint(id: Id, rank: &Rank) -> u64 {
     let mut x = id.0;
     let parts = [
@@ -209,27 +219,27 @@
 }
 
 impl MemberTable {
-    /// The member of that id.
+    /// Returns the member with the given id.
     pub fn get(&self, id: Id) -> Option<&Member> {
         self.members.get(&id)
     }
 
-    /// All members, by id.
+    /// Iterates over all members, departed ones included, in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (Id, &Member)> {
         self.members.iter().map(|(id, h)| (*id, h))
     }
 
-    /// The live members, by id.
-    pub fn live(&self) -> impl Iterator<Item = (Id, &Member)> {
+    /// Iterates over the live members, in the order of their ids.
+    pub fn live_members(&self) -> impl Iterator<Item = (Id, &Member)> {
         self.iter().filter(|(_, h)| h.fact.state.is_live())
     }
 
-    /// The number of live members.
+    /// Returns the number of live members.
     pub fn live_count(&self) -> usize {
         self.live_count
     }
 
-    /// Adds a live member to the sums and the count.
+    /// Adds a member to the bucket sums and the live count, if `rank` says that it is live.
     fn add_to_sums(&mut self, id: Id, rank: &Rank) {
         if rank.state.is_live() {
             let sum = &mut self.sums[MemberTable::bucket(id)];
@@ -238,7 +248,7 @@
         }
     }
 
-    /// Takes a live member out of the sums and the count.
+    /// Removes a member from the bucket sums and the live count, if `rank` says that it was live.
     fn subtract_from_sums(&mut self, id: Id, rank: &Rank) {
         if rank.state.is_live() {
             let sum = &mut self.sums[MemberTable::bucket(id)];
@@ -247,8 +257,8 @@
         }
     }
 
-    /// Makes the fact the member's if its rank is the highest.
-    fn replace(&mut self, id: Id, fact: Fact, rank: Rank, now_ms: f64) -> MergeOutcome {
+    /// Stores the fact as the member's current one if its rank is higher than the current rank.
+    fn replace_if_higher(&mut self, id: Id, fact: Fact, rank: Rank, now_ms: f64) -> MergeOutcome {
         let before = self.members.get(&id).map(|h| h.rank);
         if before.is_some_and(|b| b >= rank) {
             return MergeOutcome::Stale;
@@ -272,15 +282,15 @@
         MergeOutcome::Updated(state_before)
     }
 
-    /// Merges a fact: the higher of it and the member's current one holds.
+    /// Merges a fact: of this fact and the member's current one, the one with the higher rank is kept.
     pub fn merge(&mut self, fact: &Fact, now_ms: f64) -> MergeOutcome {
         if !fact.is_valid() {
             return MergeOutcome::Stale;
         }
-        self.replace(fact.id(), fact.clone(), fact.rank(), now_ms)
+        self.replace_if_higher(fact.id(), fact.clone(), fact.rank(), now_ms)
     }
 
-    /// Merges a rank, where the texts of its fact are known.
+    /// Merges a rank received without its fact; this needs a stored fact with the same texts.
     pub fn merge_rank(&mut self, id: Id, rank: Rank, now_ms: f64) -> MergeOutcome {
         let Some(member) = self.members.get(&id) else { return MergeOutcome::MissingTexts };
         if member.rank >= rank {
@@ -302,34 +312,35 @@
         if !fact.is_valid() {
             return MergeOutcome::Stale;
         }
-        self.replace(id, fact, rank, now_ms)
+        self.replace_if_higher(id, fact, rank, now_ms)
     }
 
-    /// Removes the members that departed longer than `retention_ms` ago.
-    pub fn expire(&mut self, retention_ms: f64, now_ms: f64) {
+    /// Removes the members that departed at least `retention_ms` ago.
+    pub fn remove_expired(&mut self, retention_ms: f64, now_ms: f64) {
         self.members.retain(|_, h| h.fact.state.is_live() || now_ms - h.since_ms < retention_ms);
     }
 
-    /// Removes all members but one.
+    /// Removes all members except the one with the given id.
     pub fn retain_only(&mut self, id: Id) {
         self.members.retain(|i, _| *i == id);
-        self.sums = [0; BUCKETS];
+        self.sums = [0; BUCKET_COUNT];
         self.live_count = 0;
         let own: Vec<(Id, Rank)> = self.iter().map(|(i, h)| (i, h.rank)).collect();
         own.iter().for_each(|(id, rank)| self.add_to_sums(*id, rank));
     }
 
-    /// The bucket of a front.
+    /// Returns the index of the bucket that a front belongs to.
     pub fn bucket(id: Id) -> usize {
-        id.0 as usize % BUCKETS
+        id.0 as usize % BUCKET_COUNT
     }
 
-    /// Hashes of the live members, by bucket. Departed and unknown members are alike: both are absent in the end.
-    pub fn sums(&self) -> [u32; BUCKETS] {
+    /// Returns a hash of the live members of each bucket. Departed and unknown members contribute nothing, so
+    /// that a view that has forgotten a departed member equals one that has not.
+    pub fn bucket_sums(&self) -> [u32; BUCKET_COUNT] {
         self.sums.map(|s| (s >> 32) as u32)
     }
 
-    /// One hash of all live members: equal for all who hold the same view.
+    /// Returns a single hash of all live members, which is equal for all fronts that hold the same view.
     pub fn digest(&self) -> u64 {
         self.sums
             .iter()
--- a/crates/view/src/interface.rs
+++ b/crates/view/src/interface.rs
@@ -1,111 +1,117 @@
-//! What goes into a [`View`](crate::View) and what comes out of it: the time, events, actions and reports.
+//! The inputs and outputs of a [`View`](crate::View): the time, events, actions, counters and reports.
 
 use crate::fact::{Fact, FrontState};
 use fernslip_gossip::Keyring;
 use std::net::SocketAddr;
 
-/// The time, by two clocks.
+/// The current time by a monotonic clock and by Unix time.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
-    /// The host's monotonic clock, in milliseconds.
+    /// Time of the host's monotonic clock, in milliseconds.
     pub mono_ms: f64,
-    /// Unix time in milliseconds. May be wrong: it is only the first guess of a start's generation.
+    /// Unix time, in milliseconds. It may be wrong: it only gives the first value for the generation of a new
+    /// process.
     pub unix_ms: f64,
 }
 
-/// What a view is to handle.
+/// An input to [`View::handle`](crate::View::handle).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed.
+    /// Time has passed. A tick is due at the time that [`View::wake_at`](crate::View::wake_at) returns.
     Tick,
     /// A datagram was received.
     Datagram {
-        /// Its source address.
+        /// The source address of the datagram.
         from: SocketAddr,
-        /// Its bytes.
+        /// The payload as received, with its authentication tag.
         bytes: Vec<u8>,
     },
-    /// This front's state is now [`FrontState::Joining`], [`FrontState::Ready`] or [`FrontState::Draining`].
+    /// This front's own state is now [`FrontState::Joining`], [`FrontState::Ready`] or
+    /// [`FrontState::Draining`].
     State(FrontState),
-    /// The hash of its configuration is now this.
+    /// The hash of this front's configuration changed to the given value.
     Configuration(u32),
-    /// Its keys are now these.
+    /// The keyring that signs and verifies datagrams is replaced.
     Keys(Keyring),
-    /// This front shuts down.
+    /// This front is shutting down and announces its departure.
     Leave,
 }
 
-/// What the host is to do.
+/// An output of [`View::handle`](crate::View::handle) that the host carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a datagram; it may be lost.
+    /// Send a datagram. The protocol tolerates its loss.
     Send {
-        /// Its destination.
+        /// The destination address of the datagram.
         to: SocketAddr,
-        /// Its bytes.
+        /// The payload to send, with its authentication tag.
         bytes: Vec<u8>,
     },
-    /// Report that a front's state changed in the view.
+    /// Report that the state of a front changed in the view.
     Changed {
-        /// The front.
+        /// The name of the front whose state changed.
         name: String,
-        /// Its state before; `None`: it was unknown.
+        /// The previous state of the front; `None` if the front was unknown.
         before: Option<FrontState>,
-        /// Its state now.
+        /// The new state of the front.
         after: FrontState,
-        /// The front whose datagram reported it; `None`: this front detected it.
+        /// The name of the front whose datagram reported the change; `None` if this front detected it itself.
         by: Option<String>,
     },
-    /// Report that all live fronts hold this view now, or no longer.
+    /// Report that the view became settled (`true`: all live fronts are known to hold it) or is no longer
+    /// settled (`false`).
     Settled(bool),
-    /// Report that another process runs under this front's name; the view holds the older.
+    /// Report that another process runs under this front's name. The view lists the older of the two
+    /// processes.
     DuplicateName {
-        /// Its address.
+        /// The address of the other process.
         addr: SocketAddr,
-        /// Whether the view holds the other process.
+        /// Whether the view lists the other process rather than this one.
         other_is_suspended: bool,
     },
 }
 
-/// Counts since the start, for the operators.
+/// Counters since the start of this view, shown to operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub sent: u64,
-    /// Bytes of the datagrams sent.
+    /// Total bytes of the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams not sent for lack of budget.
+    /// Number of sends that the byte budget or the datagram size limit prevented.
     pub over_budget: u64,
-    /// Datagrams accepted.
+    /// Number of received datagrams that were valid and not replayed.
     pub accepted: u64,
-    /// Datagrams dropped: not a valid message, or with a wrong tag.
+    /// Number of received datagrams dropped because they were no valid message or had a wrong authentication
+    /// tag.
     pub malformed: u64,
-    /// Datagrams dropped: duplicates of earlier ones.
+    /// Number of received datagrams dropped as replays of earlier ones.
     pub replayed: u64,
-    /// Times that this front refuted its own failure.
+    /// Number of times that this front refuted a report of its own failure.
     pub refuted: u64,
-    /// Changes of a front's state in the view.
+    /// Number of state changes of fronts in the view.
     pub changes: u64,
 }
 
-/// A front in the view, for the operators.
+/// The status of one front in the view, shown to operators.
 #[derive(Clone, Debug)]
 pub struct MemberStatus {
-    /// What is known of it.
+    /// The fact with the highest rank known of this front.
     pub fact: Fact,
-    /// Since when it has its state, by this front's monotonic clock, in milliseconds.
+    /// The time at which the front entered its current state, by this front's monotonic clock, in
+    /// milliseconds.
     pub since_ms: f64,
-    /// Names of the fronts that suspect it now.
+    /// Names of the watchers that currently suspect the front.
     pub suspected_by: Vec<String>,
 }
 
-/// An event in a front's history, for the operators.
+/// An entry in the history of one front, shown to operators.
 #[derive(Clone, Debug)]
 pub struct HistoryEntry {
-    /// When it happened, by this front's monotonic clock, in milliseconds.
+    /// The time of the event, by this front's monotonic clock, in milliseconds.
     pub at_ms: f64,
-    /// What happened.
+    /// A description of the event in plain text.
     pub what: String,
-    /// The front that reported it; empty: this front itself.
+    /// The name of the front that reported the event; empty if this front observed it itself.
     pub by: String,
 }
--- a/crates/view/src/settlement.rs
+++ b/crates/view/src/settlement.rs
@@ -1,8 +1,8 @@
-//! Whether all members hold the same view: each reports, beside its view's digest, which members it knows to have held
-//! that view.
+//! Tracks whether all members hold the same view. Each message carries the digest of its sender's view and
+//! the set of members that the sender knows to have held that view.
 
-/// Which members are known to have held the view of one digest: a bit for each live member, in the order of ids, which
-/// is the same for all who hold that view.
+/// The members that are known to have held the view with the current digest, as one bit for each live member
+/// in the order of ids. This order is the same for all fronts that hold that view.
 #[derive(Clone, Debug, Default)]
 pub struct Settlement {
     digest: u64,
@@ -13,7 +13,8 @@
 }
 
 impl Settlement {
-    /// Sets the current view: its digest, its number of live members, and this front's own position among them.
+    /// Sets the current view: its digest, its number of live members, and the position of this front among
+    /// them (`None` if the view does not list this process). A different view clears the holders.
     pub fn set_view(&mut self, digest: u64, live_count: usize, own: Option<usize>, now_ms: f64) {
         if digest != self.digest || live_count != self.live_count {
             *self = Settlement {
@@ -43,8 +44,9 @@
         }
     }
 
-    /// Merges the holders that another member reports, whose own position is `sender`; returns whether they added any.
-    pub fn merge(&mut self, digest: u64, holders: &[u8], sender: Option<usize>, now_ms: f64) -> bool {
+    /// Merges the holders that another member reports. `sender` is the position of that member among the live
+    /// members, if it has one. Returns whether any holder was added.
+    pub fn merge_holders(&mut self, digest: u64, holders: &[u8], sender: Option<usize>, now_ms: f64) -> bool {
         if digest != self.digest || holders.len() != self.holders.len() {
             return false;
         }
@@ -52,7 +54,7 @@
         for (own, other) in self.holders.iter_mut().zip(holders) {
             *own |= other;
         }
-        // Bits past the last member belong to none.
+        // Bits beyond the last member belong to no member and are cleared.
         if let Some(last) = self.holders.last_mut().filter(|_| self.live_count % 8 != 0) {
             *last &= (1 << (self.live_count % 8)) - 1;
         }
@@ -63,22 +65,23 @@
         before != self.holders
     }
 
-    /// The holders' bits, to be sent to others.
+    /// Returns the bits of the known holders, for sending to other fronts.
     pub fn holders(&self) -> &[u8] {
         &self.holders
     }
 
-    /// Since when all members are known to hold this view, in milliseconds; `None` while some are not.
+    /// Returns the time at which all members were first known to hold this view, in milliseconds; `None`
+    /// while some are not.
     pub fn settled_since(&self) -> Option<f64> {
         self.settled_ms
     }
 
-    /// Since when this front has had this view, in milliseconds.
+    /// Returns the time at which this front took up its current view, in milliseconds.
     pub fn view_since(&self) -> f64 {
         self.view_since_ms
     }
 
-    /// Whether the member at that position is known to have held the view.
+    /// Whether the member at `position` is known to have held the view.
     pub fn is_holder(&self, position: usize) -> bool {
         self.holders.get(position / 8).is_some_and(|b| b & (1 << (position % 8)) != 0)
     }
--- a/crates/view/src/wire.rs
+++ b/crates/view/src/wire.rs
@@ -1,99 +1,113 @@
-//! The messages between fronts: one in each datagram, encoded by `postcard`, followed by an authentication tag.
+//! The messages between fronts. Each datagram holds one message, encoded by `postcard` and followed by an
+//! authentication tag.
 
-use crate::fact::{Fact, Id, Rank, BUCKETS};
+use crate::fact::{Fact, Id, Rank, BUCKET_COUNT};
 use fernslip_gossip::Keyring;
 use serde::{Deserialize, Serialize};
 
-/// Longest datagram, in bytes: it passes any network unfragmented.
+/// The maximum length of a datagram, in bytes; datagrams of this length pass common networks unfragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// Length of the tag, in bytes.
+/// The length of the authentication tag, in bytes.
 pub(crate) const TAG_BYTES: usize = 16;
-/// The version of the message format.
-const VERSION: u8 = 1;
+/// The version of the message format; datagrams of any other version are rejected.
+const FORMAT_VERSION: u8 = 1;
 
 /// A part of a message. The order of the variants and of their fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Item {
-    /// Asks for an [`Item::Ack`] of that number.
+    /// A ping with this number, to be answered with an [`Item::Ack`] of the same number.
     Ping(u32),
-    /// Answers a ping of that number, or forwards the answer to a [`Item::PingRequest`].
+    /// The answer to the ping with this number, sent directly or forwarded for an [`Item::PingRequest`].
     Ack(u32),
-    /// Asks for an indirect ping of that front's process, to be answered under this number.
+    /// A request to ping a front: its id, its process id, and the ping number under which the recipient
+    /// forwards the answer.
     PingRequest(Id, u64, u32),
-    /// A newcomer announces itself: it is admitted unless another process of its name is live.
+    /// The own fact of a front that joins. The front is admitted unless another process of its name is live.
     Hello(Fact),
-    /// Another process of the recipient's name polls from that address.
+    /// Notice that another process with the recipient's name polls from this address.
     DuplicateName(std::net::SocketAddr),
-    /// A complete fact.
+    /// A complete fact about a front.
     FullFact(Fact),
-    /// The rank of a fact whose texts are known already.
+    /// The rank of the fact about the front with this id, sent where the recipient should already have the
+    /// texts.
     FactRank(Id, Rank),
-    /// Requests the complete facts of these fronts.
+    /// A request for the complete facts about these fronts.
     FactRequest(Vec<Id>),
-    /// The sender's [`MemberTable::sums`](crate::MemberTable::sums).
-    BucketSums([u32; BUCKETS]),
-    /// In these buckets (a bit each) the views differ. The ranks that the sender has there follow; the recipient answers
-    /// with those that it has higher.
+    /// The sender's [`MemberTable::bucket_sums`](crate::MemberTable::bucket_sums).
+    BucketSums([u32; BUCKET_COUNT]),
+    /// The buckets in which the two views differ, as a bit mask. The sender's ranks in these buckets follow
+    /// as [`Item::FactRank`]; the recipient answers with those of its ranks that are higher or missing there.
     DifferingBuckets(u32),
-    /// The sender's suspicion of a front that it watches, or its withdrawal.
+    /// The sender's suspicion of a front that it watches, or the withdrawal of that suspicion.
     Suspicion {
-        /// The front.
+        /// The front that is or was suspected.
         of: Id,
-        /// Its process.
+        /// The process of that front.
         process_id: u64,
-        /// Its incarnation as the sender has it.
+        /// The incarnation of that front in the sender's view.
         incarnation: u32,
-        /// The sender's count of such items.
+        /// A number that the sender raises with each new suspicion item; a higher one supersedes a lower one.
         number: u32,
-        /// An outstanding ping that the front may still answer; 0 where there is none.
+        /// The number of an outstanding ping that the suspected front can still answer; 0 if there is none.
         ping: u32,
-        /// Whether the front is suspected; else the suspicion is withdrawn.
+        /// Whether the front is suspected; `false` withdraws an earlier suspicion.
         is_active: bool,
-        /// Whether no other front that the sender watches is silent.
+        /// Whether every other front that the sender watches answers its pings.
         is_only_silent: bool,
     },
 }
 
-/// A message. The order of its fields is the wire format.
+/// A message between two fronts. The order of the fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
     version: u8,
-    /// The number of the key that it is signed with.
+    /// The number of the key that signs the message.
     pub key: u8,
-    /// The sender.
+    /// The id of the sending front.
     pub from: Id,
-    /// The sender's process.
+    /// The process id of the sender.
     pub process_id: u64,
-    /// The sender's count of messages.
+    /// A number that the sender raises with each message, used to detect replays.
     pub sequence: u32,
-    /// The digest of the sender's view.
+    /// The digest of the sender's view, see [`MemberTable::digest`](crate::MemberTable::digest).
     pub digest: u64,
-    /// Which members are known to have held this view: a bit for each live member, in the order of ids.
+    /// The members that the sender knows to have held this view: one bit for each live member, in the order
+    /// of ids.
     pub holders: Vec<u8>,
-    /// What it says.
+    /// The items of the message; may be empty.
     pub items: Vec<Item>,
 }
 
 impl Message {
-    /// A message without items.
+    /// Creates a message without items.
     pub fn new(key: u8, from: Id, process_id: u64, sequence: u32, digest: u64, holders: Vec<u8>) -> Message {
-        Message { version: VERSION, key, from, process_id, sequence, digest, holders, items: Vec::new() }
+        Message {
+            version: FORMAT_VERSION,
+            key,
+            from,
+            process_id,
+            sequence,
+            digest,
+            holders,
+            items: Vec::new(),
+        }
     }
 
-    /// Encodes and signs it.
+    /// Encodes the message and appends an authentication tag made with the signing key of `keys`.
     pub fn seal(&self, keys: &Keyring) -> Vec<u8> {
         let mut bytes = postcard::to_stdvec(self).unwrap_or_default();
         keys.sign(&mut bytes);
         bytes
     }
 
-    /// Verifies and decodes a datagram; `None` where the tag is wrong or the bytes are no message.
+    /// Verifies and decodes a datagram; `None` if its tag is wrong, its key is unknown, or its bytes are no
+    /// valid message.
     pub fn open(bytes: &[u8], keys: &Keyring) -> Option<Message> {
         if bytes.len() > MAX_DATAGRAM_BYTES || bytes.len() < TAG_BYTES + 2 {
             return None;
         }
-        // The version and the key's number come first, a byte each.
-        if bytes[0] != VERSION || !keys.verify(bytes[1], bytes) {
+        // The version and the key number are the first two bytes of every message.
+        if bytes[0] != FORMAT_VERSION || !keys.verify(bytes[1], bytes) {
             return None;
         }
         let body = &bytes[..bytes.len() - TAG_BYTES];
@@ -102,7 +116,7 @@
     }
 }
 
-/// The encoded length of an item, in bytes.
+/// Returns the length of the encoded item, in bytes.
 pub fn encoded_len(item: &Item) -> usize {
     postcard::experimental::serialized_size(item).unwrap_or(MAX_DATAGRAM_BYTES)
 }
--- a/crates/view/tests/common/net.rs
+++ b/crates/view/tests/common/net.rs
@@ -1,5 +1,5 @@
-//! Fronts in an in-memory network: lossy, slow, partitioned; fronts that crash, pause and come back. Equal seeds give equal
-//! runs.
+//! An in-memory network of fronts for tests. It loses and delays datagrams and has partitions; fronts crash,
+//! pause and return. Equal seeds give equal runs.
 
 use fernslip_gossip::{Gossip, Key, Keyring, MemberState};
 use fernslip_view::{Action, Config, Event, FrontState, Now, View};
@@ -9,48 +9,48 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::net::SocketAddr;
 
-/// Length of a step, in milliseconds: the host checks the time this often.
+/// The length of a simulation step, in milliseconds. Each front checks the time once in a step.
 pub const STEP_MS: f64 = 20.0;
 
-pub fn keys() -> Keyring {
+pub fn test_keyring() -> Keyring {
     Keyring::new(Key::new(1, [7; 32]))
 }
 
-pub fn addr(i: usize) -> SocketAddr {
-    let [_, b, c, d] = (i as u32 + 1).to_be_bytes();
+pub fn front_addr(index: usize) -> SocketAddr {
+    let [_, b, c, d] = (index as u32 + 1).to_be_bytes();
     SocketAddr::from(([127, b, c, d], 7000))
 }
 
-/// What a front is started with.
+/// The parameters with which a front is started.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct StartConfig {
     pub name: String,
     pub addr: SocketAddr,
     pub seeds: Vec<SocketAddr>,
     pub seed: u64,
 }
 
-/// One membership protocol among those that are compared.
+/// A membership protocol as run by one front; implemented by each of the protocols that are compared.
 pub trait Front: Sized {
-    fn start(start: &Start, now: Now) -> Self;
+    fn start(start: &StartConfig, now: Now) -> Self;
     fn tick(&mut self, now: Now) -> Vec<(SocketAddr, Vec<u8>)>;
-    fn datagram(&mut self, now: Now, from: SocketAddr, bytes: Vec<u8>) -> Vec<(SocketAddr, Vec<u8>)>;
+    fn handle_datagram(&mut self, now: Now, from: SocketAddr, bytes: Vec<u8>) -> Vec<(SocketAddr, Vec<u8>)>;
     fn wake_at(&self) -> f64;
-    /// The names of the live members, itself included.
-    fn live(&self) -> BTreeSet<String>;
-    /// The names that it reported failed since the last call.
-    fn take_failed(&mut self) -> Vec<String>;
-    fn settled(&self, now_ms: f64) -> bool;
+    /// Returns the names of the live members, including this front.
+    fn live_names(&self) -> BTreeSet<String>;
+    /// Returns the names of the fronts that this front reported as failed since the last call.
+    fn take_reported_failures(&mut self) -> Vec<String>;
+    fn is_settled(&self, now_ms: f64) -> bool;
 }
 
-/// The view of this crate.
-pub struct Viewed {
+/// A front that runs the view of this crate.
+pub struct ViewFront {
     pub view: View,
     failed: Vec<String>,
     pub duplicates_reported: usize,
 }
 
-impl Viewed {
+impl ViewFront {
     fn handle(&mut self, now: Now, event: Event) -> Vec<(SocketAddr, Vec<u8>)> {
         let mut actions = Vec::new();
         self.view.handle(now, event, &mut actions);
@@ -67,42 +67,46 @@
     }
 }
 
-impl Front for Viewed {
-    fn start(b: &Start, now: Now) -> Viewed {
-        let config =
-            Config { name: b.name.clone(), addr: b.addr, seeds: b.seeds.clone(), ..Config::default() };
-        let mut view = View::new(config, keys(), b.seed, now);
+impl Front for ViewFront {
+    fn start(config: &StartConfig, now: Now) -> ViewFront {
+        let view_config = Config {
+            name: config.name.clone(),
+            addr: config.addr,
+            seeds: config.seeds.clone(),
+            ..Config::default()
+        };
+        let mut view = View::new(view_config, test_keyring(), config.seed, now);
         view.handle(now, Event::State(FrontState::Ready), &mut Vec::new());
-        Viewed { view, failed: Vec::new(), duplicates_reported: 0 }
+        ViewFront { view, failed: Vec::new(), duplicates_reported: 0 }
     }
     fn tick(&mut self, now: Now) -> Vec<(SocketAddr, Vec<u8>)> {
         self.handle(now, Event::Tick)
     }
-    fn datagram(&mut self, now: Now, from: SocketAddr, bytes: Vec<u8>) -> Vec<(SocketAddr, Vec<u8>)> {
+    fn handle_datagram(&mut self, now: Now, from: SocketAddr, bytes: Vec<u8>) -> Vec<(SocketAddr, Vec<u8>)> {
         self.handle(now, Event::Datagram { from, bytes })
     }
     fn wake_at(&self) -> f64 {
         self.view.wake_at()
     }
-    fn live(&self) -> BTreeSet<String> {
+    fn live_names(&self) -> BTreeSet<String> {
         let all = self.view.members(0.0).into_iter();
         all.filter(|m| m.fact.state.is_live()).map(|m| m.fact.name).collect()
     }
-    fn take_failed(&mut self) -> Vec<String> {
+    fn take_reported_failures(&mut self) -> Vec<String> {
         std::mem::take(&mut self.failed)
     }
-    fn settled(&self, now_ms: f64) -> bool {
+    fn is_settled(&self, now_ms: f64) -> bool {
         self.view.settled_since(now_ms).is_some()
     }
 }
 
-/// The membership of the gossip crate: SWIM with Lifeguard's extended suspicions.
-pub struct Swim {
+/// A front that runs the membership of the gossip crate: SWIM with Lifeguard's extended suspicions.
+pub struct SwimFront {
     gossip: Gossip,
     failed: Vec<String>,
 }
 
-impl Swim {
+impl SwimFront {
     fn handle(&mut self, now: Now, event: fernslip_gossip::Event) -> Vec<(SocketAddr, Vec<u8>)> {
         let now = fernslip_gossip::Now { mono_ms: now.mono_ms, unix_ms: now.unix_ms };
         let mut actions = Vec::new();
@@ -121,78 +125,80 @@
     }
 }
 
-impl Front for Swim {
-    fn start(b: &Start, now: Now) -> Swim {
-        let config = fernslip_gossip::Config {
-            name: b.name.clone(),
-            addr: b.addr,
-            seeds: b.seeds.clone(),
+impl Front for SwimFront {
+    fn start(config: &StartConfig, now: Now) -> SwimFront {
+        let gossip_config = fernslip_gossip::Config {
+            name: config.name.clone(),
+            addr: config.addr,
+            seeds: config.seeds.clone(),
             ..Default::default()
         };
         let at = fernslip_gossip::Now { mono_ms: now.mono_ms, unix_ms: now.unix_ms };
-        Swim { gossip: Gossip::new(config, keys(), b.seed, at), failed: Vec::new() }
+        SwimFront { gossip: Gossip::new(gossip_config, test_keyring(), config.seed, at), failed: Vec::new() }
     }
     fn tick(&mut self, now: Now) -> Vec<(SocketAddr, Vec<u8>)> {
         self.handle(now, fernslip_gossip::Event::Tick)
     }
-    fn datagram(&mut self, now: Now, from: SocketAddr, bytes: Vec<u8>) -> Vec<(SocketAddr, Vec<u8>)> {
+    fn handle_datagram(&mut self, now: Now, from: SocketAddr, bytes: Vec<u8>) -> Vec<(SocketAddr, Vec<u8>)> {
         self.handle(now, fernslip_gossip::Event::Datagram { from, bytes })
     }
     fn wake_at(&self) -> f64 {
         self.gossip.wake_at()
     }
-    fn live(&self) -> BTreeSet<String> {
+    fn live_names(&self) -> BTreeSet<String> {
         let here = |s: MemberState| matches!(s, MemberState::Alive | MemberState::Suspect);
         self.gossip.members().filter(|m| here(m.state)).map(|m| m.name).collect()
     }
-    fn take_failed(&mut self) -> Vec<String> {
+    fn take_reported_failures(&mut self) -> Vec<String> {
         std::mem::take(&mut self.failed)
     }
-    fn settled(&self, _: f64) -> bool {
+    fn is_settled(&self, _: f64) -> bool {
         true
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Process {
+pub enum ProcessState {
     Running,
-    /// Paused: datagrams queue for it, up to a socket's buffer.
+    /// The process is paused; datagrams are queued for it, up to the capacity of a socket buffer.
     Paused,
-    Dead,
+    Crashed,
 }
 
 pub struct Host<F> {
-    pub start: Start,
+    pub start: StartConfig,
     pub front: F,
-    pub process: Process,
+    pub process: ProcessState,
     inbox: VecDeque<(SocketAddr, Vec<u8>)>,
-    /// Error of its Unix time, in milliseconds.
+    /// The deviation of the front's Unix time from the true one, in milliseconds.
     pub clock_error_ms: f64,
     pub sent_bytes: u64,
 }
 
-/// Faults between the fronts.
+/// The faults that currently affect the network.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Share of all datagrams lost.
+    /// The fraction of all datagrams that is lost.
     pub loss: f64,
-    /// Share of a front's datagrams lost, both ways.
+    /// The fraction of datagrams that is lost for a front in each direction, by the front's index.
     pub host_loss: BTreeMap<usize, f64>,
-    /// Delay and jitter of all that comes from or goes to a front, milliseconds.
+    /// The delay and the maximum jitter of datagrams to and from a front, in milliseconds, by the front's
+    /// index.
     pub delays: BTreeMap<usize, (f64, f64)>,
-    /// Sides of a partition: fronts of different numbers don't reach each other.
+    /// The sides of a partition, by the front's index (0 by default). Fronts on different sides do not reach
+    /// each other.
     pub sides: BTreeMap<usize, u8>,
-    /// From the first to the second nothing passes.
+    /// Links that lose all datagrams from the first front to the second.
     pub one_way: BTreeSet<(usize, usize)>,
-    /// Nothing reaches these.
-    pub deaf: BTreeSet<usize>,
-    /// Share of datagrams delivered twice.
+    /// The fronts that receive no datagrams.
+    pub receives_nothing: BTreeSet<usize>,
+    /// The fraction of datagrams that is delivered twice.
     pub duplicated: f64,
 }
 
 type InFlight = Reverse<(u64, u64, usize, SocketAddr, Vec<u8>)>;
 
-pub struct Net<F> {
+pub struct Network<F> {
     pub hosts: Vec<Host<F>>,
     pub faults: Faults,
     pub now_ms: f64,
@@ -202,17 +208,20 @@
     in_flight: BinaryHeap<InFlight>,
     count: u64,
     starts: u64,
-    /// Live fronts that others reported failed: whom, by whom, when.
+    /// Running, reachable fronts that were reported as failed: the front's name, the reporting front's name,
+    /// and the time in milliseconds.
     pub false_failures: Vec<(String, String, f64)>,
-    /// Sides until that time: reports on the other side are still in flight for a moment after it.
+    /// The sides of the last partition, and the time in milliseconds at which it healed. Reports about the
+    /// other side may be in flight for a moment after that.
     healed: (BTreeMap<usize, u8>, f64),
-    /// Everything sent since it was set, for replays.
+    /// The source, destination and bytes of every datagram sent since this was set to an empty list, for
+    /// replays.
     pub recorded: Option<Vec<(SocketAddr, SocketAddr, Vec<u8>)>>,
 }
 
-impl<F: Front> Net<F> {
-    pub fn new(seed: u64) -> Net<F> {
-        Net {
+impl<F: Front> Network<F> {
+    pub fn new(seed: u64) -> Network<F> {
+        Network {
             hosts: Vec::new(),
             faults: Faults::default(),
             now_ms: 0.0,
@@ -228,39 +237,44 @@
         }
     }
 
-    /// That many fronts started in the same moment, the first two of them seeds.
-    pub fn of(n: usize, seed: u64) -> Net<F> {
-        let mut net = Net::new(seed);
-        for i in 0..n {
-            net.add(&format!("f{i}"));
+    /// Creates a network of `count` fronts, started at the same moment. The first two are the seeds.
+    pub fn with_fronts(count: usize, seed: u64) -> Network<F> {
+        let mut net = Network::new(seed);
+        for i in 0..count {
+            net.add_front(&format!("f{i}"));
         }
         net
     }
 
-    pub fn now(&self, i: usize) -> Now {
+    pub fn local_time(&self, index: usize) -> Now {
         Now {
             mono_ms: self.now_ms,
-            unix_ms: 1.8e12 + self.now_ms + self.hosts.get(i).map_or(0.0, |p| p.clock_error_ms),
+            unix_ms: 1.8e12 + self.now_ms + self.hosts.get(index).map_or(0.0, |h| h.clock_error_ms),
         }
     }
 
-    fn next_start(&mut self, name: &str, at: SocketAddr) -> Start {
+    fn next_start_config(&mut self, name: &str, at: SocketAddr) -> StartConfig {
         self.starts += 1;
-        let seeds = vec![addr(0), addr(1)];
-        Start { name: name.into(), addr: at, seeds, seed: self.seed.wrapping_mul(1_000_003) + self.starts }
+        let seeds = vec![front_addr(0), front_addr(1)];
+        StartConfig {
+            name: name.into(),
+            addr: at,
+            seeds,
+            seed: self.seed.wrapping_mul(1_000_003) + self.starts,
+        }
     }
 
-    /// Adds a front; returns its index.
-    pub fn add(&mut self, name: &str) -> usize {
+    /// Adds a running front and returns its index.
+    pub fn add_front(&mut self, name: &str) -> usize {
         let i = self.hosts.len();
-        let start = self.next_start(name, addr(i));
-        let front = F::start(&start, self.now(i));
+        let start = self.next_start_config(name, front_addr(i));
+        let front = F::start(&start, self.local_time(i));
         self.by_addr.insert(start.addr, i);
         let (inbox, clock_error_ms) = (VecDeque::new(), 0.0);
         self.hosts.push(Host {
             start,
             front,
-            process: Process::Running,
+            process: ProcessState::Running,
             inbox,
             clock_error_ms,
             sent_bytes: 0,
@@ -268,30 +282,30 @@
         i
     }
 
-    /// Restarts a dead front under its name and address.
-    pub fn restart(&mut self, i: usize) {
-        let name = self.hosts[i].start.name.clone();
-        self.hosts[i].start = self.next_start(&name, addr(i));
-        self.hosts[i].front = F::start(&self.hosts[i].start.clone(), self.now(i));
-        self.hosts[i].process = Process::Running;
-        self.hosts[i].inbox.clear();
+    /// Restarts a crashed front under its name and address.
+    pub fn restart(&mut self, index: usize) {
+        let name = self.hosts[index].start.name.clone();
+        self.hosts[index].start = self.next_start_config(&name, front_addr(index));
+        self.hosts[index].front = F::start(&self.hosts[index].start.clone(), self.local_time(index));
+        self.hosts[index].process = ProcessState::Running;
+        self.hosts[index].inbox.clear();
     }
 
-    /// All links work again.
-    pub fn heal(&mut self) {
+    /// Ends all faults, so that all links work again.
+    pub fn heal_links(&mut self) {
         self.healed = (std::mem::take(&mut self.faults).sides, self.now_ms);
     }
 
-    pub fn kill(&mut self, i: usize) {
-        self.hosts[i].process = Process::Dead;
+    pub fn crash(&mut self, index: usize) {
+        self.hosts[index].process = ProcessState::Crashed;
     }
 
-    pub fn pause(&mut self, i: usize) {
-        self.hosts[i].process = Process::Paused;
+    pub fn pause(&mut self, index: usize) {
+        self.hosts[index].process = ProcessState::Paused;
     }
 
-    pub fn resume(&mut self, i: usize) {
-        self.hosts[i].process = Process::Running;
+    pub fn resume(&mut self, index: usize) {
+        self.hosts[index].process = ProcessState::Running;
     }
 
     fn send(&mut self, from: usize, sent: Vec<(SocketAddr, Vec<u8>)>) {
@@ -312,7 +326,7 @@
     fn transmit(&mut self, from: usize, to: usize, source: SocketAddr, bytes: Vec<u8>) {
         let f = &self.faults;
         let side = |i: &usize| f.sides.get(i).copied().unwrap_or(0);
-        if side(&from) != side(&to) || f.one_way.contains(&(from, to)) || f.deaf.contains(&to) {
+        if side(&from) != side(&to) || f.one_way.contains(&(from, to)) || f.receives_nothing.contains(&to) {
             return;
         }
         let losses = [f.loss, *f.host_loss.get(&from).unwrap_or(&0.0), *f.host_loss.get(&to).unwrap_or(&0.0)];
@@ -328,35 +342,37 @@
         self.in_flight.push(Reverse((due, self.count, to, source, bytes)));
     }
 
-    /// Delivers a datagram to a front as if it came from `source`.
+    /// Delivers a datagram to a front as if it had been sent from `source`.
     pub fn inject(&mut self, to: usize, source: SocketAddr, bytes: Vec<u8>) {
         self.count += 1;
         self.in_flight.push(Reverse(((self.now_ms * 1000.0) as u64, self.count, to, source, bytes)));
     }
 
-    fn check_failures(&mut self, i: usize) {
-        for name in self.hosts[i].front.take_failed() {
-            let side = |i: usize| self.faults.sides.get(&i).copied().unwrap_or(0);
-            let of = self.hosts.iter().position(|p| p.start.name == name && p.process == Process::Running);
-            let reachable = of.is_some_and(|o| side(o) == side(i) && !self.faults.deaf.contains(&o));
-            let was_side = |i: usize| self.healed.0.get(&i).copied().unwrap_or(0);
+    fn collect_false_failures(&mut self, index: usize) {
+        for name in self.hosts[index].front.take_reported_failures() {
+            let side = |index: usize| self.faults.sides.get(&index).copied().unwrap_or(0);
+            let of =
+                self.hosts.iter().position(|p| p.start.name == name && p.process == ProcessState::Running);
+            let reachable =
+                of.is_some_and(|o| side(o) == side(index) && !self.faults.receives_nothing.contains(&o));
+            let was_side = |index: usize| self.healed.0.get(&index).copied().unwrap_or(0);
             let was_partitioned =
-                of.is_some_and(|o| was_side(o) != was_side(i)) && self.now_ms - self.healed.1 < 1_500.0;
+                of.is_some_and(|o| was_side(o) != was_side(index)) && self.now_ms - self.healed.1 < 1_500.0;
             if reachable && !was_partitioned {
-                let by = self.hosts[i].start.name.clone();
+                let by = self.hosts[index].start.name.clone();
                 self.false_failures.push((name, by, self.now_ms));
             }
         }
     }
 
-    fn deliver(&mut self, i: usize, source: SocketAddr, bytes: Vec<u8>) {
-        let now = self.now(i);
-        let sent = self.hosts[i].front.datagram(now, source, bytes);
-        self.check_failures(i);
-        self.send(i, sent);
+    fn deliver(&mut self, index: usize, source: SocketAddr, bytes: Vec<u8>) {
+        let now = self.local_time(index);
+        let sent = self.hosts[index].front.handle_datagram(now, source, bytes);
+        self.collect_false_failures(index);
+        self.send(index, sent);
     }
 
-    /// Lets one step of time pass.
+    /// Simulates one step of [`STEP_MS`].
     pub fn step(&mut self) {
         let end = self.now_ms + STEP_MS;
         while let Some(Reverse((due, ..))) = self.in_flight.peek() {
@@ -367,8 +383,8 @@
             let Some(Reverse((_, _, to, source, bytes))) = self.in_flight.pop() else { break };
             self.now_ms = self.now_ms.max(due);
             match self.hosts[to].process {
-                Process::Running => self.deliver(to, source, bytes),
-                Process::Paused if self.hosts[to].inbox.len() < 256 => {
+                ProcessState::Running => self.deliver(to, source, bytes),
+                ProcessState::Paused if self.hosts[to].inbox.len() < 256 => {
                     self.hosts[to].inbox.push_back((source, bytes));
                 }
                 _ => {}
@@ -376,51 +392,52 @@
         }
         self.now_ms = end;
         for i in 0..self.hosts.len() {
-            if self.hosts[i].process != Process::Running {
+            if self.hosts[i].process != ProcessState::Running {
                 continue;
             }
             while let Some((source, bytes)) = self.hosts[i].inbox.pop_front() {
                 self.deliver(i, source, bytes);
             }
             if self.hosts[i].front.wake_at() <= self.now_ms {
-                let now = self.now(i);
+                let now = self.local_time(i);
                 let sent = self.hosts[i].front.tick(now);
-                self.check_failures(i);
+                self.collect_false_failures(i);
                 self.send(i, sent);
             }
         }
     }
 
-    pub fn run(&mut self, ms: f64) {
+    pub fn run_for(&mut self, ms: f64) {
         let end = self.now_ms + ms;
         while self.now_ms < end {
             self.step();
         }
     }
 
-    /// Whether all running fronts that can reach each other list exactly themselves.
+    /// Whether every running front lists as live exactly the running fronts on its side of the partition.
     pub fn is_consistent(&self) -> bool {
         let mut sides: BTreeMap<u8, BTreeSet<String>> = BTreeMap::new();
         let side = |i: usize| self.faults.sides.get(&i).copied().unwrap_or(0);
-        let running = || self.hosts.iter().enumerate().filter(|(_, p)| p.process == Process::Running);
+        let running = || self.hosts.iter().enumerate().filter(|(_, p)| p.process == ProcessState::Running);
         for (i, p) in running() {
             sides.entry(side(i)).or_default().insert(p.start.name.clone());
         }
         let mut all = running();
-        all.all(|(i, p)| p.front.live() == sides[&side(i)])
+        all.all(|(i, p)| p.front.live_names() == sides[&side(i)])
     }
 
     pub fn is_settled(&self) -> bool {
-        let running = self.hosts.iter().filter(|p| p.process == Process::Running);
-        self.is_consistent() && running.into_iter().all(|p| p.front.settled(self.now_ms))
+        let running = self.hosts.iter().filter(|p| p.process == ProcessState::Running);
+        self.is_consistent() && running.into_iter().all(|p| p.front.is_settled(self.now_ms))
     }
 
-    /// Process until that holds; returns how long it took, or `None` after `max_ms`.
-    pub fn until(&mut self, max_ms: f64, holds: impl Fn(&Net<F>) -> bool) -> Option<f64> {
+    /// Runs until `holds` is true and returns the time that it took, in milliseconds; `None` if that takes
+    /// more than `max_ms`.
+    pub fn run_until(&mut self, max_ms: f64, holds: impl Fn(&Network<F>) -> bool) -> Option<f64> {
         let begun = self.now_ms;
         while self.now_ms - begun < max_ms {
             self.step();
-            // The condition costs more than a step.
+            // The condition is checked only every fifth step, because it takes longer than a step.
             if (self.now_ms / STEP_MS) as u64 % 5 == 0 && holds(self) {
                 return Some(self.now_ms - begun);
             }
@@ -428,10 +445,10 @@
         None
     }
 
-    /// How many running fronts hold that front for live.
-    pub fn count_holding(&self, name: &str) -> usize {
-        let running = self.hosts.iter().filter(|p| p.process == Process::Running);
-        running.filter(|p| p.front.live().contains(name)).count()
+    /// Returns the number of running fronts that list the named front as live.
+    pub fn count_listing_as_live(&self, name: &str) -> usize {
+        let running = self.hosts.iter().filter(|p| p.process == ProcessState::Running);
+        running.filter(|p| p.front.live_names().contains(name)).count()
     }
 
     pub fn sent_bytes(&self) -> u64 {
--- a/crates/view/tests/facts.rs
+++ b/crates/view/tests/facts.rs
@@ -1,10 +1,10 @@
-//! The table of facts, by properties; and messages of any bytes.
+//! Property tests of the member table, and of decoding messages from arbitrary bytes.
 
 use fernslip_gossip::{Key, Keyring};
 use fernslip_view::{Fact, FrontState, Id, MemberTable, MergeOutcome, Message};
 use proptest::prelude::*;
 
-fn fact() -> impl Strategy<Value = Fact> {
+fn any_fact() -> impl Strategy<Value = Fact> {
     let state = prop_oneof![
         Just(FrontState::Joining),
         Just(FrontState::Ready),
@@ -30,14 +30,14 @@
     )
 }
 
-fn facts_of(t: &MemberTable) -> Vec<(Id, Fact)> {
-    t.iter().map(|(id, h)| (id, h.fact.clone())).collect()
+fn facts_of(table: &MemberTable) -> Vec<(Id, Fact)> {
+    table.iter().map(|(id, member)| (id, member.fact.clone())).collect()
 }
 
 proptest! {
     #[test]
-    fn equal_facts_give_equal_views_in_any_order(
-        facts in prop::collection::vec(fact(), 0..40),
+    fn tables_with_the_same_facts_are_equal_in_any_order_of_merging(
+        facts in prop::collection::vec(any_fact(), 0..40),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..80),
     ) {
         let (mut a, mut b) = (MemberTable::default(), MemberTable::default());
@@ -53,8 +53,11 @@
             b.merge(f, 0.0);
         }
         prop_assert_eq!(facts_of(&a), facts_of(&b));
-        prop_assert_eq!((a.digest(), a.sums(), a.live_count()), (b.digest(), b.sums(), b.live_count()));
-        // By ranks where the texts are known, the same.
+        prop_assert_eq!(
+            (a.digest(), a.bucket_sums(), a.live_count()),
+            (b.digest(), b.bucket_sums(), b.live_count())
+        );
+        // Merging the ranks of the same facts changes nothing where the texts are known.
         let mut c = a.clone();
         for f in &facts {
             c.merge_rank(f.id(), f.rank(), 0.0);
@@ -64,18 +67,18 @@
         for (_, f) in facts_of(&a).iter().filter(|(_, f)| f.state.is_live()) {
             counted.merge(f, 0.0);
         }
-        prop_assert_eq!(counted.digest(), a.digest(), "kept up with each change, and as if made anew");
+        prop_assert_eq!(counted.digest(), a.digest(), "the updated digest equals a newly computed one");
     }
 
     #[test]
-    fn a_departed_front_returns_only_by_its_own_higher_fact(
-        facts in prop::collection::vec(fact(), 1..40),
+    fn a_departed_front_returns_only_with_a_higher_generation_or_incarnation(
+        facts in prop::collection::vec(any_fact(), 1..40),
     ) {
         let mut t = MemberTable::default();
         for f in &facts {
             let before = t.get(f.id()).map(|h| h.rank);
             if let MergeOutcome::Updated(Some(was)) = t.merge(f, 0.0) {
-                let before = before.expect("there was one");
+                let before = before.expect("a member with a previous state has a rank");
                 if !was.is_live() && f.state.is_live() {
                     prop_assert!((f.generation, f.incarnation) > (before.generation, before.incarnation));
                 }
@@ -84,10 +87,12 @@
     }
 
     #[test]
-    fn arbitrary_bytes_are_rejected_or_decode_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..1300)) {
+    fn arbitrary_bytes_are_rejected_or_decode_without_a_panic(
+        bytes in prop::collection::vec(any::<u8>(), 0..1300),
+    ) {
         let keys = Keyring::new(Key::new(1, [7; 32]));
         prop_assert_eq!(Message::open(&bytes, &keys), None);
-        // Signed, they may be one; reading them ends either way.
+        // With a valid signature the bytes may be a message; decoding must return in either case.
         let mut signed = bytes;
         signed.splice(0..0, [1, 1]);
         signed.truncate(1000);
@@ -136,7 +141,7 @@
         })
         .collect();
     for (i, d) in digests.iter().enumerate() {
-        assert_eq!(digests.iter().position(|x| x == d), Some(i), "variant {i}");
+        assert_eq!(digests.iter().position(|x| x == d), Some(i), "the digest of variant {i} is unique");
     }
     let invalid = [
         Fact { generation: u64::MAX, ..base.clone() },
--- a/crates/view/tests/model.rs
+++ b/crates/view/tests/model.rs
@@ -1,24 +1,26 @@
-//! Every order of crashes, right and wrong failure reports, refutations, and deliveries, within bounds, over the real member
-//! table.
+//! Model checking of the real member table: every order of crashes, true and false failure reports,
+//! refutations and deliveries, within bounds.
 
 use fernslip_view::{Fact, FrontState, Id, MemberTable, MergeOutcome};
 use stateright::{Checker, Model, Property};
 
-const FRONTS: usize = 3;
-/// The bounds below stay far under this; a model that grows beyond them must not fill the machine.
+const FRONT_COUNT: usize = 3;
+/// The limit on the number of states explored. The bounds of the tests stay far below it; it stops a larger
+/// model from exhausting the machine's memory.
 const MAX_STATES: usize = 300_000;
 
-/// A fact in short: on which front, of which incarnation, failed or live.
+/// A fact reduced to the front it is about, its incarnation, whether it reports a failure, and the front that
+/// reported it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Report {
+struct MemberReport {
     of: usize,
     incarnation: u32,
     failed: bool,
     by: usize,
 }
 
-impl Report {
-    fn fact(self) -> Fact {
+impl MemberReport {
+    fn to_fact(self) -> Fact {
         Fact {
             name: format!("f{}", self.of),
             addr: ([127, 0, 0, 1], 7000 + self.of as u16).into(),
@@ -35,161 +37,170 @@
         }
     }
 
-    fn of_fact(f: &Fact) -> Report {
-        let by = f.detected_by.0.saturating_sub(1) as usize;
-        Report {
-            of: f.process_id as usize,
-            incarnation: f.incarnation,
-            failed: f.state == FrontState::Failed,
+    fn from_fact(fact: &Fact) -> MemberReport {
+        let by = fact.detected_by.0.saturating_sub(1) as usize;
+        MemberReport {
+            of: fact.process_id as usize,
+            incarnation: fact.incarnation,
+            failed: fact.state == FrontState::Failed,
             by,
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct State {
+struct FleetState {
     dead: Vec<bool>,
-    /// Each front's view: a report for each front, as the table holds them.
-    views: Vec<Vec<Report>>,
-    /// All reports ever sent, and whom each has reached (a bit each).
-    sent: Vec<(Report, u8)>,
+    /// The view of each front: one report for each front, as held in its member table.
+    views: Vec<Vec<MemberReport>>,
+    /// All reports ever sent, each with a bit mask of the fronts that received it.
+    sent: Vec<(MemberReport, u8)>,
     failure_reports: usize,
-    /// A front that was held for failed was live again in some view without a higher incarnation of its own.
+    /// Whether some view listed a failed front as live again without a higher incarnation of that front.
     revived: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Act {
+enum FleetAction {
     Crash(usize),
-    /// One reports another's failure: rightly or not.
+    /// A front reports the failure of another one, which may or may not have crashed.
     ReportFailure {
         by: usize,
         of: usize,
     },
-    /// A report reaches a front, for the first time or again.
+    /// A front receives a report, for the first time or again.
     Deliver {
         report: usize,
         to: usize,
     },
 }
 
-struct Fleet {
+struct FleetModel {
     max_failure_reports: usize,
-    /// The mutant: the report that comes last is believed.
-    believes_the_last: bool,
+    /// Whether to check the faulty variant, in which a front accepts the latest report whatever its rank.
+    accepts_latest: bool,
 }
 
-impl Fleet {
-    fn receive(&self, s: &mut State, to: usize, report: Report) {
+impl FleetModel {
+    fn receive(&self, state: &mut FleetState, to: usize, report: MemberReport) {
         let mut table = MemberTable::default();
-        for known in &s.views[to] {
-            table.merge(&known.fact(), 0.0);
+        for known in &state.views[to] {
+            table.merge(&known.to_fact(), 0.0);
         }
-        let before = s.views[to][report.of];
-        if self.believes_the_last {
-            s.views[to][report.of] = report;
-        } else if let MergeOutcome::Updated(_) = table.merge(&report.fact(), 0.0) {
-            let member = table.get(report.fact().id()).expect("merged");
-            s.views[to][report.of] = Report::of_fact(&member.fact);
+        let before = state.views[to][report.of];
+        if self.accepts_latest {
+            state.views[to][report.of] = report;
+        } else if let MergeOutcome::Updated(_) = table.merge(&report.to_fact(), 0.0) {
+            let member =
+                table.get(report.to_fact().id()).expect("the table has a member for the merged fact");
+            state.views[to][report.of] = MemberReport::from_fact(&member.fact);
         }
-        let now = s.views[to][report.of];
+        let now = state.views[to][report.of];
         if before.failed && !now.failed && now.incarnation <= before.incarnation {
-            s.revived = true;
+            state.revived = true;
         }
-        // A front that learns of its own failure refutes it with a higher incarnation.
+        // A front that receives a report of its own failure refutes it with a higher incarnation.
         if report.of == to && now.failed {
-            let refutation = Report { of: to, incarnation: now.incarnation + 1, failed: false, by: 0 };
-            s.views[to][to] = refutation;
-            s.sent.push((refutation, 1 << to));
+            let refutation = MemberReport { of: to, incarnation: now.incarnation + 1, failed: false, by: 0 };
+            state.views[to][to] = refutation;
+            state.sent.push((refutation, 1 << to));
         }
     }
 }
 
-impl Model for Fleet {
-    type State = State;
-    type Action = Act;
+impl Model for FleetModel {
+    type State = FleetState;
+    type Action = FleetAction;
 
-    fn init_states(&self) -> Vec<State> {
-        let all: Vec<Report> =
-            (0..FRONTS).map(|of| Report { of, incarnation: 0, failed: false, by: 0 }).collect();
+    fn init_states(&self) -> Vec<FleetState> {
+        let all: Vec<MemberReport> =
+            (0..FRONT_COUNT).map(|of| MemberReport { of, incarnation: 0, failed: false, by: 0 }).collect();
         let sent = all.iter().map(|report| (*report, 0b111)).collect();
-        vec![State {
-            dead: vec![false; FRONTS],
-            views: vec![all; FRONTS],
+        vec![FleetState {
+            dead: vec![false; FRONT_COUNT],
+            views: vec![all; FRONT_COUNT],
             sent,
             failure_reports: 0,
             revived: false,
         }]
     }
 
-    fn actions(&self, s: &State, out: &mut Vec<Act>) {
-        let live = |i: &usize| !s.dead[*i];
-        if s.dead.iter().all(|d| !d) {
-            out.extend((0..FRONTS).map(Act::Crash));
+    fn actions(&self, state: &FleetState, actions: &mut Vec<FleetAction>) {
+        let live = |i: &usize| !state.dead[*i];
+        if state.dead.iter().all(|d| !d) {
+            actions.extend((0..FRONT_COUNT).map(FleetAction::Crash));
         }
-        for by in (0..FRONTS).filter(live) {
-            for of in (0..FRONTS).filter(|of| *of != by && !s.views[by][*of].failed) {
-                if s.failure_reports < self.max_failure_reports {
-                    out.push(Act::ReportFailure { by, of });
+        for by in (0..FRONT_COUNT).filter(live) {
+            for of in (0..FRONT_COUNT).filter(|of| *of != by && !state.views[by][*of].failed) {
+                if state.failure_reports < self.max_failure_reports {
+                    actions.push(FleetAction::ReportFailure { by, of });
                 }
             }
-            // A report may be duplicated: a late copy must not undo what came after it.
-            out.extend((0..s.sent.len()).map(|report| Act::Deliver { report, to: by }));
+            // Reports may be duplicated; a delayed copy must not undo what was received after the first.
+            actions.extend((0..state.sent.len()).map(|report| FleetAction::Deliver { report, to: by }));
         }
     }
 
-    fn next_state(&self, s: &State, act: Act) -> Option<State> {
-        let mut s = s.clone();
-        match act {
-            Act::Crash(i) => s.dead[i] = true,
-            Act::ReportFailure { by, of } => {
-                let report = Report { failed: true, by, ..s.views[by][of] };
-                s.failure_reports += 1;
-                s.sent.push((report, 1 << by));
-                self.receive(&mut s, by, report);
+    fn next_state(&self, previous: &FleetState, action: FleetAction) -> Option<FleetState> {
+        let mut state = previous.clone();
+        match action {
+            FleetAction::Crash(i) => state.dead[i] = true,
+            FleetAction::ReportFailure { by, of } => {
+                let report = MemberReport { failed: true, by, ..state.views[by][of] };
+                state.failure_reports += 1;
+                state.sent.push((report, 1 << by));
+                self.receive(&mut state, by, report);
             }
-            Act::Deliver { report, to } => {
-                let before = s.clone();
-                s.sent[report].1 |= 1 << to;
-                self.receive(&mut s, to, before.sent[report].0);
-                if s == before {
+            FleetAction::Deliver { report, to } => {
+                let before = state.clone();
+                state.sent[report].1 |= 1 << to;
+                self.receive(&mut state, to, before.sent[report].0);
+                if state == before {
                     return None;
                 }
             }
         }
-        Some(s)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("fronts that received the same hold the same", |_, s: &State| {
-                let received = |i: usize| s.sent.iter().map(|(_, to)| to & (1 << i) != 0).collect::<Vec<_>>();
-                (0..FRONTS).all(|a| (0..a).all(|b| received(a) != received(b) || s.views[a] == s.views[b]))
-            }),
             Property::always(
-                "no failure is undone but by the front's own higher incarnation",
-                |_, s: &State| !s.revived,
+                "fronts that received the same reports have equal views",
+                |_, s: &FleetState| {
+                    let received =
+                        |i: usize| s.sent.iter().map(|(_, to)| to & (1 << i) != 0).collect::<Vec<_>>();
+                    (0..FRONT_COUNT)
+                        .all(|a| (0..a).all(|b| received(a) != received(b) || s.views[a] == s.views[b]))
+                },
+            ),
+            Property::always(
+                "a failed front becomes live only with a higher incarnation of its own",
+                |_, s: &FleetState| !s.revived,
             ),
             Property::always(
-                "once all has reached all live fronts, they hold the same, and each other",
-                |_, s: &State| {
-                    let live: Vec<usize> = (0..FRONTS).filter(|i| !s.dead[*i]).collect();
+                "live fronts that received all reports have equal views and list each other as live",
+                |_, s: &FleetState| {
+                    let live: Vec<usize> = (0..FRONT_COUNT).filter(|i| !s.dead[*i]).collect();
                     let all = s.sent.iter().all(|(_, to)| live.iter().all(|i| to & (1 << i) != 0));
                     !all || live.iter().all(|a| {
                         s.views[*a] == s.views[live[0]] && live.iter().all(|b| !s.views[*a][*b].failed)
                     })
                 },
             ),
-            Property::sometimes("a failure is undone by a higher incarnation", |_, s: &State| {
-                s.views.iter().flatten().any(|report| report.incarnation > 0 && !report.failed)
-            }),
+            Property::sometimes(
+                "a failure report is refuted by a higher incarnation",
+                |_, s: &FleetState| {
+                    s.views.iter().flatten().any(|report| report.incarnation > 0 && !report.failed)
+                },
+            ),
         ]
     }
 }
 
 #[test]
-fn every_order_within_the_bounds_keeps_the_properties() {
-    let done = Fleet { max_failure_reports: 1, believes_the_last: false }
+fn the_properties_hold_in_every_order_of_events_within_the_bounds() {
+    let done = FleetModel { max_failure_reports: 1, accepts_latest: false }
         .checker()
         .threads(2)
         .target_state_count(MAX_STATES)
@@ -197,17 +208,22 @@
         .join();
     done.assert_properties();
     let states = done.unique_state_count();
-    assert!((100..MAX_STATES).contains(&states), "{states}: all of them were checked");
+    assert!(
+        (100..MAX_STATES).contains(&states),
+        "the checker explored {states} states, expected 100 to {MAX_STATES}"
+    );
 }
 
 #[test]
-fn a_front_that_believes_the_last_report_is_caught() {
-    let done = Fleet { max_failure_reports: 1, believes_the_last: true }
+fn the_model_detects_a_front_that_accepts_the_latest_report_whatever_its_rank() {
+    let done = FleetModel { max_failure_reports: 1, accepts_latest: true }
         .checker()
         .threads(2)
         .target_state_count(MAX_STATES)
         .spawn_bfs()
         .join();
-    assert!(done.discovery("no failure is undone but by the front's own higher incarnation").is_some());
-    assert!(done.discovery("fronts that received the same hold the same").is_some());
+    assert!(done
+        .discovery("a failed front becomes live only with a higher incarnation of its own")
+        .is_some());
+    assert!(done.discovery("fronts that received the same reports have equal views").is_some());
 }
