--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -1,14 +1,17 @@
-//! A soak test: real fronts with the platform's configuration, real sockets, and two or three faults at any time, drawn by a
-//! seed. What happens is checked against the rules from outside, at clients, cache nodes and the discovery bus, and from
-//! inside by the violations that the fronts count themselves.
+//! The soak test: runs real fronts with the configuration of `examples/config.json` over real sockets while
+//! two or three faults at a time, drawn from a seed, are injected. Rules are checked from outside, at the
+//! clients, the cache nodes and the discovery bus, and from inside, by the violations that the fronts log
+//! themselves.
 //!
-//! - [`run`]: one seed from beginning to end; [`options`]: its options.
-//! - [`plan`]: which fault is injected when, by the seed; `inject`: injects it.
-//! - [`environment`]: the fronts and the stand-ins around them.
-//! - [`bus`], [`nodes`], [`clients`], [`faulty_clients`], [`peers`]: the stand-ins.
-//! - [`process`]: one front's process: configuration, signals, log; [`availability`]: which losses it excuses.
-//! - [`checker`]: the rules, over what clients, nodes and the bus saw.
-//! - [`seeded_rng`]: repeatable draws.
+//! - [`run`]: runs one seed from start to end; [`options`]: the options of such a run.
+//! - [`plan`]: draws from the seed which fault is injected when; `inject`: injects the faults.
+//! - [`environment`]: the fronts and the simulated services around them.
+//! - [`bus`], [`nodes`], [`peers`]: the simulated services; [`clients`], [`faulty_clients`]: the simulated
+//!   clients.
+//! - [`process`]: the configuration, signals and log of one front; [`availability`]: which of its unanswered
+//!   requests are excused.
+//! - [`checker`]: checks the rules against what clients, nodes and the bus observed.
+//! - [`seeded_rng`]: random numbers that are repeatable by seed.
 
 pub mod availability;
 pub mod bus;
--- a/crates/rig/src/soak/availability.rs
+++ b/crates/rig/src/soak/availability.rs
@@ -1,73 +1,74 @@
-//! What clients may know of a front's process: whether it takes connections and requests, and which losses are excused.
+//! Availability of a front as clients know it: whether it accepts connections and requests, and which
+//! unanswered requests are excused.
 
 use crate::sync::lock;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Clients go on sending requests for so long after SIGTERM.
-const REQUESTS_AFTER_TERM: Duration = Duration::from_millis(600);
-/// Clients go on making connections for so long after SIGTERM.
-const CONNECTIONS_AFTER_TERM: Duration = Duration::from_millis(300);
-/// Requests that were sent later than this after SIGTERM are excused.
-const ACCOUNTABLE_AFTER_TERM: Duration = Duration::from_millis(700);
+/// Time after SIGTERM during which clients still send requests.
+const REQUEST_PERIOD_AFTER_SIGTERM: Duration = Duration::from_millis(600);
+/// Time after SIGTERM during which clients still open connections.
+const CONNECT_PERIOD_AFTER_SIGTERM: Duration = Duration::from_millis(300);
+/// Time after SIGTERM during which requests have to be answered; those sent later are excused.
+const ACCOUNTABLE_PERIOD_AFTER_SIGTERM: Duration = Duration::from_millis(700);
 
 #[derive(Default)]
-struct State {
+struct AvailabilityState {
     generation: u64,
     ready: bool,
     killed: bool,
     term_at: Option<Instant>,
 }
 
-/// The availability of one front, shared between its process and its clients.
+/// Availability of one front, shared by its [`FrontProcess`](super::process::FrontProcess) and its clients.
 #[derive(Default)]
-pub struct FrontAvailability(Mutex<State>);
+pub struct FrontAvailability(Mutex<AvailabilityState>);
 
 impl FrontAvailability {
-    /// A new process was started; it is not ready yet.
-    pub fn process_started(&self) {
+    /// Records that a new process was started, which is not ready yet.
+    pub fn on_process_started(&self) {
         let mut state = lock(&self.0);
-        *state = State { generation: state.generation + 1, ..State::default() };
+        *state = AvailabilityState { generation: state.generation + 1, ..AvailabilityState::default() };
     }
 
-    /// Whether the process takes requests, or no longer does.
+    /// Sets whether the process accepts requests.
     pub fn set_ready(&self, ready: bool) {
         lock(&self.0).ready = ready;
     }
 
-    /// The process is being killed.
-    pub fn process_killed(&self) {
+    /// Records that the process is about to be killed.
+    pub fn on_process_killed(&self) {
         let mut state = lock(&self.0);
         (state.killed, state.ready) = (true, false);
     }
 
-    /// The process is being sent SIGTERM.
-    pub fn term_sent(&self) {
+    /// Records that SIGTERM is about to be sent to the process.
+    pub fn on_sigterm_sent(&self) {
         lock(&self.0).term_at = Some(Instant::now());
     }
 
-    /// The number of the front's process, counted from its first start.
+    /// Returns the number of the front's current process, counted from 1.
     pub fn generation(&self) -> u64 {
         lock(&self.0).generation
     }
 
-    /// Whether clients make new connections.
+    /// Returns whether clients may open new connections.
     pub fn accepts_connections(&self) -> bool {
         let state = lock(&self.0);
-        state.ready && state.term_at.is_none_or(|at| at.elapsed() < CONNECTIONS_AFTER_TERM)
+        state.ready && state.term_at.is_none_or(|at| at.elapsed() < CONNECT_PERIOD_AFTER_SIGTERM)
     }
 
-    /// Whether clients send requests over connections to that process.
+    /// Returns whether clients may send requests over connections to the process with the given number.
     pub fn accepts_requests(&self, generation: u64) -> bool {
         let state = lock(&self.0);
         state.ready
             && state.generation == generation
-            && state.term_at.is_none_or(|at| at.elapsed() < REQUESTS_AFTER_TERM)
+            && state.term_at.is_none_or(|at| at.elapsed() < REQUEST_PERIOD_AFTER_SIGTERM)
     }
 
-    /// Why an unanswered request, sent at that moment to that process, does not count against it; `None` where it does.
-    /// The text is the name under which it is counted.
-    pub fn excuse(&self, generation: u64, sent_at: Instant) -> Option<&'static str> {
+    /// Returns the name under which an unanswered request is counted when it is excused, or `None` when it
+    /// is a breach. `generation` is the process that the request was sent to, at `sent_at`.
+    pub fn loss_excuse(&self, generation: u64, sent_at: Instant) -> Option<&'static str> {
         let state = lock(&self.0);
         if state.generation != generation {
             return Some("lost to an earlier process");
@@ -75,7 +76,7 @@
         if state.killed {
             return Some("lost to a kill");
         }
-        let late = state.term_at.is_some_and(|term_at| sent_at > term_at + ACCOUNTABLE_AFTER_TERM);
+        let late = state.term_at.is_some_and(|term_at| sent_at > term_at + ACCOUNTABLE_PERIOD_AFTER_SIGTERM);
         late.then_some("asked after the end")
     }
 }
--- a/crates/rig/src/soak/bus.rs
+++ b/crates/rig/src/soak/bus.rs
@@ -1,6 +1,7 @@
-//! The discovery bus: for each front a feed of numbered events, streamed over TCP, and the bus's own faults.
+//! The simulated discovery bus, which streams a feed of numbered events to each front over TCP and can be
+//! faulty.
 
-use super::checker::{RuleChecker, ASSUMED_KNOWN_AFTER};
+use super::checker::{RuleChecker, EVENT_ASSUMED_KNOWN_AFTER};
 use super::seeded_rng::SeededRng;
 use crate::sync::lock;
 use serde_json::Value;
@@ -13,95 +14,96 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// A line is written at least so often.
-const HEARTBEAT: Duration = Duration::from_secs(1);
-/// That a front has closed a connection is seen within this time.
-const CLOSE_DETECTION: Duration = Duration::from_millis(30);
-/// Addresses of the bus for each front, so that a new configuration can name another one.
-pub const ADDRESSES_PER_FRONT: usize = 2;
+/// Maximum time between two lines on a connection in healthy mode.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Time within which the bus notices that a front has closed a connection.
+const CLOSE_DETECTION_PERIOD: Duration = Duration::from_millis(30);
+/// Number of addresses of the bus for each front, so that a new configuration can name a different one.
+pub const BUS_ADDRESSES_PER_FRONT: usize = 2;
 
-/// How the bus behaves towards a front.
+/// Behaviour of the bus towards a front.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BusMode {
-    /// It works.
+    /// The bus works normally.
     #[default]
     Healthy,
-    /// It closes connections, also new ones.
+    /// The bus closes all connections, new ones included.
     Down,
-    /// It accepts connections and writes nothing.
+    /// The bus accepts connections and writes nothing.
     Silent,
-    /// It writes everything so much later, in two pieces.
+    /// The bus delays everything that it writes by this time, and splits it into two parts.
     Delayed(Duration),
 }
 
-/// What an event obliges a front to once it knows it.
+/// Obligation of a front once it knows of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Obligation {
-    /// Nothing.
+pub enum EventObligation {
+    /// The event does not oblige the front to anything.
     None,
-    /// Sends nothing new to that node.
+    /// The front sends no new attempts to a node.
     Drain {
-        /// The node.
+        /// Index of the node.
         node: usize,
     },
-    /// May send to that node again.
+    /// The front may send attempts to a node again.
     Restore {
-        /// The node.
+        /// Index of the node.
         node: usize,
     },
-    /// Names no copy of the object from before the purge as good enough.
+    /// The front accepts no copy of an object from before its purge.
     Purge {
-        /// The object.
+        /// Number of the object.
         object: u64,
-        /// When it was purged.
+        /// Time at which the object was purged.
         at: Instant,
     },
 }
 
-struct Event {
+/// An event in the feed of a front.
+struct BusEvent {
     text: String,
-    obligation: Obligation,
-    /// Whether the front knows it, or has to be assumed to.
+    obligation: EventObligation,
+    /// Whether the front knows of the event or is assumed to know.
     known: bool,
 }
 
-/// The events of a front's current process.
+/// The events for the current process of a front.
 #[derive(Default)]
-struct Feed {
-    /// Counts the processes: numbers of events begin anew with each.
+struct EventFeed {
+    /// Number of the front's process; event numbers start again at 1 with each process.
     generation: u64,
-    events: Vec<Event>,
+    events: Vec<BusEvent>,
 }
 
-impl Feed {
-    /// The events after the first `offset` ones, a line each.
-    fn lines_after(&self, offset: usize) -> Vec<&str> {
+impl EventFeed {
+    /// Returns the lines of the events after the first `offset` events.
+    fn event_lines_after(&self, offset: usize) -> Vec<&str> {
         self.events.iter().skip(offset).map(|event| event.text.as_str()).collect()
     }
 }
 
-/// The bus as one front sees it.
-pub struct Bus {
+/// The discovery bus as it appears to one front.
+pub struct DiscoveryBus {
     front: usize,
-    feed: Mutex<Feed>,
-    /// Changes with each published event.
+    feed: Mutex<EventFeed>,
+    /// Number of published events; its changes wake up the connections.
     published: watch::Sender<u64>,
     mode: watch::Sender<BusMode>,
     checker: Arc<RuleChecker>,
     rng: SeededRng,
-    /// Where it listens.
-    pub addresses: [SocketAddr; ADDRESSES_PER_FRONT],
+    /// Addresses at which the bus listens for this front.
+    pub addresses: [SocketAddr; BUS_ADDRESSES_PER_FRONT],
 }
 
-impl Bus {
-    /// Starts the bus of a front.
+impl DiscoveryBus {
+    /// Starts the bus for one front.
     ///
     /// # Errors
-    /// No port can be bound.
-    pub async fn start(front: usize, seed: u64, checker: Arc<RuleChecker>) -> io::Result<Arc<Bus>> {
+    /// Returns an error if no port can be bound.
+    pub async fn start(front: usize, seed: u64, checker: Arc<RuleChecker>) -> io::Result<Arc<DiscoveryBus>> {
         let listeners = [TcpListener::bind("127.0.0.1:0").await?, TcpListener::bind("127.0.0.1:0").await?];
         let addresses = [listeners[0].local_addr()?, listeners[1].local_addr()?];
-        let bus = Arc::new(Bus {
+        let bus = Arc::new(DiscoveryBus {
             front,
             feed: Mutex::default(),
             published: watch::Sender::new(0),
@@ -111,18 +113,18 @@
             addresses,
         });
         for listener in listeners {
-            tokio::spawn(bus.clone().accept(listener));
+            tokio::spawn(bus.clone().accept_connections(listener));
         }
         Ok(bus)
     }
 
-    async fn accept(self: Arc<Bus>, listener: TcpListener) {
+    async fn accept_connections(self: Arc<DiscoveryBus>, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             let bus = self.clone();
             tokio::spawn(async move {
                 let mut mode = bus.mode.subscribe();
                 let down = async move { drop(mode.wait_for(|m| *m == BusMode::Down).await) };
-                // The branch that loses is dropped, which closes the connection.
+                // When the bus goes down, the streaming branch is dropped, which closes the connection.
                 tokio::select! {
                     _ = down => {}
                     _ = bus.stream_events(stream) => {}
@@ -131,45 +133,47 @@
         }
     }
 
-    /// How it behaves from now on.
+    /// Sets the behaviour of the bus from now on.
     pub fn set_mode(&self, mode: BusMode) {
         self.mode.send_replace(mode);
     }
 
-    /// Begins the feed of a new process with the event that its configuration holds; that event.
+    /// Begins the feed for a new process of the front. The endpoint list becomes its first event, which is
+    /// returned for the front's configuration.
     pub fn begin_feed(&self, list: &Value) -> Value {
         let mut feed = lock(&self.feed);
         feed.generation += 1;
         let mut first = list.clone();
         first["offset"] = 1.into();
-        feed.events = vec![Event { text: first.to_string(), obligation: Obligation::None, known: true }];
-        self.checker.front_started(self.front);
+        feed.events =
+            vec![BusEvent { text: first.to_string(), obligation: EventObligation::None, known: true }];
+        self.checker.on_front_started(self.front);
         first
     }
 
-    /// Publishes an event.
-    pub fn publish(self: &Arc<Bus>, mut event: Value, obligation: Obligation) {
+    /// Publishes an event to the front. After a fixed time the front is assumed to know it.
+    pub fn publish_event(self: &Arc<DiscoveryBus>, mut event: Value, obligation: EventObligation) {
         let (generation, number) = {
             let mut feed = lock(&self.feed);
             let number = feed.events.len() + 1;
             event["offset"] = number.into();
-            feed.events.push(Event { text: event.to_string(), obligation, known: false });
+            feed.events.push(BusEvent { text: event.to_string(), obligation, known: false });
             (feed.generation, number)
         };
-        if let Obligation::Purge { object, at } = obligation {
-            self.checker.object_purged(self.front, object, at, None);
+        if let EventObligation::Purge { object, at } = obligation {
+            self.checker.on_object_purged(self.front, object, at, None);
         }
         self.published.send_modify(|n| *n += 1);
         let bus = self.clone();
         tokio::spawn(async move {
-            sleep(ASSUMED_KNOWN_AFTER).await;
-            bus.mark_known(generation, number);
+            sleep(EVENT_ASSUMED_KNOWN_AFTER).await;
+            bus.mark_events_known(generation, number);
         });
     }
 
-    /// The front knows the first `count` events of its feed, or has to be assumed to.
-    fn mark_known(&self, generation: u64, count: usize) {
-        let obligations: Vec<Obligation> = {
+    /// Records that the front knows the first `count` events of its feed or is assumed to know them.
+    fn mark_events_known(&self, generation: u64, count: usize) {
+        let obligations: Vec<EventObligation> = {
             let mut feed = lock(&self.feed);
             if feed.generation != generation {
                 return;
@@ -184,24 +188,25 @@
         let now = Instant::now();
         for obligation in obligations {
             match obligation {
-                Obligation::None => {}
-                Obligation::Drain { node } => self.checker.drain_known(self.front, node, now),
-                Obligation::Restore { node } => self.checker.restored(self.front, node),
-                Obligation::Purge { object, at } => {
-                    self.checker.object_purged(self.front, object, at, Some(now));
+                EventObligation::None => {}
+                EventObligation::Drain { node } => self.checker.on_drain_known(self.front, node, now),
+                EventObligation::Restore { node } => self.checker.on_node_restored(self.front, node),
+                EventObligation::Purge { object, at } => {
+                    self.checker.on_object_purged(self.front, object, at, Some(now));
                 }
             }
         }
     }
 
-    /// Serves one connection: every event after the offset that the front names, and heartbeats.
+    /// Serves one connection: writes all events after the offset that the front names, and heartbeats.
     async fn stream_events(&self, stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let (read, mut write) = stream.into_split();
         let (mut line, mut read) = (String::new(), BufReader::new(read));
         read.read_line(&mut line).await?;
         let offset = line.trim().strip_prefix("from ").and_then(|n| n.parse::<usize>().ok());
-        let mut offset = offset.ok_or_else(|| io::Error::other("not `from N`"))?;
+        let mut offset = offset
+            .ok_or_else(|| io::Error::other(format!("expected the line `from N`, received {line:?}")))?;
         let (mut published, mut mode) = (self.published.subscribe(), self.mode.subscribe());
         let generation = lock(&self.feed).generation;
         loop {
@@ -213,27 +218,29 @@
             published.mark_unchanged();
             let (feed_generation, count, text) = {
                 let feed = lock(&self.feed);
-                let lines = feed.lines_after(offset);
+                let lines = feed.event_lines_after(offset);
                 (feed.generation, lines.len(), lines.join("\n"))
             };
-            // The front has started anew: nobody reads this connection.
+            // The front was started again, and so this connection of its previous process is not read any
+            // more.
             if feed_generation != generation {
                 return Ok(());
             }
             if count > 0 {
-                // All in one write: delayed one by one, many events would be later than the rules allow the bus to be.
+                // All lines are written at once. If each were delayed separately, many events would come
+                // later than the rules allow the bus to be.
                 self.write_line(&mut write, &text, current_mode).await?;
                 offset += count;
-                // What was written to a connection that the front has closed is not known to it.
-                if timeout(CLOSE_DETECTION, read.read_line(&mut line)).await.is_ok() {
+                // The front does not know events that were written to a connection which it has closed.
+                if timeout(CLOSE_DETECTION_PERIOD, read.read_line(&mut line)).await.is_ok() {
                     return Ok(());
                 }
-                self.mark_known(generation, offset);
+                self.mark_events_known(generation, offset);
             }
             tokio::select! {
                 _ = published.changed() => {}
                 _ = mode.changed() => {}
-                _ = sleep(HEARTBEAT) => {
+                _ = sleep(HEARTBEAT_INTERVAL) => {
                     let last = lock(&self.feed).events.len();
                     if last == offset {
                         self.write_line(&mut write, &last.to_string(), current_mode).await?;
@@ -251,7 +258,7 @@
     ) -> io::Result<()> {
         let bytes = format!("{line}\n").into_bytes();
         let BusMode::Delayed(delay) = mode else { return write.write_all(&bytes).await };
-        let cut = self.rng.number(0..bytes.len() as u64) as usize;
+        let cut = self.rng.random_range(0..bytes.len() as u64) as usize;
         sleep(delay / 2).await;
         write.write_all(&bytes[..cut]).await?;
         sleep(delay / 2).await;
--- a/crates/rig/src/soak/inject.rs
+++ b/crates/rig/src/soak/inject.rs
@@ -1,7 +1,7 @@
-//! Injects the planned faults, each from its beginning to its end.
+//! Injects the planned faults: starts each one and ends it after its duration.
 
-use super::bus::{BusMode, ADDRESSES_PER_FRONT};
-use super::environment::Environment;
+use super::bus::{BusMode, BUS_ADDRESSES_PER_FRONT};
+use super::environment::SoakEnvironment;
 use super::nodes::NodeMode;
 use super::plan::{FaultKind, PlannedFault, SystemFaultRate};
 use crate::shim::MachineFault;
@@ -11,19 +11,19 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// How long a paused front stands still: as long as a busy machine may keep it from running.
-const PAUSE: Duration = Duration::from_millis(200);
-/// An exclusion by hand takes effect within this time of the command.
-const EXCLUSION_DELAY: Duration = Duration::from_secs(1);
-/// Between two attempts to include a node again.
-const INCLUDE_RETRY: Duration = Duration::from_millis(100);
-/// Between two purges.
+/// Time for which a front is suspended: as long as a busy machine may prevent it from running.
+const PAUSE_DURATION: Duration = Duration::from_millis(200);
+/// Time after the admin command within which a manual exclusion has to take effect.
+const EXCLUSION_EFFECT_DELAY: Duration = Duration::from_secs(1);
+/// Time between two attempts to include a node again.
+const INCLUDE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two purges.
 const PURGE_INTERVAL: Duration = Duration::from_millis(2);
 
-impl Environment {
-    /// Injects one fault; returns when it is over.
-    #[allow(clippy::cognitive_complexity, reason = "one arm a kind of fault, each a few lines")]
-    pub async fn inject(&self, planned: PlannedFault) -> io::Result<()> {
+impl SoakEnvironment {
+    /// Injects one fault and returns when it has ended.
+    #[allow(clippy::cognitive_complexity, reason = "each kind of fault has one short match arm")]
+    pub async fn inject_fault(&self, planned: PlannedFault) -> io::Result<()> {
         let duration = planned.duration;
         match planned.kind {
             FaultKind::Terminate { front } => {
@@ -35,23 +35,23 @@
                 sleep(duration / 8).await;
                 self.start_front(front).await?;
             }
-            FaultKind::Pause { front } => self.pause(front).await,
-            FaultKind::Reload { front } => self.reload(front).await?,
+            FaultKind::Pause { front } => self.pause_front(front).await,
+            FaultKind::Reload { front } => self.reload_front(front).await?,
             FaultKind::Evacuate { front } => {
-                let _ = self.fronts[front].lock().await.admin_command("evacuate").await;
+                let _ = self.fronts[front].lock().await.send_admin_command("evacuate").await;
                 sleep(duration).await;
-                let _ = self.fronts[front].lock().await.admin_command("activate").await;
+                let _ = self.fronts[front].lock().await.send_admin_command("activate").await;
             }
-            FaultKind::Exclude { front, node } => self.exclude(front, node, duration).await,
+            FaultKind::Exclude { front, node } => self.exclude_node(front, node, duration).await,
             FaultKind::Node { node, mode } => {
                 self.nodes[node].set_mode(mode);
                 sleep(duration).await;
                 self.nodes[node].set_mode(NodeMode::Healthy);
             }
             FaultKind::StallLink { front, node } => {
-                self.nodes[node].set_stalled(front, true);
+                self.nodes[node].set_link_stalled(front, true);
                 sleep(duration).await;
-                self.nodes[node].set_stalled(front, false);
+                self.nodes[node].set_link_stalled(front, false);
             }
             FaultKind::ReplaceNode { node } => self.replace_node(node, duration).await,
             FaultKind::Bus { front, mode } => {
@@ -66,7 +66,7 @@
             }
             FaultKind::Purge { objects } => {
                 for object in 0..objects {
-                    self.purge(object);
+                    self.purge_object(object);
                     sleep(PURGE_INTERVAL).await;
                 }
             }
@@ -76,59 +76,61 @@
             }
             FaultKind::SystemCalls { front, rates } => self.fail_system_calls(front, rates, duration).await?,
             FaultKind::FaultyClients { front, count } => {
-                self.clients.run_faulty(self.addresses.client_listen(front), count, duration).await;
+                self.clients.run_faulty_clients(self.addresses.client_listen(front), count, duration).await;
             }
         }
         Ok(())
     }
 
-    async fn pause(&self, front: usize) {
+    async fn pause_front(&self, front: usize) {
         let process = self.fronts[front].lock().await;
-        process.signal(Signal::STOP);
-        sleep(PAUSE).await;
-        process.signal(Signal::CONT);
-        // The front is not to blame for what it could not do meanwhile.
-        self.checker.note_lateness(PAUSE);
+        process.send_signal(Signal::STOP);
+        sleep(PAUSE_DURATION).await;
+        process.send_signal(Signal::CONT);
+        // The pause counts as lateness of the machine, since the front could do nothing meanwhile.
+        self.checker.record_lateness(PAUSE_DURATION);
     }
 
-    /// Reloads a front with another address of the bus, and sometimes with the first one again right after.
-    async fn reload(&self, front: usize) -> io::Result<()> {
+    /// Makes a front reload its configuration with one of its two bus addresses, chosen at random, and
+    /// sometimes with the other one immediately after.
+    async fn reload_front(&self, front: usize) -> io::Result<()> {
         let process = self.fronts[front].lock().await;
         let mut config: Value =
             serde_json::from_str(&std::fs::read_to_string(&process.config)?).unwrap_or_default();
         let addresses = self.buses[front].addresses;
-        let chosen = self.rng.number(0..ADDRESSES_PER_FRONT as u64) as usize;
+        let chosen = self.rng.random_range(0..BUS_ADDRESSES_PER_FRONT as u64) as usize;
         config["bus"] = addresses[chosen].to_string().into();
         std::fs::write(&process.config, config.to_string())?;
-        process.signal(Signal::HUP);
-        if self.rng.chance(0.3) {
+        process.send_signal(Signal::HUP);
+        if self.rng.random_bool(0.3) {
             config["bus"] = addresses[1 - chosen].to_string().into();
             std::fs::write(&process.config, config.to_string())?;
-            process.signal(Signal::HUP);
+            process.send_signal(Signal::HUP);
         }
         Ok(())
     }
 
-    async fn exclude(&self, front: usize, node: usize, duration: Duration) {
+    async fn exclude_node(&self, front: usize, node: usize, duration: Duration) {
         let id = &self.nodes[node].id;
-        let answer = self.fronts[front].lock().await.admin_command(&format!("exclude {id}")).await;
+        let answer = self.fronts[front].lock().await.send_admin_command(&format!("exclude {id}")).await;
         if !answer.is_ok_and(|a| a.starts_with("200")) {
-            self.checker.count("exclusions refused");
+            self.checker.increment_count("exclusions refused");
             return;
         }
-        self.checker.exclusion_promised(front, node, Instant::now() + EXCLUSION_DELAY);
+        self.checker.on_exclusion_promised(front, node, Instant::now() + EXCLUSION_EFFECT_DELAY);
         sleep(duration).await;
-        // The exclusion outlasts the process, whose folder is durable, and so it is revoked until that succeeds.
-        self.checker.exclusion_revoked(front, node);
+        // The front stores the exclusion in its folder, and so it outlasts the process. The command is
+        // repeated until it succeeds, because the front may be down.
+        self.checker.on_exclusion_revoked(front, node);
         let include = format!("include {id}");
         while !self.fronts[front]
             .lock()
             .await
-            .admin_command(&include)
+            .send_admin_command(&include)
             .await
             .is_ok_and(|answer| !answer.contains("kept"))
         {
-            sleep(INCLUDE_RETRY).await;
+            sleep(INCLUDE_RETRY_INTERVAL).await;
         }
     }
 
--- a/crates/rig/src/soak/nodes.rs
+++ b/crates/rig/src/soak/nodes.rs
@@ -1,5 +1,5 @@
-//! Cache nodes, parents and the origin, and the network before them: each front reaches each node at an address of its own, so
-//! that every link can be stalled alone. What arrives is handed to the checker before it is answered.
+//! Simulated cache nodes, parents and origin. Each front reaches each node at a separate address, so that
+//! each link can be stalled separately. Attempts are passed to the checker before they are answered.
 
 use super::checker::{Attempt, Rule, RuleChecker};
 use super::seeded_rng::SeededRng;
@@ -16,92 +16,93 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// So long after a link or a node was blocked, what is read counts as read promptly again.
-const PROMPT_AFTER: Duration = Duration::from_secs(2);
-/// A duplicate answer comes so long after the first.
-const DUPLICATE_DELAY: Duration = Duration::from_millis(4);
+/// Time after a node or one of its links was last blocked until its reads count as prompt again.
+const BLOCKED_RECOVERY_PERIOD: Duration = Duration::from_secs(2);
+/// Time between an answer and its duplicate.
+const DUPLICATE_ANSWER_DELAY: Duration = Duration::from_millis(4);
 
-/// How a node behaves.
+/// Behaviour of a simulated node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum NodeMode {
-    /// It serves.
+    /// The node answers requests normally.
     #[default]
     Healthy,
-    /// It neither reads nor writes.
+    /// The node neither reads nor writes, but its connections stay open.
     Hanging,
-    /// Its process is dead: connections are reset.
+    /// The node's process is dead: existing and new connections are reset.
     Dead,
-    /// Each answer takes so much longer.
+    /// Each answer is delayed by this time.
     Slow(Duration),
-    /// Half of its answers are errors.
+    /// Half of the answers are errors.
     Failing,
-    /// Half of its answers are that it is overloaded.
+    /// Half of the answers say that the node is overloaded.
     Full,
-    /// It resets a connection at every twentieth request.
+    /// The node resets the connection at one in twenty requests, chosen at random.
     Resetting,
-    /// Some answers are sent twice, some are cut off.
+    /// Some answers are truncated and some are sent twice.
     Corrupting,
 }
 
-/// A node's location and kind, as settings and the bus name them.
+/// Zone and kind of a node, named as in the configuration and on the bus.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeRole {
-    /// Its zone.
+    /// Zone that the node is in.
     pub zone: &'static str,
-    /// `standard`, `parent` or `origin`.
+    /// Kind of the node: `standard`, `parent` or `origin`.
     pub kind: &'static str,
 }
 
-/// One node.
-pub struct Node {
-    /// Its id.
+/// A simulated cache node, parent or origin.
+pub struct SimulatedNode {
+    /// Node id, as it stands in the endpoint list.
     pub id: String,
-    /// Its location and kind.
+    /// Zone and kind of the node.
     pub role: NodeRole,
-    /// Where each front reaches it.
+    /// Addresses at which the fronts reach the node, by front.
     pub addresses: Vec<SocketAddr>,
     number: usize,
     mode: watch::Sender<NodeMode>,
-    /// The fronts whose link to this node is stalled.
+    /// Indices of the fronts whose link to this node is stalled.
     stalled: watch::Sender<HashSet<usize>>,
-    /// Counts its processes: connections end with theirs.
+    /// Number of the node's process; a connection is closed when it changes.
     incarnation: watch::Sender<u64>,
-    /// When the node or a link was blocked last.
+    /// Time at which the node or one of its links was last blocked.
     last_blocked: Mutex<Option<Instant>>,
     checker: Arc<RuleChecker>,
     rng: SeededRng,
 }
 
-/// The number of the next connection, over all nodes.
+/// Number that the next connection gets, unique over all nodes.
 static NEXT_CONNECTION: AtomicU64 = AtomicU64::new(0);
 
-struct Connection {
+/// A connection from a front to a node.
+struct NodeConnection {
     number: u64,
-    /// Traces of the requests that are neither answered nor cancelled.
+    /// Trace ids of the requests that are neither answered nor cancelled.
     pending: Mutex<HashSet<u64>>,
 }
 
-/// Bytes to be written to a connection; none stand for its end.
-type Answers = UnboundedSender<Vec<u8>>;
+/// Sends answers to the task that writes them to the connection; an empty answer closes the connection.
+type AnswerSender = UnboundedSender<Vec<u8>>;
 
-impl Node {
-    /// Starts a node that `fronts` fronts reach.
+impl SimulatedNode {
+    /// Starts a node with one listening address for each of `fronts` fronts.
     ///
     /// # Errors
-    /// No port can be bound.
+    /// Returns an error if no port can be bound.
     pub async fn start(
         number: usize,
         role: NodeRole,
         fronts: usize,
         seed: u64,
         checker: Arc<RuleChecker>,
-    ) -> io::Result<Arc<Node>> {
+    ) -> io::Result<Arc<SimulatedNode>> {
         let mut listeners = Vec::new();
         for _ in 0..fronts {
             listeners.push(TcpListener::bind("127.0.0.1:0").await?);
         }
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
-        let node = Arc::new(Node {
+        let node = Arc::new(SimulatedNode {
             id: format!("s-{number:04}"),
             role,
             addresses,
@@ -124,28 +125,29 @@
         Ok(node)
     }
 
-    /// How it behaves from now on. One that dies loses its connections.
+    /// Sets the behaviour of the node from now on. All connections are reset when it becomes
+    /// [`NodeMode::Dead`].
     pub fn set_mode(&self, mode: NodeMode) {
-        self.note_blocked();
+        self.record_blocked();
         if mode == NodeMode::Dead {
             self.incarnation.send_modify(|n| *n += 1);
         }
         self.mode.send_replace(mode);
     }
 
-    /// Stalls the link from a front, or lets it deliver what was on it.
-    pub fn set_stalled(&self, front: usize, stalled: bool) {
-        self.note_blocked();
+    /// Stalls the link from a front, or ends the stall, so that data sent meanwhile is delivered.
+    pub fn set_link_stalled(&self, front: usize, stalled: bool) {
+        self.record_blocked();
         self.stalled
             .send_if_modified(|fronts| if stalled { fronts.insert(front) } else { fronts.remove(&front) });
     }
 
-    fn note_blocked(&self) {
+    fn record_blocked(&self) {
         *lock(&self.last_blocked) = Some(Instant::now());
     }
 
-    async fn run_connection(self: Arc<Node>, front: usize, stream: TcpStream) {
-        let connection = Arc::new(Connection {
+    async fn run_connection(self: Arc<SimulatedNode>, front: usize, stream: TcpStream) {
+        let connection = Arc::new(NodeConnection {
             number: NEXT_CONNECTION.fetch_add(1, Ordering::Relaxed),
             pending: Mutex::default(),
         });
@@ -158,19 +160,19 @@
         let _ = stream.set_nodelay(true);
         tokio::select! {
             _ = incarnation.changed() => {}
-            _ = self.serve(front, &stream, &connection) => {}
+            _ = self.serve_connection(front, &stream, &connection) => {}
         }
         let _ = stream.set_zero_linger();
         for trace in std::mem::take(&mut *lock(&connection.pending)) {
-            self.checker.attempt_ended(self.attempt(&connection, trace));
+            self.checker.on_attempt_ended(self.attempt_on_connection(&connection, trace));
         }
     }
 
-    fn attempt(&self, connection: &Connection, trace: u64) -> Attempt {
+    fn attempt_on_connection(&self, connection: &NodeConnection, trace: u64) -> Attempt {
         Attempt { node: self.number, connection: connection.number, trace }
     }
 
-    /// Waits while the node hangs or the link is stalled.
+    /// Waits while the node hangs or its link from the given front is stalled.
     async fn wait_until_unblocked(&self, front: usize) {
         let (mut mode, mut stalled) = (self.mode.subscribe(), self.stalled.subscribe());
         while *mode.borrow_and_update() == NodeMode::Hanging || stalled.borrow_and_update().contains(&front) {
@@ -178,15 +180,15 @@
                 _ = mode.changed() => {}
                 _ = stalled.changed() => {}
             }
-            self.note_blocked();
+            self.record_blocked();
         }
     }
 
-    async fn serve(
-        self: &Arc<Node>,
+    async fn serve_connection(
+        self: &Arc<SimulatedNode>,
         front: usize,
         stream: &TcpStream,
-        connection: &Arc<Connection>,
+        connection: &Arc<NodeConnection>,
     ) -> io::Result<()> {
         let (answers, mut ready) = unbounded_channel::<Vec<u8>>();
         let (mut buffer, mut chunk) = (Vec::new(), vec![0; 16_384]);
@@ -224,48 +226,57 @@
     }
 
     fn handle_command(
-        self: &Arc<Node>,
-        connection: &Arc<Connection>,
+        self: &Arc<SimulatedNode>,
+        connection: &Arc<NodeConnection>,
         arguments: &[String],
-        answers: &Answers,
+        answers: &AnswerSender,
     ) {
         let trace = arguments.get(1).and_then(|id| u64::from_str_radix(id, 16).ok());
         match (arguments.first().map(String::as_str), trace) {
             (Some("QUIT"), Some(trace)) => {
                 lock(&connection.pending).remove(&trace);
-                self.checker.attempt_ended(self.attempt(connection, trace));
+                self.checker.on_attempt_ended(self.attempt_on_connection(connection, trace));
             }
             (Some("ASK"), Some(trace)) => {
                 let fields = arguments.get(2).cloned().unwrap_or_default();
                 self.start_attempt(connection, trace, fields, answers);
             }
-            _ => self.checker.breach(Rule::Foreign, format!("no command: {arguments:?}")),
+            _ => self.checker.record_breach(
+                Rule::Foreign,
+                format!("expected the command ASK or QUIT with a trace id, received {arguments:?}"),
+            ),
         }
     }
 
     fn start_attempt(
-        self: &Arc<Node>,
-        connection: &Arc<Connection>,
+        self: &Arc<SimulatedNode>,
+        connection: &Arc<NodeConnection>,
         trace: u64,
         fields: String,
-        answers: &Answers,
+        answers: &AnswerSender,
     ) {
         lock(&connection.pending).insert(trace);
-        let attempt = self.attempt(connection, trace);
-        let prompt = lock(&self.last_blocked).is_none_or(|at| at.elapsed() > PROMPT_AFTER);
-        if self.checker.attempt_arrived(attempt, &fields, prompt).is_none() {
-            self.checker.count("attempts of requests that are forgotten");
+        let attempt = self.attempt_on_connection(connection, trace);
+        let prompt = lock(&self.last_blocked).is_none_or(|at| at.elapsed() > BLOCKED_RECOVERY_PERIOD);
+        if self.checker.on_attempt_arrived(attempt, &fields, prompt).is_none() {
+            self.checker.increment_count("attempts of requests that are forgotten");
         }
         let checker = self.checker.clone();
         tokio::spawn(async move { checker.check_concurrent_attempts(attempt).await });
         let (node, connection, answers) = (self.clone(), connection.clone(), answers.clone());
-        tokio::spawn(async move { node.answer(&connection, trace, &fields, &answers).await });
+        tokio::spawn(async move { node.answer_request(&connection, trace, &fields, &answers).await });
     }
 
-    /// Answers a request as the mode has it, unless it is cancelled meanwhile.
-    async fn answer(&self, connection: &Connection, trace: u64, fields: &str, answers: &Answers) {
+    /// Answers a request according to the node's mode, unless the request is cancelled meanwhile.
+    async fn answer_request(
+        &self,
+        connection: &NodeConnection,
+        trace: u64,
+        fields: &str,
+        answers: &AnswerSender,
+    ) {
         let mode = *self.mode.borrow();
-        let (luck, base_ms) = (self.rng.fraction(), self.rng.number(1..25));
+        let (luck, base_ms) = (self.rng.random_fraction(), self.rng.random_range(1..25));
         let status = match mode {
             NodeMode::Failing if luck < 0.5 => "crashed",
             NodeMode::Full if luck < 0.5 => "overload",
@@ -273,7 +284,7 @@
             _ => "served",
         };
         if matches!(status, "served" | "crashed") {
-            self.checker.request_executed(self.number, trace);
+            self.checker.on_request_executed(self.number, trace);
         }
         let extra = if let NodeMode::Slow(extra) = mode { extra } else { Duration::ZERO };
         sleep(Duration::from_millis(base_ms) + extra).await;
@@ -293,15 +304,15 @@
         }
         let duplicate = mode == NodeMode::Corrupting && luck < 0.1;
         let _ = answers.send(answer.clone());
-        self.checker.attempt_ended(self.attempt(connection, trace));
+        self.checker.on_attempt_ended(self.attempt_on_connection(connection, trace));
         if duplicate {
-            sleep(DUPLICATE_DELAY).await;
+            sleep(DUPLICATE_ANSWER_DELAY).await;
             let _ = answers.send(answer);
         }
     }
 }
 
-/// The bytes of an answer; only one that is `served` has a body.
+/// Encodes an answer; only one with the status `served` has a body.
 fn encode_answer(trace: u64, status: &str, fields: &str) -> Vec<u8> {
     let field = |name: &str| {
         let mut all = fields.split(',').filter_map(|f| f.split_once('='));
@@ -315,8 +326,8 @@
     resp::array(&[id.as_bytes(), status.as_bytes(), report.as_bytes(), &body])
 }
 
-/// The bytes of a part of an object, which a client that requested it must receive: from some hundred bytes to far more
-/// than a socket buffers.
+/// Returns the body of a part of an object, which the client that requested it has to receive. Depending on
+/// the object, its length is between some hundred bytes and far more than a socket buffers.
 pub fn object_body(object: &str, part: &str) -> Vec<u8> {
     let unit = format!("{object}/{part}/");
     let size_class = u64::from_str_radix(object, 16).unwrap_or(0) % 7;
--- a/crates/rig/src/soak/options.rs
+++ b/crates/rig/src/soak/options.rs
@@ -1,23 +1,23 @@
-//! The options of a soak.
+//! Options of a soak run.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// How the soak is run.
+/// Options of a soak run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program.
+    /// Path of the front program that is tested.
     pub program: PathBuf,
-    /// How many fronts.
+    /// Number of fronts to start.
     pub fronts: usize,
-    /// Decides everything that is random.
+    /// Seed of all random numbers of the run.
     pub seed: u64,
-    /// For how long faults are injected.
+    /// Period during which faults are injected.
     pub fault_period: Duration,
-    /// Requests a second at each front.
+    /// Number of requests per second that clients send to each front.
     pub requests_per_second: f64,
-    /// A folder for the fronts' logs; without one they are not written.
+    /// Folder that the fronts' logs are written to; with `None` they are not written.
     pub logs: Option<PathBuf>,
-    /// Injects no fault at all: what the soak itself costs.
+    /// Whether the run injects no faults, as a baseline of the soak's own cost.
     pub without_faults: bool,
 }
--- a/crates/rig/src/soak/plan.rs
+++ b/crates/rig/src/soak/plan.rs
@@ -1,4 +1,5 @@
-//! Which fault is injected when: two or three at any time, drawn by the seed before the run begins.
+//! The plan of faults: which fault is injected when. It is drawn from the seed before the run begins, so
+//! that two or three faults are active at any time.
 
 use super::bus::BusMode;
 use super::nodes::NodeMode;
@@ -7,160 +8,163 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Between the beginnings of two faults, in milliseconds; most last longer than this, and so overlap.
-const GAP_MS: Range<u64> = 150..800;
-/// How long a fault lasts, in milliseconds.
-const DURATION_MS: Range<u64> = 400..3_500;
-/// When the first fault begins.
-const FIRST_AFTER: Duration = Duration::from_millis(500);
-/// Steps of a wall clock, in milliseconds.
-const CLOCK_STEPS_MS: [i64; 4] = [-3_600_000, 3_600_000, -5_000, 5_000];
+/// Time between the starts of two consecutive faults, in milliseconds. Most faults last longer than this, so
+/// that they overlap.
+const FAULT_INTERVAL_MS: Range<u64> = 150..800;
+/// Time for which a fault is active, in milliseconds.
+const FAULT_DURATION_MS: Range<u64> = 400..3_500;
+/// Time from the start of the fault period to the first fault.
+const FIRST_FAULT_DELAY: Duration = Duration::from_millis(500);
+/// Steps by which a front's wall clock is moved, in milliseconds.
+const WALL_CLOCK_STEPS_MS: [i64; 4] = [-3_600_000, 3_600_000, -5_000, 5_000];
 
-/// How often a kind of system call fails.
+/// Rate at which one group of system calls fails.
 #[derive(Clone, Copy, Debug)]
 pub struct SystemFaultRate {
-    /// Which.
+    /// Group of system calls that fails.
     pub fault: MachineFault,
-    /// So many times of a thousand.
+    /// Number of failures per thousand calls.
     pub per_thousand: i64,
 }
 
-/// A fault. Fronts and nodes are named by their number.
+/// A fault that can be injected. Fronts and nodes are given by their index.
 #[derive(Clone, Debug)]
 pub enum FaultKind {
-    /// A front gets SIGTERM, and starts again.
+    /// A front receives SIGTERM and is started again after it has ended.
     Terminate {
-        /// The front.
+        /// Index of the front.
         front: usize,
     },
-    /// A front is killed, and starts again.
+    /// A front is killed with SIGKILL and is started again after a pause.
     Kill {
-        /// The front.
+        /// Index of the front.
         front: usize,
     },
-    /// A front is stopped for a moment.
+    /// A front is suspended with SIGSTOP for a short, fixed time.
     Pause {
-        /// The front.
+        /// Index of the front.
         front: usize,
     },
-    /// A front gets a new configuration that names another address of the bus.
+    /// A front reloads a configuration that may name its other address of the discovery bus.
     Reload {
-        /// The front.
+        /// Index of the front.
         front: usize,
     },
-    /// A front is evacuated, and activated again.
+    /// A front is evacuated and later activated again through its admin interface.
     Evacuate {
-        /// The front.
+        /// Index of the front.
         front: usize,
     },
-    /// A node is excluded at a front by hand, and included again.
+    /// A node is excluded at one front through the admin interface and later included again.
     Exclude {
-        /// The front.
+        /// Index of the front.
         front: usize,
-        /// The node.
+        /// Index of the node.
         node: usize,
     },
-    /// A node misbehaves for a while.
+    /// A node is in a faulty mode until the fault ends.
     Node {
-        /// The node.
+        /// Index of the node.
         node: usize,
-        /// How it misbehaves.
+        /// Faulty mode of the node.
         mode: NodeMode,
     },
-    /// The link between a front and a node stalls, and then delivers what was on it.
+    /// The link between a front and a node delivers nothing until the fault ends, and then all that was sent
+    /// meanwhile.
     StallLink {
-        /// The front.
+        /// Index of the front.
         front: usize,
-        /// The node.
+        /// Index of the node.
         node: usize,
     },
-    /// A node drains, departs, and comes back as another process.
+    /// A node drains, is removed from the endpoint list, and returns as a new process.
     ReplaceNode {
-        /// The node.
+        /// Index of the node.
         node: usize,
     },
-    /// The bus misbehaves towards a front.
+    /// The discovery bus is in a faulty mode for one front.
     Bus {
-        /// The front.
+        /// Index of the front.
         front: usize,
-        /// How it misbehaves.
+        /// Faulty mode of the bus.
         mode: BusMode,
     },
-    /// The bus misbehaves towards all fronts.
+    /// The discovery bus is in the same faulty mode for all fronts.
     AllBuses {
-        /// How it misbehaves.
+        /// Faulty mode of the bus.
         mode: BusMode,
     },
-    /// So many objects are purged, the most requested ones first.
+    /// Objects are purged one after another, the most requested ones first.
     Purge {
-        /// How many.
+        /// Number of objects to purge.
         objects: u64,
     },
-    /// A front's wall clock is stepped.
+    /// A front's wall clock is set to a fixed offset from the real time, which it keeps.
     StepWallClock {
-        /// The front.
+        /// Index of the front.
         front: usize,
-        /// By so many milliseconds.
+        /// Offset of the wall clock, in milliseconds.
         by_ms: i64,
     },
-    /// Some system calls of a front fail.
+    /// Some system calls of a front fail until the fault ends.
     SystemCalls {
-        /// The front.
+        /// Index of the front.
         front: usize,
-        /// Which, and how often.
+        /// Groups of system calls that fail, each with its rate.
         rates: Vec<SystemFaultRate>,
     },
-    /// A front gets faulty clients.
+    /// Faulty clients connect to a front.
     FaultyClients {
-        /// The front.
+        /// Index of the front.
         front: usize,
-        /// How many.
+        /// Number of faulty clients.
         count: u64,
     },
 }
 
-/// A fault and its time.
+/// A fault with the time at which it is injected.
 #[derive(Clone, Debug)]
 pub struct PlannedFault {
-    /// When it begins, from the beginning of the run.
+    /// Time from the start of the fault period to the start of the fault.
     pub after: Duration,
-    /// How long it lasts.
+    /// Time for which the fault is active.
     pub duration: Duration,
-    /// What it is.
+    /// The fault to inject.
     pub kind: FaultKind,
 }
 
-/// How many fronts and nodes there are.
+/// Number of fronts and nodes in a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Fleet {
-    /// Fronts.
+pub struct FleetSize {
+    /// Number of fronts.
     pub fronts: usize,
-    /// Nodes, sources among them.
+    /// Number of nodes, sources included.
     pub nodes: usize,
-    /// The last nodes are sources: parents and the origin.
+    /// Number of sources (parents and the origin), which have the highest node indices.
     pub sources: usize,
 }
 
-/// Draws all faults of a run that lasts so long.
-pub fn draw_plan(seed: u64, run_duration: Duration, fleet: Fleet) -> Vec<PlannedFault> {
+/// Draws all faults of a run from its seed; none starts after `run_duration`.
+pub fn draw_plan(seed: u64, run_duration: Duration, fleet: FleetSize) -> Vec<PlannedFault> {
     let rng = SeededRng::new(seed, 5_000);
     let mut plan = Vec::new();
-    let mut after = FIRST_AFTER;
+    let mut after = FIRST_FAULT_DELAY;
     while after < run_duration {
-        let duration = Duration::from_millis(rng.number(DURATION_MS));
-        plan.push(PlannedFault { after, duration, kind: draw_kind(&rng, fleet) });
-        after += Duration::from_millis(rng.number(GAP_MS));
+        let duration = Duration::from_millis(rng.random_range(FAULT_DURATION_MS));
+        plan.push(PlannedFault { after, duration, kind: draw_fault_kind(&rng, fleet) });
+        after += Duration::from_millis(rng.random_range(FAULT_INTERVAL_MS));
     }
     plan
 }
 
-fn draw_kind(rng: &SeededRng, Fleet { fronts, nodes, sources }: Fleet) -> FaultKind {
-    let front = rng.number(0..fronts as u64) as usize;
-    let cache_node = rng.number(0..(nodes - sources) as u64) as usize;
-    // Sources fail less often: without any, nothing could be filled and little would be tested.
-    let source = || nodes - 1 - rng.number(0..sources as u64) as usize;
-    let node = if rng.chance(0.15) { source() } else { cache_node };
-    match rng.number(0..22) {
+fn draw_fault_kind(rng: &SeededRng, FleetSize { fronts, nodes, sources }: FleetSize) -> FaultKind {
+    let front = rng.random_range(0..fronts as u64) as usize;
+    let cache_node = rng.random_range(0..(nodes - sources) as u64) as usize;
+    // Sources fail less often than cache nodes: without a source nothing can be filled, and little would be
+    // tested.
+    let source = || nodes - 1 - rng.random_range(0..sources as u64) as usize;
+    let node = if rng.random_bool(0.15) { source() } else { cache_node };
+    match rng.random_range(0..22) {
         0 | 1 => FaultKind::Terminate { front },
         2 => FaultKind::Kill { front },
         3 => FaultKind::Pause { front },
@@ -171,27 +175,27 @@
         9 | 10 => FaultKind::ReplaceNode { node: cache_node },
         11 => FaultKind::Bus { front, mode: draw_bus_mode(rng) },
         12 => FaultKind::AllBuses { mode: draw_bus_mode(rng) },
-        13 | 14 => FaultKind::Purge { objects: rng.number(3..60) },
-        15 => FaultKind::StepWallClock { front, by_ms: *rng.pick(&CLOCK_STEPS_MS) },
-        16 | 17 => FaultKind::SystemCalls { front, rates: draw_system_faults(rng) },
-        18 => FaultKind::FaultyClients { front, count: rng.number(5..80) },
+        13 | 14 => FaultKind::Purge { objects: rng.random_range(3..60) },
+        15 => FaultKind::StepWallClock { front, by_ms: *rng.choose(&WALL_CLOCK_STEPS_MS) },
+        16 | 17 => FaultKind::SystemCalls { front, rates: draw_system_call_faults(rng) },
+        18 => FaultKind::FaultyClients { front, count: rng.random_range(5..80) },
         _ => FaultKind::Node { node, mode: draw_node_mode(rng) },
     }
 }
 
 fn draw_bus_mode(rng: &SeededRng) -> BusMode {
-    match rng.number(0..4) {
+    match rng.random_range(0..4) {
         0 => BusMode::Down,
         1 => BusMode::Silent,
-        _ => BusMode::Delayed(Duration::from_millis(rng.number(20..400))),
+        _ => BusMode::Delayed(Duration::from_millis(rng.random_range(20..400))),
     }
 }
 
 fn draw_node_mode(rng: &SeededRng) -> NodeMode {
-    match rng.number(0..8) {
+    match rng.random_range(0..8) {
         0 | 1 => NodeMode::Hanging,
         2 => NodeMode::Dead,
-        3 => NodeMode::Slow(Duration::from_millis(rng.number(50..900))),
+        3 => NodeMode::Slow(Duration::from_millis(rng.random_range(50..900))),
         4 => NodeMode::Failing,
         5 => NodeMode::Full,
         6 => NodeMode::Resetting,
@@ -199,9 +203,9 @@
     }
 }
 
-fn draw_system_faults(rng: &SeededRng) -> Vec<SystemFaultRate> {
-    let chosen = MachineFault::RATES.into_iter().filter(|_| rng.chance(0.5));
-    chosen.map(|fault| SystemFaultRate { fault, per_thousand: rng.number(20..300) as i64 }).collect()
+fn draw_system_call_faults(rng: &SeededRng) -> Vec<SystemFaultRate> {
+    let chosen = MachineFault::RATES.into_iter().filter(|_| rng.random_bool(0.5));
+    chosen.map(|fault| SystemFaultRate { fault, per_thousand: rng.random_range(20..300) as i64 }).collect()
 }
 
 #[cfg(test)]
