--- a/crates/record/src/bootstrap.rs
+++ b/crates/record/src/bootstrap.rs
@@ -1,15 +1,16 @@
-//! What a front knows while a record is bootstrapped: which of the configured voters are present without a record.
+//! State that a front holds while a record is being bootstrapped: the configured voters that are present
+//! without a record.
 //!
 //! The steps that use it are in `engine/bootstrapping.rs`.
 
 use crate::state::VoterId;
 use std::collections::BTreeMap;
 
-/// What a front knows of the other configured voters.
+/// The configured voters that have announced themselves, and the time of this front's next announcement.
 #[derive(Debug, Default)]
-pub(crate) struct Bootstrap {
-    /// Ids of those that are present without a record, by their fronts' names.
+pub(crate) struct BootstrapState {
+    /// Voter ids of the configured voters that are present without a record, by the name of their front.
     pub(crate) without_record: BTreeMap<String, VoterId>,
-    /// When this front announces itself again, in milliseconds.
+    /// Time of this front's next announcement, in milliseconds on the caller's clock.
     pub(crate) next_announcement_ms: f64,
 }
--- a/crates/record/src/engine/applying.rs
+++ b/crates/record/src/engine/applying.rs
@@ -1,4 +1,4 @@
-//! The voter's steps carried out, and committed entries applied to the state.
+//! Carries out the voter's steps and applies committed entries to the state.
 
 use super::Record;
 use crate::events::Action;
@@ -9,15 +9,16 @@
 use crate::voter::{
     decode_snapshot_ref, AcceptedSnapshot, OutgoingMessage, SnapshotMissing, Voter, RETAINED_ENTRIES,
 };
-use crate::wire::Item;
+use crate::wire::MessageItem;
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Record {
-    /// Carries the voter's steps out until there are none: first the writes, then the messages, then committed entries.
+    /// Carries out the voter's steps until none are left: in each, the writes first, then the messages, then
+    /// the committed entries.
     pub(super) fn advance_voter(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         while let Some(voter) = &mut self.voter {
             let mut voters = self.state.voters.clone();
-            let mut step = voter.step(&mut voters);
+            let mut step = voter.take_step(&mut voters);
             if step.is_empty() {
                 return;
             }
@@ -29,7 +30,7 @@
             }
             for OutgoingMessage { to, message } in step.messages {
                 if let Some(name) = self.state.voters.get(&to).cloned() {
-                    self.send(&name, vec![Item::Raft { to, message }], actions);
+                    self.send_items(&name, vec![MessageItem::Raft { to, message }], actions);
                 }
             }
             if !step.committed.is_empty() {
@@ -38,7 +39,8 @@
         }
     }
 
-    /// The leader's snapshot replaces the state, since the leader no longer has the entries before it.
+    /// Replaces the state by the leader's snapshot; sent where the leader no longer has the entries that
+    /// this voter lacks.
     fn install_snapshot(&mut self, snapshot: &AcceptedSnapshot, writes: &mut WriteBatch) {
         let text = decode_snapshot_ref(&snapshot.snapshot_ref).and_then(|text| self.texts.get(&text.digest));
         if let Some(state) = text.and_then(RecordState::from_bytes) {
@@ -48,7 +50,8 @@
         }
     }
 
-    /// Applies committed entries, in order.
+    /// Applies committed entries in order; if any took effect, drops unneeded texts and announces the
+    /// update.
     pub(super) fn apply_entries(&mut self, now_ms: f64, entries: Vec<LogEntry>, actions: &mut Vec<Action>) {
         let applied_before = self.state.applied_index;
         for entry in entries {
@@ -59,9 +62,9 @@
         }
         let wanted: BTreeSet<Digest> = self
             .state
-            .texts()
+            .version_texts()
             .map(|text| text.digest)
-            .chain(self.proposals.texts())
+            .chain(self.proposals.uncommitted_texts())
             .chain(self.replication.snapshot_digests())
             .collect();
         self.texts.retain(&wanted);
@@ -77,9 +80,9 @@
 
     fn apply_entry(&mut self, entry: LogEntry, actions: &mut Vec<Action>) {
         let applied_before = self.state.applied_index;
-        if let Some(KeyedAnswer { key, answer }) = self.state.apply(&entry) {
+        if let Some(KeyedAnswer { key, answer }) = self.state.apply_entry(&entry) {
             self.proposals.prune_texts();
-            self.answer(&key, answer, actions);
+            self.deliver_answer(&key, answer, actions);
         }
         if self.state.applied_index > applied_before {
             self.recent_entries.push_back(entry);
@@ -89,23 +92,31 @@
         }
     }
 
-    /// Passes an answer on to who awaits it: here, or at the front that forwarded the proposal.
-    pub(super) fn answer(&mut self, key: &str, answer: Answer, actions: &mut Vec<Action>) {
+    /// Delivers the answer to a command: to the caller if it was proposed here, and to the front that
+    /// forwarded it.
+    pub(super) fn deliver_answer(&mut self, key: &str, answer: Answer, actions: &mut Vec<Action>) {
         if self.proposals.remove_local(key) {
             actions.push(Action::Answered { key: key.into(), answer: answer.clone() });
         }
         if let Some(to) = self.proposals.take_proposer(key) {
-            self.send(&to, vec![Item::Answered { key: key.into(), answer }], actions);
+            self.send_items(&to, vec![MessageItem::Answered { key: key.into(), answer }], actions);
         }
     }
 
-    /// Another voter's Raft message.
-    pub(super) fn on_raft(&mut self, from: &str, to: VoterId, message: &[u8], actions: &mut Vec<Action>) {
+    /// Handles a Raft message from another voter.
+    pub(super) fn on_raft_message(
+        &mut self,
+        from: &str,
+        to: VoterId,
+        message: &[u8],
+        actions: &mut Vec<Action>,
+    ) {
         let own_id = self.config.voter_id();
         if to != own_id || self.disk_failed {
             return;
         }
-        // A front that was added as voter learns of it by the leader's first message, and fetches its first snapshot.
+        // A front that was added as a voter learns of it by the leader's first message, and fetches its
+        // first snapshot.
         if self.voter.is_none() && self.state.voters.contains_key(&own_id) {
             let restored = Voter::restore(own_id, self.extra_election_ticks(), &BTreeMap::new());
             self.voter = restored.map(|r| r.voter);
@@ -115,7 +126,7 @@
             decode_snapshot_ref(snapshot_ref).is_some_and(|text| texts.get(&text.digest).is_some())
         };
         let Some(voter) = &mut self.voter else { return };
-        if let Err(SnapshotMissing { snapshot_ref }) = voter.receive(message, has_state) {
+        if let Err(SnapshotMissing { snapshot_ref }) = voter.receive_message(message, has_state) {
             if let Some(text) = decode_snapshot_ref(&snapshot_ref) {
                 self.fetch_leader_snapshot(from, text, actions);
             }
--- a/crates/record/src/engine/bootstrapping.rs
+++ b/crates/record/src/engine/bootstrapping.rs
@@ -1,29 +1,32 @@
-//! How a record is bootstrapped, and how a voter that lost its disk becomes one again.
+//! Bootstrapping a record, and readmitting a voter that lost its disk.
 //!
-//! The bootstrap takes all configured voters, each without a record: a majority of them would not do, since one that lost
-//! its disk and one that never had a record look alike, and two of three could bootstrap a second record beside the first.
+//! A bootstrap requires all configured voters, each without a record. A majority would not be enough: a
+//! voter that lost its disk looks like one that never had a record, so two of three could bootstrap a second
+//! record beside the first.
 
 use super::Record;
 use crate::events::Action;
 use crate::state::{RecordState, VoterId};
 use crate::storage::{StorageKey, StoredValue, Write};
 use crate::voter::{MembershipChange, Voter};
-use crate::wire::Item;
+use crate::wire::MessageItem;
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Between two announcements of a front that is configured as voter and is none, in milliseconds.
-const ANNOUNCEMENT_MS: f64 = 500.0;
-/// Term of the state that a record begins with.
-const FIRST_TERM: u64 = 1;
+/// Interval between two announcements of a front that is configured as a voter but is not one, in
+/// milliseconds.
+const ANNOUNCEMENT_INTERVAL_MS: f64 = 500.0;
+/// Raft term of the snapshot that a record begins with.
+const BOOTSTRAP_TERM: u64 = 1;
 
 impl Record {
     fn is_configured_voter(&self) -> bool {
         self.config.voters.contains(&self.config.name)
     }
 
-    /// A front that is configured as voter and is none announces itself to the others.
-    pub(super) fn bootstrap_tick(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
+    /// Announces this front to the configured voters if it is configured as one but is not a voter of the
+    /// record.
+    pub(super) fn tick_bootstrap(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         if !self.is_configured_voter()
             || self.voter.is_some()
             || self.has_failed_disk()
@@ -31,19 +34,22 @@
         {
             return;
         }
-        self.bootstrap.next_announcement_ms = now_ms + ANNOUNCEMENT_MS;
-        let item =
-            Item::VoterPresent { voter: self.config.voter_id(), without_record: self.state.record_id == 0 };
+        self.bootstrap.next_announcement_ms = now_ms + ANNOUNCEMENT_INTERVAL_MS;
+        let item = MessageItem::VoterPresent {
+            voter: self.config.voter_id(),
+            without_record: self.state.record_id == 0,
+        };
         self.send_to_configured_voters(&item, actions);
     }
 
-    fn send_to_configured_voters(&mut self, item: &Item, actions: &mut Vec<Action>) {
+    fn send_to_configured_voters(&mut self, item: &MessageItem, actions: &mut Vec<Action>) {
         for to in self.config.voters.clone() {
-            self.send(&to, vec![item.clone()], actions);
+            self.send_items(&to, vec![item.clone()], actions);
         }
     }
 
-    /// A front announces that it is configured as voter, and none with its present disk.
+    /// Handles the announcement of a front that is configured as a voter but is not one with its present
+    /// disk.
     pub(super) fn on_voter_present(
         &mut self,
         from: &str,
@@ -55,29 +61,39 @@
             return;
         }
         if self.state.record_id != 0 {
-            self.readmit(from, voter, without_record, actions);
+            self.admit_present_voter(from, voter, without_record, actions);
         } else if without_record {
             self.bootstrap.without_record.insert(from.into(), voter);
             self.bootstrap_if_complete(actions);
         }
     }
 
-    /// There is a record: the front gets to know it, or the leader makes it a voter of it.
-    fn readmit(&mut self, from: &str, voter: VoterId, without_record: bool, actions: &mut Vec<Action>) {
+    /// Handles an announcement at a front that has a record: the leader adds an unknown voter, and a voter
+    /// that has not learned of the bootstrap is told of it.
+    fn admit_present_voter(
+        &mut self,
+        from: &str,
+        voter: VoterId,
+        without_record: bool,
+        actions: &mut Vec<Action>,
+    ) {
         if !self.state.voters.contains_key(&voter) {
             if self.is_leader() {
                 self.propose_readmission(from, voter);
             }
         } else if without_record && self.state.applied_index <= 1 {
-            // It was named at the bootstrap and has not learned of it, or waits for the leader's first snapshot.
-            let item =
-                Item::Bootstrapped { record_id: self.state.record_id, voters: self.state.voters.clone() };
-            self.send(from, vec![item], actions);
+            // This voter was named at the bootstrap and has not learned of it, or awaits its first snapshot
+            // from the leader.
+            let item = MessageItem::Bootstrapped {
+                record_id: self.state.record_id,
+                voters: self.state.voters.clone(),
+            };
+            self.send_items(from, vec![item], actions);
         }
     }
 
-    /// The first in the order of names bootstraps the record once all configured voters are present without one; the
-    /// others wait for its message.
+    /// Bootstraps the record once all configured voters are present without one. Only the first voter by
+    /// name does so; the others wait for its message.
     fn bootstrap_if_complete(&mut self, actions: &mut Vec<Action>) {
         let own_name = &self.config.name;
         let is_first = self.config.voters.iter().min() == Some(own_name);
@@ -91,10 +107,11 @@
         voters.insert(self.config.voter_id(), self.config.name.clone());
         let record_id = self.rng.random::<u64>().max(1);
         self.on_bootstrapped(record_id, voters.clone(), actions);
-        self.send_to_configured_voters(&Item::Bootstrapped { record_id, voters }, actions);
+        self.send_to_configured_voters(&MessageItem::Bootstrapped { record_id, voters }, actions);
     }
 
-    /// The record was bootstrapped; this front votes if its present disk is named in it.
+    /// Starts a newly bootstrapped record; this front becomes a voter if the id of its present disk is
+    /// listed.
     pub(super) fn on_bootstrapped(
         &mut self,
         record_id: u64,
@@ -110,7 +127,7 @@
             return;
         }
         let state = RecordState::bootstrapped(record_id, voters);
-        let snapshot = StoredValue::snapshot(&state, FIRST_TERM);
+        let snapshot = StoredValue::snapshot(&state, BOOTSTRAP_TERM);
         let stored = [(StorageKey::Snapshot, snapshot.clone())].into();
         self.voter = Voter::restore(own_id, self.extra_election_ticks(), &stored).map(|r| r.voter);
         self.state = state;
@@ -118,8 +135,9 @@
         actions.push(Action::StateChanged);
     }
 
-    /// A front came back with another disk: the voter that it was is removed first, then the one that it is is added. One
-    /// change at a time; the front announces itself until both are committed.
+    /// Proposes the membership changes for a front that came back with another disk: its old voter id is
+    /// removed first, then the new one is added. Each call proposes one change; the front's repeated
+    /// announcements lead to the next.
     fn propose_readmission(&mut self, name: &str, id: VoterId) {
         let old_id = self.state.voters.iter().find(|(_, n)| n.as_str() == name).map(|(id, _)| *id);
         if let Some(voter) = &mut self.voter {
--- a/crates/record/src/events.rs
+++ b/crates/record/src/events.rs
@@ -1,103 +1,104 @@
-//! The inputs and outputs of a [`Record`](crate::Record): what a front is configured with, the events it takes, the
-//! actions it returns, and what it counts.
+//! Inputs and outputs of a [`Record`](crate::Record): a front's configuration, the events it takes, the
+//! actions it returns and its counters.
 
 use crate::rules::{Answer, Command};
 use crate::state::VoterId;
 use crate::storage::WriteBatch;
 use crate::texts::Digest;
 
-/// What a front is configured with.
+/// Configuration of a front's replica of the record.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The front's name.
+    /// Name of this front, unique in the fleet.
     pub name: String,
-    /// Id of its disk: another one where the disk is new, or is not trusted.
+    /// Id of this front's disk; a new disk, or one that is no longer trusted, gets another id.
     pub disk_id: u64,
-    /// Names of the voters' fronts, alike at all fronts; with none there is no record.
+    /// Names of the fronts that are to vote, the same list at all fronts; if empty, there is no record.
     pub voters: Vec<String>,
 }
 
 impl Config {
-    /// The voter that this front is with its present disk; never 0.
+    /// Voter id of this front with its present disk; never 0.
     pub fn voter_id(&self) -> VoterId {
         Digest::of(format!("{}\0{:016x}", self.name, self.disk_id).as_bytes()).prefix_u64().max(1)
     }
 }
 
-/// What happens to a front.
+/// An input of a front's [`Record`](crate::Record).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time went by.
+    /// The time of [`Record::next_tick_at_ms`](crate::Record::next_tick_at_ms) may have come; an early tick
+    /// does nothing.
     Tick,
     /// A datagram was received.
     Datagram(Vec<u8>),
-    /// The names of the fronts that are present now.
+    /// The set of fronts that are present has changed to these names.
     Peers(Vec<String>),
-    /// A command is proposed at this front.
+    /// A command was proposed at this front.
     Propose {
-        /// The command.
+        /// The command to be committed.
         command: Command,
-        /// The text of an edit.
+        /// The new rules text if the command is an edit.
         text: Option<Vec<u8>>,
     },
-    /// The answer to the proposal of that key is no longer awaited.
+    /// The caller no longer awaits the answer to the command with that key.
     Abandoned(String),
-    /// A text was validated, as [`Action::Validate`] requested.
+    /// The validation that [`Action::Validate`] requested has ended.
     Validated {
-        /// The text.
+        /// Digest of the text that was validated.
         digest: Digest,
-        /// Why this front can't use it; `None`: it can.
+        /// Why this front can't use the text; `None` if the text is valid.
         error: Option<String>,
     },
-    /// This front serves by that version of the rules now.
+    /// This front now serves by that version of the rules.
     Serving(u64),
-    /// A write failed.
+    /// An [`Action::Write`] failed.
     DiskFailed,
 }
 
-/// What the caller is to do, in this order.
+/// An output of a front's [`Record`](crate::Record); the caller carries actions out in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Make this durable, all of it, before any action that follows.
+    /// Make all these writes durable before any action that follows.
     Write(WriteBatch),
     /// Send a datagram to a front; it may be lost.
     Send {
-        /// The front's name.
+        /// Name of the receiving front.
         to: String,
-        /// The datagram.
+        /// The signed datagram.
         bytes: Vec<u8>,
     },
-    /// Validate rules for use at this front; the result comes as [`Event::Validated`].
+    /// Check whether this front can use a rules text; the result is returned as [`Event::Validated`].
     Validate {
-        /// The text's digest.
+        /// Digest of the text to be validated.
         digest: Digest,
-        /// The text.
+        /// The rules text to be validated.
         text: Vec<u8>,
     },
-    /// A command that was proposed at this front has its answer.
+    /// A command that was proposed at this front has been answered.
     Answered {
-        /// The command's key.
+        /// Key of the answered command.
         key: String,
-        /// The answer.
+        /// The new version's number, or the reason for the rejection.
         answer: Answer,
     },
-    /// The replicated state has changed, or a text of it was received.
+    /// The replicated state has changed, or a version's text has arrived.
     StateChanged,
 }
 
-/// What a front has sent and dropped, for the operators.
+/// Counters of the datagrams that a front has sent and dropped, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    /// Datagrams sent.
+pub struct DatagramCounts {
+    /// Number of datagrams sent.
     pub datagrams_sent: u64,
-    /// Bytes of the datagrams sent.
+    /// Total size of the datagrams sent, in bytes.
     pub bytes_sent: u64,
-    /// Datagrams dropped as malformed.
+    /// Number of received datagrams dropped as malformed or wrongly signed.
     pub malformed: u64,
-    /// Datagrams dropped for their format version.
+    /// Number of received datagrams dropped because their format version is not supported.
     pub unsupported_version: u64,
-    /// The format version of the last one of these.
+    /// Format version of the last datagram dropped for its version.
     pub last_unsupported_version: u8,
-    /// Messages on another record than this front's.
+    /// Number of status messages received from fronts that follow another record than this front.
     pub other_record: u64,
 }
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -1,25 +1,30 @@
-//! The few things that all fronts must agree on (versions of the routing rules, the voters, later tables of slots), as a
-//! replicated log: a few fronts, the voters, commit its entries by Raft, and all others follow (as learners do).
+//! A replicated log of the facts that all fronts must agree on: the versions of the routing rules, the
+//! voters, and later tables of slots. A few fronts, the voters, commit its entries by Raft; all others
+//! follow as learners.
 //!
-//! [`Record`] is one front's part: it takes [`Event`]s and the time and returns [`Action`]s. It has no sockets, threads,
-//! clocks or disks; equal inputs and seeds give equal outputs.
+//! [`Record`] is one front's replica: it takes [`Event`]s and the time and returns [`Action`]s. It has no
+//! sockets, threads, clocks or disks; equal inputs and seeds give equal outputs.
 //!
-//! # The contract
+//! # Contract with the caller
 //!
-//! - *Voters* are three to seven fronts, named alike in every front's document. What a majority (the quorum) has written
-//!   to disk is committed. A record is *bootstrapped* once, when all configured voters are present and none has a record;
-//!   from then on a majority is enough.
-//! - A voter is a name **and a disk**: [`Config::disk_id`] differs for a disk that is new or is no longer trusted. Its
-//!   front then comes back as another voter, added by the others, and never votes as the one that it was.
-//! - [`Action::Write`] is carried out, durably and completely, before any action that follows it. Where that fails nothing
-//!   that follows is carried out, and [`Event::DiskFailed`] is fed: the front votes no more and goes on as a follower.
-//! - *Followers* announce their status to others and pull the entries that they lack. An entry may be of a kind that this
-//!   program does not know: it is reported in [`RecordState::unsupported`]; nothing after it is applied.
-//! - *Texts* (of rules) are replicated apart from log entries, by digest, in parts. An edit is appended to the log once a
-//!   majority of voters has its text durably and has found it valid ([`Action::Validate`]).
-//! - A command's key makes it idempotent; its answer comes as [`Action::Answered`], and is requested again until it has
-//!   come or [`Event::Abandoned`] is fed.
-//! - [`Action::Send`] may be lost, late, duplicated or out of order.
+//! - *Voters* are three to seven fronts, with the same names in every front's document. An entry that a
+//!   majority of them (the quorum) has written to disk is committed. A record is *bootstrapped* once, when
+//!   all configured voters are present and none has a record; from then on a majority is enough.
+//! - A voter is identified by its name **and its disk**: a disk that is new or no longer trusted gets
+//!   another [`Config::disk_id`]. Its front then comes back as another voter, which the others add, and
+//!   never votes under the old id.
+//! - The caller carries out [`Action::Write`] durably and completely before any action that follows it. If a
+//!   write fails, the caller carries out none of the actions that follow and feeds [`Event::DiskFailed`]:
+//!   the front no longer votes and goes on as a follower.
+//! - *Followers* announce their status to others and pull the entries that they lack. An entry of a kind
+//!   that this program does not know is reported in [`RecordState::unsupported`]; nothing after it is
+//!   applied.
+//! - *Texts* (of rules) are replicated separately from log entries, by digest and in parts. An edit is
+//!   appended to the log once a majority of voters has its text on disk and has found it valid
+//!   ([`Action::Validate`]).
+//! - A command's key makes it idempotent. The answer is returned as [`Action::Answered`]; the command is
+//!   sent again until the answer has arrived or [`Event::Abandoned`] is fed.
+//! - A datagram of [`Action::Send`] may be lost, delayed, duplicated or reordered.
 //!
 //! ```
 //! use fernslip_gossip::{Key, Keyring};
@@ -49,14 +54,16 @@
 //!     }
 //!     while let Some((n, event)) = events.pop() {
 //!         let mut actions = Vec::new();
-//!         fronts[n].handle(at, event, &mut actions);
+//!         fronts[n].handle_event(at, event, &mut actions);
 //!         for a in actions {
 //!             match a {
 //!                 Action::Send { to, bytes } => {
-//!                     let to = names.iter().position(|m| *m == to).expect("a front");
+//!                     let to = names.iter().position(|m| *m == to).expect("the front is known");
 //!                     events.push((to, Event::Datagram(bytes)));
 //!                 }
-//!                 Action::Validate { digest, .. } => events.push((n, Event::Validated { digest, error: None })),
+//!                 Action::Validate { digest, .. } => {
+//!                     events.push((n, Event::Validated { digest, error: None }));
+//!                 }
 //!                 Action::Answered { key, answer } => answers.push((n, key, answer)),
 //!                 Action::Write(_) | Action::StateChanged => {}
 //!             }
@@ -64,7 +71,7 @@
 //!     }
 //! }
 //! assert!(answers.contains(&(2, "k1".to_string(), Ok(1))));
-//! assert!(fronts.iter().all(|f| f.state().rules.current() == 1 && f.text(1) == Some(&text[..])));
+//! assert!(fronts.iter().all(|f| f.state().rules.current() == 1 && f.version_text(1) == Some(&text[..])));
 //! ```
 
 mod bootstrap;
@@ -80,6 +87,6 @@
 pub mod wire;
 
 pub use engine::Record;
-pub use events::{Action, Config, Counts, Event};
+pub use events::{Action, Config, DatagramCounts, Event};
 pub use state::{LogEntry, RecordState, VoterId};
 pub use storage::{StorageKey, StoredValue, Write, WriteBatch};
--- a/crates/record/src/replication.rs
+++ b/crates/record/src/replication.rs
@@ -1,5 +1,5 @@
-//! What a front knows of the others while committed entries reach all fronts: their last status, and the snapshots
-//! retained for those that fetch them.
+//! State of the replication of committed entries to all fronts: the last status of each peer, and the
+//! snapshots retained for the fronts that fetch them.
 //!
 //! The steps that use it are in `engine/replicating.rs`.
 
@@ -7,45 +7,46 @@
 use crate::wire::Status;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Snapshots (as texts) that are retained for those that fetch them, at the most.
-pub(crate) const MAX_SNAPSHOTS: usize = 3;
+/// Maximum number of snapshots retained (as texts) for other fronts to fetch.
+pub(crate) const MAX_RETAINED_SNAPSHOTS: usize = 3;
 
-/// Where a snapshot is fetched from.
+/// The front from which a snapshot is fetched, and the record that it belongs to.
 #[derive(Clone, Debug)]
 pub(crate) struct SnapshotSource {
-    /// The record that it must be of to be installed here; 0: the voter installs it by the leader's message.
+    /// Id of the record that this front must be following (or none yet) to install the snapshot. With 0 the
+    /// snapshot was sent by the leader, and the voter installs it on the leader's next message.
     pub(crate) record_id: u64,
-    /// The front that has it.
+    /// Name of the front that has the snapshot.
     pub(crate) from: String,
 }
 
-/// A snapshot that was offered to others or is being fetched.
+/// A snapshot that this front has offered to others or is fetching.
 #[derive(Clone, Debug)]
 pub(crate) struct Snapshot {
     pub(crate) text: TextRef,
-    /// Where it is being fetched from; `None`: it is this front's own.
+    /// Where the snapshot is being fetched from; `None` for a snapshot of this front's own state.
     pub(crate) source: Option<SnapshotSource>,
 }
 
-/// What a front knows of the others, and when it sends and fetches next.
+/// What a front knows of its peers' progress, and the times of its next status announcement and fetch.
 #[derive(Debug)]
-pub(crate) struct Replication {
+pub(crate) struct ReplicationState {
     /// Names of the other fronts that are present.
     pub(crate) peers: Vec<String>,
-    /// The version of the rules that this front serves by.
+    /// The rules version that this front serves by.
     pub(crate) serving_version: u64,
-    /// The last status of other fronts, by name.
+    /// The last status received from each other front, by its name.
     pub(crate) peer_status: BTreeMap<String, Status>,
     pub(crate) next_status_ms: f64,
     pub(crate) next_fetch_ms: f64,
-    /// Ticks over which an update is still repeated.
+    /// Number of ticks on which the last update is still to be announced again.
     pub(crate) repeats_remaining: u32,
     pub(crate) snapshots: VecDeque<Snapshot>,
 }
 
-impl Replication {
-    pub(crate) fn new(now_ms: f64) -> Replication {
-        Replication {
+impl ReplicationState {
+    pub(crate) fn new(now_ms: f64) -> ReplicationState {
+        ReplicationState {
             peers: Vec::new(),
             serving_version: 0,
             peer_status: BTreeMap::new(),
@@ -60,11 +61,11 @@
         self.snapshots.iter().map(|s| s.text.digest)
     }
 
-    /// Retains a snapshot, in place of the oldest if there are too many.
+    /// Retains a snapshot, and drops the oldest one if there are more than [`MAX_RETAINED_SNAPSHOTS`].
     pub(crate) fn retain_snapshot(&mut self, text: TextRef, source: Option<SnapshotSource>) {
         self.snapshots.retain(|s| s.text.digest != text.digest);
         self.snapshots.push_back(Snapshot { text, source });
-        if self.snapshots.len() > MAX_SNAPSHOTS {
+        if self.snapshots.len() > MAX_RETAINED_SNAPSHOTS {
             self.snapshots.pop_front();
         }
     }
--- a/crates/record/src/rules.rs
+++ b/crates/record/src/rules.rs
@@ -1,88 +1,90 @@
-//! Versions of the routing rules: which is current, and what an edit or an undo may do to it. A pure state machine: every
-//! front that has applied the same commands has the same state.
+//! Versions of the routing rules: which one is current, and how an edit or an undo changes it. This is a
+//! pure state machine: fronts that have applied the same commands have the same state.
 
 use crate::texts::{Digest, TextRef};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Versions that are retained; the texts of older ones are dropped with them.
-pub const MAX_VERSIONS: usize = 128;
-/// Commands whose answer is retained for a repeat with the same key.
-pub const MAX_ANSWERS: usize = 512;
-/// The most bytes of an author or a reason.
+/// Maximum number of versions retained; the text of an older version is dropped with it.
+pub const MAX_RETAINED_VERSIONS: usize = 128;
+/// Maximum number of commands whose answer is retained, to answer a repeated command with the same key.
+pub const MAX_RETAINED_ANSWERS: usize = 512;
+/// Maximum length of a command's author, and of its reason, in bytes.
 pub const MAX_ANNOTATION_BYTES: usize = 160;
-/// The most bytes of a command's key.
+/// Maximum length of a command's key in bytes.
 pub const MAX_KEY_BYTES: usize = 64;
 
-/// A version of the rules. Its number is never used again.
+/// A version of the routing rules. Its number is never used for another version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Version {
-    /// From 1; version 0 is each front's own site document.
+pub struct RulesVersion {
+    /// Number of the version, from 1 on; version 0 stands for each front's own site document.
     pub number: u64,
-    /// The version that was current when it was committed.
+    /// Number of the version that was current before this one.
     pub parent: u64,
-    /// The version whose rules it restores, where it is an undo.
+    /// Number of the version whose rules an undo restored; `None` for an edit.
     pub restores: Option<u64>,
-    /// Digest of its text.
+    /// Digest of the version's rules text.
     pub digest: Digest,
-    /// Length of its text in bytes.
+    /// Length of the version's rules text in bytes.
     pub bytes: u32,
-    /// Who proposed it.
+    /// Author of the command that made the version.
     pub author: String,
-    /// Why.
+    /// Reason that the author gave for the version.
     pub reason: String,
-    /// When it was proposed, by that front's clock: Unix time in milliseconds; nothing is ordered by it.
+    /// Unix time in milliseconds at which the version was proposed, by the clock of the proposing front; not
+    /// used for ordering.
     pub at_unix_ms: u64,
 }
 
-/// What a command does. `base` is the version that its author took for current (optimistic concurrency).
+/// What a command does. `base` is the version that its author saw as current (optimistic concurrency
+/// control).
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Operation {
-    /// Replaces the rules of `base`.
+    /// Replaces the rules of the version `base`.
     Edit {
-        /// The version that the edit was made from.
+        /// Number of the version that the edit was made from.
         base: u64,
-        /// Digest of the new text.
+        /// Digest of the new rules text.
         digest: Digest,
-        /// Length of the new text in bytes.
+        /// Length of the new rules text in bytes.
         bytes: u32,
     },
     /// Restores the rules of an earlier version, as a new version.
     Undo {
-        /// The version that was current for the author.
+        /// Number of the version that the author saw as current.
         base: u64,
-        /// The version whose rules are restored.
+        /// Number of the version whose rules are restored.
         to: u64,
-        /// The edits that the author knows to be reverted with it, besides the current version's own.
+        /// Edits that the author knows to be reverted too, apart from that of the current version.
         acknowledged: Vec<u64>,
     },
 }
 
-/// A command, as it stands in the log.
+/// A command on the routing rules, as it is stored in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Command {
-    /// Makes the command idempotent: a repeat with the same key gets the answer that the first got.
+    /// Makes the command idempotent: a repeat with the same key gets the first answer.
     pub key: String,
-    /// Who proposes it.
+    /// Who proposes the command.
     pub author: String,
-    /// Why.
+    /// Reason that the author gives; may be empty.
     pub reason: String,
-    /// When, by the clock of the front where it was proposed: Unix time in milliseconds.
+    /// Unix time in milliseconds at which the command was proposed, by the clock of the proposing front.
     pub at_unix_ms: u64,
-    /// What it does.
+    /// The change of the rules that the command asks for.
     pub operation: Operation,
 }
 
 impl Command {
-    /// The text that an edit needs.
-    pub fn text(&self) -> Option<TextRef> {
+    /// Digest and length of an edit's text; `None` for an undo.
+    pub fn edit_text(&self) -> Option<TextRef> {
         match self.operation {
             Operation::Edit { digest, bytes, .. } => Some(TextRef { digest, bytes }),
             Operation::Undo { .. } => None,
         }
     }
 
-    /// Whether key and author are there, and they and the reason are not too long.
+    /// Whether key and author are not empty, and key, author and reason are within their maximum lengths.
     pub fn has_valid_lengths(&self) -> bool {
         let valid = |text: &str, max: usize| !text.is_empty() && text.len() <= max;
         valid(&self.key, MAX_KEY_BYTES)
@@ -91,88 +93,92 @@
     }
 }
 
-/// Why a command changed nothing.
+/// Why a command was rejected without changing the rules.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Rejection {
-    /// Another version is current than the one that the command was made from.
-    #[error("version {current} is current by now: look at it and ask again")]
+    /// The command was made from a version that is no longer current.
+    #[error("the command was made from an outdated version: version {current} is current now")]
     Conflict {
-        /// The current version.
+        /// Number of the version that is current now.
         current: u64,
     },
-    /// The version is not known, or no longer retained.
-    #[error("version {version} is not known")]
+    /// The undo concerns a version that does not exist or is no longer retained.
+    #[error("version {version} does not exist or is no longer retained")]
     UnknownVersion {
-        /// That version.
+        /// Number of the version that is not known.
         version: u64,
     },
-    /// The undo would revert edits that were not acknowledged.
-    #[error("versions {versions:?} would be undone with it: name them")]
+    /// The undo would revert edits that its author has not acknowledged.
+    #[error("the undo would also revert the edits of versions {versions:?}, which must be acknowledged")]
     Unacknowledged {
-        /// All edits that it would revert, besides the current version's own.
+        /// All edits that the undo would revert, apart from that of the current version.
         versions: Vec<u64>,
     },
-    /// The rules are those already.
-    #[error("the rules are those already")]
+    /// The command's rules are the same as the current ones.
+    #[error("the rules are the same as those of the current version")]
     Unchanged,
-    /// Key, author or reason is empty or too long, or the text is not the one of the command.
+    /// The key or the author is empty, the key, author or reason is too long, or the text does not match the
+    /// command's digest.
     #[error(
-        "author, reason or key is empty or too long ({} and {} bytes)",
+        "invalid command: key or author is empty, author or reason exceeds {} bytes, key exceeds {} bytes, \
+         or the text does not match its digest",
         MAX_ANNOTATION_BYTES,
         MAX_KEY_BYTES
     )]
     InvalidLength,
 }
 
-/// The answer to a command: the number of the new version, or why there is none.
+/// The answer to a command: the number of the new version, or why the command was rejected.
 pub type Answer = Result<u64, Rejection>;
 
-/// The versions after the commands applied so far.
+/// The retained versions of the routing rules, and the answers to the last commands.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Rules {
-    versions: BTreeMap<u64, Version>,
+    versions: BTreeMap<u64, RulesVersion>,
     current: u64,
-    /// Answers by key, each with the number of its command.
+    /// Answers by command key, each with the command's position in the order of application.
     answers: BTreeMap<String, (u64, Answer)>,
-    /// Number of commands applied.
+    /// Number of commands applied so far, repeats not counted.
     applied: u64,
 }
 
 impl Rules {
-    /// The number of the current version; 0: each front's own document.
+    /// Number of the current version; 0 while each front's own site document applies.
     pub fn current(&self) -> u64 {
         self.current
     }
 
-    /// The version of that number, if it is retained.
-    pub fn version(&self, number: u64) -> Option<&Version> {
+    /// The version of that number; `None` if it does not exist or is no longer retained.
+    pub fn version(&self, number: u64) -> Option<&RulesVersion> {
         self.versions.get(&number)
     }
 
     /// All retained versions, the oldest first.
-    pub fn versions(&self) -> impl DoubleEndedIterator<Item = &Version> {
+    pub fn versions(&self) -> impl DoubleEndedIterator<Item = &RulesVersion> {
         self.versions.values()
     }
 
-    /// The answer that a key got.
+    /// The answer to the command with that key; `None` if it was not applied or its answer is no longer
+    /// retained.
     pub fn answer(&self, key: &str) -> Option<&Answer> {
         self.answers.get(key).map(|a| &a.1)
     }
 
-    /// Applies a command in the order of the log, and answers it.
+    /// Applies a command in the order of the log and answers it. A command whose key was answered before
+    /// gets the same answer again and changes nothing.
     ///
     /// # Errors
-    /// Why the command is rejected; a command with a key that has an answer gets that answer again.
-    pub fn apply(&mut self, command: &Command) -> Answer {
+    /// The command is rejected, see [`Rejection`].
+    pub fn apply_command(&mut self, command: &Command) -> Answer {
         if let Some((_, answer)) = self.answers.get(&command.key) {
             return answer.clone();
         }
         self.applied += 1;
-        let answer = self.decide(command);
+        let answer = self.execute_command(command);
         if !command.key.is_empty() && command.key.len() <= MAX_KEY_BYTES {
             self.answers.insert(command.key.clone(), (self.applied, answer.clone()));
         }
-        if self.answers.len() > MAX_ANSWERS {
+        if self.answers.len() > MAX_RETAINED_ANSWERS {
             let oldest =
                 self.answers.iter().min_by_key(|(_, (number, _))| *number).map(|(key, _)| key.clone());
             oldest.and_then(|key| self.answers.remove(&key));
@@ -180,12 +186,12 @@
         answer
     }
 
-    fn decide(&mut self, command: &Command) -> Answer {
+    fn execute_command(&mut self, command: &Command) -> Answer {
         if !command.has_valid_lengths() {
             return Err(Rejection::InvalidLength);
         }
         let (Operation::Edit { base, .. } | Operation::Undo { base, .. }) = command.operation;
-        // What was made from another version than the current one would lose what came between.
+        // A command made from an older version would overwrite the versions committed since.
         if base != self.current {
             return Err(Rejection::Conflict { current: self.current });
         }
@@ -196,13 +202,13 @@
         if self.version(self.current).is_some_and(|current| current.digest == text.digest) {
             return Err(Rejection::Unchanged);
         }
-        Ok(self.push_version(command, text, restores))
+        Ok(self.add_version(command, text, restores))
     }
 
-    /// The text of the version that an undo restores, if the undo reverts nothing that was not acknowledged.
+    /// The text of the version that an undo restores, if the undo reverts no unacknowledged edit.
     fn text_to_restore(&self, to: u64, acknowledged: &[u64]) -> Result<TextRef, Rejection> {
         let restored = self.version(to).ok_or(Rejection::UnknownVersion { version: to })?;
-        let lost = self.lost_edits(to);
+        let lost = self.edits_reverted_by_undo(to);
         if let Some(unknown) = lost.iter().find(|n| self.version(**n).is_none()) {
             return Err(Rejection::UnknownVersion { version: *unknown });
         }
@@ -212,10 +218,10 @@
         Ok(TextRef { digest: restored.digest, bytes: restored.bytes })
     }
 
-    /// Makes a text the current version; returns its number.
-    fn push_version(&mut self, command: &Command, text: TextRef, restores: Option<u64>) -> u64 {
+    /// Adds a text as the new current version and returns the version's number.
+    fn add_version(&mut self, command: &Command, text: TextRef, restores: Option<u64>) -> u64 {
         let number = self.versions.last_key_value().map_or(0, |v| *v.0).max(self.current) + 1;
-        let version = Version {
+        let version = RulesVersion {
             number,
             parent: self.current,
             restores,
@@ -227,14 +233,14 @@
         };
         self.versions.insert(number, version);
         self.current = number;
-        while self.versions.len() > MAX_VERSIONS {
+        while self.versions.len() > MAX_RETAINED_VERSIONS {
             self.versions.pop_first();
         }
         number
     }
 
-    /// The edits that are in effect under a version: its own and those that it was made on, through undos to what they
-    /// restored. One that is no longer retained stands for all before it.
+    /// The edits in effect under a version: its own and those of its ancestors, where an undo leads to the
+    /// version it restored. An edit that is no longer retained stands for all before it.
     fn edits_in_effect(&self, version: u64) -> BTreeSet<u64> {
         let (mut edits, mut number) = (BTreeSet::new(), version);
         while number > 0 {
@@ -253,9 +259,10 @@
         edits
     }
 
-    /// Edits that an undo to that version would revert, besides what the current version itself brought: to undo that
-    /// is what the author wants. The versions between the two would not do: a later one may have restored an earlier.
-    pub fn lost_edits(&self, to: u64) -> Vec<u64> {
+    /// The edits that an undo to version `to` would revert, without the current version's own, which the
+    /// author means to undo. The versions between the two are not enough to tell, since a later one may have
+    /// restored an earlier one.
+    pub fn edits_reverted_by_undo(&self, to: u64) -> Vec<u64> {
         let (now, then) = (self.edits_in_effect(self.current), self.edits_in_effect(to));
         let before = self.edits_in_effect(self.version(self.current).map_or(0, |v| v.parent));
         now.into_iter().filter(|edit| !then.contains(edit) && before.contains(edit)).collect()
--- a/crates/record/src/state.rs
+++ b/crates/record/src/state.rs
@@ -1,62 +1,64 @@
-//! The replicated state that the committed log entries amount to, and a hash chain over them: two fronts with the same
-//! chain hash have applied the same entries.
+//! The replicated state that results from the committed log entries, and a hash chain over these: two fronts
+//! with the same chain hash have applied the same entries.
 
 use crate::rules::{Answer, Command, Rules};
 use crate::texts::{Digest, TextRef};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A voter: a front's name and the disk that its votes are on. One that lost its disk is another voter.
+/// Id of a Raft voter, derived from the front's name and its disk id: a front that lost its disk gets
+/// another.
 pub type VoterId = u64;
 
 /// A committed log entry, as voters retain it and fronts replicate it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Its index in the log.
+    /// Index of the entry in the log.
     pub index: u64,
-    /// The kind of its command. One that this program does not know stays in the voters' logs and is not applied.
+    /// Kind of the entry's command. An entry of a kind unknown to this program stays in the voters' logs
+    /// unapplied.
     pub kind: u8,
-    /// The command, encoded by `postcard`.
+    /// The `postcard` encoding of the entry's command.
     pub body: Vec<u8>,
 }
 
-/// No command: a new leader's first entry, or a membership change that had no effect.
-pub const KIND_NOOP: u8 = 0;
-/// A [`Command`].
-pub const KIND_RULES: u8 = 1;
-/// The voters, with the names of their fronts.
-pub const KIND_VOTERS: u8 = 2;
+/// Kind of an entry without a command: a new leader's first one, or a membership change that had no effect.
+pub const ENTRY_KIND_NOOP: u8 = 0;
+/// Kind of an entry whose body is a [`Command`] on the routing rules.
+pub const ENTRY_KIND_RULES: u8 = 1;
+/// Kind of an entry whose body is the new set of voters, with the names of their fronts.
+pub const ENTRY_KIND_VOTERS: u8 = 2;
 
-/// A log entry that this program can't apply.
+/// A log entry that this program can't apply, since its kind or its body is unknown to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnsupportedEntry {
-    /// Its index in the log.
+    /// Index of the unsupported entry in the log.
     pub index: u64,
-    /// Its kind.
+    /// Kind of the unsupported entry.
     pub kind: u8,
 }
 
-/// An answer to a command, for the front where it was proposed.
+/// The answer to an applied command, to be delivered to the front that proposed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyedAnswer {
-    /// The command's key.
+    /// Key of the command that is answered.
     pub key: String,
-    /// The answer.
+    /// The new version's number, or the reason for the rejection.
     pub answer: Answer,
 }
 
 /// The state after the committed log entries up to an index. Its `postcard` encoding is the snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordState {
-    /// Which record it is, drawn at the bootstrap; 0: none yet.
+    /// Random id of the record, drawn at its bootstrap; 0 on a front that has no record yet.
     pub record_id: u64,
-    /// Index of the last applied entry.
+    /// Index of the last applied log entry.
     pub applied_index: u64,
-    /// Hash of all entries up to it.
+    /// Chain hash of all entries up to the last applied one, see [`extend_chain_hash`].
     pub chain_hash: u64,
-    /// The routing rules.
+    /// The versions of the routing rules and the answers to commands.
     pub rules: Rules,
-    /// The voters, with the names of their fronts.
+    /// The current Raft voters, each with the name of its front.
     pub voters: BTreeMap<VoterId, String>,
     /// The first entry that this program can't apply, if there is one. Nothing after it is applied.
     pub unsupported: Option<UnsupportedEntry>,
@@ -65,27 +67,29 @@
 impl RecordState {
     /// The state of a record that has just been bootstrapped.
     pub fn bootstrapped(record_id: u64, voters: BTreeMap<VoterId, String>) -> RecordState {
-        // One entry counts as applied, so that a voter that comes later gets a snapshot and not entries from the first on.
+        // Entry 1 counts as applied, so that a voter added later is sent a snapshot and not all entries from
+        // the first.
         RecordState { record_id, applied_index: 1, chain_hash: record_id, voters, ..RecordState::default() }
     }
 
-    /// Applies the next entry; returns the answer to a command on the rules. What is not the next changes nothing.
-    pub fn apply(&mut self, entry: &LogEntry) -> Option<KeyedAnswer> {
+    /// Applies the next log entry and returns the answer to a command on the rules. An entry that is not the
+    /// next in the log changes nothing, and neither does any entry after an unsupported one.
+    pub fn apply_entry(&mut self, entry: &LogEntry) -> Option<KeyedAnswer> {
         if entry.index != self.applied_index + 1 || self.unsupported.is_some() {
             return None;
         }
         let mut answered = None;
         let is_supported = match entry.kind {
-            KIND_NOOP => true,
-            KIND_RULES => match postcard::from_bytes::<Command>(&entry.body) {
+            ENTRY_KIND_NOOP => true,
+            ENTRY_KIND_RULES => match postcard::from_bytes::<Command>(&entry.body) {
                 Ok(command) => {
-                    let answer = self.rules.apply(&command);
+                    let answer = self.rules.apply_command(&command);
                     answered = Some(KeyedAnswer { key: command.key, answer });
                     true
                 }
                 Err(_) => false,
             },
-            KIND_VOTERS => match postcard::from_bytes(&entry.body) {
+            ENTRY_KIND_VOTERS => match postcard::from_bytes(&entry.body) {
                 Ok(voters) => {
                     self.voters = voters;
                     true
@@ -99,11 +103,11 @@
             return None;
         }
         self.applied_index = entry.index;
-        self.chain_hash = extend_chain(self.chain_hash, entry);
+        self.chain_hash = extend_chain_hash(self.chain_hash, entry);
         answered
     }
 
-    /// The snapshot: its encoding, for a front that is far behind.
+    /// Encodes the state as a snapshot.
     pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
@@ -113,14 +117,14 @@
         postcard::from_bytes(bytes).ok()
     }
 
-    /// The texts of the known versions, the oldest first.
-    pub fn texts(&self) -> impl Iterator<Item = TextRef> + '_ {
+    /// References to the texts of all retained versions, the oldest first.
+    pub fn version_texts(&self) -> impl Iterator<Item = TextRef> + '_ {
         self.rules.versions().map(|v| TextRef { digest: v.digest, bytes: v.bytes })
     }
 }
 
-/// The chain hash after one more entry.
-pub fn extend_chain(chain_hash: u64, entry: &LogEntry) -> u64 {
+/// The chain hash after one more entry: a hash of the chain hash so far and the entry's fields.
+pub fn extend_chain_hash(chain_hash: u64, entry: &LogEntry) -> u64 {
     let mut hashed = chain_hash.to_be_bytes().to_vec();
     hashed.extend(entry.index.to_be_bytes());
     hashed.push(entry.kind);
--- a/crates/record/src/storage.rs
+++ b/crates/record/src/storage.rs
@@ -1,50 +1,51 @@
-//! What a front keeps on disk of the record: keys, values and the writes that change them.
+//! Keys, values and writes of the part of the record that a front stores on disk.
 //!
-//! The host stores keys and values by their `postcard` encoding, which goes by the order of variants and fields.
+//! The host stores keys and values in their `postcard` encoding, which depends on the order of variants and
+//! fields.
 
 use crate::state::{RecordState, VoterId};
 use crate::texts::Digest;
 use serde::{Deserialize, Serialize};
 
-/// A value on disk.
+/// A value of the record on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoredValue {
-    /// Term, vote and commit index: the protobuf encoding of the `raft` crate's `HardState`.
+    /// Raft term, vote and commit index: the protobuf encoding of the `raft` crate's `HardState`.
     HardState(Vec<u8>),
-    /// A log entry: the protobuf encoding of the `raft` crate's `Entry`.
+    /// A Raft log entry: the protobuf encoding of the `raft` crate's `Entry`.
     Entry(Vec<u8>),
-    /// A text.
+    /// A rules text that this voter has found valid.
     Text(Vec<u8>),
-    /// A snapshot.
+    /// A snapshot of the replicated state.
     Snapshot {
-        /// [`RecordState::to_bytes`].
+        /// The encoded state, see [`RecordState::to_bytes`].
         state: Vec<u8>,
-        /// Term of the last entry that it contains.
+        /// Raft term of the last log entry that the snapshot covers.
         term: u64,
-        /// The voters as of that entry.
+        /// Ids of the voters as of that entry.
         voters: Vec<VoterId>,
     },
 }
 
-/// A key on disk.
+/// A key of the record on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum StorageKey {
-    /// [`StoredValue::Snapshot`].
+    /// Key of the only [`StoredValue::Snapshot`].
     Snapshot,
-    /// [`StoredValue::HardState`].
+    /// Key of the only [`StoredValue::HardState`].
     HardState,
-    /// [`StoredValue::Entry`] of that index.
+    /// Key of the [`StoredValue::Entry`] with that index in the log.
     Entry(u64),
-    /// [`StoredValue::Text`] of that digest.
+    /// Key of the [`StoredValue::Text`] with that digest.
     Text(Digest),
 }
 
-/// One change of what is on disk.
+/// One change of a key on disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
-    /// The key.
+    /// The key whose value is changed.
     pub key: StorageKey,
-    /// Its new value; `None` deletes it.
+    /// The new value of the key; `None` deletes the key.
     pub value: Option<StoredValue>,
 }
 
@@ -62,7 +63,7 @@
 pub type WriteBatch = Vec<Write>;
 
 impl StoredValue {
-    /// The snapshot of a state whose last entry is of that term.
+    /// The stored form of a state whose last applied entry is of the Raft term `term`.
     pub(crate) fn snapshot(state: &RecordState, term: u64) -> StoredValue {
         let voters = state.voters.keys().copied().collect();
         StoredValue::Snapshot { state: state.to_bytes(), term, voters }
--- a/crates/record/src/voter.rs
+++ b/crates/record/src/voter.rs
@@ -1,12 +1,12 @@
-//! A voter: the `raft` crate's state machine on a log that can be compacted. Each of its steps is turned into what must
-//! be durable before what may be sent.
+//! A Raft voter: the `raft` crate's state machine over a log that can be compacted. Each step separates what
+//! must be durable first from the messages that may be sent afterwards.
 
 mod log;
 
-use crate::state::{LogEntry, RecordState, VoterId, KIND_NOOP, KIND_VOTERS};
+use crate::state::{LogEntry, RecordState, VoterId, ENTRY_KIND_NOOP, ENTRY_KIND_VOTERS};
 use crate::storage::{StorageKey, StoredValue, Write, WriteBatch};
 use crate::texts::{Digest, TextRef};
-use log::{Log, RestoredLog};
+use log::{RestoredLog, VoterLog};
 use protobuf::Message as _;
 use raft::eraftpb::{
     ConfChange, ConfChangeType, Entry as RaftEntry, EntryType, HardState, Message, Snapshot,
@@ -14,19 +14,19 @@
 use raft::{Config, RawNode, StateRole, Storage};
 use std::collections::BTreeMap;
 
-/// The shortest election timeout, in ticks. Each voter has a number of its own above it, so that two seldom campaign at
-/// once.
+/// The shortest election timeout in ticks. Each voter adds an offset of its own, so that two seldom campaign
+/// at the same time.
 const ELECTION_TICKS: usize = 10;
-/// Ticks between a leader's heartbeats.
+/// Number of ticks between two heartbeats of a leader.
 const HEARTBEAT_TICKS: usize = 3;
-/// Bytes of entries in a message between voters: it must fit into a datagram.
+/// Maximum size of the entries in one Raft message, in bytes; the message must fit into a datagram.
 const MAX_MESSAGE_BYTES: u64 = 600;
-/// Unacknowledged messages to one voter.
-const MAX_IN_FLIGHT: usize = 16;
-/// Entries that are retained below the applied index, for those that are a little behind.
+/// Maximum number of unacknowledged Raft messages to one voter.
+const MAX_UNACKNOWLEDGED_MESSAGES: usize = 16;
+/// Number of applied entries that are retained for voters and followers that are a few entries behind.
 pub(crate) const RETAINED_ENTRIES: u64 = 256;
 
-/// A message to another voter.
+/// A Raft message to another voter.
 #[derive(Debug)]
 pub(crate) struct OutgoingMessage {
     pub(crate) to: VoterId,
@@ -34,28 +34,28 @@
     pub(crate) message: Vec<u8>,
 }
 
-/// A snapshot that was accepted from the leader.
+/// A snapshot that the voter has accepted from the leader.
 #[derive(Debug)]
 pub(crate) struct AcceptedSnapshot {
-    /// The encoded reference to the state, see [`decode_snapshot_ref`].
+    /// The encoded reference to the snapshot's state, see [`decode_snapshot_ref`].
     pub(crate) snapshot_ref: Vec<u8>,
-    /// Term of the last entry that it contains.
+    /// Raft term of the last entry that the snapshot covers.
     pub(crate) term: u64,
 }
 
-/// What a step of a voter results in, in the order in which it is to be carried out.
+/// The results of one step of a voter; the fields are carried out in their order.
 #[derive(Debug, Default)]
-pub(crate) struct Step {
-    /// The leader's snapshot replaces the state.
+pub(crate) struct VoterStep {
+    /// The leader's snapshot, which replaces the state.
     pub(crate) snapshot: Option<AcceptedSnapshot>,
-    /// To be durable before any message is sent.
+    /// Writes that must be durable before any message is sent.
     pub(crate) writes: WriteBatch,
     pub(crate) messages: Vec<OutgoingMessage>,
-    /// Committed entries, in order.
+    /// Newly committed entries, in log order.
     pub(crate) committed: Vec<LogEntry>,
 }
 
-impl Step {
+impl VoterStep {
     pub(crate) fn is_empty(&self) -> bool {
         self.writes.is_empty()
             && self.messages.is_empty()
@@ -77,60 +77,61 @@
     }
 }
 
-/// A change of the voters, of which one at a time may be in the log.
+/// A change of the set of voters; the log holds at most one uncommitted change at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MembershipChange {
     Add,
     Remove,
 }
 
-/// A message was dropped since it brings a snapshot whose state is not here: it is to be fetched, and the leader sends
-/// the message again.
+/// Error for a dropped message whose snapshot refers to a state that is not on this front. The caller is to
+/// fetch the state; the leader sends the message again.
 #[derive(Debug)]
 pub(crate) struct SnapshotMissing {
-    /// The encoded reference to the state.
+    /// The encoded reference to the missing state, see [`decode_snapshot_ref`].
     pub(crate) snapshot_ref: Vec<u8>,
 }
 
-/// A voter and the state that it starts from.
+/// A voter restored from disk, and the state that it starts from.
 pub(crate) struct RestoredVoter {
     pub(crate) voter: Voter,
     pub(crate) state: RecordState,
 }
 
-/// One voter.
+/// The Raft state machine of one voter and its log.
 pub(crate) struct Voter {
     id: VoterId,
-    node: RawNode<Log>,
-    log: Log,
-    /// Index from which entries are retained in memory.
+    node: RawNode<VoterLog>,
+    log: VoterLog,
+    /// Index of the first entry that is retained in memory.
     first_retained: u64,
 }
 
 impl Voter {
-    /// A voter on what was found on its disk, which must not be older than its last vote; on nothing, one that was just
-    /// added and gets its first snapshot from the leader. `None`: what was found can't be decoded.
+    /// Restores a voter from what was found on its disk, which must not be older than the voter's last vote.
+    /// With nothing stored it is a newly added voter, which gets its first snapshot from the leader. `None`
+    /// if the stored data can't be decoded.
     ///
-    /// `extra_election_ticks` is this voter's election timeout above [`ELECTION_TICKS`].
+    /// `extra_election_ticks` is added to [`ELECTION_TICKS`] to get this voter's election timeout.
     pub(crate) fn restore(
         id: VoterId,
         extra_election_ticks: usize,
         stored: &BTreeMap<StorageKey, StoredValue>,
     ) -> Option<RestoredVoter> {
-        let RestoredLog { log, state } = Log::restore(stored)?;
+        let RestoredLog { log, state } = VoterLog::restore(stored)?;
         log.set_snapshot_ref(encode_snapshot_ref(&state));
         let election_ticks = ELECTION_TICKS + extra_election_ticks;
         let config = Config {
             id,
             election_tick: ELECTION_TICKS,
-            // A range of one, so that equal seeds do the same.
+            // The range holds one value only, so that equal seeds give equal runs.
             min_election_tick: election_ticks,
             max_election_tick: election_ticks + 1,
             heartbeat_tick: HEARTBEAT_TICKS,
             applied: state.applied_index,
             max_size_per_msg: MAX_MESSAGE_BYTES,
             max_committed_size_per_ready: u64::MAX,
-            max_inflight_msgs: MAX_IN_FLIGHT,
+            max_inflight_msgs: MAX_UNACKNOWLEDGED_MESSAGES,
             check_quorum: true,
             pre_vote: true,
             ..Config::default()
@@ -141,7 +142,8 @@
         Some(RestoredVoter { voter: Voter { id, node, log, first_retained }, state })
     }
 
-    /// Voters that wait for a snapshot which was sent to them get it again: it may have been lost.
+    /// Sends snapshots again to the voters that have not acknowledged theirs, since a message may have been
+    /// lost.
     pub(crate) fn resend_snapshots(&mut self) {
         let waiting: Vec<VoterId> = self
             .node
@@ -160,7 +162,7 @@
         self.node.raft.state == StateRole::Leader
     }
 
-    /// The leader, as far as it is known.
+    /// Voter id of the leader; `None` if it is unknown.
     pub(crate) fn leader(&self) -> Option<VoterId> {
         Some(self.node.raft.leader_id).filter(|leader| *leader != 0)
     }
@@ -169,8 +171,9 @@
         self.node.tick();
     }
 
-    /// Takes another voter's message. `has_state`: whether the state of an encoded snapshot reference is here.
-    pub(crate) fn receive(
+    /// Processes another voter's message. `has_state` tells whether the state of an encoded snapshot
+    /// reference is on this front.
+    pub(crate) fn receive_message(
         &mut self,
         message: &[u8],
         has_state: impl FnOnce(&[u8]) -> bool,
@@ -187,12 +190,12 @@
         Ok(())
     }
 
-    /// Proposes a command; `false` if this voter is not the leader or the log does not take it.
-    pub(crate) fn propose(&mut self, kind: u8, body: &[u8]) -> bool {
+    /// Proposes an entry; returns `false` if this voter is not the leader or the log rejects the entry.
+    pub(crate) fn propose_entry(&mut self, kind: u8, body: &[u8]) -> bool {
         self.is_leader() && self.node.propose(Vec::new(), [&[kind], body].concat()).is_ok()
     }
 
-    /// Proposes to add or remove a voter, the one of the front of that name.
+    /// Proposes to add or remove the voter `id`; `name` is the name of its front.
     pub(crate) fn propose_membership(&mut self, id: VoterId, change: MembershipChange, name: &str) {
         let change_type = match change {
             MembershipChange::Add => ConfChangeType::AddNode,
@@ -202,14 +205,16 @@
         conf_change.set_change_type(change_type);
         conf_change.node_id = id;
         if self.is_leader() {
-            // One that is refused since another is in the log is proposed again when the front announces itself again.
+            // A change rejected because another is in the log is proposed again on the front's next
+            // announcement.
             let _ = self.node.propose_conf_change(name.as_bytes().to_vec(), conf_change);
         }
     }
 
-    /// All that the last events result in. `voters` are the state's; committed membership changes are applied to them.
-    pub(crate) fn step(&mut self, voters: &mut BTreeMap<VoterId, String>) -> Step {
-        let mut step = Step::default();
+    /// Collects all results of the events since the last step. `voters` are the current voters of the state;
+    /// committed membership changes are applied to them.
+    pub(crate) fn take_step(&mut self, voters: &mut BTreeMap<VoterId, String>) -> VoterStep {
+        let mut step = VoterStep::default();
         while self.node.has_ready() {
             let mut ready = self.node.ready();
             step.push_messages(ready.take_messages());
@@ -217,7 +222,7 @@
                 self.accept_snapshot(ready.snapshot().clone(), &mut step);
             }
             if !ready.entries().is_empty() {
-                self.append(ready.entries(), &mut step);
+                self.append_entries(ready.entries(), &mut step);
             }
             if let Some(hard_state) = ready.hs() {
                 step.write_hard_state(hard_state);
@@ -225,7 +230,7 @@
             }
             step.push_messages(ready.take_persisted_messages());
             let committed = ready.take_committed_entries();
-            self.commit(committed, voters, &mut step);
+            self.collect_committed(committed, voters, &mut step);
             let mut light_ready = self.node.advance(ready);
             if let Some(commit_index) = light_ready.commit_index() {
                 let mut hard_state = self.log.entries.rl().hard_state().clone();
@@ -235,13 +240,13 @@
             }
             step.push_messages(light_ready.take_messages());
             let committed = light_ready.take_committed_entries();
-            self.commit(committed, voters, &mut step);
+            self.collect_committed(committed, voters, &mut step);
             self.node.advance_apply();
         }
         step
     }
 
-    fn accept_snapshot(&mut self, snapshot: Snapshot, step: &mut Step) {
+    fn accept_snapshot(&mut self, snapshot: Snapshot, step: &mut VoterStep) {
         let metadata = snapshot.get_metadata();
         step.snapshot =
             Some(AcceptedSnapshot { snapshot_ref: snapshot.get_data().to_vec(), term: metadata.term });
@@ -249,10 +254,10 @@
         let _ = self.log.entries.wl().apply_snapshot(snapshot);
     }
 
-    fn append(&mut self, entries: &[RaftEntry], step: &mut Step) {
+    fn append_entries(&mut self, entries: &[RaftEntry], step: &mut VoterStep) {
         let first = entries[0].get_index();
         let last_stored = self.log.entries.last_index().unwrap_or(0);
-        // Entries of an earlier leader that these replace are deleted.
+        // Entries of an earlier leader that the new ones replace are deleted from disk.
         step.writes.extend((first..=last_stored).map(|index| Write::delete(StorageKey::Entry(index))));
         for entry in entries {
             let bytes = entry.write_to_bytes().unwrap_or_default();
@@ -261,22 +266,28 @@
         let _ = self.log.entries.wl().append(entries);
     }
 
-    fn commit(&mut self, entries: Vec<RaftEntry>, voters: &mut BTreeMap<VoterId, String>, step: &mut Step) {
+    fn collect_committed(
+        &mut self,
+        entries: Vec<RaftEntry>,
+        voters: &mut BTreeMap<VoterId, String>,
+        step: &mut VoterStep,
+    ) {
         for entry in entries {
             let (index, data) = (entry.get_index(), entry.get_data());
             let (kind, body) = match entry.get_entry_type() {
-                EntryType::EntryNormal if data.is_empty() => (KIND_NOOP, Vec::new()),
+                EntryType::EntryNormal if data.is_empty() => (ENTRY_KIND_NOOP, Vec::new()),
                 EntryType::EntryNormal => (data[0], data[1..].to_vec()),
                 _ => match self.apply_membership(&entry, voters) {
-                    Some(body) => (KIND_VOTERS, body),
-                    None => (KIND_NOOP, Vec::new()),
+                    Some(body) => (ENTRY_KIND_VOTERS, body),
+                    None => (ENTRY_KIND_NOOP, Vec::new()),
                 },
             };
             step.committed.push(LogEntry { index, kind, body });
         }
     }
 
-    /// Applies a committed membership change; the resulting voters, encoded.
+    /// Applies a committed membership change; returns the encoding of the resulting voters, or `None` if the
+    /// change had no effect.
     fn apply_membership(
         &mut self,
         entry: &RaftEntry,
@@ -295,7 +306,8 @@
         postcard::to_stdvec(voters).ok()
     }
 
-    /// Entries were applied: the snapshot for others is the new state, and now and then the log is compacted.
+    /// Updates the snapshot reference after entries were applied, and compacts the log once enough have
+    /// accumulated; returns the writes that this needs.
     pub(crate) fn on_applied(&mut self, state: &RecordState) -> WriteBatch {
         self.log.set_snapshot_ref(encode_snapshot_ref(state));
         let applied = state.applied_index;
@@ -313,14 +325,14 @@
     }
 }
 
-/// A snapshot as the leader's message has it: the reference to the state's encoding.
+/// Encodes the reference to a state that Raft snapshots contain in place of the state itself.
 fn encode_snapshot_ref(state: &RecordState) -> Vec<u8> {
     let bytes = state.to_bytes();
     let text = TextRef { digest: Digest::of(&bytes), bytes: bytes.len() as u32 };
     postcard::to_stdvec(&text).unwrap_or_default()
 }
 
-/// The reference in a snapshot of the leader's message; `None` if it is malformed.
+/// Decodes the reference to a state in a Raft snapshot; `None` if it is malformed.
 pub(crate) fn decode_snapshot_ref(encoded: &[u8]) -> Option<TextRef> {
     postcard::from_bytes(encoded).ok()
 }
--- a/crates/record/src/voter/log.rs
+++ b/crates/record/src/voter/log.rs
@@ -1,4 +1,4 @@
-//! A voter's log in memory, as the `raft` crate reads it.
+//! A voter's Raft log in memory, as storage for the `raft` crate.
 
 use crate::state::RecordState;
 use crate::storage::{StorageKey, StoredValue};
@@ -9,25 +9,26 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The log. A snapshot for a voter that is far behind contains only a reference to the state, which is fetched apart
-/// since it doesn't fit into a datagram.
+/// The Raft log. A snapshot for a voter that is far behind contains only a reference to the state; the state
+/// itself does not fit into a datagram and is fetched separately.
 #[derive(Clone)]
-pub(super) struct Log {
+pub(super) struct VoterLog {
     pub(super) entries: MemStorage,
     snapshot_ref: Arc<Mutex<Vec<u8>>>,
 }
 
-/// A log from disk, and the state of the snapshot below it.
+/// A log restored from disk, and the state of the snapshot that precedes its entries.
 pub(super) struct RestoredLog {
-    pub(super) log: Log,
+    pub(super) log: VoterLog,
     pub(super) state: RecordState,
 }
 
-impl Log {
-    /// The log that was found on disk; an empty one if nothing was. `None`: what was found can't be decoded.
+impl VoterLog {
+    /// Restores the log found on disk, or an empty one if nothing was found. `None` if the stored data can't
+    /// be decoded.
     pub(super) fn restore(stored: &BTreeMap<StorageKey, StoredValue>) -> Option<RestoredLog> {
         let (mut state, mut state_term) = (RecordState::default(), 0);
-        let log = Log { entries: MemStorage::new(), snapshot_ref: Arc::default() };
+        let log = VoterLog { entries: MemStorage::new(), snapshot_ref: Arc::default() };
         let mut memory = log.entries.wl();
         if let Some(StoredValue::Snapshot { state: encoded, term, voters }) =
             stored.get(&StorageKey::Snapshot)
@@ -48,7 +49,7 @@
         memory.append(&entries).ok()?;
         if let Some(StoredValue::HardState(bytes)) = stored.get(&StorageKey::HardState) {
             let mut hard_state = HardState::parse_from_bytes(bytes).ok()?;
-            // The snapshot may be ahead of the hard state that was last written.
+            // The stored snapshot may be newer than the hard state that was last written.
             hard_state.commit = hard_state.commit.max(state.applied_index);
             hard_state.term = hard_state.term.max(state_term);
             memory.set_hardstate(hard_state);
@@ -66,7 +67,7 @@
     }
 }
 
-impl Storage for Log {
+impl Storage for VoterLog {
     fn initial_state(&self) -> raft::Result<RaftState> {
         self.entries.initial_state()
     }
--- a/crates/record/src/wire.rs
+++ b/crates/record/src/wire.rs
@@ -1,9 +1,10 @@
-//! The datagrams that fronts exchange on the record: one signed message each, on the socket of the view's gossip.
+//! Format of the record's datagrams between fronts: each is one signed message, sent on the socket of the
+//! membership view's gossip.
 //!
-//! Format: version, key number, then by `postcard` the sender's name and a list of items, each with its kind and its
-//! bytes, then the tag. An item of a kind that this program does not know is ignored, and so is what follows an item's
-//! known fields, so that a later program may add to both; another version is dropped. The encoding goes by the order of
-//! variants and fields.
+//! A datagram consists of the format version, the key number, the `postcard` encoding of the sender's name
+//! and a list of items (each with its kind and its bytes), and the signature tag. A datagram of another
+//! format version is dropped. An item of an unknown kind is ignored, and so are bytes after an item's known
+//! fields, so that later programs may add both. The encoding depends on the order of variants and fields.
 
 use crate::rules::{Answer, Command};
 use crate::state::{LogEntry, VoterId};
@@ -12,167 +13,171 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The most bytes of a datagram.
+/// Maximum size of a datagram in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// The first byte. It is not one of the view's, whose earlier programs drop what they don't know.
-pub const VERSION: u8 = 0x81;
+/// Format version, the first byte of a datagram. It differs from all versions of the view's gossip, and
+/// earlier programs drop datagrams whose version they don't know.
+pub const FORMAT_VERSION: u8 = 0x81;
+/// Size of the signature tag at the end of a datagram, in bytes.
 const TAG_BYTES: usize = 16;
-/// The most items in a message.
-const MAX_ITEMS: usize = 64;
-/// Bytes that the frame of an item (its kind and length) takes at the most.
+/// Maximum number of items in a message; a received message with more is malformed.
+const MAX_ITEMS_PER_MESSAGE: usize = 64;
+/// Upper bound on the encoded size of an item's kind and length prefix, in bytes.
 const ITEM_FRAME_BYTES: usize = 4;
-/// Bytes that version, key number and the length prefixes of name and list take at the most.
+/// Upper bound on the size of the version, the key number and the length prefixes of the name and the list,
+/// in bytes.
 const HEADER_BYTES: usize = 8;
 
 /// How far a front has replicated the record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Which record; 0: none yet.
+    /// Id of the front's record; 0 if it has none yet.
     pub record_id: u64,
-    /// Index of the last applied entry.
+    /// Index of the last log entry that the front has applied.
     pub applied_index: u64,
-    /// The chain hash up to there.
+    /// Chain hash of the entries up to the last applied one.
     pub chain_hash: u64,
-    /// The version of the rules that the front serves by.
+    /// The rules version that the front serves by.
     pub serving_version: u64,
-    /// Whether the receiver's status is wanted in reply.
+    /// Whether the receiver is to reply with its own status.
     pub reply_wanted: bool,
 }
 
-/// An item of a message.
+/// One item of a message between fronts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Item {
-    /// The sender's status.
+pub enum MessageItem {
+    /// The sender's replication status.
     Status(Status),
-    /// Requests entries from a front that is ahead.
+    /// Requests log entries from a front that is ahead.
     Pull {
-        /// The sender's record; 0: none yet.
+        /// Id of the sender's record; 0 if it has none yet.
         record_id: u64,
-        /// The last entry that it has.
+        /// Index of the last entry that the sender has applied.
         after_index: u64,
     },
-    /// Entries in reply to a pull.
+    /// Log entries in reply to a pull.
     Entries {
-        /// Their record.
+        /// Id of the record that the entries belong to.
         record_id: u64,
-        /// Consecutive entries.
+        /// Entries with consecutive indices.
         entries: Vec<LogEntry>,
     },
-    /// A text that the receiver is to fetch: a snapshot, in reply to a pull of entries that are no longer retained, or
-    /// a proposed text that a voter is to validate.
+    /// Offers a text for the receiver to fetch: a snapshot, in reply to a pull of entries that are no longer
+    /// retained, or a proposed text that a voter is to validate.
     TextOffered {
-        /// The snapshot's record; 0: a proposed text.
+        /// Id of the snapshot's record; 0 for a proposed text.
         record_id: u64,
-        /// The text.
+        /// Digest and length of the offered text.
         text: TextRef,
     },
     /// Requests parts of a text.
     RequestParts {
-        /// The text.
+        /// Digest of the requested text.
         digest: Digest,
-        /// Indices of the parts.
+        /// Indices of the requested parts.
         parts: Vec<u16>,
     },
-    /// A part of a text.
+    /// One part of a text, in reply to a request.
     Part {
-        /// The text.
+        /// Digest of the text that the part belongs to.
         digest: Digest,
-        /// Index of the part.
+        /// Index of the part, from 0.
         part: u16,
-        /// Its bytes.
+        /// Content of the part.
         bytes: Vec<u8>,
     },
-    /// A proposal for the leader.
+    /// Forwards a proposed command towards the leader.
     Propose {
-        /// The command.
+        /// The proposed command.
         command: Command,
-        /// How many more times a voter that is not the leader may forward it.
+        /// How many more times a voter that is not the leader may forward the command.
         hops: u8,
     },
-    /// The answer to a proposal.
+    /// The answer to a command, for the front that forwarded it.
     Answered {
-        /// The command's key.
+        /// Key of the answered command.
         key: String,
-        /// The answer.
+        /// The new version's number, or the reason for the rejection.
         answer: Answer,
     },
-    /// A voter has a text durably, and found it valid.
+    /// Reports that a voter has found a text valid and has it on disk.
     TextStored {
-        /// The text.
+        /// Digest of the stored text.
         digest: Digest,
-        /// The voter.
+        /// Id of the voter that has the text.
         voter: VoterId,
     },
-    /// A front that is configured as voter is present, and is none with its present disk.
+    /// Announces a front that is configured as a voter but is not one with its present disk.
     VoterPresent {
-        /// The voter that it would be.
+        /// Voter id that the front would have with its present disk.
         voter: VoterId,
-        /// Whether it has no record yet.
+        /// Whether the front has no record yet.
         without_record: bool,
     },
-    /// The record was bootstrapped.
+    /// Announces that the record was bootstrapped.
     Bootstrapped {
-        /// Its id.
+        /// Id of the new record.
         record_id: u64,
-        /// Its first voters.
+        /// The first voters of the record, each with the name of its front.
         voters: BTreeMap<VoterId, String>,
     },
-    /// A Raft message.
+    /// A Raft message between voters.
     Raft {
-        /// The voter that it is for.
+        /// Id of the voter that the message is for.
         to: VoterId,
         /// The protobuf encoding of the `raft` crate's `Message`.
         message: Vec<u8>,
     },
 }
 
-impl Item {
+impl MessageItem {
     fn kind(&self) -> u8 {
         match self {
-            Item::Status(_) => 1,
-            Item::Pull { .. } => 2,
-            Item::Entries { .. } => 3,
-            Item::TextOffered { .. } => 4,
-            Item::RequestParts { .. } => 5,
-            Item::Part { .. } => 6,
-            Item::Propose { .. } => 7,
-            Item::Answered { .. } => 8,
-            Item::TextStored { .. } => 9,
-            Item::VoterPresent { .. } => 10,
-            Item::Bootstrapped { .. } => 11,
-            Item::Raft { .. } => 12,
+            MessageItem::Status(_) => 1,
+            MessageItem::Pull { .. } => 2,
+            MessageItem::Entries { .. } => 3,
+            MessageItem::TextOffered { .. } => 4,
+            MessageItem::RequestParts { .. } => 5,
+            MessageItem::Part { .. } => 6,
+            MessageItem::Propose { .. } => 7,
+            MessageItem::Answered { .. } => 8,
+            MessageItem::TextStored { .. } => 9,
+            MessageItem::VoterPresent { .. } => 10,
+            MessageItem::Bootstrapped { .. } => 11,
+            MessageItem::Raft { .. } => 12,
         }
     }
 }
 
-/// The highest kind that this program knows.
-const HIGHEST_KIND: u8 = 12;
+/// The highest item kind that this program knows.
+const HIGHEST_ITEM_KIND: u8 = 12;
 
-/// Why a datagram is no message.
+/// Why a received datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    /// Of another format version: its number.
-    #[error("the format version {0:#04x} is not supported")]
+    /// The datagram has another format version, whose number this is.
+    #[error("datagram format version {0:#04x} is not supported; expected {FORMAT_VERSION:#04x}")]
     UnsupportedVersion(u8),
-    /// Too long, truncated, with a wrong tag, or it can't be decoded.
-    #[error("the datagram is malformed")]
+    /// The datagram is too long, truncated, wrongly signed or can't be decoded.
+    #[error("datagram is too long, truncated, wrongly signed or can't be decoded")]
     Malformed,
 }
 
-/// A message and its sender.
+/// A decoded message with the name of its sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Received {
-    /// The sender's name.
+pub struct ReceivedMessage {
+    /// Name of the sending front.
     pub from: String,
-    /// What it sent, without items of unknown kinds.
-    pub items: Vec<Item>,
+    /// The message's items, without those of unknown kinds.
+    pub items: Vec<MessageItem>,
 }
 
-/// Encodes and signs a message. Whether the items fit is the caller's to see to.
-pub fn seal(keys: &Keyring, from: &str, items: &[Item]) -> Vec<u8> {
+/// Encodes and signs a message. The caller ensures that the items fit into a datagram, see
+/// [`item_capacity`].
+pub fn encode_signed(keys: &Keyring, from: &str, items: &[MessageItem]) -> Vec<u8> {
     let framed: Vec<(u8, Vec<u8>)> =
         items.iter().map(|i| (i.kind(), postcard::to_stdvec(i).unwrap_or_default())).collect();
-    let mut bytes = vec![VERSION, keys.signing_key()];
+    let mut bytes = vec![FORMAT_VERSION, keys.signing_key()];
     bytes.extend(postcard::to_stdvec(&(from, framed)).unwrap_or_default());
     keys.sign(&mut bytes);
     bytes
@@ -181,10 +186,10 @@
 /// Verifies and decodes a datagram.
 ///
 /// # Errors
-/// [`WireError`]: it is malformed, not signed by a key of the ring, or of another version.
-pub fn open(keys: &Keyring, bytes: &[u8]) -> Result<Received, WireError> {
+/// The datagram is malformed, not signed by a key of the keyring, or of another format version.
+pub fn decode_verified(keys: &Keyring, bytes: &[u8]) -> Result<ReceivedMessage, WireError> {
     let [version, key, ..] = bytes else { return Err(WireError::Malformed) };
-    if *version != VERSION {
+    if *version != FORMAT_VERSION {
         return Err(WireError::UnsupportedVersion(*version));
     }
     if bytes.len() > MAX_DATAGRAM_BYTES || bytes.len() < TAG_BYTES + 4 || !keys.verify(*key, bytes) {
@@ -193,27 +198,27 @@
     let body = &bytes[2..bytes.len() - TAG_BYTES];
     let decoded = postcard::take_from_bytes::<(String, Vec<(u8, Vec<u8>)>)>(body);
     let ((from, framed), rest) = decoded.map_err(|_| WireError::Malformed)?;
-    if !rest.is_empty() || framed.len() > MAX_ITEMS {
+    if !rest.is_empty() || framed.len() > MAX_ITEMS_PER_MESSAGE {
         return Err(WireError::Malformed);
     }
     let mut items = Vec::new();
-    for (kind, bytes) in framed.iter().filter(|f| f.0 <= HIGHEST_KIND) {
-        // What follows an item's known fields was added by a later program.
-        let (item, _) = postcard::take_from_bytes::<Item>(bytes).map_err(|_| WireError::Malformed)?;
+    for (kind, bytes) in framed.iter().filter(|f| f.0 <= HIGHEST_ITEM_KIND) {
+        // Bytes after an item's known fields were added by a later program, and are ignored.
+        let (item, _) = postcard::take_from_bytes::<MessageItem>(bytes).map_err(|_| WireError::Malformed)?;
         if item.kind() != *kind {
             return Err(WireError::Malformed);
         }
         items.push(item);
     }
-    Ok(Received { from, items })
+    Ok(ReceivedMessage { from, items })
 }
 
-/// The most bytes that an item takes in a message.
-pub fn encoded_size(item: &Item) -> usize {
+/// Upper bound on the bytes that an item takes in a message.
+pub fn encoded_size(item: &MessageItem) -> usize {
     postcard::experimental::serialized_size(item).unwrap_or(MAX_DATAGRAM_BYTES) + ITEM_FRAME_BYTES
 }
 
-/// Bytes for items in a message from a front of that name.
+/// Number of bytes available for items in one message from a front of the name `from`.
 pub fn item_capacity(from: &str) -> usize {
     MAX_DATAGRAM_BYTES - TAG_BYTES - HEADER_BYTES - from.len()
 }
--- a/crates/record/tests/common/mod.rs
+++ b/crates/record/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet in memory: records over a network with loss, delay and partitions, on disks that are retained, lost, or an
-//! hour old.
-#![allow(dead_code, reason = "each test uses a part")]
+//! A simulated fleet in memory: records over a network with loss, delay and partitions, on disks that are
+//! preserved, lost, or restored from an old copy.
+#![allow(dead_code, reason = "each test file uses only some of these items")]
 
 use fernslip_gossip::{Key, Keyring};
 use fernslip_record::rules::{Answer, Command, Operation};
@@ -10,54 +10,60 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-pub type Disk = BTreeMap<StorageKey, StoredValue>;
+/// The keys and values that a simulated front has written.
+pub type DiskContents = BTreeMap<StorageKey, StoredValue>;
 
-pub struct Front {
+/// A front with its disk and the answers that it has received; `record` is `None` while the front is
+/// stopped.
+pub struct SimulatedFront {
     pub record: Option<Record>,
-    pub disk: Disk,
+    pub disk: DiskContents,
     pub disk_id: u64,
     pub answers: BTreeMap<String, Answer>,
     pub writes_fail: bool,
 }
 
-/// A datagram on the network.
+/// A datagram on the simulated network.
 #[derive(Clone)]
-struct Delivery {
+struct InFlightDatagram {
     at_ms: f64,
     to: usize,
     bytes: Vec<u8>,
 }
 
-/// A front's progress, for messages of failed assertions.
+/// How far a front has come, printed by failed assertions.
 #[derive(Debug, PartialEq)]
-pub struct Progress {
+pub struct FrontProgress {
     pub applied_index: u64,
     pub version: u64,
     pub is_voter: bool,
 }
 
+/// Simulated fronts, the network between them and the invariants observed during the run.
 pub struct Fleet {
-    pub fronts: Vec<Front>,
+    pub fronts: Vec<SimulatedFront>,
     pub voters: Vec<String>,
     pub now: f64,
     pub loss: f64,
-    /// The network partition of a front, 0 by default: fronts of one don't reach those of another.
+    /// Network partition of each front by its index, 0 if absent; fronts of different partitions can't reach
+    /// each other.
     pub partition: BTreeMap<usize, usize>,
     rng: ChaCha8Rng,
-    in_flight: Vec<Delivery>,
-    /// The chain hash of any front at each (record, index), over the whole run: two would be two records.
+    in_flight: Vec<InFlightDatagram>,
+    /// Chain hashes seen on any front during the whole run, by record and log index; two hashes at one index
+    /// mean that two different entries were committed.
     pub chain_hashes: BTreeMap<(u64, u64), u64>,
-    /// The text of any front's version by (record, number).
+    /// Text digests seen on any front during the whole run, by record and version number.
     pub versions: BTreeMap<(u64, u64), Digest>,
     pub sent_bytes: u64,
-    seeds: u64,
+    next_seed: u64,
 }
 
-pub fn name(n: usize) -> String {
-    format!("f{n}")
+pub fn front_name(front: usize) -> String {
+    format!("f{front}")
 }
 
-pub fn keys() -> Keyring {
+pub fn test_keyring() -> Keyring {
     Keyring::new(Key::new(1, [9; 32]))
 }
 
@@ -65,7 +71,7 @@
     pub fn new(fronts: usize, voters: usize, seed: u64) -> Fleet {
         let mut f = Fleet {
             fronts: Vec::new(),
-            voters: (0..voters).map(name).collect(),
+            voters: (0..voters).map(front_name).collect(),
             now: 0.0,
             loss: 0.0,
             partition: BTreeMap::new(),
@@ -74,207 +80,231 @@
             chain_hashes: BTreeMap::new(),
             versions: BTreeMap::new(),
             sent_bytes: 0,
-            seeds: seed * 1000,
+            next_seed: seed * 1000,
         };
         for n in 0..fronts {
             let disk_id = f.rng.random();
-            f.fronts.push(Front {
+            f.fronts.push(SimulatedFront {
                 record: None,
-                disk: Disk::new(),
+                disk: DiskContents::new(),
                 disk_id,
                 answers: BTreeMap::new(),
                 writes_fail: false,
             });
-            f.start(n);
+            f.start_front(n);
         }
         f
     }
 
-    pub fn start(&mut self, n: usize) {
-        self.seeds += 1;
-        let config = Config { name: name(n), disk_id: self.fronts[n].disk_id, voters: self.voters.clone() };
-        let record = Record::new(config, keys(), self.fronts[n].disk.clone(), self.seeds, self.now);
-        self.fronts[n].record = Some(record);
+    /// Starts a front on the present contents of its disk.
+    pub fn start_front(&mut self, front: usize) {
+        self.next_seed += 1;
+        let config = Config {
+            name: front_name(front),
+            disk_id: self.fronts[front].disk_id,
+            voters: self.voters.clone(),
+        };
+        let record =
+            Record::new(config, test_keyring(), self.fronts[front].disk.clone(), self.next_seed, self.now);
+        self.fronts[front].record = Some(record);
         self.update_peers();
     }
 
-    pub fn kill(&mut self, n: usize) {
-        self.fronts[n].record = None;
+    /// Stops a front at once, as a crash does; its disk is preserved.
+    pub fn stop_front(&mut self, front: usize) {
+        self.fronts[front].record = None;
         self.update_peers();
     }
 
-    /// The disk is lost, or nothing on it is trusted: the front comes back on an empty one under a new id.
-    pub fn lose_disk(&mut self, n: usize) {
-        self.fronts[n].disk.clear();
-        self.fronts[n].disk_id = self.rng.random();
+    /// Empties a front's disk and gives it a new id, as if the disk was lost or nothing on it is trusted.
+    pub fn lose_disk(&mut self, front: usize) {
+        self.fronts[front].disk.clear();
+        self.fronts[front].disk_id = self.rng.random();
     }
 
     fn update_peers(&mut self) {
         let up: Vec<String> =
-            (0..self.fronts.len()).filter(|n| self.fronts[*n].record.is_some()).map(name).collect();
+            (0..self.fronts.len()).filter(|n| self.fronts[*n].record.is_some()).map(front_name).collect();
         for n in 0..self.fronts.len() {
-            self.feed(n, Event::Peers(up.clone()));
+            self.deliver_event(n, Event::Peers(up.clone()));
         }
     }
 
-    pub fn are_partitioned(&self, a: usize, b: usize) -> bool {
+    pub fn are_partitioned(&self, first: usize, second: usize) -> bool {
         let partition = |n: usize| self.partition.get(&n).copied().unwrap_or(0);
-        partition(a) != partition(b)
+        partition(first) != partition(second)
     }
 
-    pub fn feed(&mut self, n: usize, event: Event) {
+    /// Feeds an event to a front and carries out the resulting actions.
+    pub fn deliver_event(&mut self, front: usize, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
-            let Some(r) = &mut self.fronts[n].record else { return };
+            let Some(r) = &mut self.fronts[front].record else { return };
             let mut actions = Vec::new();
-            r.handle(self.now, event, &mut actions);
+            r.handle_event(self.now, event, &mut actions);
             for a in actions {
                 match a {
-                    Action::Write(_) if self.fronts[n].writes_fail => {
+                    Action::Write(_) if self.fronts[front].writes_fail => {
                         events.push(Event::DiskFailed);
                         break;
                     }
                     Action::Write(writes) => {
                         for Write { key, value } in writes {
                             match value {
-                                Some(value) => drop(self.fronts[n].disk.insert(key, value)),
-                                None => drop(self.fronts[n].disk.remove(&key)),
+                                Some(value) => drop(self.fronts[front].disk.insert(key, value)),
+                                None => drop(self.fronts[front].disk.remove(&key)),
                             }
                         }
                     }
                     Action::Send { to, bytes } => {
                         self.sent_bytes += bytes.len() as u64;
-                        let to: usize = to[1..].parse().expect("a front's name");
-                        if !self.are_partitioned(n, to) && self.rng.random::<f64>() >= self.loss {
+                        let to: usize = to[1..].parse().expect("the receiver is named f and its index");
+                        if !self.are_partitioned(front, to) && self.rng.random::<f64>() >= self.loss {
                             let delay_ms = self.rng.random_range(1.0..12.0);
-                            self.in_flight.push(Delivery { at_ms: self.now + delay_ms, to, bytes });
+                            self.in_flight.push(InFlightDatagram { at_ms: self.now + delay_ms, to, bytes });
                         }
                     }
                     Action::Validate { digest, text } => {
-                        let error = text.starts_with(b"wrong").then(|| "it is wrong".to_string());
+                        let error =
+                            text.starts_with(b"wrong").then(|| "the text begins with `wrong`".to_string());
                         events.push(Event::Validated { digest, error });
                     }
                     Action::Answered { key, answer } => {
-                        let before = self.fronts[n].answers.insert(key, answer.clone());
-                        assert!(before.is_none_or(|b| b == answer), "two answers");
+                        let before = self.fronts[front].answers.insert(key, answer.clone());
+                        assert!(
+                            before.is_none_or(|b| b == answer),
+                            "a command must not get two different answers"
+                        );
                     }
                     Action::StateChanged => {}
                 }
             }
-            self.check_invariants(n);
+            self.check_invariants(front);
         }
     }
 
-    /// What must hold at every moment: one record, and one meaning of each version.
-    fn check_invariants(&mut self, n: usize) {
-        let Some(record) = &self.fronts[n].record else { return };
+    /// Asserts what must hold at every moment: all fronts follow one log, and a version has the same text at
+    /// all fronts.
+    fn check_invariants(&mut self, front: usize) {
+        let Some(record) = &self.fronts[front].record else { return };
         let RecordState { record_id, applied_index, chain_hash, rules, .. } = record.state();
         if *record_id == 0 {
             return;
         }
         let known = *self.chain_hashes.entry((*record_id, *applied_index)).or_insert(*chain_hash);
-        assert_eq!(known, *chain_hash, "front {n}: two records at {applied_index} of {record_id:x}");
+        assert_eq!(
+            known, *chain_hash,
+            "front {front} has another chain hash than other fronts at index {applied_index}, \
+             record {record_id:x}"
+        );
         for v in rules.versions() {
             let known = *self.versions.entry((*record_id, v.number)).or_insert(v.digest);
-            assert_eq!(known, v.digest, "version {} means two things", v.number);
+            assert_eq!(known, v.digest, "version {} has two different texts", v.number);
         }
     }
 
-    pub fn run(&mut self, ms: f64) {
+    /// Runs the simulation for that many milliseconds, in steps of 5 ms.
+    pub fn run_for(&mut self, ms: f64) {
         let end = self.now + ms;
         while self.now < end {
             self.now += 5.0;
             let now = self.now;
-            let (mut due, in_flight): (Vec<Delivery>, Vec<Delivery>) =
+            let (mut due, in_flight): (Vec<InFlightDatagram>, Vec<InFlightDatagram>) =
                 std::mem::take(&mut self.in_flight).into_iter().partition(|d| d.at_ms <= now);
             self.in_flight = in_flight;
             due.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
-            for Delivery { to, bytes, .. } in due {
-                self.feed(to, Event::Datagram(bytes));
+            for InFlightDatagram { to, bytes, .. } in due {
+                self.deliver_event(to, Event::Datagram(bytes));
             }
             for n in 0..self.fronts.len() {
-                if self.fronts[n].record.as_ref().is_some_and(|r| r.wake_at() <= now) {
-                    self.feed(n, Event::Tick);
+                if self.fronts[n].record.as_ref().is_some_and(|r| r.next_tick_at_ms() <= now) {
+                    self.deliver_event(n, Event::Tick);
                 }
             }
         }
     }
 
-    /// Runs until a condition holds; how long it took, in milliseconds.
-    pub fn run_until(&mut self, max_ms: f64, what: &str, condition: impl Fn(&Fleet) -> bool) -> f64 {
+    /// Runs until a condition holds and returns the time taken in milliseconds; panics after `max_ms`.
+    /// `goal` names the condition in the panic text.
+    pub fn run_until(&mut self, max_ms: f64, goal: &str, condition: impl Fn(&Fleet) -> bool) -> f64 {
         let start = self.now;
         while !condition(self) {
-            assert!(self.now - start < max_ms, "not within {max_ms} ms: {what}; {:?}", self.progress());
-            self.run(5.0);
+            assert!(
+                self.now - start < max_ms,
+                "timed out after {max_ms} ms before {goal}; progress of the fronts: {:?}",
+                self.progress()
+            );
+            self.run_for(5.0);
         }
         self.now - start
     }
 
-    /// The fronts that run.
-    pub fn running(&self) -> impl Iterator<Item = &Record> {
+    /// The records of the fronts that are running.
+    pub fn running_records(&self) -> impl Iterator<Item = &Record> {
         self.fronts.iter().filter_map(|f| f.record.as_ref())
     }
 
-    pub fn progress(&self) -> Vec<Progress> {
-        let progress = |r: &Record| Progress {
+    pub fn progress(&self) -> Vec<FrontProgress> {
+        let progress = |r: &Record| FrontProgress {
             applied_index: r.state().applied_index,
             version: r.state().rules.current(),
             is_voter: r.is_voter(),
         };
-        self.running().map(progress).collect()
+        self.running_records().map(progress).collect()
     }
 
-    pub fn leader(&self) -> Option<usize> {
+    pub fn leader_index(&self) -> Option<usize> {
         (0..self.fronts.len()).find(|n| self.fronts[*n].record.as_ref().is_some_and(Record::is_leader))
     }
 
-    /// Whether that version is current on all fronts that run, and its text is there.
-    pub fn all_at(&self, version: u64) -> bool {
-        let is_at =
-            |r: &Record| r.state().rules.current() == version && (version == 0 || r.text(version).is_some());
-        self.running().all(is_at)
+    /// Whether that version is current on all running fronts and its text has arrived there.
+    pub fn all_have_version(&self, version: u64) -> bool {
+        let is_at = |r: &Record| {
+            r.state().rules.current() == version && (version == 0 || r.version_text(version).is_some())
+        };
+        self.running_records().all(is_at)
     }
 
-    pub fn command(&self, key: &str, operation: Operation) -> Command {
+    pub fn new_command(&self, key: &str, operation: Operation) -> Command {
         let (author, reason) = ("ops".into(), "a test".into());
         Command { key: key.into(), author, reason, at_unix_ms: 1, operation }
     }
 
-    pub fn edit(&mut self, n: usize, key: &str, base: u64, text: &str) {
+    pub fn propose_edit(&mut self, front: usize, key: &str, base: u64, text: &str) {
         let operation =
             Operation::Edit { base, digest: Digest::of(text.as_bytes()), bytes: text.len() as u32 };
-        let command = self.command(key, operation);
-        self.feed(n, Event::Propose { command, text: Some(text.as_bytes().to_vec()) });
+        let command = self.new_command(key, operation);
+        self.deliver_event(front, Event::Propose { command, text: Some(text.as_bytes().to_vec()) });
     }
 
-    pub fn undo(&mut self, n: usize, key: &str, base: u64, to: u64, acknowledged: &[u64]) {
+    pub fn propose_undo(&mut self, front: usize, key: &str, base: u64, to: u64, acknowledged: &[u64]) {
         let acknowledged = acknowledged.to_vec();
-        let command = self.command(key, Operation::Undo { base, to, acknowledged });
-        self.feed(n, Event::Propose { command, text: None });
+        let command = self.new_command(key, Operation::Undo { base, to, acknowledged });
+        self.deliver_event(front, Event::Propose { command, text: None });
     }
 
-    pub fn answer(&self, n: usize, key: &str) -> Option<&Answer> {
-        self.fronts[n].answers.get(key)
+    pub fn answer_at(&self, front: usize, key: &str) -> Option<&Answer> {
+        self.fronts[front].answers.get(key)
     }
 
-    /// A fleet whose record is bootstrapped and has a leader.
-    pub fn bootstrapped(fronts: usize, voters: usize, seed: u64) -> Fleet {
+    /// A fleet whose record is bootstrapped at all fronts and has a leader.
+    pub fn new_bootstrapped(fronts: usize, voters: usize, seed: u64) -> Fleet {
         let mut f = Fleet::new(fronts, voters, seed);
-        f.run_until(8_000.0, "bootstrapped and led", |f| {
-            f.leader().is_some() && f.running().all(|r| r.state().record_id != 0)
+        f.run_until(8_000.0, "the record was bootstrapped and had a leader", |f| {
+            f.leader_index().is_some() && f.running_records().all(|r| r.state().record_id != 0)
         });
         f
     }
 
-    pub fn random(&mut self, below: usize) -> usize {
+    pub fn random_below(&mut self, below: usize) -> usize {
         self.rng.random_range(0..below)
     }
 
-    pub fn chance(&mut self, p: f64) -> bool {
-        self.rng.random::<f64>() < p
+    pub fn random_chance(&mut self, probability: f64) -> bool {
+        self.rng.random::<f64>() < probability
     }
 
     pub fn record_ids(&self) -> BTreeSet<u64> {
-        self.running().map(|r| r.state().record_id).collect()
+        self.running_records().map(|r| r.state().record_id).collect()
     }
 }
--- a/crates/store/src/marks.rs
+++ b/crates/store/src/marks.rs
@@ -1,16 +1,16 @@
-//! Whether the state on a disk is current or was restored from an earlier time.
+//! Detection of a disk that was lost or restored from an earlier copy.
 
 use crate::layers::Layer;
 use serde::{Deserialize, Serialize};
 
-/// How far a disk has come; reported to other fronts, which remember it for this one.
+/// Identity and counters of a disk. A front reports them to other fronts, which remember them for it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Marks {
-    /// Drawn when the disk was empty: a disk that was lost and recreated has another.
+    /// Random id drawn when the disk was empty; a disk that was lost and recreated has another id.
     pub disk: u64,
-    /// Starts of the front on this disk, this one included.
+    /// Number of starts of the front on this disk, including the present one.
     pub boots: u64,
-    /// Commits on this disk.
+    /// Number of commits on this disk.
     pub commits: u64,
 }
 
@@ -20,45 +20,48 @@
     type Key = ();
 }
 
-/// How far a front may trust its disk.
+/// Whether a front may trust the contents of its disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trust {
-    /// At least as far as others remember: its contents were true when the front last ran.
+pub enum DiskTrust {
+    /// The disk is at least as recent as other fronts remember: its contents were true when the front last
+    /// ran.
     Current,
-    /// The disk is empty, and nobody remembers another: there is nothing to trust.
+    /// The disk is empty, and no other front remembers this front: there is nothing to trust.
     Fresh,
-    /// Others remember this disk at a later state: it was restored from an earlier one. Nothing on it is trusted.
+    /// Other fronts remember this disk in a later state, so it was restored from an earlier one. Nothing on
+    /// it is trusted.
     Behind {
-        /// Least number of missing commits, or of starts where commits don't show it.
+        /// Minimum number of missing commits, or of missing starts if the commit count does not reveal it.
         by: u64,
     },
-    /// Others remember another disk of this front: this one is a copy, an older one, or was recreated. Nothing on it is
-    /// trusted, and votes that the front gave are lost with the other.
+    /// Other fronts remember another disk of this front, so this disk is a copy, an older one, or was
+    /// recreated. Nothing on it is trusted, and votes that the front gave are lost with the other disk.
     Other,
-    /// Nobody has answered yet.
+    /// No other front has answered yet.
     Unknown,
 }
 
 impl Marks {
-    /// Compares what was found on the disk at this start with the furthest that any other remembers of this front:
-    /// `None` where nobody has answered yet. One who remembers nothing of it answers `Marks::default()`.
-    pub fn trust(found: Option<Marks>, remembered: Option<Marks>) -> Trust {
+    /// Compares the marks found on the disk at this start with the latest marks that any other front
+    /// remembers of this front. `remembered` is `None` if no front has answered yet; a front that remembers
+    /// nothing answers `Marks::default()`.
+    pub fn assess_trust(found: Option<Marks>, remembered: Option<Marks>) -> DiskTrust {
         match (found, remembered) {
-            (_, None) => Trust::Unknown,
-            (None, Some(m)) if m == Marks::default() => Trust::Fresh,
-            (None, Some(_)) => Trust::Other,
-            (Some(_), Some(m)) if m == Marks::default() => Trust::Current,
-            (Some(f), Some(m)) if f.disk != m.disk => Trust::Other,
-            (Some(f), Some(m)) if f.commits < m.commits => Trust::Behind { by: m.commits - f.commits },
-            // The commit counts of two runs of one disk may be equal; the starts between them are not.
-            (Some(f), Some(m)) if f.boots < m.boots => Trust::Behind { by: m.boots - f.boots },
-            _ => Trust::Current,
+            (_, None) => DiskTrust::Unknown,
+            (None, Some(m)) if m == Marks::default() => DiskTrust::Fresh,
+            (None, Some(_)) => DiskTrust::Other,
+            (Some(_), Some(m)) if m == Marks::default() => DiskTrust::Current,
+            (Some(f), Some(m)) if f.disk != m.disk => DiskTrust::Other,
+            (Some(f), Some(m)) if f.commits < m.commits => DiskTrust::Behind { by: m.commits - f.commits },
+            // Two runs on one disk may reach the same commit count, but each start raises the boot count.
+            (Some(f), Some(m)) if f.boots < m.boots => DiskTrust::Behind { by: m.boots - f.boots },
+            _ => DiskTrust::Current,
         }
     }
 
-    /// The marks to remember once the front has reported `later` itself. Reports may come in any order within one disk's
-    /// life; of another disk the host accepts only what a later start of the front reports, since a late report would
-    /// bring the old disk back.
+    /// The marks to remember after the front has reported `later`. Reports on one disk may arrive in any
+    /// order. For a change of disk the caller passes only reports of a later start of the front, since a
+    /// delayed report would bring the old disk back.
     pub fn merged_with(self, later: Marks) -> Marks {
         if self.disk != later.disk {
             return later;
--- a/crates/store/src/marks/tests.rs
+++ b/crates/store/src/marks/tests.rs
@@ -1,28 +1,32 @@
-//! Unit tests of a disk's marks.
+//! Tests of comparing and merging a disk's marks.
 
 use super::*;
 
-const fn m(disk: u64, boots: u64, commits: u64) -> Marks {
+const fn marks(disk: u64, boots: u64, commits: u64) -> Marks {
     Marks { disk, boots, commits }
 }
 
 #[test]
-fn a_disk_is_trusted_only_where_nobody_remembers_a_later_state() {
+fn a_disk_is_trusted_only_if_no_other_front_remembers_a_later_state() {
     let table = [
-        (Some(m(1, 3, 40)), None, Trust::Unknown),
-        (None, None, Trust::Unknown),
-        (None, Some(Marks::default()), Trust::Fresh),
-        (None, Some(m(1, 3, 40)), Trust::Other),
-        (Some(m(1, 3, 40)), Some(Marks::default()), Trust::Current),
-        (Some(m(1, 3, 40)), Some(m(1, 3, 40)), Trust::Current),
-        (Some(m(1, 3, 41)), Some(m(1, 3, 40)), Trust::Current),
-        (Some(m(1, 3, 30)), Some(m(1, 3, 40)), Trust::Behind { by: 10 }),
-        (Some(m(1, 2, 40)), Some(m(1, 3, 40)), Trust::Behind { by: 1 }),
-        (Some(m(2, 9, 90)), Some(m(1, 3, 40)), Trust::Other),
+        (Some(marks(1, 3, 40)), None, DiskTrust::Unknown),
+        (None, None, DiskTrust::Unknown),
+        (None, Some(Marks::default()), DiskTrust::Fresh),
+        (None, Some(marks(1, 3, 40)), DiskTrust::Other),
+        (Some(marks(1, 3, 40)), Some(Marks::default()), DiskTrust::Current),
+        (Some(marks(1, 3, 40)), Some(marks(1, 3, 40)), DiskTrust::Current),
+        (Some(marks(1, 3, 41)), Some(marks(1, 3, 40)), DiskTrust::Current),
+        (Some(marks(1, 3, 30)), Some(marks(1, 3, 40)), DiskTrust::Behind { by: 10 }),
+        (Some(marks(1, 2, 40)), Some(marks(1, 3, 40)), DiskTrust::Behind { by: 1 }),
+        (Some(marks(2, 9, 90)), Some(marks(1, 3, 40)), DiskTrust::Other),
     ];
-    for (found, remembered, is) in table {
-        assert_eq!(Marks::trust(found, remembered), is, "{found:?} {remembered:?}");
+    for (found, remembered, expected) in table {
+        assert_eq!(
+            Marks::assess_trust(found, remembered),
+            expected,
+            "found {found:?}, remembered {remembered:?}"
+        );
     }
-    assert_eq!(m(1, 3, 40).merged_with(m(1, 4, 30)), m(1, 4, 40));
-    assert_eq!(m(1, 3, 40).merged_with(m(2, 1, 1)), m(2, 1, 1));
+    assert_eq!(marks(1, 3, 40).merged_with(marks(1, 4, 30)), marks(1, 4, 40));
+    assert_eq!(marks(1, 3, 40).merged_with(marks(2, 1, 1)), marks(2, 1, 1));
 }
--- a/crates/store/src/ordered.rs
+++ b/crates/store/src/ordered.rs
@@ -3,15 +3,16 @@
 use redb::StorageBackend;
 use std::io;
 
-/// Makes each change of the file's length durable before anything else is written, and what came before it durable first.
+/// Syncs before and after each change of the file's length, so that neither earlier nor later writes are
+/// reordered with it.
 ///
-/// This guards against a loss of power that retains a write but not the change of length before it: part of a write past
-/// the old end then sets the length, the file ends within a page, and a store whose commits were all durable can no
-/// longer be opened. Growing and shrinking are rare, so two more syncs each are cheap.
+/// A disk may retain a write but lose the change of length before it when power fails. Part of a write past
+/// the old end then sets the length, the file ends within a page, and a store whose commits were all durable
+/// can no longer be opened. Growing and shrinking are rare, so two additional syncs each are cheap.
 #[derive(Debug)]
-pub(crate) struct Ordered<B>(pub B);
+pub(crate) struct OrderedDisk<B>(pub B);
 
-impl<B: StorageBackend> StorageBackend for Ordered<B> {
+impl<B: StorageBackend> StorageBackend for OrderedDisk<B> {
     fn len(&self) -> io::Result<u64> {
         self.0.len()
     }
--- a/crates/store/tests/stored_data.rs
+++ b/crates/store/tests/stored_data.rs
@@ -1,38 +1,40 @@
-//! Stored data stays readable: a store file written by the code of an earlier landing opens with the code of now and
-//! reads back the same values and marks.
+//! Tests that stored data stays readable: a store file written by an earlier version of the code opens with
+//! the present code and returns the same values and marks.
 //!
 //! # How `tests/data/written-by-e2efe9d.redb` was made
 //!
-//! In a scratch worktree at commit `e2efe9d` ("Starts of nodes keep their time; which finds had a failing test first"),
-//! a temporary example (never committed) opened `fernslip_store::file(...)` on a new, empty file with the fresh disk id
-//! [`DISK_ID`] and made two commits after the one that `Store::open` makes:
+//! In a separate worktree at commit `e2efe9d` ("Starts of nodes keep their time; which finds had a failing
+//! test first"), a temporary example (never committed) opened `fernslip_store::file(...)` on a new, empty
+//! file with the new disk id [`DISK_ID`]. It made two commits after the one that `Store::open` makes:
 //!
-//! 1. one change of every layer kind in `src/layers.rs`: a [`Position`]; a [`Purge`] under each kind of [`PurgeTarget`]
-//!    key (`Object`, `Group`, `All`); two [`AvoidedNode`] cache nodes (one excluded by hand, one not); three [`Peer`]
-//!    peers (`front-1`, `front-2`, `front-gone`); an [`InDoubtWrite`] under id 77; and a [`Raw`] value under
-//!    `("view", 2)`;
+//! 1. one change of every layer kind in `src/layers.rs`: a [`Position`]; a [`Purge`] under each kind of
+//!    [`PurgeTarget`] key (`Object`, `Group`, `All`); two [`AvoidedNode`] cache nodes (one excluded
+//!    manually, one not); three [`Peer`] peers (`front-1`, `front-2`, `front-gone`); an [`InDoubtWrite`]
+//!    under id 77; and a [`RawBytes`] value under `("view", 2)`;
 //! 2. a removal of the peer `front-gone` and an [`InDoubtWrite`] under id 78.
 //!
-//! It then dropped the store. The example printed `Marks { disk: 15593365331693, boots: 1, commits: 3 }`. To make a
-//! file for a later landing, do the same at that commit with the values below, and add a file beside this one.
+//! It then dropped the store. The example printed `Marks { disk: 15593365331693, boots: 1, commits: 3 }`. To
+//! make a file for a later version of the code, do the same at that commit with the values below, and add a
+//! file beside this one.
 
-use fernslip_store::layers::{AvoidedNode, InDoubtWrite, Peer, Position, Purge, PurgeTarget, Raw};
+use fernslip_store::layers::{AvoidedNode, InDoubtWrite, Peer, Position, Purge, PurgeTarget, RawBytes};
 use fernslip_store::{file, LayerContents, Marks, Store, StoreError};
 use std::path::PathBuf;
 
-/// The fresh disk id that the writing program gave to the empty file.
+/// Disk id that the example gave to the empty file.
 const DISK_ID: u64 = 0x0e2e_9d00_5eed;
-/// The fresh disk id offered on reopening; it must not be taken, since the disk is not empty.
+/// New disk id offered when the file is reopened; it must not be used, since the disk is not empty.
 const UNUSED_DISK_ID: u64 = 0xbeef;
 
-/// Copies the committed file to a temporary directory, so that the committed file is never opened for writing, and
-/// opens the copy with the code of now.
+/// Copies the committed file to a temporary directory and opens the copy, so that the committed file is
+/// never written to.
 fn open_copy_of(name: &str) -> Result<(tempfile::TempDir, Store, Option<Marks>), StoreError> {
     let committed: PathBuf = [env!("CARGO_MANIFEST_DIR"), "tests", "data", name].iter().collect();
-    let scratch = tempfile::tempdir().expect("a temporary directory");
+    let scratch = tempfile::tempdir().expect("a temporary directory can be created");
     let copy = scratch.path().join(name);
     std::fs::copy(&committed, &copy).expect("the committed store file can be copied");
-    let opened = std::fs::OpenOptions::new().read(true).write(true).open(&copy).expect("the copy opens");
+    let opened =
+        std::fs::OpenOptions::new().read(true).write(true).open(&copy).expect("the copy can be opened");
     let (store, found) = Store::open(file(opened)?, UNUSED_DISK_ID)?;
     Ok((scratch, store, found))
 }
@@ -44,7 +46,7 @@
     assert_eq!(
         store.marks(),
         Marks { disk: DISK_ID, boots: 2, commits: 4 },
-        "this start is counted on the old disk"
+        "this start and its commit must be counted on the existing disk"
     );
     Ok(())
 }
@@ -97,7 +99,7 @@
             damaged: 0,
         }
     );
-    assert_eq!(store.get::<Peer>(&"front-gone".to_string())?, None, "a removed peer stays removed");
+    assert_eq!(store.get::<Peer>(&"front-gone".to_string())?, None, "a removed peer must stay removed");
 
     assert_eq!(
         store.all::<InDoubtWrite>()?,
@@ -111,8 +113,11 @@
     );
 
     assert_eq!(
-        store.all::<Raw>()?,
-        LayerContents { entries: vec![(("view".to_string(), 2), Raw(vec![0, 1, 2, 254, 255]))], damaged: 0 }
+        store.all::<RawBytes>()?,
+        LayerContents {
+            entries: vec![(("view".to_string(), 2), RawBytes(vec![0, 1, 2, 254, 255]))],
+            damaged: 0
+        }
     );
     Ok(())
 }
