--- a/crates/record/src/texts.rs
+++ b/crates/record/src/texts.rs
@@ -8,8 +8,8 @@
 pub const PART_BYTES: usize = 960;
 /// Maximum size of a text in bytes.
 pub const MAX_TEXT_BYTES: usize = 256 << 10;
-/// Maximum number of parts in one request. Lost parts are requested again, and the window keeps a sender
-/// from being flooded with requests.
+/// Maximum number of parts in one request. Lost parts are requested again, and the limit prevents fronts
+/// from being flooded with parts.
 pub const MAX_PARTS_PER_REQUEST: usize = 16;
 /// Maximum number of texts that are reassembled at the same time.
 const MAX_PARTIAL_TEXTS: usize = 8;
--- a/crates/record/tests/fleet.rs
+++ b/crates/record/tests/fleet.rs
@@ -147,8 +147,8 @@
     assert_eq!(f.answer_at(5, "b"), Some(&Ok(2)));
 }
 
-/// Shows why a voter must not vote under an old id: on a disk restored from an old copy, it votes twice in
-/// one term.
+/// Shows why a voter must not vote under an old id: on a disk restored from an old copy, it votes a second
+/// time.
 #[test]
 fn trusting_a_disk_restored_from_an_old_copy_loses_committed_entries() {
     let run = |trusted: bool| {
