--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -71,7 +71,7 @@
     #[error("the disk failed or holds no valid store: {0}")]
     Disk(String),
     /// A value is damaged: the name of its layer, and the kind of damage.
-    #[error("layer {0}: a value is damaged: {1}")]
+    #[error("damaged value in layer {0}: {1}")]
     Damaged(&'static str, &'static str),
     /// A value was written by a later version of the program: the name of its layer, and its format version.
     #[error("layer {0}: a value has format version {1}, which only a later version of the program can read")]
@@ -136,17 +136,17 @@
 
 fn decode_value<L: Layer>(key: &[u8], framed: &[u8]) -> Result<L, StoreError> {
     if framed.len() < FRAME_BYTES {
-        return Err(StoreError::Damaged(L::NAME, "it is shorter than its version and checksum"));
+        return Err(StoreError::Damaged(L::NAME, "the value is shorter than its version and checksum"));
     }
     let (body, checksum) = framed.split_at(framed.len() - 4);
     if crc32c::crc32c_append(crc32c::crc32c(key), body).to_be_bytes() != checksum {
-        return Err(StoreError::Damaged(L::NAME, "its checksum does not match"));
+        return Err(StoreError::Damaged(L::NAME, "the value's checksum does not match"));
     }
     let version = u16::from_be_bytes([body[0], body[1]]);
     if version > L::VERSION {
         return Err(StoreError::LaterVersion(L::NAME, version));
     }
-    L::decode(version, &body[2..]).ok_or(StoreError::Damaged(L::NAME, "it can't be decoded"))
+    L::decode(version, &body[2..]).ok_or(StoreError::Damaged(L::NAME, "the value can't be decoded"))
 }
 
 /// Runs a disk operation and turns a panic into an error: the database may panic on damaged contents, which
