--- a/crates/import/benches/import.rs
+++ b/crates/import/benches/import.rs
@@ -1,13 +1,15 @@
-//! Imports of generated files with 1,000, 10,000 and 50,000 members: time, and peak memory above the baseline.
-//! Both are also given for each member, which is what has to stay the same. The document that comes out is read back.
+//! Measures the time and the peak memory of importing generated files with 1,000, 10,000 and 50,000 members,
+//! and the time of parsing the resulting document. Each figure is also given per member, which should not
+//! grow with their number.
 
-use fernslip_import::{httpd, modjk, Imported, Memory, Options};
+use fernslip_import::{httpd, modjk, Imported, MemoryFiles, Options};
 use fernslip_site::Site;
 use std::time::{Duration, Instant};
 
-const RUNS: usize = 10;
+/// The number of timed imports, of which the median is printed.
+const TIMED_IMPORTS: usize = 10;
 
-fn httpd_files(members: usize) -> Memory {
+fn httpd_files(members: usize) -> MemoryFiles {
     let mut text = String::from("<Proxy balancer://big>\n");
     for i in 0..members {
         let (a, b, c) = (i >> 16, i >> 8 & 255, i & 255);
@@ -18,10 +20,10 @@
         );
     }
     text += "</Proxy>\nProxyPass / balancer://big/\n";
-    Memory::from_files([("httpd.conf", text.as_bytes())])
+    MemoryFiles::from_files([("httpd.conf", text.as_bytes())])
 }
 
-fn jk_files(members: usize) -> Memory {
+fn modjk_files(members: usize) -> MemoryFiles {
     let mut text = String::from("worker.list=lb\nworker.t.type=ajp13\nworker.t.socket_connect_timeout=500\n");
     let mut all = Vec::new();
     for i in 0..members {
@@ -33,23 +35,27 @@
         all.push(format!("w{i}"));
     }
     text += &format!("worker.lb.type=lb\nworker.lb.balance_workers={}\n", all.join(","));
-    Memory::from_files([("workers.properties", text.as_bytes()), ("uriworkermap.properties", b"/*=lb\n")])
+    MemoryFiles::from_files([
+        ("workers.properties", text.as_bytes()),
+        ("uriworkermap.properties", b"/*=lb\n"),
+    ])
 }
 
-/// Peak resident memory of this process since it was last reset, in KB.
-fn peak_kb() -> Option<u64> {
+/// The peak resident memory of this process in kilobytes, as the kernel reports it.
+fn peak_memory_kb() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     status.lines().find_map(|l| l.strip_prefix("VmHWM:"))?.split_whitespace().next()?.parse().ok()
 }
 
-fn median(mut all: Vec<Duration>) -> Duration {
-    all.sort();
-    all[all.len() / 2]
+fn median(mut durations: Vec<Duration>) -> Duration {
+    durations.sort();
+    durations[durations.len() / 2]
 }
 
-/// One row, in a process of its own: memory that an earlier import gave back would hide a later one's.
-fn row(format: &str, members: usize) {
-    let files = if format == "httpd" { httpd_files(members) } else { jk_files(members) };
+/// Measures one row and prints it. Each row needs its own process, because memory freed by an earlier import
+/// would be reused and hide the peak of a later one.
+fn print_row(format: &str, members: usize) {
+    let files = if format == "httpd" { httpd_files(members) } else { modjk_files(members) };
     let import = || -> Imported {
         let imported = match format {
             "httpd" => httpd(&files, &["httpd.conf".into()], &Options::default()),
@@ -58,29 +64,29 @@
                 modjk(&files, &[w], &[m], &[], &Options::default())
             }
         };
-        imported.unwrap_or_else(|e| panic!("{e}"))
+        imported.unwrap_or_else(|e| panic!("the import of the generated {format} files failed: {e}"))
     };
-    let before = peak_kb().unwrap_or(0);
+    let before = peak_memory_kb().unwrap_or(0);
     let first = import();
-    let peak = peak_kb().unwrap_or(0).saturating_sub(before);
+    let peak = peak_memory_kb().unwrap_or(0).saturating_sub(before);
     assert_eq!(first.site.members.len(), members);
     let time = |f: &dyn Fn()| {
-        let at = Instant::now();
+        let started = Instant::now();
         f();
-        at.elapsed()
+        started.elapsed()
     };
-    let took = median((0..RUNS).map(|_| time(&|| drop(import()))).collect());
+    let import_time = median((0..TIMED_IMPORTS).map(|_| time(&|| drop(import()))).collect());
     let text = first.site.to_kdl();
-    let read = median((0..3).map(|_| time(&|| assert!(Site::parse("s", &text).is_ok()))).collect());
-    let each = |d: Duration| d.as_secs_f64() * 1e6 / members as f64;
+    let parse_time = median((0..3).map(|_| time(&|| assert!(Site::parse("s", &text).is_ok()))).collect());
+    let per_member_us = |d: Duration| d.as_secs_f64() * 1e6 / members as f64;
     println!(
         "| {format} | {members} | {} ms | {:.1} µs | {:.1} MB | {:.1} KB | {} ms | {:.0} µs |",
-        took.as_millis(),
-        each(took),
+        import_time.as_millis(),
+        per_member_us(import_time),
         peak as f64 / 1024.0,
         peak as f64 / members as f64,
-        read.as_millis(),
-        each(read)
+        parse_time.as_millis(),
+        per_member_us(parse_time)
     );
 }
 
@@ -88,16 +94,19 @@
     let args: Vec<String> = std::env::args().collect();
     if let [_, format, members] = &args[..] {
         if let Ok(members) = members.parse() {
-            return row(format, members);
+            return print_row(format, members);
         }
     }
-    println!("| format | members | import | a member | peak memory | a member | reading back | a member |");
+    println!("| format | members | import | per member | peak memory | per member | parsing | per member |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for format in ["httpd", "mod_jk"] {
         for members in ["1000", "10000", "50000"] {
-            let program = std::env::current_exe().expect("this program");
+            let program = std::env::current_exe().expect("the path of this program is known");
             let ended = std::process::Command::new(program).args([format, members]).status();
-            assert!(ended.is_ok_and(|s| s.success()), "{format} {members}");
+            assert!(
+                ended.is_ok_and(|s| s.success()),
+                "the measurement of {format} with {members} members failed"
+            );
         }
     }
 }
--- a/crates/import/examples/coverage.rs
+++ b/crates/import/examples/coverage.rs
@@ -1,5 +1,5 @@
-//! Prints the tables of `docs/operate/import.md`.
+//! Prints the tables that `docs/operate/import.md` contains.
 
 fn main() {
-    print!("{}", fernslip_import::coverage::markdown());
+    print!("{}", fernslip_import::coverage::markdown_tables());
 }
--- a/crates/import/src/builder.rs
+++ b/crates/import/src/builder.rs
@@ -1,4 +1,4 @@
-//! The site under construction: members that several pools share, unique names, sets of routes.
+//! Builds the site: shares members among pools, assigns unique names, and merges sets of routes.
 
 use crate::endpoint::Endpoint;
 use crate::ledger::{Item, Ledger};
@@ -9,12 +9,13 @@
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet};
 
-/// Names, each assigned once.
+/// The names that have been assigned, each only once.
 #[derive(Default)]
-pub(crate) struct UniqueNames(HashSet<String>);
+pub(crate) struct AssignedNames(HashSet<String>);
 
-impl UniqueNames {
-    /// The name, with a number appended where it is taken already.
+impl AssignedNames {
+    /// Assigns the wanted name, or `NAME#2`, `NAME#3` and so on if it is already taken. An empty name becomes
+    /// `unnamed`.
     pub fn assign(&mut self, wanted: &str) -> String {
         let wanted = if wanted.is_empty() { "unnamed" } else { wanted };
         let mut name = wanted.to_string();
@@ -27,30 +28,32 @@
     }
 }
 
-/// A set of routes under construction.
+/// The rules of a set of routes, before sets that share hosts are merged.
 #[derive(Default)]
 pub(crate) struct RouteRules {
+    /// The hosts of the set; empty for the hosts that no other set names.
     pub hosts: Vec<String>,
+    /// Whether the main server's rules apply after these.
     pub inherit: bool,
-    /// Rules of which the first that matches wins.
+    /// Rules from `ProxyPass`, of which the first that matches is used.
     pub first_match: Vec<SourcedRoute>,
-    /// Rules of which the longest that matches wins.
+    /// Rules from mod_jk mounts, of which the longest that matches is used.
     pub longest_match: Vec<SourcedRoute>,
 }
 
-/// A rule, and the directive that it comes from.
+/// A route, and the directive that it was made from.
 #[derive(Clone, Debug)]
 pub(crate) struct SourcedRoute {
     pub route: Route,
     pub item: Item,
 }
 
-/// The site under construction.
+/// The site while it is being built, and the names and members that are already in it.
 #[derive(Default)]
 pub(crate) struct SiteBuilder {
     pub site: Site,
-    pub member_names: UniqueNames,
-    pub pool_names: UniqueNames,
+    pub member_names: AssignedNames,
+    pub pool_names: AssignedNames,
     members: HashMap<(Endpoint, String), String>,
 }
 
@@ -60,19 +63,20 @@
         SiteBuilder { site, ..SiteBuilder::default() }
     }
 
-    /// The id of the member for an endpoint with these limits; balancers that agree on both share it.
-    pub fn member(&mut self, endpoint: &Endpoint, limits: MemberLimits) -> String {
+    /// Returns the id of the member with this endpoint and these limits, and adds the member if there is none
+    /// yet. Balancers with the same endpoint and limits share the member.
+    pub fn shared_member(&mut self, endpoint: &Endpoint, limits: MemberLimits) -> String {
         let key = (endpoint.clone(), format!("{limits:?}"));
         if let Some(id) = self.members.get(&key) {
             return id.clone();
         }
-        let id = self.named_member(&endpoint.id(), endpoint, limits);
+        let id = self.add_member(&endpoint.id(), endpoint, limits);
         self.members.insert(key, id.clone());
         id
     }
 
-    /// A new member of that name, or of one derived from it; its id.
-    pub fn named_member(&mut self, name: &str, endpoint: &Endpoint, limits: MemberLimits) -> String {
+    /// Adds a member with this name, or with a numbered one if the name is taken, and returns its id.
+    pub fn add_member(&mut self, name: &str, endpoint: &Endpoint, limits: MemberLimits) -> String {
         let id = self.member_names.assign(name);
         self.site.members.push(Member {
             id: id.clone(),
@@ -89,8 +93,9 @@
         id
     }
 
-    /// An empty pool.
-    pub fn pool(&mut self, name: &str) -> Pool {
+    /// Returns an empty pool with this name, or with a numbered one if the name is taken. The pool is not
+    /// added to the site.
+    pub fn new_pool(&mut self, name: &str) -> Pool {
         Pool {
             name: self.pool_names.assign(name),
             members: Vec::new(),
@@ -100,25 +105,29 @@
         }
     }
 
-    /// Adds the sets of routes. Sets that share a host are merged, since a site tells them apart by hosts alone.
+    /// Adds the sets of routes to the site. Sets that share a host are merged, because a site selects a set
+    /// by host only.
     pub fn add_routes(&mut self, ledger: &mut Ledger, sets: Vec<RouteRules>) {
-        // A host that a set gained by merging may stand in a third: the first set keeps it.
+        // A host that a set gains by merging may also be in a third set. The first set then keeps the host.
         let mut assigned = HashSet::new();
         for set in merge_sets(ledger, sets) {
             let hosts: Vec<String> =
                 set.hosts.iter().filter(|h| assigned.insert((*h).clone())).cloned().collect();
             if hosts.is_empty() && !set.hosts.is_empty() {
                 for rule in set.first_match.iter().chain(&set.longest_match) {
-                    ledger.omitted(rule.item, "its hosts have other routes already");
+                    ledger.report_omitted(
+                        rule.item,
+                        "the hosts of this route already have another set of routes",
+                    );
                 }
                 continue;
             }
-            self.site.routes.push(route_set(ledger, hosts, set));
+            self.site.routes.push(build_route_set(ledger, hosts, set));
         }
     }
 }
 
-/// Merges the sets that share a host, and those without hosts; empty sets are dropped.
+/// Merges the sets that share a host, and all sets without hosts. Sets without rules are dropped.
 fn merge_sets(ledger: &mut Ledger, sets: Vec<RouteRules>) -> Vec<RouteRules> {
     let mut merged: Vec<RouteRules> = Vec::new();
     for mut set in sets.into_iter().filter(|s| !s.first_match.is_empty() || !s.longest_match.is_empty()) {
@@ -144,6 +153,8 @@
     merged
 }
 
+/// Appends rules to a set. A path that the set already has is kept, and a rule for another target is reported
+/// as omitted.
 fn merge_rules(ledger: &mut Ledger, into: &mut Vec<SourcedRoute>, more: Vec<SourcedRoute>) {
     let key_of = |r: &Route| (r.pattern.clone(), r.matching);
     let mut targets: HashMap<(String, Option<Match>), Target> =
@@ -154,8 +165,9 @@
         match targets.get(&key) {
             Some(earlier) if earlier == target => {}
             Some(_) if !matches!(target, Target::Exclude(Some(_))) => {
-                let reason = "the same host has this path already, on another address, leading elsewhere";
-                ledger.omitted(rule.item, reason);
+                let reason =
+                    "another virtual host with this host name already routes the path to another target";
+                ledger.report_omitted(rule.item, reason);
             }
             _ => {
                 targets.insert(key, target.clone());
@@ -165,9 +177,9 @@
     }
 }
 
-/// One set. Where rules of both orders meet, those of the longest match are sorted by length and follow the others, so
-/// that the first match among them is the longest.
-fn route_set(ledger: &mut Ledger, hosts: Vec<String>, set: RouteRules) -> RouteSet {
+/// Builds a set of routes. If it has rules of both orders, those of the longest match are sorted by
+/// decreasing length and placed after the others, so that the first match among them is the longest.
+fn build_route_set(ledger: &mut Ledger, hosts: Vec<String>, set: RouteRules) -> RouteSet {
     let inherit = (!hosts.is_empty() && set.inherit).then_some(true);
     let (order, rules) = match (set.first_match.is_empty(), set.longest_match.is_empty()) {
         (true, _) => (Order::Longest, set.longest_match),
@@ -181,7 +193,11 @@
             });
             for rule in &longest {
                 let target = format!("route \"{}\"", rule.route.pattern);
-                ledger.approximated(rule.item, target, "asked after every ProxyPass of its host");
+                ledger.report_approximated(
+                    rule.item,
+                    target,
+                    "matched only after every ProxyPass of its host",
+                );
             }
             rules.extend(longest);
             (Order::First, rules)
--- a/crates/import/src/coverage.rs
+++ b/crates/import/src/coverage.rs
@@ -1,20 +1,20 @@
-//! What becomes of each directive and parameter, in tables: the importer takes its reasons from them, and the operators'
-//! page `docs/operate/import.md` shows them. The names are those of the documentation of
-//! [mod_proxy](https://httpd.apache.org/docs/2.4/mod/mod_proxy.html),
-//! [mod_proxy_balancer](https://httpd.apache.org/docs/2.4/mod/mod_proxy_balancer.html) and the
-//! [Tomcat connectors](https://tomcat.apache.org/connectors-doc/reference/workers.html).
+//! Tables of what each directive and parameter becomes in the site document. The importer takes the reasons
+//! of its report from them, and the operators' page `docs/operate/import.md` shows them. The names are those
+//! used by the documentation of [mod_proxy](https://httpd.apache.org/docs/2.4/mod/mod_proxy.html),
+//! [mod_proxy_balancer](https://httpd.apache.org/docs/2.4/mod/mod_proxy_balancer.html) and the [Tomcat
+//! connectors](https://tomcat.apache.org/connectors-doc/reference/workers.html).
 
 use crate::report::Verdict;
 use std::fmt::Write;
 
-/// What becomes of one directive or parameter.
+/// One row of a table: what the import makes of a directive or parameter.
 #[derive(Clone, Copy, Debug)]
 pub struct Row {
-    /// The directive or parameter.
+    /// The name of the directive or parameter; a section's name is in angle brackets.
     pub name: &'static str,
-    /// Its verdict, where its value allows.
+    /// The verdict, unless the value requires a more severe one.
     pub verdict: Verdict,
-    /// What it becomes in the site document, or why nothing.
+    /// What it becomes in the site document, or why it is omitted.
     pub outcome: &'static str,
 }
 
@@ -30,333 +30,367 @@
     Row { name, verdict: Verdict::Omitted, outcome }
 }
 
-/// Why a directive that is in no table is omitted.
-pub const NOT_ROUTING: &str = "of the web server itself: says nothing of where requests go";
-const RESPONSES: &str = "changes answers on their way back: fernslip passes them on as they are";
-const STICKY: &str = "no sticky sessions: a request's place is its object's home, whoever asks";
-const HEALTH_CHECKS: &str = "fronts don't probe: health is what answers show";
-const SOCKETS: &str = "of Apache's own buffers and sockets";
-const FORWARD_PROXY: &str = "of a forward proxy; fernslip is none";
-const LOGS: &str = "logs and shared memory of the web server";
-const JVM: &str = "a JVM inside the web server has no equal";
+/// The reason given for a directive that is in no table.
+pub const NOT_ROUTING: &str = "a setting of the web server that does not affect where requests are routed";
+const RESPONSES_UNCHANGED: &str = "changes responses; fernslip forwards responses unchanged";
+const NO_STICKY_SESSIONS: &str =
+    "sticky sessions are not supported: the object of a request determines its member";
+const NO_HEALTH_CHECKS: &str = "fronts send no health checks: they judge a member's health by its answers";
+const WEB_SERVER_SOCKETS: &str = "a buffer or socket setting that only the web server has";
+const NO_FORWARD_PROXY: &str = "a setting of a forward proxy, which fernslip is not";
+const WEB_SERVER_LOGS: &str = "a setting of the web server's logs or shared memory";
+const EMBEDDED_JVM: &str = "configures a JVM inside the web server, which a site document cannot describe";
 
-/// Directives of httpd. What is in none of these tables is omitted too, as not about routing.
+/// Directives of httpd. A directive that is in no table is omitted for the reason [`NOT_ROUTING`].
 pub const HTTPD_DIRECTIVES: &[Row] = &[
-    mapped("BalancerMember", "`member`, and `use` in the pool"),
-    mapped("ProxyPass", "`route`; with `!` an exclusion; a single machine becomes a pool of its own"),
-    mapped("ProxyPassMatch", "`route match=\"regex\"`, where the expression needs no look-around"),
-    mapped("ProxySet", "its parameters, as if they stood at the member or balancer"),
+    mapped("BalancerMember", "`member`, and `use` in the balancer's `pool`"),
+    mapped(
+        "ProxyPass",
+        "`route`, with `!` an exclusion; a single backend server becomes a pool of one member",
+    ),
+    mapped("ProxyPassMatch", "`route match=\"regex\"`, if the regular expression has no look-around"),
+    mapped("ProxySet", "its parameters are read as parameters of the member or balancer"),
     mapped("<Proxy>", "`pool`, for `balancer://`"),
-    mapped("<Location>", "the path of a `route` inside"),
-    mapped("<LocationMatch>", "the expression of a `route` inside"),
+    mapped("<Location>", "the path of the routes inside the section"),
+    mapped("<LocationMatch>", "the regular expression of the routes inside the section"),
     approximated(
         "<VirtualHost>",
-        "a set of `routes` by its names; addresses and ports don't tell sets apart",
+        "a set of `routes` with the section's host names; its addresses and ports are dropped",
     ),
     mapped("ServerName", "`host`"),
-    mapped("ServerAlias", "`host`; `*` only as a whole first part"),
-    mapped("ServerRoot", "where relative names of files begin"),
+    mapped("ServerAlias", "`host`; `*` is accepted only as the whole first label"),
+    mapped("ServerRoot", "the directory that relative file names start from"),
     approximated(
         "ProxyTimeout",
-        "`answer-ms` of members without a `timeout`: of the whole answer, not of each read",
+        "`answer-ms` of members without a `timeout`: limits the whole answer, not each read",
     ),
     mapped("ProxyPassInherit", "`inherit`"),
-    mapped("BalancerInherit", "whether virtual hosts know the main server's balancers"),
-    omitted("ProxyRequests", FORWARD_PROXY),
-    mapped("Include", "the files' own directives"),
-    mapped("IncludeOptional", "the files' own directives"),
-    mapped("Define", "its value, wherever it is used"),
-    mapped("UnDefine", "forgets a value"),
-    mapped("<IfDefine>", "taken or not, by `Define` and `--define`"),
-    mapped("<IfModule>", "taken for the proxy modules, mod_jk and what LoadModule names"),
-    omitted("<IfVersion>", "the version is not known"),
-    omitted("<IfFile>", "files of the web server's machine are not known"),
-    omitted("<IfDirective>", "directives of the web server's build are not known"),
-    omitted("<IfSection>", "sections of the web server's build are not known"),
-    omitted("<If>", "depends on each request's own words"),
-    omitted("<ElseIf>", "depends on each request's own words"),
-    omitted("<Else>", "depends on each request's own words"),
-    omitted("<Macro>", "macros are not played: write out what `Use` stands for"),
-    omitted("Use", "macros are not played: write out what `Use` stands for"),
-    omitted("LoadModule", "only shows which <IfModule> is taken"),
-    omitted("RewriteRule", "a rewrite may proxy ([P]) or change the path first: write a ProxyPass for it"),
-    omitted("RewriteCond", "belongs to a RewriteRule"),
-    omitted("ProxyPassReverse", RESPONSES),
-    omitted("ProxyPassReverseCookieDomain", RESPONSES),
-    omitted("ProxyPassReverseCookiePath", RESPONSES),
-    omitted("ProxyErrorOverride", RESPONSES),
-    omitted("ProxyPassInterpolateEnv", "values that differ from request to request have no equal"),
-    omitted("ProxyPreserveHost", "members are told no host"),
-    omitted("ProxyAddHeaders", "members are told no headers"),
-    omitted("ProxyVia", "members are told no headers"),
-    omitted("ProxyStatus", "a status page of the web server"),
-    omitted("ProxyBadHeader", "of HTTP to members, which the front does not speak yet"),
-    omitted("ProxyIOBufferSize", SOCKETS),
-    omitted("ProxyReceiveBufferSize", SOCKETS),
-    omitted("ProxySourceAddress", SOCKETS),
-    omitted("ProxyMaxForwards", FORWARD_PROXY),
-    omitted("ProxyBlock", FORWARD_PROXY),
-    omitted("NoProxy", FORWARD_PROXY),
-    omitted("ProxyDomain", FORWARD_PROXY),
-    omitted("ProxyRemote", FORWARD_PROXY),
-    omitted("ProxyRemoteMatch", FORWARD_PROXY),
-    omitted("BalancerGrowth", "room for members added at run time: SIGHUP needs none"),
+    mapped("BalancerInherit", "whether virtual hosts can use the main server's balancers"),
+    omitted("ProxyRequests", NO_FORWARD_PROXY),
+    mapped("Include", "the directives of the included files"),
+    mapped("IncludeOptional", "the directives of the included files"),
+    mapped("Define", "the value is inserted wherever the variable is used"),
+    mapped("UnDefine", "the variable has no value from here on"),
+    mapped("<IfDefine>", "included or skipped, depending on `Define` and `--define`"),
+    mapped("<IfModule>", "included for the proxy modules, mod_jk and the modules named by LoadModule"),
+    omitted("<IfVersion>", "the importer does not know the version of the web server"),
+    omitted("<IfFile>", "the importer does not know which files exist on the web server's machine"),
+    omitted("<IfDirective>", "the importer does not know which directives the web server's build has"),
+    omitted("<IfSection>", "the importer does not know which sections the web server's build has"),
+    omitted("<If>", "depends on the contents of each request, which routes cannot test"),
+    omitted("<ElseIf>", "depends on the contents of each request, which routes cannot test"),
+    omitted("<Else>", "depends on the contents of each request, which routes cannot test"),
+    omitted("<Macro>", "macros are not expanded; replace each `Use` with the directives that it stands for"),
+    omitted("Use", "macros are not expanded; replace each `Use` with the directives that it stands for"),
+    omitted("LoadModule", "only decides which <IfModule> sections are included"),
+    omitted("RewriteRule", "a rewrite rule may proxy ([P]) or change the path; replace it with a ProxyPass"),
+    omitted("RewriteCond", "a condition of a RewriteRule, which is not imported"),
+    omitted("ProxyPassReverse", RESPONSES_UNCHANGED),
+    omitted("ProxyPassReverseCookieDomain", RESPONSES_UNCHANGED),
+    omitted("ProxyPassReverseCookiePath", RESPONSES_UNCHANGED),
+    omitted("ProxyErrorOverride", RESPONSES_UNCHANGED),
+    omitted("ProxyPassInterpolateEnv", "values that vary by request cannot be expressed in a site document"),
+    omitted("ProxyPreserveHost", "the request's host name is not forwarded to members"),
+    omitted("ProxyAddHeaders", "no headers are forwarded to members"),
+    omitted("ProxyVia", "no headers are forwarded to members"),
+    omitted("ProxyStatus", "a setting of the web server's status page"),
+    omitted("ProxyBadHeader", "a setting of HTTP to members, which the front does not support yet"),
+    omitted("ProxyIOBufferSize", WEB_SERVER_SOCKETS),
+    omitted("ProxyReceiveBufferSize", WEB_SERVER_SOCKETS),
+    omitted("ProxySourceAddress", WEB_SERVER_SOCKETS),
+    omitted("ProxyMaxForwards", NO_FORWARD_PROXY),
+    omitted("ProxyBlock", NO_FORWARD_PROXY),
+    omitted("NoProxy", NO_FORWARD_PROXY),
+    omitted("ProxyDomain", NO_FORWARD_PROXY),
+    omitted("ProxyRemote", NO_FORWARD_PROXY),
+    omitted("ProxyRemoteMatch", NO_FORWARD_PROXY),
+    omitted("BalancerGrowth", "reserves space for members added at run time; a reload by SIGHUP needs none"),
     omitted(
         "BalancerPersist",
-        "changes made by hand at run time don't outlive it: write them into the document",
+        "manual changes at run time do not survive a restart; write them into the site document",
+    ),
+    omitted("ProxyHCExpr", NO_HEALTH_CHECKS),
+    omitted("ProxyHCTemplate", NO_HEALTH_CHECKS),
+    omitted("ProxyHCTPsize", NO_HEALTH_CHECKS),
+    omitted(
+        "<ProxyMatch>",
+        "settings for backend servers that match a regular expression cannot be expressed",
     ),
-    omitted("ProxyHCExpr", HEALTH_CHECKS),
-    omitted("ProxyHCTemplate", HEALTH_CHECKS),
-    omitted("ProxyHCTPsize", HEALTH_CHECKS),
-    omitted("<ProxyMatch>", "settings for machines by expression have no equal"),
 ];
 
-/// Parameters of a member: `BalancerMember`, `ProxySet`, `ProxyPass` to one machine.
+/// Parameters of a member, in `BalancerMember`, `ProxySet`, or `ProxyPass` to a single backend server.
 pub const MEMBER_PARAMS: &[Row] = &[
-    mapped("loadfactor", "`use weight`, fractions too"),
+    mapped("loadfactor", "`use weight`; fractions are accepted"),
     mapped("lbset", "`use tier`"),
-    mapped("status", "`use state`: D, N draining; S stopped; H standby; R spare; I, E and C have no equal"),
-    approximated("max", "`limits connections`: of the front, not of each child process"),
-    approximated("ttl", "`limits idle-ms`: of every idle connection"),
-    approximated("timeout", "`limits answer-ms`: of the whole answer, not of each read"),
+    mapped(
+        "status",
+        "`use state`: D and N are draining, S stopped, H standby, R spare; I, E and C are dropped",
+    ),
+    approximated("max", "`limits connections`: counted for the whole front, not for each child process"),
+    approximated("ttl", "`limits idle-ms`: applies to every idle connection"),
+    approximated("timeout", "`limits answer-ms`: limits the whole answer, not each read"),
     mapped("connectiontimeout", "`limits connect-ms`"),
-    approximated("acquire", "`limits wait-ms` of the pool: the least of its members'"),
+    approximated("acquire", "`limits wait-ms` of the pool: the lowest value of its members"),
     approximated(
         "retry",
-        "`recovery first-ms` of the pool, the least of its members'; it grows with each failed trial",
+        "`recovery first-ms` of the pool: the lowest value of its members; it grows with each failed attempt",
     ),
-    approximated("redirect", "`use instead`: the member with that route, for all requests, not a session's"),
-    omitted("route", STICKY),
-    omitted("min", "connections are made as they are needed"),
-    omitted("smax", "connections are made as they are needed"),
-    omitted("ping", HEALTH_CHECKS),
-    omitted("disablereuse", "connections are always shared"),
-    omitted("enablereuse", "connections are always shared"),
-    omitted("keepalive", SOCKETS),
-    omitted("flushpackets", SOCKETS),
-    omitted("flushwait", SOCKETS),
-    omitted("flusher", SOCKETS),
-    omitted("iobuffersize", SOCKETS),
-    omitted("receivebuffersize", SOCKETS),
-    omitted("responsefieldsize", SOCKETS),
-    omitted("addressttl", "addresses are looked up once"),
-    omitted("secret", "a secret is not copied, and AJP is not spoken"),
-    omitted("upgrade", "connections are not upgraded"),
-    omitted("mapping", "paths are told apart by routes"),
-    omitted("hcmethod", HEALTH_CHECKS),
-    omitted("hcpasses", HEALTH_CHECKS),
-    omitted("hcfails", HEALTH_CHECKS),
-    omitted("hcinterval", HEALTH_CHECKS),
-    omitted("hcuri", HEALTH_CHECKS),
-    omitted("hcexpr", HEALTH_CHECKS),
-    omitted("hctemplate", HEALTH_CHECKS),
+    approximated(
+        "redirect",
+        "`use instead`: the member with that route, for all requests, not only those of a session",
+    ),
+    omitted("route", NO_STICKY_SESSIONS),
+    omitted("min", "connections are opened on demand"),
+    omitted("smax", "connections are opened on demand"),
+    omitted("ping", NO_HEALTH_CHECKS),
+    omitted("disablereuse", "connections are always kept open and shared among requests"),
+    omitted("enablereuse", "connections are always kept open and shared among requests"),
+    omitted("keepalive", WEB_SERVER_SOCKETS),
+    omitted("flushpackets", WEB_SERVER_SOCKETS),
+    omitted("flushwait", WEB_SERVER_SOCKETS),
+    omitted("flusher", WEB_SERVER_SOCKETS),
+    omitted("iobuffersize", WEB_SERVER_SOCKETS),
+    omitted("receivebuffersize", WEB_SERVER_SOCKETS),
+    omitted("responsefieldsize", WEB_SERVER_SOCKETS),
+    omitted("addressttl", "host names are resolved only once"),
+    omitted("secret", "secrets are not copied, and AJP is not supported"),
+    omitted("upgrade", "connections to members are not upgraded to other protocols"),
+    omitted("mapping", "paths are assigned to members by routes only"),
+    omitted("hcmethod", NO_HEALTH_CHECKS),
+    omitted("hcpasses", NO_HEALTH_CHECKS),
+    omitted("hcfails", NO_HEALTH_CHECKS),
+    omitted("hcinterval", NO_HEALTH_CHECKS),
+    omitted("hcuri", NO_HEALTH_CHECKS),
+    omitted("hcexpr", NO_HEALTH_CHECKS),
+    omitted("hctemplate", NO_HEALTH_CHECKS),
 ];
 
-/// Parameters of a balancer: `ProxySet` and `ProxyPass` to `balancer://`.
+/// Parameters of a balancer, in `ProxySet` or `ProxyPass` to `balancer://`.
 pub const BALANCER_PARAMS: &[Row] = &[
     approximated(
         "lbmethod",
-        "byrequests only: a member's share is its weight, by the objects' homes, not in turn",
+        "byrequests only: a member's weight sets its share of the objects; requests are not sent in rotation",
     ),
-    mapped("maxattempts", "`retry attempts`: the first attempt counted in"),
+    mapped("maxattempts", "`retry attempts`, which includes the first attempt"),
     mapped("failonstatus", "`recovery fail-on`"),
-    approximated("timeout", "`limits wait-ms` of the pool: how long for a free member"),
-    approximated("failontimeout", "a member that is silent counts as failed, whatever stands here"),
-    omitted("stickysession", STICKY),
-    omitted("stickysessionsep", STICKY),
-    omitted("scolonpathdelim", STICKY),
-    omitted("nofailover", STICKY),
-    omitted("nonce", "of the web server's own manager page"),
-    omitted("growth", "room for members added at run time: SIGHUP needs none"),
-    omitted("forcerecovery", "trials come one at a time, also when all have failed"),
-    omitted("lbset", "a balancer's own set has no equal; its members' have"),
+    approximated("timeout", "`limits wait-ms` of the pool: how long a request waits for a free member"),
+    approximated("failontimeout", "a member that does not answer in time always counts as failed"),
+    omitted("stickysession", NO_STICKY_SESSIONS),
+    omitted("stickysessionsep", NO_STICKY_SESSIONS),
+    omitted("scolonpathdelim", NO_STICKY_SESSIONS),
+    omitted("nofailover", NO_STICKY_SESSIONS),
+    omitted("nonce", "a setting of the web server's balancer manager page"),
+    omitted("growth", "reserves space for members added at run time; a reload by SIGHUP needs none"),
+    omitted("forcerecovery", "failed members are tried one at a time, even if all have failed"),
+    omitted("lbset", "the set of a balancer cannot be expressed, only those of its members"),
 ];
 
-/// Keywords of `ProxyPass` without a value.
+/// Keywords of `ProxyPass`, which are parameters without a value.
 pub const PROXY_PASS_KEYWORDS: &[Row] = &[
-    omitted("nocanon", "paths go on as they came"),
-    omitted("interpolate", "values that differ from request to request have no equal"),
-    omitted("noquery", "queries go on as they came"),
+    omitted("nocanon", "paths are always forwarded without canonicalization"),
+    omitted("interpolate", "values that vary by request cannot be expressed in a site document"),
+    omitted("noquery", "query strings are always forwarded"),
 ];
 
-/// Properties of a mod_jk worker, `worker.NAME.…`.
+/// Properties of a mod_jk worker, set by `worker.NAME.PROPERTY`.
 pub const JK_WORKER_PROPERTIES: &[Row] = &[
-    mapped("type", "ajp13, ajp14: `member`; lb: `pool`; others have no equal"),
+    mapped("type", "ajp13 and ajp14: `member`; lb: `pool`; other types are omitted"),
     mapped("host", "`member address`"),
     mapped("port", "`member address`"),
-    mapped("reference", "the properties of that worker, where it has none of its own"),
+    mapped("reference", "the properties of that worker, unless the referring worker sets its own"),
     mapped("balance_workers", "`use` in the pool"),
     mapped("balanced_workers", "the old name of balance_workers"),
     mapped("lbfactor", "`use weight`"),
     mapped("distance", "`use tier`"),
     mapped("domain", "`use group`"),
-    approximated("redirect", "`use instead`: for all requests, not a session's"),
+    approximated("redirect", "`use instead`: for all requests, not only those of a session"),
     mapped(
         "activation",
-        "`use state`: disabled is draining, stopped is stopped; what can't be read is draining",
+        "`use state`: disabled becomes draining, stopped stays stopped; an invalid value becomes draining",
     ),
     mapped("disabled", "the old form of activation"),
     mapped("stopped", "the old form of activation"),
     approximated(
         "method",
-        "Request only: a member's share is its weight, by the objects' homes, not in turn",
+        "Request only: a member's weight sets its share of the objects; requests are not sent in rotation",
+    ),
+    omitted("lock", "fernslip shares no counters among processes"),
+    approximated(
+        "connection_pool_size",
+        "`limits connections`: counted for the whole front, not for each process",
     ),
-    omitted("lock", "counters are not shared among processes"),
-    approximated("connection_pool_size", "`limits connections`: of the front, not of each process"),
     approximated("cachesize", "the old name of connection_pool_size"),
     mapped("connection_pool_timeout", "`limits idle-ms`"),
     mapped("cache_timeout", "the old name of connection_pool_timeout"),
-    approximated("connection_acquire_timeout", "`limits wait-ms` of the pool: the least of its members'"),
+    approximated(
+        "connection_acquire_timeout",
+        "`limits wait-ms` of the pool: the lowest value of its members",
+    ),
     mapped("socket_connect_timeout", "`limits connect-ms`"),
-    approximated("socket_timeout", "`limits answer-ms`, where reply_timeout tells none: of the whole answer"),
-    approximated("reply_timeout", "`limits answer-ms`: of the whole answer, not between two packets"),
-    approximated("retries", "`retry attempts`: at any members, not at the same one"),
-    approximated("recover_time", "`recovery first-ms`; it grows with each failed trial"),
-    approximated("max_reply_timeouts", "`recovery failures`: of any kind, in a row"),
-    mapped("fail_on_status", "`recovery fail-on`; those with a minus have no equal"),
+    approximated(
+        "socket_timeout",
+        "`limits answer-ms`, unless reply_timeout is set: limits the whole answer",
+    ),
+    approximated(
+        "reply_timeout",
+        "`limits answer-ms`: limits the whole answer, not the time between two packets",
+    ),
+    approximated("retries", "`retry attempts`: at any members, not only at the same one"),
+    approximated("recover_time", "`recovery first-ms`; it grows with each failed attempt"),
+    approximated("max_reply_timeouts", "`recovery failures`: counts consecutive failures of any kind"),
+    mapped("fail_on_status", "`recovery fail-on`; status codes with a minus sign are dropped"),
     mapped("busy_limit", "`limits in-flight`"),
     mapped("mount", "`route`"),
-    omitted("sticky_session", STICKY),
-    omitted("sticky_session_force", STICKY),
-    omitted("session_cookie", STICKY),
-    omitted("session_path", STICKY),
-    omitted("set_session_cookie", STICKY),
-    omitted("session_cookie_path", STICKY),
-    omitted("route", STICKY),
-    omitted("jvm_route", STICKY),
-    omitted("retry_interval", "a further attempt is made at once"),
-    omitted("recovery_options", "what may be repeated is a matter of the request's class"),
-    omitted("error_escalation_time", "failures in a row count, not their time"),
-    omitted("connect_timeout", HEALTH_CHECKS),
-    omitted("prepost_timeout", HEALTH_CHECKS),
-    omitted("ping_timeout", HEALTH_CHECKS),
-    omitted("ping_mode", HEALTH_CHECKS),
-    omitted("connection_ping_interval", HEALTH_CHECKS),
-    omitted("connection_pool_minsize", "connections are made as they are needed"),
-    omitted("recycle_timeout", "connections are made as they are needed"),
-    omitted("socket_keepalive", SOCKETS),
-    omitted("socket_buffer", SOCKETS),
-    omitted("max_packet_size", "of AJP, which the front does not speak yet"),
-    omitted("source", SOCKETS),
-    omitted("prefer_ipv6", "addresses are used as they are written"),
-    omitted("secret", "a secret is not copied, and AJP is not spoken"),
-    omitted("secretkey", "a secret is not copied, and AJP is not spoken"),
-    omitted("class_path", JVM),
-    omitted("cmd_line", JVM),
-    omitted("jvm_lib", JVM),
-    omitted("native_lib", JVM),
-    omitted("bridge", JVM),
-    omitted("mx", JVM),
-    omitted("ms", JVM),
-    omitted("sysprops", JVM),
-    omitted("stdout", JVM),
-    omitted("stderr", JVM),
-    omitted("css", "of a status page"),
-    omitted("read_only", "of a status page"),
-    omitted("user", "of a status page"),
-    omitted("user_case_insensitive", "of a status page"),
-    omitted("good", "of a status page"),
-    omitted("bad", "of a status page"),
-    omitted("prefix", "of a status page"),
-    omitted("ns", "of a status page"),
-    omitted("xmlns", "of a status page"),
-    omitted("doctype", "of a status page"),
+    omitted("sticky_session", NO_STICKY_SESSIONS),
+    omitted("sticky_session_force", NO_STICKY_SESSIONS),
+    omitted("session_cookie", NO_STICKY_SESSIONS),
+    omitted("session_path", NO_STICKY_SESSIONS),
+    omitted("set_session_cookie", NO_STICKY_SESSIONS),
+    omitted("session_cookie_path", NO_STICKY_SESSIONS),
+    omitted("route", NO_STICKY_SESSIONS),
+    omitted("jvm_route", NO_STICKY_SESSIONS),
+    omitted("retry_interval", "further attempts are made without delay"),
+    omitted("recovery_options", "the class of a request determines whether it may be retried"),
+    omitted(
+        "error_escalation_time",
+        "only the number of consecutive failures matters, not how long they last",
+    ),
+    omitted("connect_timeout", NO_HEALTH_CHECKS),
+    omitted("prepost_timeout", NO_HEALTH_CHECKS),
+    omitted("ping_timeout", NO_HEALTH_CHECKS),
+    omitted("ping_mode", NO_HEALTH_CHECKS),
+    omitted("connection_ping_interval", NO_HEALTH_CHECKS),
+    omitted("connection_pool_minsize", "connections are opened on demand"),
+    omitted("recycle_timeout", "connections are opened on demand"),
+    omitted("socket_keepalive", WEB_SERVER_SOCKETS),
+    omitted("socket_buffer", WEB_SERVER_SOCKETS),
+    omitted("max_packet_size", "a setting of AJP, which the front does not support yet"),
+    omitted("source", WEB_SERVER_SOCKETS),
+    omitted("prefer_ipv6", "addresses are used exactly as they are written"),
+    omitted("secret", "secrets are not copied, and AJP is not supported"),
+    omitted("secretkey", "secrets are not copied, and AJP is not supported"),
+    omitted("class_path", EMBEDDED_JVM),
+    omitted("cmd_line", EMBEDDED_JVM),
+    omitted("jvm_lib", EMBEDDED_JVM),
+    omitted("native_lib", EMBEDDED_JVM),
+    omitted("bridge", EMBEDDED_JVM),
+    omitted("mx", EMBEDDED_JVM),
+    omitted("ms", EMBEDDED_JVM),
+    omitted("sysprops", EMBEDDED_JVM),
+    omitted("stdout", EMBEDDED_JVM),
+    omitted("stderr", EMBEDDED_JVM),
+    omitted("css", "a setting of a status worker, which is not imported"),
+    omitted("read_only", "a setting of a status worker, which is not imported"),
+    omitted("user", "a setting of a status worker, which is not imported"),
+    omitted("user_case_insensitive", "a setting of a status worker, which is not imported"),
+    omitted("good", "a setting of a status worker, which is not imported"),
+    omitted("bad", "a setting of a status worker, which is not imported"),
+    omitted("prefix", "a setting of a status worker, which is not imported"),
+    omitted("ns", "a setting of a status worker, which is not imported"),
+    omitted("xmlns", "a setting of a status worker, which is not imported"),
+    omitted("doctype", "a setting of a status worker, which is not imported"),
 ];
 
-/// Properties of a workers file as a whole.
+/// Properties that apply to a workers file as a whole.
 pub const JK_GLOBAL_PROPERTIES: &[Row] = &[
-    mapped("worker.list", "which workers can be mounted"),
-    omitted("worker.maintain", "trials come by the recovery's own clock"),
-    omitted("workers.tomcat_home", JVM),
-    omitted("workers.java_home", JVM),
-    omitted("ps", JVM),
+    mapped("worker.list", "the workers that paths can be mounted onto"),
+    omitted("worker.maintain", "failed members are tried again at the times that `recovery` sets"),
+    omitted("workers.tomcat_home", EMBEDDED_JVM),
+    omitted("workers.java_home", EMBEDDED_JVM),
+    omitted("ps", EMBEDDED_JVM),
 ];
 
-/// Attributes of a mount, `;NAME=VALUE`.
+/// Attributes of a mount, written as `;NAME=VALUE`.
 pub const JK_MOUNT_ATTRIBUTES: &[Row] = &[
-    mapped("active", "`use state` in a pool of this mount's own"),
-    mapped("disabled", "`use state` in a pool of this mount's own: draining"),
-    mapped("stopped", "`use state` in a pool of this mount's own"),
-    approximated("reply_timeout", "`limits answer-ms` of a pool of this mount's own: of the whole answer"),
-    mapped("fail_on_status", "`recovery fail-on` of a pool of this mount's own"),
-    omitted("use_server_errors", RESPONSES),
-    omitted("sticky_ignore", STICKY),
-    omitted("stateless", STICKY),
-    omitted("session_cookie", STICKY),
-    omitted("session_path", STICKY),
-    omitted("set_session_cookie", STICKY),
-    omitted("session_cookie_path", STICKY),
+    mapped("active", "`use state` in a separate pool for this mount"),
+    mapped("disabled", "`use state` in a separate pool for this mount: draining"),
+    mapped("stopped", "`use state` in a separate pool for this mount"),
+    approximated(
+        "reply_timeout",
+        "`limits answer-ms` of a separate pool for this mount: limits the whole answer",
+    ),
+    mapped("fail_on_status", "`recovery fail-on` of a separate pool for this mount"),
+    omitted("use_server_errors", RESPONSES_UNCHANGED),
+    omitted("sticky_ignore", NO_STICKY_SESSIONS),
+    omitted("stateless", NO_STICKY_SESSIONS),
+    omitted("session_cookie", NO_STICKY_SESSIONS),
+    omitted("session_path", NO_STICKY_SESSIONS),
+    omitted("set_session_cookie", NO_STICKY_SESSIONS),
+    omitted("session_cookie_path", NO_STICKY_SESSIONS),
 ];
 
-/// Directives of mod_jk in httpd's files.
+/// Directives of mod_jk in the configuration files of httpd.
 pub const JK_DIRECTIVES: &[Row] = &[
-    mapped("JkMount", "`route` in the longest order"),
-    mapped("JkUnMount", "an exclusion for that pool, or for all with `*`"),
-    mapped("JkMountFile", "that file's mounts"),
-    mapped("JkWorkersFile", "that file's workers"),
-    mapped("JkWorkerProperty", "a line of the workers file"),
+    mapped("JkMount", "`route` in a set of routes whose order is `longest`"),
+    mapped("JkUnMount", "an exclusion for the worker's pool, or for all pools with `*`"),
+    mapped("JkMountFile", "the mounts in that file"),
+    mapped("JkWorkersFile", "the workers in that file"),
+    mapped("JkWorkerProperty", "read as a line of a workers file"),
     mapped("JkMountCopy", "`inherit`"),
-    omitted("JkMountFileReload", "files are read again on SIGHUP"),
-    omitted("JkAutoAlias", "files are not served"),
-    omitted("JkOptions", "how paths are written and what is told to members; paths go on as they came"),
-    omitted("JkEnvVar", "members are told no variables"),
-    omitted("JkStripSession", STICKY),
-    omitted("JkExtractSSL", "members are told nothing of TLS"),
-    omitted("JkHTTPSIndicator", "members are told nothing of TLS"),
-    omitted("JkCERTSIndicator", "members are told nothing of TLS"),
-    omitted("JkCIPHERIndicator", "members are told nothing of TLS"),
-    omitted("JkSESSIONIndicator", "members are told nothing of TLS"),
-    omitted("JkKEYSIZEIndicator", "members are told nothing of TLS"),
-    omitted("JkCERTCHAINPrefix", "members are told nothing of TLS"),
-    omitted("JkRemoteHostIndicator", "members are told no host"),
-    omitted("JkRemotePortIndicator", "members are told no host"),
-    omitted("JkRemoteAddrIndicator", "members are told no host"),
-    omitted("JkRemoteUserIndicator", "members are told no host"),
-    omitted("JkAuthTypeIndicator", "members are told no host"),
-    omitted("JkLocalNameIndicator", "members are told no host"),
-    omitted("JkLocalPortIndicator", "members are told no host"),
-    omitted("JkIgnoreCLIndicator", "members are told no host"),
-    omitted("JkLogFile", LOGS),
-    omitted("JkLogLevel", LOGS),
-    omitted("JkLogStampFormat", LOGS),
-    omitted("JkRequestLogFormat", LOGS),
-    omitted("JkShmFile", LOGS),
-    omitted("JkShmSize", LOGS),
-    omitted("JkWatchdogInterval", "trials come by the recovery's own clock"),
+    omitted("JkMountFileReload", "configuration files are read again only on SIGHUP"),
+    omitted("JkAutoAlias", "fernslip does not serve static files"),
+    omitted(
+        "JkOptions",
+        "controls path encoding and the values forwarded to members; paths are forwarded unchanged",
+    ),
+    omitted("JkEnvVar", "environment variables are not forwarded to members"),
+    omitted("JkStripSession", NO_STICKY_SESSIONS),
+    omitted("JkExtractSSL", "TLS details are not forwarded to members"),
+    omitted("JkHTTPSIndicator", "TLS details are not forwarded to members"),
+    omitted("JkCERTSIndicator", "TLS details are not forwarded to members"),
+    omitted("JkCIPHERIndicator", "TLS details are not forwarded to members"),
+    omitted("JkSESSIONIndicator", "TLS details are not forwarded to members"),
+    omitted("JkKEYSIZEIndicator", "TLS details are not forwarded to members"),
+    omitted("JkCERTCHAINPrefix", "TLS details are not forwarded to members"),
+    omitted("JkRemoteHostIndicator", "details of the client and its connection are not forwarded to members"),
+    omitted("JkRemotePortIndicator", "details of the client and its connection are not forwarded to members"),
+    omitted("JkRemoteAddrIndicator", "details of the client and its connection are not forwarded to members"),
+    omitted("JkRemoteUserIndicator", "details of the client and its connection are not forwarded to members"),
+    omitted("JkAuthTypeIndicator", "details of the client and its connection are not forwarded to members"),
+    omitted("JkLocalNameIndicator", "details of the client and its connection are not forwarded to members"),
+    omitted("JkLocalPortIndicator", "details of the client and its connection are not forwarded to members"),
+    omitted("JkIgnoreCLIndicator", "details of the client and its connection are not forwarded to members"),
+    omitted("JkLogFile", WEB_SERVER_LOGS),
+    omitted("JkLogLevel", WEB_SERVER_LOGS),
+    omitted("JkLogStampFormat", WEB_SERVER_LOGS),
+    omitted("JkRequestLogFormat", WEB_SERVER_LOGS),
+    omitted("JkShmFile", WEB_SERVER_LOGS),
+    omitted("JkShmSize", WEB_SERVER_LOGS),
+    omitted("JkWatchdogInterval", "failed members are tried again at the times that `recovery` sets"),
 ];
 
-/// The row of a name, whatever its case.
-pub fn find(table: &'static [Row], name: &str) -> Option<&'static Row> {
+/// The row for a name, compared without regard to case.
+pub fn find_row(table: &'static [Row], name: &str) -> Option<&'static Row> {
     table.iter().find(|row| row.name.eq_ignore_ascii_case(name))
 }
 
-/// What becomes of a name, or that it is not known.
-pub fn outcome(table: &'static [Row], name: &str) -> &'static str {
-    find(table, name).map_or("not known to the importer", |row| row.outcome)
+/// The outcome from the row for a name, or that the importer does not support the name.
+pub fn outcome_of(table: &'static [Row], name: &str) -> &'static str {
+    find_row(table, name).map_or("not supported by the importer", |row| row.outcome)
 }
 
-/// The tables as the operators' page shows them.
-pub fn markdown() -> String {
+/// All tables in Markdown, exactly as the page `docs/operate/import.md` contains them.
+pub fn markdown_tables() -> String {
     let mut out = String::new();
     for (title, table) in [
         ("Directives of httpd", HTTPD_DIRECTIVES),
         ("Parameters of a member (BalancerMember, ProxySet, ProxyPass)", MEMBER_PARAMS),
         ("Parameters of a balancer (ProxySet, ProxyPass)", BALANCER_PARAMS),
-        ("Words of ProxyPass", PROXY_PASS_KEYWORDS),
+        ("Keywords of ProxyPass", PROXY_PASS_KEYWORDS),
         ("Properties of a mod_jk worker", JK_WORKER_PROPERTIES),
         ("Other properties of a workers file", JK_GLOBAL_PROPERTIES),
         ("Attributes of a mount", JK_MOUNT_ATTRIBUTES),
-        ("Directives of mod_jk", JK_DIRECTIVES),
+        ("Directives of mod_jk in httpd's files", JK_DIRECTIVES),
     ] {
         let _ = writeln!(
             out,
-            "### {title}\n\n| name | verdict | what becomes of it, or why nothing |\n| --- | --- | --- |"
+            "### {title}\n\n| name | verdict | result, or reason for omission |\n| --- | --- | --- |"
         );
         for Row { name, verdict, outcome } in table {
             let _ = writeln!(out, "| `{name}` | {} | {outcome} |", verdict.as_str());
         }
         out.push('\n');
     }
-    let _ = writeln!(out, "Any other directive: left_out, {NOT_ROUTING}.");
+    let _ = writeln!(out, "Any other directive: left_out, because it is {NOT_ROUTING}.");
     out
 }
--- a/crates/import/src/error.rs
+++ b/crates/import/src/error.rs
@@ -1,71 +1,74 @@
-//! Why an import ends without a site: nothing is written then.
+//! Errors that end an import. The importer then returns neither a site nor a report.
 
 use crate::location::Location;
 
-/// What stopped an import, and where. It reads `FILE:LINE:COLUMN: message`, without line and column where a file as a
-/// whole is meant.
+/// The error that ended an import. Its text is `FILE:LINE:COLUMN: message`, or `FILE: message` if the error
+/// concerns a whole file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ImportError {
-    /// A file that the caller named can't be read.
-    #[error("{file}: {cause}")]
+    /// A file that the caller named could not be read.
+    #[error("{file}: cannot be read: {cause}")]
     Read {
-        /// The file.
+        /// The path of the file, as the caller gave it.
         file: String,
-        /// The system's message.
+        /// The error message of the operating system.
         cause: String,
     },
-    /// A file that another file names can't be read.
-    #[error("{location}: {file}: {cause}")]
+    /// A file that a directive names could not be read.
+    #[error("{location}: `{file}` cannot be read: {cause}")]
     ReadReferenced {
-        /// Where it is named.
+        /// The position of the directive.
         location: Location,
-        /// The file.
+        /// The path of the file, resolved against the root directory.
         file: String,
-        /// The system's message.
+        /// The error message of the operating system.
         cause: String,
     },
-    /// A pattern that must match a file matches none.
-    #[error("{location}: no file is named `{pattern}`; IncludeOptional would allow that")]
+    /// The pattern of an `Include` matches no file.
+    #[error("{location}: no file matches `{pattern}`; use IncludeOptional if there may be none")]
     NoMatchingFile {
-        /// Where it stands.
+        /// The position of the directive.
         location: Location,
-        /// The pattern.
+        /// The pattern, as the directive gives it.
         pattern: String,
     },
-    /// A file includes itself, directly or through others.
-    #[error("{location}: `{file}` is included from within itself")]
+    /// A file includes itself, directly or through other files.
+    #[error("{location}: `{file}` includes itself, directly or through other files")]
     IncludeCycle {
-        /// Where the cycle closes.
+        /// The position of the directive that includes the file again.
         location: Location,
-        /// The file.
+        /// The path of the file.
         file: String,
     },
-    /// Files or sections nest too deep, or there are too many files.
-    #[error("{location}: {subject}: more than {limit}")]
+    /// Files or sections are nested too deeply, or too many files are included.
+    #[error("{location}: more than {limit} {subject}")]
     LimitExceeded {
-        /// Where the limit is exceeded.
+        /// The position of the directive that exceeds the limit.
         location: Location,
-        /// What is limited.
+        /// A plural noun that says what is limited.
         subject: &'static str,
-        /// The limit.
+        /// The greatest accepted number.
         limit: usize,
     },
-    /// A line is too long, as it stands or with its variables expanded.
-    #[error("{location}: the line is longer than {limit} bytes{}", if *.expanded { " after its variables are put in" } else { "" })]
+    /// A line is too long, either in the file or after its variables are expanded.
+    #[error(
+        "{location}: the line is longer than {limit} bytes{}",
+        if *.expanded { " after variable expansion" } else { "" }
+    )]
     LineTooLong {
-        /// Where.
+        /// The position of the line.
         location: Location,
-        /// Only with its variables expanded.
+        /// Whether the line exceeds the limit only after its variables are expanded.
         expanded: bool,
-        /// The limit, bytes.
+        /// The greatest accepted length in bytes.
         limit: usize,
     },
-    /// A section is closed that was not opened, or the other way round.
+    /// The opening and closing tags of sections do not match.
     #[error("{location}: {message}")]
     Section {
-        /// Where.
+        /// The position of the tag.
         location: Location,
-        /// What is wrong with it.
+        /// The sections that do not match.
         message: String,
     },
 }
--- a/crates/import/src/files.rs
+++ b/crates/import/src/files.rs
@@ -1,23 +1,24 @@
-//! Where files come from: the disk, or a table in memory.
+//! Sources of input files: the disk, or files in memory.
 
 use crate::error::ImportError;
 use std::collections::BTreeMap;
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
 
-/// Limit of an input file, bytes: 50,000 members take a twentieth of it.
+/// The greatest size of an input file in bytes. A file with 50,000 members has a twentieth of this size.
 pub const MAX_FILE_BYTES: u64 = 64 << 20;
 
-/// A source of files.
+/// A source of input files.
 pub trait Files {
-    /// The bytes of a file, at most [`MAX_FILE_BYTES`].
+    /// Reads a file of at most [`MAX_FILE_BYTES`] bytes.
     ///
     /// # Errors
-    /// The system's own; `FileTooLarge` for a longer file.
+    /// The error of the operating system, or `FileTooLarge` for a larger file.
     fn read(&self, path: &Path) -> io::Result<Vec<u8>>;
-    /// The files that a pattern with `*`, `?` and `[…]` matches, or all below a directory, sorted by name.
+    /// The files that match a pattern with `*`, `?` and `[…]`, sorted by name. A directory that matches
+    /// stands for all files below it.
     fn matching(&self, pattern: &str) -> Vec<PathBuf>;
-    /// The canonical name of a file: links and `..` are resolved where it exists.
+    /// The canonical path of a file, with symbolic links and `..` resolved if the file exists.
     fn canonical(&self, path: &Path) -> PathBuf;
 }
 
@@ -27,27 +28,28 @@
     files.read(path).map_err(failed)
 }
 
-fn too_large() -> io::Error {
-    io::Error::new(io::ErrorKind::FileTooLarge, format!("longer than {MAX_FILE_BYTES} bytes"))
+fn file_too_large() -> io::Error {
+    io::Error::new(io::ErrorKind::FileTooLarge, format!("the file is longer than {MAX_FILE_BYTES} bytes"))
 }
 
-/// The disk.
+/// Reads input files from the file system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Disk;
 
-/// How deep directories below an included one are listed: guards against links that lead back up.
+/// The greatest depth at which directories below an included directory are listed. It bounds the recursion if
+/// symbolic links form a cycle.
 const MAX_DIRECTORY_DEPTH: usize = 16;
 
-/// Adds all files below a directory.
+/// Appends all files below a directory to `out`, sorted by name.
 fn collect_files(directory: &Path, depth: usize, out: &mut Vec<PathBuf>) {
     let Ok(entries) = std::fs::read_dir(directory) else { return };
     let mut paths: Vec<_> = entries.flatten().map(|e| e.path()).collect();
     paths.sort();
-    for p in paths {
-        match p.is_dir() {
-            true if depth < MAX_DIRECTORY_DEPTH => collect_files(&p, depth + 1, out),
+    for path in paths {
+        match path.is_dir() {
+            true if depth < MAX_DIRECTORY_DEPTH => collect_files(&path, depth + 1, out),
             true => {}
-            false => out.push(p),
+            false => out.push(path),
         }
     }
 }
@@ -56,13 +58,13 @@
     fn read(&self, path: &Path) -> io::Result<Vec<u8>> {
         let file = std::fs::File::open(path)?;
         if !file.metadata()?.is_file() {
-            // A pipe may never end, and a directory can't be read.
-            return Err(io::Error::new(io::ErrorKind::InvalidInput, "not a plain file"));
+            // Reading a pipe might never end, and a directory cannot be read.
+            return Err(io::Error::new(io::ErrorKind::InvalidInput, "not a regular file"));
         }
         let mut bytes = Vec::new();
         file.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes)?;
         if bytes.len() as u64 > MAX_FILE_BYTES {
-            return Err(too_large());
+            return Err(file_too_large());
         }
         Ok(bytes)
     }
@@ -85,22 +87,22 @@
     }
 }
 
-/// Files in memory, by their names.
+/// Input files in memory, keyed by path.
 #[derive(Clone, Debug, Default)]
-pub struct Memory(pub BTreeMap<PathBuf, Vec<u8>>);
+pub struct MemoryFiles(pub BTreeMap<PathBuf, Vec<u8>>);
 
-impl Memory {
-    /// A table of these files.
-    pub fn from_files<'a>(files: impl IntoIterator<Item = (&'a str, &'a [u8])>) -> Memory {
-        Memory(files.into_iter().map(|(name, bytes)| (name.into(), bytes.to_vec())).collect())
+impl MemoryFiles {
+    /// Creates a source from pairs of path and contents.
+    pub fn from_files<'a>(files: impl IntoIterator<Item = (&'a str, &'a [u8])>) -> MemoryFiles {
+        MemoryFiles(files.into_iter().map(|(name, bytes)| (name.into(), bytes.to_vec())).collect())
     }
 }
 
-impl Files for Memory {
+impl Files for MemoryFiles {
     fn read(&self, path: &Path) -> io::Result<Vec<u8>> {
         let bytes = self.0.get(&self.canonical(path)).ok_or(io::ErrorKind::NotFound)?;
         if bytes.len() as u64 > MAX_FILE_BYTES {
-            return Err(too_large());
+            return Err(file_too_large());
         }
         Ok(bytes.clone())
     }
--- a/crates/import/src/httpd/balancer.rs
+++ b/crates/import/src/httpd/balancer.rs
@@ -1,4 +1,4 @@
-//! A balancer to a pool.
+//! Converts an httpd balancer to a pool.
 
 use super::member::{endpoint_of, read_settings, set_pool_times, MemberSettings};
 use super::model::{Balancer, Worker};
@@ -9,16 +9,16 @@
 use fernslip_site::{status_code, Pool, State, Use};
 use std::collections::HashMap;
 
-/// Makes the pool of a balancer; its name.
-pub(super) fn balancer_pool(
+/// Adds the pool of a balancer to the site, and returns the pool's name.
+pub(super) fn build_balancer_pool(
     ledger: &mut Ledger,
     builder: &mut SiteBuilder,
     balancer: Balancer,
     timeout_ms: Option<u64>,
 ) -> String {
-    let mut pool = BalancerPool::new(builder.pool(&balancer.name));
+    let mut pool = BalancerPool::new(builder.new_pool(&balancer.name));
     for item in &balancer.items {
-        ledger.mapped(*item, pool.target.clone());
+        ledger.report_mapped(*item, pool.target.clone());
     }
     for worker in balancer.members {
         pool.add_worker(ledger, builder, worker, timeout_ms);
@@ -34,20 +34,20 @@
     name
 }
 
-/// The pool of a balancer under construction.
+/// The pool of a balancer while it is being built.
 struct BalancerPool {
     pool: Pool,
-    /// What the report calls it.
+    /// The pool's name as it is shown in the report.
     target: String,
-    /// The position in the pool of each member, by its id.
+    /// The position of each member in the pool, keyed by member id.
     positions: HashMap<String, usize>,
-    /// Ids of members by their `route`.
+    /// Member ids, keyed by the value of the `route` parameter.
     by_route: HashMap<String, String>,
     redirects: Vec<Redirect>,
     settings: Vec<MemberSettings>,
 }
 
-/// The `redirect` of the member at a position in the pool.
+/// The `redirect` parameter of the member at `position` in the pool.
 struct Redirect {
     position: usize,
     param: Param,
@@ -72,14 +72,14 @@
         worker: Worker,
         timeout_ms: Option<u64>,
     ) {
-        let param_reason = |reason: &str| format!("of a member left out: {reason}");
+        let param_reason = |reason: &str| format!("the parameter's member is omitted: {reason}");
         let Ok(endpoint) = endpoint_of(ledger, &worker, param_reason) else { return };
         let Worker { url, items, params } = worker;
         let settings = read_settings(ledger, params, timeout_ms, &url);
-        let id = builder.member(&endpoint, settings.limits.clone());
+        let id = builder.shared_member(&endpoint, settings.limits.clone());
         let target = format!("{} use \"{id}\"", self.target);
         for item in &items {
-            ledger.mapped(*item, target.clone());
+            ledger.report_mapped(*item, target.clone());
         }
         if let Some(route) = &settings.route {
             self.by_route.entry(route.clone()).or_insert(id.clone());
@@ -89,7 +89,8 @@
         }
         let membership = settings.membership(&id);
         self.settings.push(settings);
-        // Two URLs of one endpoint, such as with and without a closing slash, are one member.
+        // URLs that differ only in a trailing slash, for example, have the same endpoint and become one
+        // member.
         match self.positions.get(&id) {
             Some(position) => {
                 let state_of = |u: &Use| u.state.unwrap_or(State::Ready);
@@ -97,8 +98,9 @@
                 let state = state_of(earlier).stricter(state_of(&membership));
                 earlier.state = Some(state).filter(|s| *s != State::Ready);
                 for item in &items {
-                    let reason = "the same machine is in this balancer already";
-                    ledger.approximated(*item, target.clone(), reason);
+                    let reason =
+                        "the balancer already has a member with this address: both become one member";
+                    ledger.report_approximated(*item, target.clone(), reason);
                 }
             }
             None => {
@@ -108,7 +110,8 @@
         }
     }
 
-    /// A redirect names the route of another member of the balancer.
+    /// Sets the member that replaces each member with a `redirect`, which names the `route` of another
+    /// member.
     fn resolve_redirects(&mut self, ledger: &mut Ledger) {
         for Redirect { position, param } in std::mem::take(&mut self.redirects) {
             let id = self
@@ -118,12 +121,16 @@
             match id {
                 Some(id) => {
                     let target = format!("{} use instead=\"{id}\"", self.target);
-                    ledger.approximated(param.item, target, "for all requests, not a session's");
+                    ledger.report_approximated(
+                        param.item,
+                        target,
+                        "applies to all requests, not only to those of a session",
+                    );
                     self.pool.members[position].instead = Some(id.clone());
                 }
                 None => {
-                    let reason = format!("no other member of it has the route `{}`", param.value);
-                    ledger.omitted(param.item, reason);
+                    let reason = format!("no other member of the balancer has the route `{}`", param.value);
+                    ledger.report_omitted(param.item, reason);
                 }
             }
         }
@@ -137,21 +144,35 @@
     match name {
         "lbmethod" => match value.to_ascii_lowercase().as_str() {
             "byrequests" => {
-                let reason = "a member's share is its weight, by the objects' homes, not in turn";
-                ledger.approximated(item, target("use weight"), reason);
+                let reason =
+                    "a member's weight sets its share of the objects; requests are not sent in rotation";
+                ledger.report_approximated(item, target("use weight"), reason);
             }
-            other => ledger.omitted(item, format!("`{other}` has no equal: shares are weights")),
+            other => ledger.report_omitted(
+                item,
+                format!("`{other}` is not supported: a member's share is set by its weight"),
+            ),
         },
         "maxattempts" => {
             let retries = value.parse::<u64>().ok().filter(|n| *n < 1000);
             if let Some(retries) = retries {
                 pool.retry.attempts = Some(retries + 1);
             }
-            ledger.mapped_if(retries.is_some(), item, target("retry attempts"), "no number of attempts");
+            ledger.report_mapped_if(
+                retries.is_some(),
+                item,
+                target("retry attempts"),
+                "not a whole number of attempts below 1000",
+            );
         }
         "failonstatus" => {
             let codes: Option<Vec<u16>> = value.split(',').map(|code| status_code(code.trim())).collect();
-            ledger.mapped_if(codes.is_some(), item, target("recovery fail-on"), "no status codes");
+            ledger.report_mapped_if(
+                codes.is_some(),
+                item,
+                target("recovery fail-on"),
+                "not a list of status codes",
+            );
             if let Some(codes) = codes {
                 pool.recovery.fail_on = codes;
             }
@@ -159,21 +180,25 @@
         "timeout" => match parse_time_ms(value, 1000) {
             Some(ms) => {
                 pool.limits.wait_ms = Some(ms);
-                ledger.approximated(item, target("limits wait-ms"), "how long for a free member");
+                ledger.report_approximated(
+                    item,
+                    target("limits wait-ms"),
+                    "limits how long a request waits for a free member",
+                );
             }
-            None => ledger.omitted(item, "no time of a day or less"),
+            None => ledger.report_omitted(item, "not a duration of at most one day"),
         },
         "failontimeout" => {
-            let reason = "a member that is silent counts as failed, whatever stands here";
+            let reason = "a member that does not answer in time always counts as failed";
             match parse_flag(value) {
-                Some(true) => ledger.approximated(item, target("recovery"), reason),
-                _ => ledger.omitted(item, reason),
+                Some(true) => ledger.report_approximated(item, target("recovery"), reason),
+                _ => ledger.report_omitted(item, reason),
             }
         }
         _ => {
-            let row =
-                coverage::find(BALANCER_PARAMS, name).or_else(|| coverage::find(PROXY_PASS_KEYWORDS, name));
-            ledger.omitted(item, row.map_or("not known to the importer", |r| r.outcome));
+            let row = coverage::find_row(BALANCER_PARAMS, name)
+                .or_else(|| coverage::find_row(PROXY_PASS_KEYWORDS, name));
+            ledger.report_omitted(item, row.map_or("not supported by the importer", |r| r.outcome));
         }
     }
 }
--- a/crates/import/src/httpd/directives.rs
+++ b/crates/import/src/httpd/directives.rs
@@ -1,4 +1,5 @@
-//! Directives outside of balancers: variables, modules, names of hosts, time-outs and inheritance.
+//! Directives for variables, modules, host names, time-outs and inheritance, and the dispatch of all
+//! directives.
 
 use super::model::{Directive, ProxyTimeout};
 use super::HttpdReader;
@@ -7,85 +8,91 @@
 use crate::params::{parse_flag, parse_time_ms, NamedParam};
 use std::path::PathBuf;
 
-/// Directives that have `NAME=VALUE` parameters.
-const WITH_PARAMS: [&str; 4] = ["balancermember", "proxypass", "proxypassmatch", "proxyset"];
+/// The directives that take `NAME=VALUE` parameters, in lower case.
+const DIRECTIVES_WITH_PARAMS: [&str; 4] = ["balancermember", "proxypass", "proxypassmatch", "proxyset"];
 
 impl HttpdReader<'_> {
-    pub(super) fn directive(&mut self, d: &Directive) -> Result<(), ImportError> {
-        match d.name.to_ascii_lowercase().as_str() {
-            "include" => self.include(d, false)?,
-            "includeoptional" => self.include(d, true)?,
-            "define" => self.define(d),
+    pub(super) fn read_directive(&mut self, directive: &Directive) -> Result<(), ImportError> {
+        match directive.name.to_ascii_lowercase().as_str() {
+            "include" => self.include_files(directive, false)?,
+            "includeoptional" => self.include_files(directive, true)?,
+            "define" => self.define_variable(directive),
             "undefine" => {
-                self.defines.remove(d.argument(0).unwrap_or(""));
-                self.ledger.mapped(d.item, "its value, where it is used");
+                self.defines.remove(directive.argument(0).unwrap_or(""));
+                self.ledger.report_mapped(directive.item, "its value, where it is used");
             }
             "loadmodule" => {
-                let name = d.argument(0).unwrap_or("");
+                let name = directive.argument(0).unwrap_or("");
                 self.modules.insert(name.strip_suffix("_module").unwrap_or(name).to_string());
-                self.ledger.omitted(d.item, "only shows which <IfModule> is taken");
+                self.ledger
+                    .report_omitted(directive.item, "only decides which <IfModule> sections are included");
             }
-            "serverroot" => self.server_root(d),
-            "servername" | "serveralias" => self.host_names(d),
-            "proxytimeout" => self.proxy_timeout(d),
-            "proxypassinherit" | "balancerinherit" => self.inheritance(d),
-            "balancermember" => self.balancer_member(d),
-            "proxyset" => self.proxy_set(d),
-            "proxypass" => self.proxy_pass(d, false),
-            "proxypassmatch" => self.proxy_pass(d, true),
-            name if name.starts_with("jk") => self.jk_directive(d)?,
+            "serverroot" => self.set_server_root(directive),
+            "servername" | "serveralias" => self.add_host_names(directive),
+            "proxytimeout" => self.set_proxy_timeout(directive),
+            "proxypassinherit" | "balancerinherit" => self.set_inheritance(directive),
+            "balancermember" => self.add_balancer_member(directive),
+            "proxyset" => self.apply_proxy_set(directive),
+            "proxypass" => self.add_proxy_pass(directive, false),
+            "proxypassmatch" => self.add_proxy_pass(directive, true),
+            name if name.starts_with("jk") => self.read_jk_directive(directive)?,
             _ => {
-                let row = coverage::find(HTTPD_DIRECTIVES, &d.name);
-                self.ledger.omitted(d.item, row.map_or(NOT_ROUTING, |r| r.outcome));
+                let row = coverage::find_row(HTTPD_DIRECTIVES, &directive.name);
+                self.ledger.report_omitted(directive.item, row.map_or(NOT_ROUTING, |r| r.outcome));
             }
         }
         Ok(())
     }
 
-    /// The `NAME=VALUE` parameters and keywords from the argument `from` on, each noted.
-    pub(super) fn params(&mut self, d: &Directive, from: usize) -> Vec<NamedParam> {
-        let has_params = WITH_PARAMS.contains(&d.name.to_ascii_lowercase().as_str());
+    /// Records the `NAME=VALUE` parameters and keywords among the arguments from the index `from` on, and
+    /// returns them.
+    pub(super) fn record_params(&mut self, directive: &Directive, from: usize) -> Vec<NamedParam> {
+        let has_params = DIRECTIVES_WITH_PARAMS.contains(&directive.name.to_ascii_lowercase().as_str());
         let mut out = Vec::new();
-        for a in d.arguments.iter().skip(from).filter(|_| has_params) {
-            let keyword = coverage::find(PROXY_PASS_KEYWORDS, &a.text).map(|r| r.name);
+        for a in directive.arguments.iter().skip(from).filter(|_| has_params) {
+            let keyword = coverage::find_row(PROXY_PASS_KEYWORDS, &a.text).map(|r| r.name);
             let (name, value) = match (a.text.split_once('='), keyword) {
                 (Some((n, v)), _) if !n.contains(['/', ':', '^', '(']) => (n.to_ascii_lowercase(), v),
                 (_, Some(keyword)) => (keyword.to_string(), ""),
                 _ if from > 0 => (a.text.clone(), ""),
                 _ => continue,
             };
-            let item = self.ledger.note(&a.location, format!("{} {name}", d.name));
+            let item = self.ledger.record(&a.location, format!("{} {name}", directive.name));
             out.push(NamedParam { name, value: value.to_string(), item });
         }
         out
     }
 
-    fn define(&mut self, d: &Directive) {
-        match d.argument(0) {
+    fn define_variable(&mut self, directive: &Directive) {
+        match directive.argument(0) {
             Some(name) if !name.contains(':') => {
-                let value = d.argument(1).unwrap_or("").to_string();
+                let value = directive.argument(1).unwrap_or("").to_string();
                 self.defines.insert(name.to_string(), value);
-                self.ledger.mapped(d.item, "its value, where it is used");
+                self.ledger.report_mapped(directive.item, "its value, where it is used");
             }
-            _ => self.ledger.omitted(d.item, "no name for a variable"),
+            _ => self
+                .ledger
+                .report_omitted(directive.item, "not a valid variable name: it is missing or contains `:`"),
         }
     }
 
-    fn server_root(&mut self, d: &Directive) {
-        let root = PathBuf::from(d.argument(0).unwrap_or(""));
-        // The files may be a copy from another machine: then names begin where the first file lies.
+    fn set_server_root(&mut self, directive: &Directive) {
+        let root = PathBuf::from(directive.argument(0).unwrap_or(""));
+        // The files may have been copied from another machine, on which this directory exists. Names then
+        // start from the directory of the first file.
         if !self.files.matching(&root.display().to_string()).is_empty() {
             self.root = Some(root);
-            return self.ledger.mapped(d.item, "where names of files begin");
+            return self.ledger.report_mapped(directive.item, "where names of files begin");
         }
-        let reason = "that folder is not here: names of files begin at the first file's folder, or at --root";
-        self.ledger.approximated(d.item, "where names of files begin", reason);
+        let reason =
+            "the directory does not exist here: file names start from the first file's directory or --root";
+        self.ledger.report_approximated(directive.item, "where names of files begin", reason);
     }
 
-    /// `ServerName` and `ServerAlias`.
-    fn host_names(&mut self, d: &Directive) {
+    /// Adds the host names of `ServerName` and `ServerAlias` to the current server.
+    fn add_host_names(&mut self, directive: &Directive) {
         let mut usable = 0;
-        for a in &d.arguments {
+        for a in &directive.arguments {
             let name = a.text.split_once("://").map_or(a.text.as_str(), |n| n.1);
             let name = name.rsplit_once(':').filter(|(_, p)| p.parse::<u16>().is_ok()).map_or(name, |n| n.0);
             let name = name.to_ascii_lowercase();
@@ -96,39 +103,46 @@
             }
         }
         if self.current_server == 0 {
-            return self.ledger.omitted(d.item, "the main server's routes are for every host that has none");
+            return self.ledger.report_omitted(
+                directive.item,
+                "the main server's routes apply to every host without routes of its own",
+            );
         }
-        let reason = "`*` only stands for a whole first part";
-        match d.arguments.len() - usable {
-            _ if usable == 0 => self.ledger.omitted(d.item, reason),
-            0 => self.ledger.mapped(d.item, "host"),
-            unusable => self.ledger.approximated(d.item, "host", format!("{unusable} left out: {reason}")),
+        let reason = "`*` is accepted only as the whole first label of a host name";
+        match directive.arguments.len() - usable {
+            _ if usable == 0 => self.ledger.report_omitted(directive.item, reason),
+            0 => self.ledger.report_mapped(directive.item, "host"),
+            unusable => self.ledger.report_approximated(
+                directive.item,
+                "host",
+                format!("{unusable} of the names omitted: {reason}"),
+            ),
         }
     }
 
-    fn proxy_timeout(&mut self, d: &Directive) {
-        let Some(ms) = d.argument(0).and_then(|t| parse_time_ms(t, 1000)) else {
-            return self.ledger.omitted(d.item, "no time of a day or less");
+    fn set_proxy_timeout(&mut self, directive: &Directive) {
+        let Some(ms) = directive.argument(0).and_then(|t| parse_time_ms(t, 1000)) else {
+            return self.ledger.report_omitted(directive.item, "not a duration of at most one day");
         };
-        let item = d.item;
+        let item = directive.item;
         if let Some(earlier) = self.server().timeout.replace(ProxyTimeout { ms, item }) {
-            self.ledger.overridden(earlier.item, item);
+            self.ledger.report_overridden(earlier.item, item);
         }
-        self.ledger.approximated(item, "limits answer-ms", "of the whole answer, not of each read");
+        self.ledger.report_approximated(item, "limits answer-ms", "limits the whole answer, not each read");
     }
 
-    /// `ProxyPassInherit` and `BalancerInherit`.
-    fn inheritance(&mut self, d: &Directive) {
-        match d.argument(0).and_then(parse_flag) {
-            Some(on) if d.is("proxypassinherit") => {
+    /// Sets what `ProxyPassInherit` and `BalancerInherit` say about the current server.
+    fn set_inheritance(&mut self, directive: &Directive) {
+        match directive.argument(0).and_then(parse_flag) {
+            Some(on) if directive.is_named("proxypassinherit") => {
                 self.server().inherits_routes = Some(on);
-                self.ledger.mapped(d.item, "routes inherit");
+                self.ledger.report_mapped(directive.item, "routes inherit");
             }
             Some(on) => {
                 self.server().inherits_balancers = Some(on);
-                self.ledger.mapped(d.item, "which pools the routes know");
+                self.ledger.report_mapped(directive.item, "which pools the routes know");
             }
-            None => self.ledger.omitted(d.item, "neither On nor Off"),
+            None => self.ledger.report_omitted(directive.item, "the value must be On or Off"),
         }
     }
 }
--- a/crates/import/src/httpd/includes.rs
+++ b/crates/import/src/httpd/includes.rs
@@ -1,17 +1,17 @@
-//! `Include` and `IncludeOptional`, and other files that a directive names.
+//! Reads the files that `Include`, `IncludeOptional` and other directives name.
 
 use super::model::Directive;
-use super::{HttpdReader, MAX_DEPTH};
+use super::{HttpdReader, MAX_NESTING_DEPTH};
 use crate::error::ImportError;
 use crate::location::Location;
 use std::path::{Path, PathBuf};
 
-/// How many files an import includes at the most.
-const MAX_FILES: usize = 10_000;
+/// The greatest number of files that one import includes.
+const MAX_INCLUDED_FILES: usize = 10_000;
 
 impl HttpdReader<'_> {
-    pub(super) fn include(&mut self, d: &Directive, optional: bool) -> Result<(), ImportError> {
-        let pattern = d.argument(0).unwrap_or("").to_string();
+    pub(super) fn include_files(&mut self, directive: &Directive, optional: bool) -> Result<(), ImportError> {
+        let pattern = directive.argument(0).unwrap_or("").to_string();
         let path = self.resolve(&pattern);
         let found = match pattern.contains(['*', '?', '[']) {
             true => self.files.matching(&path.display().to_string()),
@@ -21,12 +21,13 @@
             },
         };
         if found.is_empty() && !optional {
-            return Err(ImportError::NoMatchingFile { location: d.location.clone(), pattern });
+            return Err(ImportError::NoMatchingFile { location: directive.location.clone(), pattern });
         }
         let count = found.len();
-        self.ledger.mapped(d.item, format!("{count} file{}", if count == 1 { "" } else { "s" }));
+        self.ledger
+            .report_mapped(directive.item, format!("{count} file{}", if count == 1 { "" } else { "s" }));
         for path in found {
-            self.include_file(&path, &d.location)?;
+            self.include_file(&path, &directive.location)?;
         }
         Ok(())
     }
@@ -38,8 +39,8 @@
         }
         self.files_included += 1;
         for (count, subject, limit) in [
-            (self.include_stack.len(), "files within files", MAX_DEPTH),
-            (self.files_included, "files", MAX_FILES),
+            (self.include_stack.len(), "levels of included files", MAX_NESTING_DEPTH),
+            (self.files_included, "included files", MAX_INCLUDED_FILES),
         ] {
             if count > limit {
                 return Err(ImportError::LimitExceeded { location: location.clone(), subject, limit });
@@ -49,7 +50,7 @@
         self.read_bytes(path, &bytes)
     }
 
-    /// The bytes of a file that is named at `location`.
+    /// Reads a file that the directive at `location` names.
     pub(super) fn read_referenced(&self, path: &Path, location: &Location) -> Result<Vec<u8>, ImportError> {
         self.files.read(path).map_err(|e| ImportError::ReadReferenced {
             location: location.clone(),
@@ -58,7 +59,7 @@
         })
     }
 
-    /// The path of a file as a directive names it.
+    /// Resolves a file name in a directive against the root directory.
     pub(super) fn resolve(&self, name: &str) -> PathBuf {
         self.root.clone().unwrap_or_default().join(name)
     }
--- a/crates/import/src/httpd/jk.rs
+++ b/crates/import/src/httpd/jk.rs
@@ -1,4 +1,4 @@
-//! mod_jk's directives in httpd's files.
+//! The directives of mod_jk in httpd's configuration files.
 
 use super::model::{Directive, Scope};
 use super::HttpdReader;
@@ -7,50 +7,50 @@
 use crate::modjk::{read_mounts_file, Mount};
 
 impl HttpdReader<'_> {
-    pub(super) fn jk_directive(&mut self, d: &Directive) -> Result<(), ImportError> {
-        match d.name.to_ascii_lowercase().as_str() {
-            name @ ("jkmount" | "jkunmount") => self.jk_mount(d, name == "jkunmount"),
-            "jkmountfile" | "jkworkersfile" => self.jk_file(d)?,
+    pub(super) fn read_jk_directive(&mut self, directive: &Directive) -> Result<(), ImportError> {
+        match directive.name.to_ascii_lowercase().as_str() {
+            name @ ("jkmount" | "jkunmount") => self.add_jk_mount(directive, name == "jkunmount"),
+            "jkmountfile" | "jkworkersfile" => self.read_jk_file(directive)?,
             "jkworkerproperty" => {
-                let line = d.arguments.iter().map(|a| a.text.as_str()).collect::<Vec<_>>().join(" ");
-                self.modjk.property(&mut self.ledger, &line, d.item);
+                let line = directive.arguments.iter().map(|a| a.text.as_str()).collect::<Vec<_>>().join(" ");
+                self.modjk.read_property(&mut self.ledger, &line, directive.item);
             }
-            "jkmountcopy" => self.jk_mount_copy(d),
+            "jkmountcopy" => self.set_mount_copy(directive),
             name => {
-                let reason = coverage::outcome(JK_DIRECTIVES, &d.name);
-                self.ledger.omitted(d.item, reason);
-                for a in d.arguments.iter().filter(|_| name == "jkoptions") {
-                    let item = self.ledger.note(&a.location, format!("{} {}", d.name, a.text));
-                    self.ledger.omitted(item, reason);
+                let reason = coverage::outcome_of(JK_DIRECTIVES, &directive.name);
+                self.ledger.report_omitted(directive.item, reason);
+                for a in directive.arguments.iter().filter(|_| name == "jkoptions") {
+                    let item = self.ledger.record(&a.location, format!("{} {}", directive.name, a.text));
+                    self.ledger.report_omitted(item, reason);
                 }
             }
         }
         Ok(())
     }
 
-    fn jk_mount(&mut self, d: &Directive, exclude: bool) {
+    fn add_jk_mount(&mut self, directive: &Directive, exclude: bool) {
         let location = self.sections.iter().rev().find_map(|s| match &s.scope {
             Scope::Location { path, regex: false } => Some(path.clone()),
             _ => None,
         });
-        let (pattern, worker) = match (d.argument(0), d.argument(1), location) {
+        let (pattern, worker) = match (directive.argument(0), directive.argument(1), location) {
             (Some(path), Some(worker), _) => (path.to_string(), worker.to_string()),
             (Some(worker), None, Some(path)) => {
                 (format!("{}/*", path.trim_end_matches('/')), worker.to_string())
             }
-            _ => return self.ledger.omitted(d.item, "needs a path and a worker"),
+            _ => return self.ledger.report_omitted(directive.item, "a mount needs a path and a worker"),
         };
-        let mount = Mount { item: d.item, pattern, worker, exclude, attributes: Vec::new() };
-        let mounts = mount.alternatives(&mut self.ledger);
+        let mount = Mount { item: directive.item, pattern, worker, exclude, attributes: Vec::new() };
+        let mounts = mount.split_alternatives(&mut self.ledger);
         self.server().mounts.extend(mounts);
     }
 
-    /// `JkMountFile` and `JkWorkersFile`.
-    fn jk_file(&mut self, d: &Directive) -> Result<(), ImportError> {
-        let path = self.resolve(d.argument(0).unwrap_or(""));
-        let bytes = self.read_referenced(&path, &d.location)?;
-        self.ledger.mapped(d.item, "that file's lines");
-        if d.is("jkworkersfile") {
+    /// Reads the file that a `JkMountFile` or `JkWorkersFile` names.
+    fn read_jk_file(&mut self, directive: &Directive) -> Result<(), ImportError> {
+        let path = self.resolve(directive.argument(0).unwrap_or(""));
+        let bytes = self.read_referenced(&path, &directive.location)?;
+        self.ledger.report_mapped(directive.item, "that file's lines");
+        if directive.is_named("jkworkersfile") {
             return self.modjk.read_workers_file(&mut self.ledger, &path, &bytes);
         }
         let mounts = read_mounts_file(&mut self.ledger, &path, &bytes)?;
@@ -58,18 +58,19 @@
         Ok(())
     }
 
-    fn jk_mount_copy(&mut self, d: &Directive) {
-        let value = d.argument(0).unwrap_or("").to_ascii_lowercase();
+    fn set_mount_copy(&mut self, directive: &Directive) {
+        let value = directive.argument(0).unwrap_or("").to_ascii_lowercase();
         let copies = match (value.as_str(), self.current_server) {
             ("all", 0) => true,
             ("on", n) if n > 0 => true,
             ("off", _) => false,
             _ => {
-                let reason = "On and Off stand in a virtual host, All in the main server";
-                return self.ledger.omitted(d.item, reason);
+                let reason =
+                    "the value must be On or Off in a virtual host, and All or Off in the main server";
+                return self.ledger.report_omitted(directive.item, reason);
             }
         };
         self.server().copies_mounts = copies;
-        self.ledger.mapped(d.item, "routes inherit");
+        self.ledger.report_mapped(directive.item, "routes inherit");
     }
 }
--- a/crates/import/src/httpd/member.rs
+++ b/crates/import/src/httpd/member.rs
@@ -1,4 +1,5 @@
-//! The parameters of one worker: limits of its member, its membership in a pool, and what it says for the pool.
+//! The parameters of a worker: the limits of its member, its membership in a pool, and its settings for the
+//! pool.
 
 use super::model::Worker;
 use crate::coverage::{self, MEMBER_PARAMS, PROXY_PASS_KEYWORDS};
@@ -7,31 +8,31 @@
 use crate::params::{parse_time_ms, Param, Params};
 use fernslip_site::{MemberLimits, Pool, State, Use};
 
-/// A time that a worker sets for its pool.
+/// A duration that a worker sets for its pool.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PoolTime {
+pub(super) struct PoolDuration {
     ms: u64,
     item: Item,
 }
 
-/// What the parameters of a worker say.
+/// The settings that the parameters of a worker make.
 #[derive(Default)]
 pub(super) struct MemberSettings {
     pub limits: MemberLimits,
     weight: Option<f64>,
     tier: Option<u64>,
     state: Option<State>,
-    /// How long a request waits for a connection.
-    acquire: Option<PoolTime>,
-    /// How long a failed worker is left alone.
-    retry: Option<PoolTime>,
-    /// The name that `redirect` parameters of other workers call it by.
+    /// How long a request waits for a connection to the worker.
+    acquire: Option<PoolDuration>,
+    /// How long a failed worker receives no requests.
+    retry: Option<PoolDuration>,
+    /// The name by which the `redirect` parameters of other workers refer to this worker.
     pub route: Option<String>,
     pub redirect: Option<Param>,
 }
 
 impl MemberSettings {
-    /// The membership in a pool of the member `id`.
+    /// The pool's entry for the member `id`, with the worker's weight, state and tier.
     pub fn membership(&self, id: &str) -> Use {
         Use {
             member: id.into(),
@@ -44,26 +45,28 @@
     }
 }
 
-/// Why a parameter of a worker is omitted or approximated.
-fn reason_of(name: &str) -> &'static str {
-    let row = coverage::find(MEMBER_PARAMS, name).or_else(|| coverage::find(PROXY_PASS_KEYWORDS, name));
-    row.map_or("not known to the importer", |r| r.outcome)
+/// The reason for omitting or approximating a parameter of a worker.
+fn table_reason(name: &str) -> &'static str {
+    let row =
+        coverage::find_row(MEMBER_PARAMS, name).or_else(|| coverage::find_row(PROXY_PASS_KEYWORDS, name));
+    row.map_or("not supported by the importer", |r| r.outcome)
 }
 
-/// The endpoint of a worker; where it has none, the worker is omitted, and its parameters for the reason `param_reason`
-/// makes of its own.
+/// The endpoint of a worker. If its URL is not accepted, the worker is reported as omitted for that reason,
+/// and its parameters for the reason that `param_reason` derives from it.
 pub(super) fn endpoint_of(
     ledger: &mut Ledger,
     worker: &Worker,
     param_reason: impl Fn(&str) -> String,
 ) -> Result<Endpoint, String> {
     Endpoint::parse(&worker.url).inspect_err(|reason| {
-        worker.items.iter().for_each(|i| ledger.omitted(*i, reason.clone()));
-        worker.params.0.values().for_each(|p| ledger.omitted(p.item, param_reason(reason)));
+        worker.items.iter().for_each(|i| ledger.report_omitted(*i, reason.clone()));
+        worker.params.0.values().for_each(|p| ledger.report_omitted(p.item, param_reason(reason)));
     })
 }
 
-/// Reads the parameters of a worker, each with its verdict. `timeout_ms` is its server's ProxyTimeout.
+/// Reads the parameters of a worker and sets the verdict of each. `timeout_ms` is the `ProxyTimeout` of its
+/// server.
 pub(super) fn read_settings(
     ledger: &mut Ledger,
     params: Params,
@@ -78,7 +81,8 @@
     settings
 }
 
-const NO_TIME: &str = "no time of a day or less";
+/// The reason given for a parameter whose value is not a usable duration.
+const INVALID_DURATION: &str = "not a duration of at most one day";
 
 impl MemberSettings {
     fn read_param(&mut self, ledger: &mut Ledger, name: &str, param: Param, url: &str) {
@@ -88,42 +92,48 @@
         match name {
             "loadfactor" => {
                 self.weight = value.parse().ok().filter(|w: &f64| (1.0..=100.0).contains(w));
-                let otherwise = "not from 1 to 100, which httpd refuses too";
-                ledger.mapped_if(self.weight.is_some(), item, target("use weight"), otherwise);
+                let otherwise = "not a number from 1 to 100; httpd rejects it too";
+                ledger.report_mapped_if(self.weight.is_some(), item, target("use weight"), otherwise);
             }
             "lbset" => {
                 self.tier = value.parse().ok().filter(|t| *t <= 99);
-                let otherwise = "not from 0 to 99, which httpd refuses too";
-                ledger.mapped_if(self.tier.is_some(), item, target("use tier"), otherwise);
+                let otherwise = "not a whole number from 0 to 99; httpd rejects it too";
+                ledger.report_mapped_if(self.tier.is_some(), item, target("use tier"), otherwise);
             }
             "status" => self.read_status(ledger, value, item, target("use state")),
             "max" => {
                 self.limits.connections = value.parse().ok().filter(|n| (1..=1 << 24).contains(n));
                 match self.limits.connections {
-                    Some(_) => ledger.approximated(item, target("limits connections"), reason_of("max")),
-                    None => ledger.omitted(item, "no number of connections"),
+                    Some(_) => {
+                        ledger.report_approximated(item, target("limits connections"), table_reason("max"));
+                    }
+                    None => {
+                        ledger.report_omitted(item, "not a whole number of connections from 1 to 16777216");
+                    }
                 }
             }
-            "ttl" | "timeout" | "connectiontimeout" => self.read_time_out(ledger, name, value, item, target),
+            "ttl" | "timeout" | "connectiontimeout" => {
+                self.read_time_limit(ledger, name, value, item, target);
+            }
             "acquire" | "retry" => {
                 let unit_ms = if name == "retry" { 1000 } else { 1 };
-                let time = parse_time_ms(value, unit_ms).map(|ms| PoolTime { ms, item });
+                let time = parse_time_ms(value, unit_ms).map(|ms| PoolDuration { ms, item });
                 match (name, time) {
-                    (_, None) => ledger.omitted(item, NO_TIME),
+                    (_, None) => ledger.report_omitted(item, INVALID_DURATION),
                     ("retry", time) => self.retry = time,
                     (_, time) => self.acquire = time,
                 }
             }
             "route" => {
                 self.route = Some(value.clone());
-                ledger.omitted(item, reason_of("route"));
+                ledger.report_omitted(item, table_reason("route"));
             }
             "redirect" => self.redirect = Some(param),
-            _ => ledger.omitted(item, reason_of(name)),
+            _ => ledger.report_omitted(item, table_reason(name)),
         }
     }
 
-    fn read_time_out(
+    fn read_time_limit(
         &mut self,
         ledger: &mut Ledger,
         name: &str,
@@ -132,21 +142,25 @@
         target: impl Fn(&str) -> String,
     ) {
         let Some(ms) = parse_time_ms(value, 1000).filter(|ms| *ms > 0) else {
-            return ledger.omitted(item, NO_TIME);
+            return ledger.report_omitted(item, INVALID_DURATION);
         };
         match name {
             "ttl" => {
                 self.limits.idle_ms = Some(ms);
-                ledger.approximated(item, target("limits idle-ms"), "of every idle connection");
+                ledger.report_approximated(
+                    item,
+                    target("limits idle-ms"),
+                    "applies to every idle connection",
+                );
             }
             "timeout" => {
                 self.limits.answer_ms = Some(ms);
-                let reason = "of the whole answer, not of each read";
-                ledger.approximated(item, target("limits answer-ms"), reason);
+                let reason = "limits the whole answer, not each read";
+                ledger.report_approximated(item, target("limits answer-ms"), reason);
             }
             _ => {
                 self.limits.connect_ms = Some(ms);
-                ledger.mapped(item, target("limits connect-ms"));
+                ledger.report_mapped(item, target("limits connect-ms"));
             }
         }
     }
@@ -155,20 +169,20 @@
         let status = StatusFlags::parse(value);
         self.state = status.state();
         match (status.difference(), self.state) {
-            (None, _) => ledger.mapped(item, target),
-            (Some(reason), Some(_)) => ledger.approximated(item, target, reason),
-            (Some(reason), None) => ledger.omitted(item, reason),
+            (None, _) => ledger.report_mapped(item, target),
+            (Some(reason), Some(_)) => ledger.report_approximated(item, target, reason),
+            (Some(reason), None) => ledger.report_omitted(item, reason),
         }
     }
 }
 
-/// Status flags of a worker, [`status=`](https://httpd.apache.org/docs/2.4/mod/mod_proxy.html#status_table): `D`
-/// disabled, `S` stopped, `I` ignore errors, `R` hot spare, `H` hot standby, `E` in error, `N` drain, `C` health check
-/// failed.
+/// The status flags of a worker,
+/// [`status=`](https://httpd.apache.org/docs/2.4/mod/mod_proxy.html#status_table): `D` disabled, `S` stopped,
+/// `I` ignore errors, `R` hot spare, `H` hot standby, `E` in error, `N` drain, `C` health check failed.
 struct StatusFlags {
     /// The flags that are set, in the order of their last setting.
     set: Vec<char>,
-    /// What is no flag.
+    /// The characters that are not flags.
     unknown: String,
 }
 
@@ -193,8 +207,8 @@
         StatusFlags { set, unknown }
     }
 
-    /// The strictest state that a flag stands for. With an unknown flag httpd would not start; whatever was meant, the
-    /// member must not arrive live.
+    /// The strictest state among those of the flags. An unknown flag gives `Stopped`: httpd would not start
+    /// with it, and the member must not receive requests, whatever was meant.
     fn state(&self) -> Option<State> {
         if !self.unknown.is_empty() {
             return Some(State::Stopped);
@@ -209,34 +223,45 @@
         states.reduce(State::stricter)
     }
 
-    /// What of the flags the state does not say, if anything.
+    /// The reason why the state does not express all flags; `None` if it does.
     fn difference(&self) -> Option<String> {
         if !self.unknown.is_empty() {
             let unknown = &self.unknown;
-            return Some(format!("`{unknown}` is no status flag, and httpd refuses it: taken as stopped"));
+            return Some(format!(
+                "`{unknown}` is not a status flag, and httpd rejects it: the member is stopped"
+            ));
         }
         let unsupported: String = self.set.iter().filter(|f| matches!(f, 'I' | 'E' | 'C')).collect();
         (!unsupported.is_empty()).then(|| {
-            format!("{unsupported}: errors can't be ignored, and what traffic or probes showed is not kept")
+            format!("`{unsupported}`: ignoring errors and earlier health results cannot be expressed")
         })
     }
 }
 
-/// What members say that is their pool's matter here: of several values the least takes effect.
+/// Sets the durations that members set in httpd but pools set in a site document. The lowest value takes
+/// effect.
 pub(super) fn set_pool_times(
     ledger: &mut Ledger,
     pool: &mut Pool,
     members: &[MemberSettings],
     pool_target: &str,
 ) {
-    let waits: Vec<PoolTime> = members.iter().filter_map(|m| m.acquire).collect();
-    let backoffs: Vec<PoolTime> = members.iter().filter_map(|m| m.retry).collect();
+    let waits: Vec<PoolDuration> = members.iter().filter_map(|m| m.acquire).collect();
+    let backoffs: Vec<PoolDuration> = members.iter().filter_map(|m| m.retry).collect();
     pool.limits.wait_ms = waits.iter().map(|t| t.ms).min();
     pool.recovery.first_backoff_ms = backoffs.iter().map(|t| t.ms).min();
     for time in waits {
-        ledger.approximated(time.item, format!("{pool_target} limits wait-ms"), reason_of("acquire"));
+        ledger.report_approximated(
+            time.item,
+            format!("{pool_target} limits wait-ms"),
+            table_reason("acquire"),
+        );
     }
     for time in backoffs {
-        ledger.approximated(time.item, format!("{pool_target} recovery first-ms"), reason_of("retry"));
+        ledger.report_approximated(
+            time.item,
+            format!("{pool_target} recovery first-ms"),
+            table_reason("retry"),
+        );
     }
 }
--- a/crates/import/src/httpd/mod.rs
+++ b/crates/import/src/httpd/mod.rs
@@ -1,8 +1,9 @@
-//! httpd's files, interpreted as httpd reads them: lines to directives, variables, includes and sections, as
-//! [the documentation](https://httpd.apache.org/docs/2.4/configuring.html) describes them.
+//! Reads httpd's configuration files: directives, variables, includes and sections, as described in
+//! [the documentation](https://httpd.apache.org/docs/2.4/configuring.html).
 //!
-//! - `sections`, `directives`, `includes`, `proxy` and `jk` read directives into the servers of `model`;
-//! - `pools`, with `balancer` and `member`, and `routes` make the pools and routes of a site of these.
+//! - `sections`, `directives`, `includes`, `proxy` and `jk` read the directives into the servers defined in
+//!   `model`.
+//! - `pools`, `balancer`, `member` and `routes` convert these servers to the pools and routes of a site.
 
 mod balancer;
 mod directives;
@@ -25,17 +26,17 @@
 use crate::ledger::Ledger;
 use crate::location::Location;
 use crate::modjk::ModJk;
-use crate::text::{expand, read_lines, tokens, Continuations, Line, MAX_LINE_BYTES};
+use crate::text::{expand_variables, read_lines, split_tokens, Continuations, Line, MAX_LINE_BYTES};
 use model::{Argument, Directive, Section};
 use std::collections::{HashMap, HashSet};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// How deep files that include each other, and sections within sections, nest at the most.
-const MAX_DEPTH: usize = 64;
+/// The greatest nesting depth of included files, and of sections.
+const MAX_NESTING_DEPTH: usize = 64;
 
-/// Modules whose directives the importer knows; `<IfModule>` holds for them.
-const MODULES: [&str; 14] = [
+/// The modules whose directives the importer supports, for which `<IfModule>` therefore holds.
+const SUPPORTED_MODULES: [&str; 14] = [
     "proxy",
     "proxy_balancer",
     "proxy_http",
@@ -52,21 +53,24 @@
     "jk",
 ];
 
-/// Reads httpd's files one after the other, and holds everything that was read.
+/// Reads httpd's files one after the other, and stores everything that was read.
 pub(crate) struct HttpdReader<'f> {
     files: &'f dyn Files,
     pub ledger: Ledger,
-    /// The main server, then the virtual hosts in their order.
+    /// The main server, followed by the virtual hosts in the order of the files.
     pub servers: Vec<Server>,
     pub modjk: ModJk,
-    /// Where relative names of files begin.
+    /// The directory that relative file names start from; `None` until the first file is read.
     root: Option<PathBuf>,
+    /// The values of variables, keyed by name.
     defines: HashMap<String, String>,
+    /// The modules for which `<IfModule>` holds, without the suffix `_module`.
     modules: HashSet<String>,
-    /// Open sections, the innermost last.
+    /// The open sections, the innermost last.
     sections: Vec<Section>,
+    /// The index in `servers` of the server whose directives are being read.
     current_server: usize,
-    /// The canonical names of the files being read, the innermost last.
+    /// The canonical paths of the files that are being read, the innermost last.
     include_stack: Vec<PathBuf>,
     files_included: usize,
 }
@@ -80,7 +84,7 @@
             modjk: ModJk::default(),
             root,
             defines: defines.iter().cloned().collect(),
-            modules: MODULES.iter().map(ToString::to_string).collect(),
+            modules: SUPPORTED_MODULES.iter().map(ToString::to_string).collect(),
             sections: Vec::new(),
             current_server: 0,
             include_stack: Vec::new(),
@@ -88,7 +92,7 @@
         }
     }
 
-    /// Reads a file that the caller named.
+    /// Reads an input file and all files that it includes.
     pub fn read_file(&mut self, path: &Path) -> Result<(), ImportError> {
         if self.root.is_none() {
             self.root = path.parent().map(Path::to_path_buf);
@@ -101,7 +105,7 @@
         &mut self.servers[self.current_server]
     }
 
-    /// Why what stands here does not take effect, if so.
+    /// The reason why directives at this point are skipped; `None` if they take effect.
     fn skip_reason(&self) -> Option<&str> {
         self.sections.iter().rev().find_map(|s| s.skip_reason.as_deref())
     }
@@ -117,13 +121,13 @@
         }
         self.include_stack.pop();
         if let Some(unclosed) = self.sections.get(depth) {
-            let message = format!("<{}> is not closed in its file", unclosed.name);
+            let message = format!("<{}> is not closed in the file that opens it", unclosed.name);
             return Err(ImportError::Section { location: unclosed.location.clone(), message });
         }
         Ok(())
     }
 
-    /// Reads a line of a file that began within `depth` sections.
+    /// Reads one line. `depth` is the number of sections that were open at the start of the file.
     fn read_line(&mut self, file: &Arc<str>, line: &Line, depth: usize) -> Result<(), ImportError> {
         let location = line.location(file, 0);
         if let Some(name) = line.text.strip_prefix("</") {
@@ -132,25 +136,26 @@
         let skip_reason = self.skip_reason().map(String::from);
         let (directive, is_section) = self.parse_directive(file, line, location, skip_reason.is_some())?;
         if line.invalid_utf8 {
-            self.ledger.omitted(directive.item, "bytes that are no UTF-8");
+            self.ledger.report_omitted(directive.item, "the line contains invalid UTF-8");
         }
         if is_section {
             return self.open_section(directive, skip_reason.is_some() || line.invalid_utf8);
         }
         if let Some(reason) = skip_reason {
-            self.ledger.omitted(directive.item, reason.clone());
-            for param in self.params(&directive, 0) {
-                self.ledger.omitted(param.item, reason.clone());
+            self.ledger.report_omitted(directive.item, reason.clone());
+            for param in self.record_params(&directive, 0) {
+                self.ledger.report_omitted(param.item, reason.clone());
             }
             return Ok(());
         }
         if line.invalid_utf8 {
             return Ok(());
         }
-        self.directive(&directive)
+        self.read_directive(&directive)
     }
 
-    /// Expands a line's variables and splits it; and whether it opens a section.
+    /// Expands the variables of a line and splits it into a directive. The flag returned says whether it
+    /// opens a section.
     fn parse_directive(
         &mut self,
         file: &Arc<str>,
@@ -159,9 +164,9 @@
         skipped: bool,
     ) -> Result<(Directive, bool), ImportError> {
         let expanded = match skipped {
-            // Variables of a skipped section may be those of another machine.
-            true => expand(&line.text, "${", '}', |_| None),
-            false => expand(&line.text, "${", '}', |n| self.defines.get(n).map(String::as_str)),
+            // Variables in a skipped section may be defined only on another machine.
+            true => expand_variables(&line.text, "${", '}', |_| None),
+            false => expand_variables(&line.text, "${", '}', |n| self.defines.get(n).map(String::as_str)),
         };
         let Some(expanded) = expanded else {
             return Err(ImportError::LineTooLong { location, expanded: true, limit: MAX_LINE_BYTES });
@@ -169,14 +174,14 @@
         let section = expanded.text.strip_prefix('<').map(|t| t.strip_suffix('>').unwrap_or(t));
         let is_section = section.is_some();
         let (text, shift) = section.map_or((expanded.text.as_str(), 0), |t| (t, 1));
-        let mut tokens = tokens(text).into_iter();
+        let mut tokens = split_tokens(text).into_iter();
         let name = tokens.next().map_or(String::new(), |t| t.text);
         let arguments = tokens.map(|t| Argument {
             text: t.text,
             location: line.location(file, expanded.source_offset(t.offset + shift)),
         });
         let label = if is_section { format!("<{name}>") } else { name.clone() };
-        let item = self.ledger.note(&location, label);
+        let item = self.ledger.record(&location, label);
         Ok((Directive { name, arguments: arguments.collect(), item, location }, is_section))
     }
 }
--- a/crates/import/src/httpd/model.rs
+++ b/crates/import/src/httpd/model.rs
@@ -1,4 +1,4 @@
-//! What was read of httpd's files: directives, servers, balancers, workers and rules.
+//! The data read from httpd's files: directives, servers, balancers, workers and rules.
 
 use crate::ledger::Item;
 use crate::location::Location;
@@ -7,14 +7,14 @@
 use fernslip_site::Match;
 use std::collections::HashMap;
 
-/// An argument of a directive.
+/// An argument of a directive, without quotes.
 #[derive(Clone, Debug)]
 pub(super) struct Argument {
     pub text: String,
     pub location: Location,
 }
 
-/// A directive, or the opening of a section, with its variables expanded.
+/// A directive, or the opening tag of a section, after variable expansion.
 #[derive(Clone, Debug)]
 pub(super) struct Directive {
     pub name: String,
@@ -24,42 +24,44 @@
 }
 
 impl Directive {
-    pub fn argument(&self, n: usize) -> Option<&str> {
-        self.arguments.get(n).map(|a| a.text.as_str())
+    pub fn argument(&self, index: usize) -> Option<&str> {
+        self.arguments.get(index).map(|a| a.text.as_str())
     }
 
-    /// Whether it has this name; case does not matter in names.
-    pub fn is(&self, name: &str) -> bool {
+    /// Whether the directive has this name, compared without regard to case.
+    pub fn is_named(&self, name: &str) -> bool {
         self.name.eq_ignore_ascii_case(name)
     }
 }
 
-/// An open section.
+/// A section that has been opened and not yet closed.
 pub(super) struct Section {
     pub name: String,
     pub scope: Scope,
     pub location: Location,
-    /// Why nothing in it takes effect, if so.
+    /// The reason why the directives inside are skipped; `None` if they take effect.
     pub skip_reason: Option<String>,
 }
 
-/// What a section means for the directives inside.
+/// The effect of a section on the directives inside it.
 pub(super) enum Scope {
-    /// They belong to a virtual host; `outer` is the server around it.
+    /// They belong to a virtual host; `outer` is the index of the server that becomes current again when it
+    /// closes.
     VirtualHost { outer: usize },
-    /// Their path is this one.
+    /// Their path is `path`, a regular expression if `regex` is set.
     Location { path: String, regex: bool },
-    /// They belong to the balancer or worker of this URL.
+    /// They belong to the balancer or worker with this URL.
     Proxy { url: String },
-    /// Nothing.
+    /// The section has no effect on them.
     Other,
 }
 
-/// A backend server: a member of a balancer, or one that a ProxyPass names. httpd calls both workers.
+/// A backend server: a member of a balancer, or one that a `ProxyPass` names directly. httpd calls both
+/// workers.
 #[derive(Clone, Debug)]
 pub(super) struct Worker {
     pub url: String,
-    /// The directives that name it.
+    /// The directives that add it or set its parameters.
     pub items: Vec<Item>,
     pub params: Params,
 }
@@ -70,19 +72,20 @@
     }
 }
 
-/// A balancer of one server.
+/// A balancer that one server defines.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Balancer {
     pub name: String,
-    /// The sections that name it.
+    /// The opening tags of its `<Proxy>` sections.
     pub items: Vec<Item>,
     pub params: Params,
     pub members: Vec<Worker>,
+    /// Indexes in `members`, keyed by URL.
     member_by_url: HashMap<String, usize>,
 }
 
 impl Balancer {
-    /// The member with this URL, added if it is not there.
+    /// The member with this URL, which is added if it is new.
     pub fn member(&mut self, url: &str) -> &mut Worker {
         let index = *self.member_by_url.entry(url.to_string()).or_insert_with(|| {
             self.members.push(Worker::new(url));
@@ -92,56 +95,64 @@
     }
 }
 
-/// Where a ProxyPass leads.
+/// The target of a `ProxyPass`.
 #[derive(Clone, Debug)]
 pub(super) enum ProxyTarget {
-    /// To a balancer, by its name.
+    /// The balancer with this name.
     Balancer(String),
-    /// To one worker, by its URL.
+    /// The worker with this URL.
     Worker(String),
-    /// Nowhere: the path is excluded.
+    /// None: the path is excluded from proxying.
     Excluded,
 }
 
-/// A ProxyPass.
+/// The rule of one `ProxyPass` or `ProxyPassMatch`.
 #[derive(Clone, Debug)]
 pub(super) struct ProxyRule {
     pub item: Item,
     pub pattern: String,
     pub matching: Match,
     pub target: ProxyTarget,
+    /// The text that replaces the matched part of the path; `None` if the path is forwarded unchanged.
     pub rewrite: Option<String>,
 }
 
-/// A ProxyTimeout.
+/// The value of a `ProxyTimeout`.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ProxyTimeout {
     pub ms: u64,
     pub item: Item,
 }
 
-/// The main server, or a virtual host.
+/// The configuration of the main server or of a virtual host.
 #[derive(Default)]
 pub(crate) struct Server {
+    /// The names from `ServerName` and `ServerAlias`, in lower case.
     pub hosts: Vec<String>,
-    /// Rules outside of `<Location>`, in their order.
+    /// The rules outside `<Location>` sections, in the order of the files.
     pub(super) rules: Vec<ProxyRule>,
-    /// Rules of `<Location>`, the last first; they come before the others.
+    /// The rules of `<Location>` sections, in reverse order; they precede the other rules.
     pub(super) location_rules: Vec<ProxyRule>,
     pub(super) balancers: Vec<Balancer>,
+    /// Indexes in `balancers`, keyed by name.
     balancer_by_name: HashMap<String, usize>,
-    /// Workers outside of balancers.
+    /// The workers that belong to no balancer.
     pub(super) workers: Vec<Worker>,
+    /// Indexes in `workers`, keyed by URL.
     worker_by_url: HashMap<String, usize>,
     pub(super) timeout: Option<ProxyTimeout>,
+    /// The value of `ProxyPassInherit`, which is on by default.
     pub inherits_routes: Option<bool>,
+    /// The value of `BalancerInherit`, which is on by default.
     pub(super) inherits_balancers: Option<bool>,
     pub mounts: Vec<Mount>,
+    /// Whether `JkMountCopy` copies the main server's mounts: to this virtual host, or to all if this is the
+    /// main server.
     pub copies_mounts: bool,
 }
 
 impl Server {
-    /// The balancer of this name, added if it is not there.
+    /// The balancer with this name, which is added if it is new.
     pub(super) fn balancer(&mut self, name: &str) -> &mut Balancer {
         let index = *self.balancer_by_name.entry(name.to_string()).or_insert_with(|| {
             self.balancers.push(Balancer { name: name.into(), ..Balancer::default() });
@@ -150,7 +161,7 @@
         &mut self.balancers[index]
     }
 
-    /// The worker outside of balancers with this URL, added if it is not there.
+    /// The worker with this URL that belongs to no balancer, which is added if it is new.
     pub(super) fn worker(&mut self, url: &str) -> &mut Worker {
         let index = *self.worker_by_url.entry(url.to_string()).or_insert_with(|| {
             self.workers.push(Worker::new(url));
--- a/crates/import/src/httpd/routes.rs
+++ b/crates/import/src/httpd/routes.rs
@@ -1,17 +1,17 @@
-//! ProxyPass lines to routes.
+//! Converts `ProxyPass` rules to routes.
 
 use super::model::{ProxyRule, ProxyTarget, Server};
-use super::pools::Pools;
+use super::pools::PoolNames;
 use crate::builder::SourcedRoute;
 use crate::ledger::Ledger;
 use fernslip_site::{Match, Route, Target, MAX_REGEX_BYTES};
 
-/// The routes of the server with this index, those of its locations first.
+/// The routes of the server at `index`. Those from `<Location>` sections come first.
 pub(crate) fn proxy_routes(
     ledger: &mut Ledger,
     server: &Server,
     index: usize,
-    pools: &Pools,
+    pools: &PoolNames,
 ) -> Vec<SourcedRoute> {
     let rules = server.location_rules.iter().chain(&server.rules);
     let route_of = |rule: &ProxyRule| {
@@ -25,16 +25,16 @@
     rule: &ProxyRule,
     server: &Server,
     index: usize,
-    pools: &Pools,
+    pools: &PoolNames,
 ) -> Option<Route> {
     let is_regex = rule.matching == Match::Regex;
     if is_regex && regex::RegexBuilder::new(&rule.pattern).size_limit(MAX_REGEX_BYTES).build().is_err() {
-        let reason = "its expression needs what only a backtracking matcher has, or is too large";
-        ledger.omitted(rule.item, reason);
+        let reason = "the regular expression is too large, invalid, or uses look-around or back-references";
+        ledger.report_omitted(rule.item, reason);
         return None;
     }
     if !is_regex && !rule.pattern.starts_with('/') {
-        ledger.omitted(rule.item, "its path does not begin with `/`");
+        ledger.report_omitted(rule.item, "the path does not begin with `/`");
         return None;
     }
     let route = |target, rewrite| Route {
@@ -45,23 +45,23 @@
     };
     let pool = match &rule.target {
         ProxyTarget::Excluded => {
-            ledger.mapped(rule.item, "route exclude");
+            ledger.report_mapped(rule.item, "route exclude");
             return Some(route(Target::Exclude(None), None));
         }
         ProxyTarget::Balancer(name) => {
-            pools.of_balancer(index, name, server.inherits_balancers.unwrap_or(true))
+            pools.balancer_pool(index, name, server.inherits_balancers.unwrap_or(true))
         }
-        ProxyTarget::Worker(url) => pools.of_worker(index, url),
+        ProxyTarget::Worker(url) => pools.worker_pool(index, url),
     };
     match pool {
         Ok(pool) => {
-            ledger.mapped(rule.item, format!("route pool=\"{pool}\""));
+            ledger.report_mapped(rule.item, format!("route pool=\"{pool}\""));
             Some(route(Target::Pool(pool), rule.rewrite.clone()))
         }
         Err(reason) => {
-            // httpd would fail these requests; a later route must not take them instead.
-            let reason = format!("{reason}: the path is kept from other routes");
-            ledger.approximated(rule.item, "route exclude", reason);
+            // httpd would answer these requests with an error, so no later route may match them instead.
+            let reason = format!("{reason}: the path is excluded from other routes");
+            ledger.report_approximated(rule.item, "route exclude", reason);
             Some(route(Target::Exclude(None), None))
         }
     }
--- a/crates/import/src/httpd/sections.rs
+++ b/crates/import/src/httpd/sections.rs
@@ -1,30 +1,31 @@
-//! Sections: where they open and close, and what they mean for the directives inside.
+//! Opens and closes sections, and determines their effect on the directives inside.
 
 use super::model::{Directive, Scope, Section, Server};
 use super::url::BalancerUrl;
-use super::{HttpdReader, MAX_DEPTH};
+use super::{HttpdReader, MAX_NESTING_DEPTH};
 use crate::coverage::{self, HTTPD_DIRECTIVES, NOT_ROUTING};
 use crate::error::ImportError;
 use crate::location::Location;
 
-/// The scope of a section that was opened, and why nothing in it takes effect, if so.
-struct Opened {
+/// The scope of a section that was just opened, and the reason if its directives are skipped.
+struct OpenedSection {
     scope: Scope,
     skip_reason: Option<String>,
 }
 
-impl Opened {
-    fn with(scope: Scope) -> Opened {
-        Opened { scope, skip_reason: None }
+impl OpenedSection {
+    fn effective(scope: Scope) -> OpenedSection {
+        OpenedSection { scope, skip_reason: None }
     }
 
-    fn skipped(reason: String) -> Opened {
-        Opened { scope: Scope::Other, skip_reason: Some(reason) }
+    fn skipped(reason: String) -> OpenedSection {
+        OpenedSection { scope: Scope::Other, skip_reason: Some(reason) }
     }
 }
 
 impl HttpdReader<'_> {
-    /// Closes the innermost section, which must have this name and must have opened in the same file.
+    /// Closes the innermost section, which must have this name and be opened in the same file. `depth` is the
+    /// number of sections that were open at the start of the file.
     pub(super) fn close_section(
         &mut self,
         name: &str,
@@ -36,8 +37,10 @@
         if !matches {
             let innermost = self.sections.get(depth..).and_then(|s| s.last());
             let message = match innermost {
-                Some(s) => format!("</{name}> closes <{}> of line {}", s.name, s.location.line),
-                None => format!("</{name}> closes nothing"),
+                Some(s) => {
+                    format!("</{name}> does not match <{}>, opened on line {}", s.name, s.location.line)
+                }
+                None => format!("</{name}> has no opening <{name}> in this file"),
             };
             return Err(ImportError::Section { location, message });
         }
@@ -47,85 +50,100 @@
         Ok(())
     }
 
-    pub(super) fn open_section(&mut self, d: Directive, skip: bool) -> Result<(), ImportError> {
-        if self.sections.len() >= MAX_DEPTH {
-            let subject = "sections within sections";
-            return Err(ImportError::LimitExceeded { location: d.location, subject, limit: MAX_DEPTH });
+    pub(super) fn open_section(&mut self, directive: Directive, skip: bool) -> Result<(), ImportError> {
+        if self.sections.len() >= MAX_NESTING_DEPTH {
+            let subject = "levels of nested sections";
+            return Err(ImportError::LimitExceeded {
+                location: directive.location,
+                subject,
+                limit: MAX_NESTING_DEPTH,
+            });
         }
-        let Opened { scope, skip_reason } = match skip {
-            true => self.open_skipped(&d),
-            false => self.open_effective(&d),
+        let OpenedSection { scope, skip_reason } = match skip {
+            true => self.open_skipped(&directive),
+            false => self.open_effective(&directive),
         };
-        self.sections.push(Section { name: d.name, scope, location: d.location, skip_reason });
+        self.sections.push(Section {
+            name: directive.name,
+            scope,
+            location: directive.location,
+            skip_reason,
+        });
         Ok(())
     }
 
-    fn open_skipped(&mut self, d: &Directive) -> Opened {
-        let reason = self.skip_reason().unwrap_or("inside of what is not taken").to_string();
-        self.ledger.omitted(d.item, reason.clone());
-        Opened::skipped(reason)
+    fn open_skipped(&mut self, directive: &Directive) -> OpenedSection {
+        let reason = self.skip_reason().unwrap_or("inside a section that is not included").to_string();
+        self.ledger.report_omitted(directive.item, reason.clone());
+        OpenedSection::skipped(reason)
     }
 
-    fn open_effective(&mut self, d: &Directive) -> Opened {
-        match d.name.to_ascii_lowercase().as_str() {
-            "virtualhost" => self.open_virtual_host(d),
-            "location" | "locationmatch" => self.open_location(d),
-            "proxy" => self.open_proxy(d),
-            "ifdefine" | "ifmodule" => self.open_condition(d),
-            _ => self.open_other(d),
+    fn open_effective(&mut self, directive: &Directive) -> OpenedSection {
+        match directive.name.to_ascii_lowercase().as_str() {
+            "virtualhost" => self.open_virtual_host(directive),
+            "location" | "locationmatch" => self.open_location(directive),
+            "proxy" => self.open_proxy(directive),
+            "ifdefine" | "ifmodule" => self.open_condition(directive),
+            _ => self.open_other(directive),
         }
     }
 
-    fn open_virtual_host(&mut self, d: &Directive) -> Opened {
+    fn open_virtual_host(&mut self, directive: &Directive) -> OpenedSection {
         let scope = Scope::VirtualHost { outer: self.current_server };
         self.servers.push(Server::default());
         self.current_server = self.servers.len() - 1;
         let any_address =
-            d.arguments.iter().all(|a| a.text.starts_with('*') || a.text.starts_with("_default_"));
+            directive.arguments.iter().all(|a| a.text.starts_with('*') || a.text.starts_with("_default_"));
         match any_address {
-            true => self.ledger.mapped(d.item, "routes"),
+            true => self.ledger.report_mapped(directive.item, "routes"),
             false => {
-                let reason = "hosts tell sets of routes apart, addresses and ports don't";
-                self.ledger.approximated(d.item, "routes", reason);
+                let reason = "a set of routes is selected by host name, not by address and port";
+                self.ledger.report_approximated(directive.item, "routes", reason);
             }
         }
-        Opened::with(scope)
+        OpenedSection::effective(scope)
     }
 
-    fn open_location(&mut self, d: &Directive) -> Opened {
-        let has_tilde = d.argument(0) == Some("~");
-        let regex = has_tilde || d.is("locationmatch");
-        let path = d.argument(usize::from(has_tilde)).unwrap_or("").to_string();
+    fn open_location(&mut self, directive: &Directive) -> OpenedSection {
+        let has_tilde = directive.argument(0) == Some("~");
+        let regex = has_tilde || directive.is_named("locationmatch");
+        let path = directive.argument(usize::from(has_tilde)).unwrap_or("").to_string();
         if !regex && (path.contains(['*', '?', '[']) || !path.starts_with('/')) {
-            let reason = "a <Location> with wildcards or without a path has no equal";
-            self.ledger.omitted(d.item, reason);
-            return Opened::skipped(format!("inside of <{} {path}>: {reason}", d.name));
+            let reason = "a <Location> needs a path without wildcards that begins with `/`";
+            self.ledger.report_omitted(directive.item, reason);
+            return OpenedSection::skipped(format!(
+                "inside <{} {path}>, which is omitted: {reason}",
+                directive.name
+            ));
         }
-        self.ledger.mapped(d.item, "path of the routes inside");
-        Opened::with(Scope::Location { path, regex })
+        self.ledger.report_mapped(directive.item, "path of the routes inside");
+        OpenedSection::effective(Scope::Location { path, regex })
     }
 
-    fn open_proxy(&mut self, d: &Directive) -> Opened {
-        let url = match d.argument(0) {
+    fn open_proxy(&mut self, directive: &Directive) -> OpenedSection {
+        let url = match directive.argument(0) {
             Some(url) if url.contains("://") && !url.contains('*') => url.to_string(),
             _ => {
-                self.ledger.omitted(d.item, "settings for machines by pattern have no equal");
-                return Opened::with(Scope::Other);
+                self.ledger.report_omitted(
+                    directive.item,
+                    "settings for backend servers that match a pattern cannot be expressed",
+                );
+                return OpenedSection::effective(Scope::Other);
             }
         };
         let server = self.server();
         match BalancerUrl::parse(&url) {
-            Some(balancer) => server.balancer(&balancer.name).items.push(d.item),
-            None => server.worker(&url).items.push(d.item),
+            Some(balancer) => server.balancer(&balancer.name).items.push(directive.item),
+            None => server.worker(&url).items.push(directive.item),
         }
-        Opened::with(Scope::Proxy { url })
+        OpenedSection::effective(Scope::Proxy { url })
     }
 
-    /// `<IfDefine>` and `<IfModule>`.
-    fn open_condition(&mut self, d: &Directive) -> Opened {
-        let argument = d.argument(0).unwrap_or("");
+    /// Opens an `<IfDefine>` or `<IfModule>`, and skips its directives if the condition does not hold.
+    fn open_condition(&mut self, directive: &Directive) -> OpenedSection {
+        let argument = directive.argument(0).unwrap_or("");
         let (negated, name) = argument.strip_prefix('!').map_or((false, argument), |n| (true, n));
-        let holds = if d.is("ifdefine") {
+        let holds = if directive.is_named("ifdefine") {
             self.defines.contains_key(name)
         } else {
             let bare = name.strip_prefix("mod_").unwrap_or(name);
@@ -133,24 +151,28 @@
             self.modules.contains(bare)
         };
         let takes_effect = holds != negated;
-        self.ledger.mapped(d.item, if takes_effect { "taken" } else { "not taken" });
+        self.ledger.report_mapped(directive.item, if takes_effect { "taken" } else { "not taken" });
         match takes_effect {
-            true => Opened::with(Scope::Other),
-            false => Opened::skipped(format!("inside of <{} {argument}>, which is not taken", d.name)),
+            true => OpenedSection::effective(Scope::Other),
+            false => OpenedSection::skipped(format!(
+                "inside <{} {argument}>, whose condition does not hold",
+                directive.name
+            )),
         }
     }
 
-    fn open_other(&mut self, d: &Directive) -> Opened {
-        let label = format!("<{}>", d.name);
-        match coverage::find(HTTPD_DIRECTIVES, &label) {
+    fn open_other(&mut self, directive: &Directive) -> OpenedSection {
+        let label = format!("<{}>", directive.name);
+        match coverage::find_row(HTTPD_DIRECTIVES, &label) {
             Some(row) => {
-                self.ledger.omitted(d.item, row.outcome);
-                Opened::skipped(format!("inside of {label}: {}", row.outcome))
+                self.ledger.report_omitted(directive.item, row.outcome);
+                OpenedSection::skipped(format!("inside {label}, which is omitted: {}", row.outcome))
             }
-            // A section of another kind has no routes of its own, but may contain sections that do.
+            // A section of any other kind does not affect routing, but may contain sections and directives
+            // that do.
             None => {
-                self.ledger.omitted(d.item, NOT_ROUTING);
-                Opened::with(Scope::Other)
+                self.ledger.report_omitted(directive.item, NOT_ROUTING);
+                OpenedSection::effective(Scope::Other)
             }
         }
     }
--- a/crates/import/src/import.rs
+++ b/crates/import/src/import.rs
@@ -1,4 +1,4 @@
-//! The two imports, from files to a site and its report.
+//! The entry points for importing httpd and mod_jk files.
 
 use crate::builder::{RouteRules, SiteBuilder, SourcedRoute};
 use crate::error::ImportError;
@@ -9,14 +9,15 @@
 use fernslip_site::Site;
 use std::path::PathBuf;
 
-/// Settings of an import.
+/// Settings that apply to both kinds of import.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The site's name.
+    /// The name of the site in the document.
     pub name: String,
-    /// Where relative names in httpd's files begin; `None`: at the first file's directory, or at ServerRoot.
+    /// The directory that relative file names in httpd's files start from, until a `ServerRoot` that exists
+    /// here replaces it. `None` stands for the directory of the first file.
     pub root: Option<PathBuf>,
-    /// Variables as `Define` sets them; the value may be empty.
+    /// Variables that are set as if by `Define`, as pairs of name and value. A value may be empty.
     pub defines: Vec<(String, String)>,
 }
 
@@ -29,28 +30,30 @@
 /// The result of an import.
 #[derive(Clone, Debug)]
 pub struct Imported {
-    /// The site.
+    /// The site that the input describes.
     pub site: Site,
-    /// What became of every directive and parameter.
+    /// One entry for every directive and parameter of the input.
     pub report: Report,
 }
 
-/// Imports httpd's files, one after the other as if they were one.
+/// Imports httpd's configuration files in order, as if they were one file.
 ///
 /// # Errors
-/// Files that can't be read, include cycles, sections that don't close, and exceeded limits: each with its location.
+/// Returns an [`ImportError`] with the location of the cause, for unreadable files, include cycles, unclosed
+/// sections and exceeded limits.
 pub fn httpd(files: &dyn Files, inputs: &[PathBuf], options: &Options) -> Result<Imported, ImportError> {
     let mut reader = HttpdReader::new(files, options.root.clone(), &options.defines);
     for path in inputs {
         reader.read_file(path)?;
     }
-    Ok(assemble(reader, options))
+    Ok(build_import(reader, options))
 }
 
-/// Imports mod_jk's files: workers, mounts, and the httpd files that hold `JkMount` and its kin.
+/// Imports mod_jk's workers files and mounts files, and the httpd files in `inputs` that contain mod_jk's
+/// directives.
 ///
 /// # Errors
-/// As [`httpd`].
+/// The same as for [`httpd`].
 pub fn modjk(
     files: &dyn Files,
     workers: &[PathBuf],
@@ -71,11 +74,11 @@
         let mounts = read_mounts_file(&mut reader.ledger, path, &bytes)?;
         reader.servers[0].mounts.extend(mounts);
     }
-    Ok(assemble(reader, options))
+    Ok(build_import(reader, options))
 }
 
-/// Makes the site of what was read.
-fn assemble(reader: HttpdReader<'_>, options: &Options) -> Imported {
+/// Builds the site and the report from the directives and properties that were read.
+fn build_import(reader: HttpdReader<'_>, options: &Options) -> Imported {
     let HttpdReader { mut ledger, mut servers, mut modjk, .. } = reader;
     let mut builder = SiteBuilder::new(&options.name);
     let pools = build_pools(&mut ledger, &mut builder, &mut servers);
@@ -97,10 +100,11 @@
         let copies = !is_main && (copied_everywhere || server.copies_mounts);
         let main_mounts_here = main_mounts.iter().filter(|_| copies);
         for mount in server.mounts.iter().chain(main_mounts_here) {
-            let route = modjk.route(&mut ledger, &mut builder, mount);
+            let route = modjk.build_route(&mut ledger, &mut builder, mount);
             rules.longest_match.extend(route.map(|route| SourcedRoute { route, item: mount.item }));
         }
-        // Mounts of the main server are a virtual host's own only where they are copied, which is done above.
+        // Mounts of the main server apply to a virtual host only if they are copied to it, as above. So only
+        // `ProxyPass` rules are inherited.
         rules.inherit = server.inherits_routes.unwrap_or(true) && !rules.first_match.is_empty();
         rule_sets.push(rules);
     }
--- a/crates/import/src/lib.rs
+++ b/crates/import/src/lib.rs
@@ -1,15 +1,16 @@
-//! Apache balancer and mod_jk configuration to fernslip's site document.
+//! Converts Apache httpd balancer and mod_jk configurations to fernslip's site document.
 //!
-//! An import gives a [`Site`](fernslip_site::Site), and a [`Report`] in which every directive and every parameter of the
-//! input stands exactly once: mapped, approximated (and what the difference is) or omitted (and why). Nothing is guessed,
-//! and nothing is lost silently. A member that is disabled or stopped arrives draining or stopped.
+//! An import returns a [`Site`](fernslip_site::Site) and a [`Report`]. The report lists every directive and
+//! every parameter of the input exactly once: mapped, approximated (with the difference) or omitted (with the
+//! reason). Nothing is guessed or dropped without an entry. A member that is disabled or stopped is imported
+//! as draining or stopped.
 //!
-//! Files come through the trait [`Files`]: the disk, or a table in memory. `text` splits them into lines and tokens;
-//! `httpd` and `modjk` interpret these and note everything in the `ledger`, which becomes the report; the `builder`
-//! collects members, pools and routes.
+//! Files are read through the trait [`Files`], from disk or from memory. `text` splits them into lines and
+//! tokens; `httpd` and `modjk` interpret these and record everything in the `ledger`, which becomes the
+//! report; the `builder` collects members, pools and routes.
 //!
 //! ```
-//! use fernslip_import::{httpd, Memory, Options, Verdict};
+//! use fernslip_import::{httpd, MemoryFiles, Options, Verdict};
 //!
 //! let conf = b"\
 //! <Proxy balancer://docs>
@@ -19,7 +20,7 @@
 //! </Proxy>
 //! ProxyPass /docs balancer://docs
 //! ";
-//! let files = Memory::from_files([("httpd.conf", &conf[..])]);
+//! let files = MemoryFiles::from_files([("httpd.conf", &conf[..])]);
 //! let imported = httpd(&files, &["httpd.conf".into()], &Options::default())?;
 //! assert_eq!(imported.site.to_kdl(), r#"site "imported" members-from="file"
 //! member "10.0.0.1:8080" address="10.0.0.1:8080" protocol="http"
@@ -32,7 +33,8 @@
 //!     route "/docs" pool="docs" rewrite=""
 //! }
 //! "#);
-//! let sticky = imported.report.entries.iter().find(|e| e.directive == "ProxySet stickysession").expect("reported");
+//! let mut entries = imported.report.entries.iter();
+//! let sticky = entries.find(|e| e.directive == "ProxySet stickysession").expect("it is reported");
 //! assert_eq!((sticky.verdict, sticky.line), (Verdict::Omitted, 4));
 //! # Ok::<(), fernslip_import::ImportError>(())
 //! ```
@@ -52,7 +54,7 @@
 mod text;
 
 pub use error::ImportError;
-pub use files::{Disk, Files, Memory, MAX_FILE_BYTES};
+pub use files::{Disk, Files, MemoryFiles, MAX_FILE_BYTES};
 pub use import::{httpd, modjk, Imported, Options};
 pub use location::Location;
 pub use report::{Entry, Report, Verdict};
--- a/crates/import/src/location.rs
+++ b/crates/import/src/location.rs
@@ -3,14 +3,14 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Where something stands in the input.
+/// The position of a character in the input, shown as `FILE:LINE:COLUMN`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Location {
-    /// The file, as it was named.
+    /// The path of the file, as the caller or the including directive named it.
     pub file: Arc<str>,
-    /// The line, from 1.
+    /// The line number, starting at 1.
     pub line: usize,
-    /// The column, in characters from 1.
+    /// The column in characters, starting at 1.
     pub column: usize,
 }
 
--- a/crates/import/src/modjk/mod.rs
+++ b/crates/import/src/modjk/mod.rs
@@ -1,9 +1,11 @@
-//! mod_jk's files: [properties of workers](https://tomcat.apache.org/connectors-doc/reference/workers.html), and mounts
-//! of paths onto them, in [files of mounts](https://tomcat.apache.org/connectors-doc/reference/uriworkermap.html) or
-//! httpd's own.
+//! Reads mod_jk's files: the [properties of
+//! workers](https://tomcat.apache.org/connectors-doc/reference/workers.html), and mounts of paths onto
+//! workers, from [mounts files](https://tomcat.apache.org/connectors-doc/reference/uriworkermap.html) or from
+//! httpd's files.
 //!
-//! - `workers` and `mounts` read the files;
-//! - `members`, `pools` and `routes` make members, pools and routes of what was read, each when it is first needed.
+//! - `workers` and `mounts` read the files.
+//! - `members`, `pools` and `routes` build the members, pools and routes of a site, each when it is first
+//!   needed.
 
 mod members;
 mod mounts;
@@ -17,23 +19,23 @@
 use crate::params::Params;
 use std::collections::HashMap;
 
-/// Everything that was read of workers files, and what was made of it so far.
+/// Everything that was read from workers files, and the names of the members and pools built so far.
 #[derive(Default)]
 pub(crate) struct ModJk {
-    /// Properties by the worker's name.
+    /// The properties of workers, keyed by the worker's name.
     workers: HashMap<String, Params>,
-    /// The workers' names in the order of the first line of each.
+    /// The names of workers, in the order in which they first appear.
     worker_order: Vec<String>,
-    /// The workers of `worker.list`.
+    /// The names in `worker.list`.
     listed: Vec<String>,
-    /// Properties as variables of the lines below them.
+    /// The values of all properties read so far, which later lines can use as variables.
     variables: HashMap<String, String>,
-    /// Mounts of the workers files themselves.
+    /// The mounts that the `mount` properties of workers make.
     pub mounts: Vec<Mount>,
-    /// Ids of members by their worker's name.
+    /// Member ids, keyed by the worker's name.
     member_by_worker: HashMap<String, String>,
-    /// Names of pools by their worker's name.
+    /// Pool names, keyed by the worker's name.
     pool_by_worker: HashMap<String, String>,
-    /// Names of pools by the one they vary and the mount's attributes that they vary it by.
+    /// The names of pools that mount attributes make, keyed by the worker's pool and by those attributes.
     pool_by_variation: HashMap<(String, String), String>,
 }
--- a/crates/import/src/modjk/mounts.rs
+++ b/crates/import/src/modjk/mounts.rs
@@ -1,4 +1,4 @@
-//! Mounts of paths onto workers.
+//! Mounts, which assign paths to workers.
 
 use super::syntax::record_lines;
 use crate::error::ImportError;
@@ -15,20 +15,22 @@
     pub item: Item,
     pub pattern: String,
     pub worker: String,
+    /// Whether the path is excluded from the worker instead.
     pub exclude: bool,
     pub attributes: Vec<NamedParam>,
 }
 
 impl Mount {
-    /// The mounts of a line, whose pattern may be two: `/a|/*` is `/a` and `/a/*`.
-    pub fn alternatives(self, ledger: &mut Ledger) -> Vec<Mount> {
+    /// Splits a pattern with `|` into two mounts: `/a|/*` stands for `/a` and `/a/*`. Returns no mount if a
+    /// path does not begin with `/`.
+    pub fn split_alternatives(self, ledger: &mut Ledger) -> Vec<Mount> {
         let patterns = match self.pattern.split_once('|') {
             Some((stem, suffix)) => vec![stem.to_string(), format!("{stem}{suffix}")],
             None => vec![self.pattern.clone()],
         };
         if patterns.iter().any(|p| !p.starts_with('/')) {
-            ledger.omitted(self.item, "a mount's path begins with `/`");
-            self.omit_attributes(ledger, "of a mount that is left out");
+            ledger.report_omitted(self.item, "the path of a mount must begin with `/`");
+            self.omit_attributes(ledger, "the attribute's mount is omitted");
             return Vec::new();
         }
         patterns.into_iter().map(|pattern| Mount { pattern, ..self.clone() }).collect()
@@ -36,13 +38,13 @@
 
     pub(super) fn omit_attributes(&self, ledger: &mut Ledger, reason: &str) {
         for attribute in &self.attributes {
-            ledger.omitted(attribute.item, reason);
+            ledger.report_omitted(attribute.item, reason);
         }
     }
 }
 
-/// Reads a file of mounts: lines `PATH=WORKER;NAME=VALUE…`, of which a path with `!` is excluded and one with `-` is
-/// switched off, and variables.
+/// Reads a mounts file. Its lines are `PATH=WORKER;NAME=VALUE…`, where a path that begins with `!` is
+/// excluded and one that begins with `-` is disabled, or they set variables.
 pub(crate) fn read_mounts_file(
     ledger: &mut Ledger,
     path: &Path,
@@ -55,31 +57,31 @@
         let item = line.item;
         let expanded = line.expand(&variables)?;
         let Some((name, value)) = expanded.text.split_once('=') else {
-            ledger.omitted(item, "no `path=worker`");
+            ledger.report_omitted(item, "the line is not of the form `path=worker`");
             continue;
         };
         let attributes = read_attributes(ledger, &file, &line.line, &expanded);
         let name = name.trim();
         if !name.starts_with(['/', '!', '-']) {
-            // A variable of the file's own, for lines below.
+            // The line sets a variable that later lines of the file can use.
             variables.insert(name.to_string(), value.trim().to_string());
-            ledger.mapped(item, "its value, where it is used");
+            ledger.report_mapped(item, "its value, where it is used");
             continue;
         }
         let worker = value.split(';').next().unwrap_or("").trim().to_string();
         let (exclude, pattern) = name.strip_prefix('!').map_or((false, name), |p| (true, p));
         let mount = Mount { item, pattern: pattern.to_string(), worker, exclude, attributes };
         if name.starts_with('-') {
-            ledger.omitted(item, "switched off by its `-`");
-            mount.omit_attributes(ledger, "of a mount that is switched off");
+            ledger.report_omitted(item, "the mount is disabled by the `-` before its path");
+            mount.omit_attributes(ledger, "the attribute's mount is disabled");
             continue;
         }
-        mounts.extend(mount.alternatives(ledger));
+        mounts.extend(mount.split_alternatives(ledger));
     }
     Ok(mounts)
 }
 
-/// The attributes behind the worker of a line, each noted where it stands.
+/// Reads the attributes after the worker's name, and records each at its position in the file.
 fn read_attributes(
     ledger: &mut Ledger,
     file: &Arc<str>,
@@ -97,7 +99,7 @@
         let blanks = piece.len() - piece.trim_start().len();
         if !name.is_empty() {
             let source_offset = expanded.source_offset((offset + blanks).min(expanded.text.len()));
-            let item = ledger.note(&line.location(file, source_offset), format!("mount {name}"));
+            let item = ledger.record(&line.location(file, source_offset), format!("mount {name}"));
             attributes.push(NamedParam { name: name.to_string(), value: value.trim().to_string(), item });
         }
         offset += piece.len() + 1;
--- a/crates/import/src/modjk/pools.rs
+++ b/crates/import/src/modjk/pools.rs
@@ -1,4 +1,4 @@
-//! Pools of workers that paths are mounted onto.
+//! Builds the pools of balancer workers, and of single workers that paths are mounted onto.
 
 use super::syntax::{split_list, StatusCodes};
 use super::workers::Worker;
@@ -11,15 +11,16 @@
 use fernslip_site::Pool;
 use std::collections::{HashMap, HashSet};
 
-/// A worker's member in a pool.
+/// A member of a pool, and the name of its worker.
 struct PoolMember {
     worker: String,
     id: String,
 }
 
 impl ModJk {
-    /// The name of the pool of a worker, made where it is not there yet; or why it has none.
-    pub(super) fn pool(
+    /// Returns the name of a worker's pool, which is added to the site if it is new, or the reason why it has
+    /// none.
+    pub(super) fn worker_pool(
         &mut self,
         ledger: &mut Ledger,
         builder: &mut SiteBuilder,
@@ -28,22 +29,26 @@
         if let Some(pool) = self.pool_by_worker.get(name) {
             return Ok(pool.clone());
         }
-        let worker = self.worker(ledger, name).ok_or_else(|| format!("no worker is called `{name}`"))?;
+        let worker =
+            self.resolve_worker(ledger, name).ok_or_else(|| format!("there is no worker `{name}`"))?;
         let is_balancer = match worker.worker_type().as_str() {
             "lb" => true,
             "ajp13" | "ajp14" => false,
             other => {
                 for param in worker.own.0.values() {
-                    ledger.omitted(param.item, format!("a worker of the type `{other}` has no equal"));
+                    ledger.report_omitted(
+                        param.item,
+                        format!("workers of the type `{other}` are not supported"),
+                    );
                 }
-                return Err(format!("`{name}` is of the type `{other}`, which has no equal"));
+                return Err(format!("`{name}` has the type `{other}`, which is not supported"));
             }
         };
         let names = if is_balancer { balanced_workers(&worker) } else { vec![name.to_string()] };
-        let mut pool = builder.pool(name);
+        let mut pool = builder.new_pool(name);
         let failures = self.add_members(ledger, builder, &mut pool, &names);
         for member in &names {
-            if let Some(worker) = self.worker(ledger, member) {
+            if let Some(worker) = self.resolve_worker(ledger, member) {
                 set_pool_properties(ledger, &worker, &mut pool, false);
             }
         }
@@ -57,7 +62,7 @@
         Ok(pool_name)
     }
 
-    /// Adds the members of these workers; why some have none.
+    /// Adds the members of these workers to the pool. Returns the reasons why some workers have no member.
     fn add_members(
         &mut self,
         ledger: &mut Ledger,
@@ -68,7 +73,7 @@
         let mut failures = Vec::new();
         let mut members: Vec<PoolMember> = Vec::new();
         for name in names {
-            match self.member(ledger, builder, name) {
+            match self.worker_member(ledger, builder, name) {
                 Ok(id) => {
                     pool.members.push(self.membership(ledger, name, &id, &pool.name));
                     members.push(PoolMember { worker: name.clone(), id });
@@ -80,10 +85,13 @@
         failures
     }
 
-    /// Sets the members that replace others. `members` are the pool's, in its order.
+    /// Sets the member that replaces each member with a `redirect`. `members` lists the pool's members in the
+    /// same order.
     fn set_redirects(&self, ledger: &mut Ledger, pool: &mut Pool, members: &[PoolMember]) {
-        let workers: Vec<Option<Worker>> = members.iter().map(|m| self.worker(ledger, &m.worker)).collect();
-        // A redirect names a route, which is the worker's name where it sets no other.
+        let workers: Vec<Option<Worker>> =
+            members.iter().map(|m| self.resolve_worker(ledger, &m.worker)).collect();
+        // A redirect names the route of another worker, which is the worker's name unless it sets another
+        // route.
         let mut id_by_route: HashMap<&str, &str> = HashMap::new();
         for (worker, member) in workers.iter().zip(members) {
             let route = worker.as_ref().and_then(|w| w.first_value(&["route", "jvm_route"]));
@@ -98,42 +106,47 @@
             match &membership.instead {
                 Some(id) => {
                     let target = format!("pool \"{}\" use instead=\"{id}\"", pool.name);
-                    ledger.approximated(param.item, target, "for all requests, not a session's");
+                    ledger.report_approximated(
+                        param.item,
+                        target,
+                        "applies to all requests, not only to those of a session",
+                    );
                 }
                 None => {
-                    let reason = format!("no other member of its balancer has the route `{route}`");
-                    ledger.omitted(param.item, reason);
+                    let reason = format!("no other member of the balancer has the route `{route}`");
+                    ledger.report_omitted(param.item, reason);
                 }
             }
         }
     }
 }
 
-/// The workers that a balancer names, each once.
+/// The names of a balancer's workers, without duplicates.
 fn balanced_workers(balancer: &Worker) -> Vec<String> {
     let values = ["balance_workers", "balanced_workers"].into_iter().filter_map(|key| balancer.value(key));
     let mut seen = HashSet::new();
     values.flat_map(split_list).filter(|name| seen.insert(name.clone())).collect()
 }
 
-/// Lowers a limit to the value, if there is one.
-fn lower(limit: &mut Option<u64>, value: Option<u64>) {
+/// Sets a limit to the lower of its current value and `value`, if they are set.
+fn lower_to(limit: &mut Option<u64>, value: Option<u64>) {
     *limit = match (*limit, value) {
         (Some(a), Some(b)) => Some(a.min(b)),
         (a, b) => a.or(b),
     };
 }
 
-/// What a balancer or a member says that is a pool's matter here. Of several values the least takes effect.
+/// Sets the values that a balancer or its members set in mod_jk but pools set in a site document. The lowest
+/// value takes effect.
 fn set_pool_properties(ledger: &mut Ledger, worker: &Worker, pool: &mut Pool, is_balancer: bool) {
     let number = |name: &str| {
         worker.value(name).and_then(|v| v.parse::<u64>().ok()).filter(|n| (1..=1000).contains(n))
     };
     let time = |name: &str, unit_ms| worker.value(name).and_then(|v| parse_time_ms(v, unit_ms));
-    lower(&mut pool.recovery.first_backoff_ms, time("recover_time", 1000));
-    lower(&mut pool.retry.attempts, number("retries"));
-    lower(&mut pool.recovery.failures, number("max_reply_timeouts"));
-    lower(&mut pool.limits.wait_ms, time("connection_acquire_timeout", 1));
+    lower_to(&mut pool.recovery.first_backoff_ms, time("recover_time", 1000));
+    lower_to(&mut pool.retry.attempts, number("retries"));
+    lower_to(&mut pool.recovery.failures, number("max_reply_timeouts"));
+    lower_to(&mut pool.limits.wait_ms, time("connection_acquire_timeout", 1));
     if let Some(value) = worker.value("fail_on_status") {
         let status = StatusCodes::parse(value);
         for code in &status.codes {
@@ -145,61 +158,63 @@
             status.report(ledger, param.item, format!("pool \"{}\" recovery fail-on", pool.name));
         }
     }
-    let whose = if is_balancer { "" } else { "the least of the pool's members'; " };
-    for property in PoolProperty::all(pool) {
+    let scope = if is_balancer { "" } else { "the lowest value of the pool's members; " };
+    for property in PoolProperty::from_pool(pool) {
         let Some(param) = worker.own.get(property.name) else { continue };
         match property.value {
             Some(_) => {
                 let target = format!("pool \"{}\" {}", pool.name, property.target);
-                ledger.approximated(param.item, target, format!("{whose}{}", property.difference));
+                ledger.report_approximated(param.item, target, format!("{scope}{}", property.difference));
             }
-            None => ledger.omitted(param.item, "no number of its range"),
+            None => ledger.report_omitted(param.item, "the value is not a number in the accepted range"),
         }
     }
 }
 
-/// A property that sets a value of the pool.
+/// A worker property that sets a value of the pool.
 struct PoolProperty {
     name: &'static str,
+    /// The pool's value as it is named in the report.
     target: &'static str,
-    /// The value that takes effect.
+    /// The value of the pool; `None` if no worker sets a valid one.
     value: Option<u64>,
+    /// How the pool's value differs from the property.
     difference: &'static str,
 }
 
 impl PoolProperty {
-    fn all(pool: &Pool) -> [PoolProperty; 4] {
+    fn from_pool(pool: &Pool) -> [PoolProperty; 4] {
         [
             PoolProperty {
                 name: "recover_time",
                 target: "recovery first-ms",
                 value: pool.recovery.first_backoff_ms,
-                difference: "it grows with each failed trial",
+                difference: "it grows with each failed attempt",
             },
             PoolProperty {
                 name: "retries",
                 target: "retry attempts",
                 value: pool.retry.attempts,
-                difference: "at any members, not at the same one",
+                difference: "attempts go to any members, not only to the same one",
             },
             PoolProperty {
                 name: "max_reply_timeouts",
                 target: "recovery failures",
                 value: pool.recovery.failures,
-                difference: "failures of any kind, in a row",
+                difference: "counts consecutive failures of any kind",
             },
             PoolProperty {
                 name: "connection_acquire_timeout",
                 target: "limits wait-ms",
                 value: pool.limits.wait_ms,
-                difference: "for a free member",
+                difference: "limits how long a request waits for a free member",
             },
         ]
     }
 }
 
-/// Properties of a balancer whose verdicts are set elsewhere.
-const REPORTED_WITH_THE_POOL: [&str; 6] = [
+/// The properties of a balancer whose verdicts are set by other functions.
+const REPORTED_ELSEWHERE: [&str; 6] = [
     "reference",
     "recover_time",
     "retries",
@@ -208,41 +223,45 @@
     "connection_acquire_timeout",
 ];
 
-/// Sets the verdicts of a balancer's own lines. `failures` are why some of its workers have no member.
+/// Sets the verdicts of the balancer's own properties. `failures` are the reasons why some of its workers
+/// have no member.
 fn report_balancer_properties(ledger: &mut Ledger, worker: &Worker, pool: &Pool, failures: &[String]) {
     let target = |what: &str| format!("pool \"{}\"{what}", pool.name);
     for (name, param) in &worker.own.0 {
         let item = param.item;
         match name.as_str() {
             "type" => match worker.value("sticky_session").and_then(parse_flag) {
-                Some(false) => ledger.mapped(item, target("")),
+                Some(false) => ledger.report_mapped(item, target("")),
                 _ => {
-                    let reason = "sessions don't stick to members, which mod_jk's do unless told otherwise";
-                    ledger.approximated(item, target(""), reason);
+                    let reason = "sticky sessions, which are mod_jk's default, are not supported";
+                    ledger.report_approximated(item, target(""), reason);
                 }
             },
             "balance_workers" | "balanced_workers" => match failures.is_empty() {
-                true => ledger.mapped(item, target(" use")),
-                false => ledger.approximated(item, target(" use"), failures.join("; ")),
+                true => ledger.report_mapped(item, target(" use")),
+                false => ledger.report_approximated(item, target(" use"), failures.join("; ")),
             },
             "sticky_session" if parse_flag(&param.value) == Some(false) => {
-                ledger.mapped(item, "nothing sticks anyway");
+                ledger.report_mapped(item, "nothing sticks anyway");
             }
             "method" => match param.value.to_ascii_uppercase().starts_with('R') {
                 true => {
-                    let reason = "a member's share is its weight, by the objects' homes, not in turn";
-                    ledger.approximated(item, target(" use weight"), reason);
+                    let reason =
+                        "a member's weight sets its share of the objects; requests are not sent in rotation";
+                    ledger.report_approximated(item, target(" use weight"), reason);
                 }
-                false => ledger.omitted(item, "only counting requests has a near equal"),
+                false => ledger.report_omitted(item, "only the method Request can be approximated"),
             },
-            name if REPORTED_WITH_THE_POOL.contains(&name) => {}
+            name if REPORTED_ELSEWHERE.contains(&name) => {}
             _ => {
-                let reason = match coverage::find(JK_WORKER_PROPERTIES, name) {
-                    Some(row) if row.verdict != Verdict::Omitted => "of a machine; a balancer has none",
+                let reason = match coverage::find_row(JK_WORKER_PROPERTIES, name) {
+                    Some(row) if row.verdict != Verdict::Omitted => {
+                        "a property of backend servers, which has no effect on a balancer"
+                    }
                     Some(row) => row.outcome,
-                    None => "not known to the importer",
+                    None => "not supported by the importer",
                 };
-                ledger.omitted(item, reason);
+                ledger.report_omitted(item, reason);
             }
         }
     }
--- a/crates/import/src/modjk/routes.rs
+++ b/crates/import/src/modjk/routes.rs
@@ -1,4 +1,4 @@
-//! Mounts to routes, and the pools that a mount's attributes make.
+//! Converts mounts to routes, and builds the separate pools that the attributes of a mount require.
 
 use super::mounts::Mount;
 use super::syntax::{parse_activation, split_list, StatusCodes};
@@ -12,64 +12,75 @@
 use fernslip_site::{Match, Pool, Route, State, Target};
 use std::collections::HashSet;
 
-/// Attributes that make a pool of the mount's own, in the order in which they are applied: of a member that two lists
-/// name, the later and stricter state takes effect.
+/// The attributes that require a separate pool for the mount, in the order in which they are applied. If two
+/// lists name the same member, the later and stricter state takes effect.
 const POOL_ATTRIBUTES: [&str; 5] = ["active", "disabled", "stopped", "reply_timeout", "fail_on_status"];
 
 impl ModJk {
-    /// The route of a mount; `None`: it has none, which the report says.
-    pub fn route(&mut self, ledger: &mut Ledger, builder: &mut SiteBuilder, mount: &Mount) -> Option<Route> {
+    /// Builds the route of a mount; `None` if it is omitted, which is then reported.
+    pub fn build_route(
+        &mut self,
+        ledger: &mut Ledger,
+        builder: &mut SiteBuilder,
+        mount: &Mount,
+    ) -> Option<Route> {
         report_attributes(ledger, mount);
         let target = match mount.exclude {
-            true => self.excluded(ledger, builder, mount)?,
-            false => self.mounted(ledger, builder, mount),
+            true => self.exclusion_target(ledger, builder, mount)?,
+            false => self.mount_target(ledger, builder, mount),
         };
         let is_wildcard = mount.pattern.contains(['*', '?']);
         let matching = Some(if is_wildcard { Match::Wildcard } else { Match::Exact });
         Some(Route { pattern: mount.pattern.clone(), matching, target, rewrite: None })
     }
 
-    fn excluded(&mut self, ledger: &mut Ledger, builder: &mut SiteBuilder, mount: &Mount) -> Option<Target> {
+    fn exclusion_target(
+        &mut self,
+        ledger: &mut Ledger,
+        builder: &mut SiteBuilder,
+        mount: &Mount,
+    ) -> Option<Target> {
         if mount.worker == "*" {
-            ledger.mapped(mount.item, "route exclude");
+            ledger.report_mapped(mount.item, "route exclude");
             return Some(Target::Exclude(None));
         }
-        match self.pool(ledger, builder, &mount.worker) {
+        match self.worker_pool(ledger, builder, &mount.worker) {
             Ok(pool) => {
-                ledger.mapped(mount.item, format!("route exclude pool=\"{pool}\""));
+                ledger.report_mapped(mount.item, format!("route exclude pool=\"{pool}\""));
                 Some(Target::Exclude(Some(pool)))
             }
             Err(reason) => {
-                ledger.omitted(mount.item, format!("keeps nothing back: {reason}"));
+                ledger.report_omitted(mount.item, format!("the exclusion has no effect: {reason}"));
                 None
             }
         }
     }
 
-    fn mounted(&mut self, ledger: &mut Ledger, builder: &mut SiteBuilder, mount: &Mount) -> Target {
+    fn mount_target(&mut self, ledger: &mut Ledger, builder: &mut SiteBuilder, mount: &Mount) -> Target {
         match self.mount_pool(ledger, builder, mount) {
             Ok(pool) => {
-                ledger.mapped(mount.item, format!("route pool=\"{pool}\""));
+                ledger.report_mapped(mount.item, format!("route pool=\"{pool}\""));
                 Target::Pool(pool)
             }
             Err(reason) => {
-                // mod_jk would fail these requests; another route must not take them instead.
-                mount.omit_attributes(ledger, "of a mount that leads nowhere");
-                let reason = format!("{reason}: the path is kept from other routes");
-                ledger.approximated(mount.item, "route exclude", reason);
+                // mod_jk would answer these requests with an error, so no other route may match them instead.
+                mount.omit_attributes(ledger, "the attribute's mount has no pool");
+                let reason = format!("{reason}: the path is excluded from other routes");
+                ledger.report_approximated(mount.item, "route exclude", reason);
                 Target::Exclude(None)
             }
         }
     }
 
-    /// The pool of a mount: its worker's, or a variation of that by the mount's attributes.
+    /// Returns the name of a mount's pool: the pool of its worker, or a copy of it that the attributes of the
+    /// mount change.
     fn mount_pool(
         &mut self,
         ledger: &mut Ledger,
         builder: &mut SiteBuilder,
         mount: &Mount,
     ) -> Result<String, String> {
-        let base = self.pool(ledger, builder, &mount.worker)?;
+        let base = self.worker_pool(ledger, builder, &mount.worker)?;
         let Some(variation) = variation_key(mount) else { return Ok(base) };
         let Some(mut pool) = builder.site.pools.iter().find(|p| p.name == base).cloned() else {
             return Ok(base);
@@ -99,9 +110,13 @@
             "reply_timeout" => match parse_time_ms(value, 1) {
                 Some(ms) => {
                     pool.limits.answer_ms = Some(ms).filter(|ms| *ms > 0);
-                    ledger.approximated(item, format!("{target} limits answer-ms"), "of the whole answer");
+                    ledger.report_approximated(
+                        item,
+                        format!("{target} limits answer-ms"),
+                        "limits the whole answer",
+                    );
                 }
-                None => ledger.omitted(item, "no time of a day or less"),
+                None => ledger.report_omitted(item, "not a duration of at most one day"),
             },
             "fail_on_status" => {
                 let status = StatusCodes::parse(value);
@@ -113,17 +128,19 @@
                 let missing = self.set_states(pool, value, state);
                 let target = format!("{target} use state");
                 match missing.is_empty() {
-                    true => ledger.mapped(item, target),
+                    true => ledger.report_mapped(item, target),
                     false => {
-                        let reason = format!("without {}: no member of it", missing.join(", "));
-                        ledger.approximated(item, target, reason);
+                        let reason =
+                            format!("not applied to {}: not a member of the pool", missing.join(", "));
+                        ledger.report_approximated(item, target, reason);
                     }
                 }
             }
         }
     }
 
-    /// Sets the state of these workers' members in a pool; the workers that have none in it.
+    /// Sets the state of the members of these workers in a pool. Returns the workers that have no member in
+    /// it.
     fn set_states(&self, pool: &mut Pool, workers: &str, state: State) -> Vec<String> {
         let mut missing = Vec::new();
         for name in split_list(workers) {
@@ -136,16 +153,17 @@
         missing
     }
 
-    /// Makes the pools of listed workers and of balancers that no path is mounted onto, and reports which workers are
-    /// unused.
+    /// Adds the pools of listed workers and balancers that no path is mounted onto, and reports the workers
+    /// that are not used.
     pub fn add_unmounted(&mut self, ledger: &mut Ledger, builder: &mut SiteBuilder) {
         for name in self.listed.clone() {
-            let _ = self.pool(ledger, builder, &name);
+            let _ = self.worker_pool(ledger, builder, &name);
         }
         for name in self.worker_order.clone() {
-            let is_balancer = self.worker(ledger, &name).is_some_and(|w| w.value("type") == Some("lb"));
+            let is_balancer =
+                self.resolve_worker(ledger, &name).is_some_and(|w| w.value("type") == Some("lb"));
             if is_balancer && !self.pool_by_worker.contains_key(&name) {
-                let _ = self.pool(ledger, builder, &name);
+                let _ = self.worker_pool(ledger, builder, &name);
             }
         }
         let references = self.workers.values().filter_map(|properties| properties.get("reference"));
@@ -156,14 +174,15 @@
             }
             let is_template = templates.contains(name.as_str());
             for param in self.workers.get(name).into_iter().flat_map(|properties| properties.0.values()) {
-                let otherwise = "of a worker that is in no list and no balancer";
-                ledger.mapped_if(is_template, param.item, "the workers that refer to it", otherwise);
+                let otherwise = "the worker is neither listed nor used by a balancer";
+                ledger.report_mapped_if(is_template, param.item, "the workers that refer to it", otherwise);
             }
         }
     }
 }
 
-/// What a mount varies its worker's pool by, the same for the same attributes in any order; `None`: nothing.
+/// A key for the attributes by which a mount changes its worker's pool. It does not depend on their order.
+/// `None` if the mount has no such attribute.
 fn variation_key(mount: &Mount) -> Option<String> {
     let mut varied: Vec<String> = mount
         .attributes
@@ -175,14 +194,18 @@
     (!varied.is_empty()).then(|| varied.join(";"))
 }
 
-/// Sets the verdicts of attributes that make no difference to the pool.
+/// Sets the verdicts of attributes that do not affect the pool.
 fn report_attributes(ledger: &mut Ledger, mount: &Mount) {
     for attribute in &mount.attributes {
-        match coverage::find(JK_MOUNT_ATTRIBUTES, &attribute.name) {
-            Some(row) if row.verdict == Verdict::Omitted => ledger.omitted(attribute.item, row.outcome),
-            Some(_) if mount.exclude => ledger.omitted(attribute.item, "of an exclusion"),
+        match coverage::find_row(JK_MOUNT_ATTRIBUTES, &attribute.name) {
+            Some(row) if row.verdict == Verdict::Omitted => {
+                ledger.report_omitted(attribute.item, row.outcome);
+            }
+            Some(_) if mount.exclude => {
+                ledger.report_omitted(attribute.item, "an exclusion has no attributes");
+            }
             Some(_) => {}
-            None => ledger.omitted(attribute.item, "not known to the importer"),
+            None => ledger.report_omitted(attribute.item, "not supported by the importer"),
         }
     }
 }
--- a/crates/import/src/modjk/syntax.rs
+++ b/crates/import/src/modjk/syntax.rs
@@ -1,19 +1,19 @@
-//! Lines of mod_jk's files, and values of properties.
+//! Parses lines of mod_jk's files and values of properties.
 
 use crate::error::ImportError;
 use crate::ledger::{Item, Ledger};
 use crate::location::Location;
-use crate::text::{expand, read_lines, Continuations, Expanded, Line, MAX_LINE_BYTES};
+use crate::text::{expand_variables, read_lines, Continuations, Expanded, Line, MAX_LINE_BYTES};
 use fernslip_site::{status_code, State};
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The values of a list, separated by blanks and commas.
+/// Splits a list at commas, spaces and tabs.
 pub(super) fn split_list(value: &str) -> Vec<String> {
     value.split([',', ' ', '\t']).filter(|v| !v.is_empty()).map(String::from).collect()
 }
 
-/// The state that an `activation` stands for; `None`: it is none.
+/// The state for a value of `activation`; `None` if the value is invalid.
 pub(super) fn parse_activation(value: &str) -> Option<State> {
     match value.to_ascii_lowercase().as_str() {
         "active" | "a" | "act" => Some(State::Ready),
@@ -23,10 +23,10 @@
     }
 }
 
-/// The values of a `fail_on_status`.
+/// The values of a `fail_on_status` property or attribute.
 pub(super) struct StatusCodes {
     pub codes: Vec<u16>,
-    /// Values that a site document does not take, such as those with a minus.
+    /// The values that a site document does not accept, such as those with a minus sign.
     unsupported: Vec<String>,
 }
 
@@ -42,19 +42,22 @@
         parsed
     }
 
-    /// Sets the verdict of the property that they come from.
+    /// Sets the verdict of the property or attribute that the values come from.
     pub fn report(&self, ledger: &mut Ledger, item: Item, target: String) {
         match self.unsupported.is_empty() {
-            true => ledger.mapped(item, target),
+            true => ledger.report_mapped(item, target),
             false => {
-                let reason = format!("without {}, which have no equal", self.unsupported.join(", "));
-                ledger.approximated(item, target, reason);
+                let reason = format!(
+                    "status codes that are not supported are dropped: {}",
+                    self.unsupported.join(", ")
+                );
+                ledger.report_approximated(item, target, reason);
             }
         }
     }
 }
 
-/// A line of a file, recorded in the ledger.
+/// A line of a file that is recorded in the ledger.
 pub(super) struct RecordedLine {
     pub line: Line,
     pub location: Location,
@@ -62,10 +65,10 @@
 }
 
 impl RecordedLine {
-    /// The line without its comment, its variables `$(NAME)` expanded.
+    /// The text of the line without its comment, with variables of the form `$(NAME)` expanded.
     pub fn expand(&self, variables: &HashMap<String, String>) -> Result<Expanded, ImportError> {
         let text = without_comment(&self.line.text);
-        let expanded = expand(&text, "$(", ')', |name| variables.get(name).map(String::as_str));
+        let expanded = expand_variables(&text, "$(", ')', |name| variables.get(name).map(String::as_str));
         expanded.ok_or_else(|| ImportError::LineTooLong {
             location: self.location.clone(),
             expanded: true,
@@ -74,8 +77,8 @@
     }
 }
 
-/// The lines of a file, except comments, each recorded under the name on the left of its `=`. Those that are no UTF-8
-/// are omitted.
+/// Records the lines of a file, except comments, each under the name before its `=`, and returns them. Lines
+/// with invalid UTF-8 are reported as omitted and not returned.
 pub(super) fn record_lines(
     ledger: &mut Ledger,
     file: &Arc<str>,
@@ -87,9 +90,9 @@
             continue;
         }
         let location = line.location(file, 0);
-        let item = ledger.note(&location, line.text.split('=').next().unwrap_or("").trim());
+        let item = ledger.record(&location, line.text.split('=').next().unwrap_or("").trim());
         if line.invalid_utf8 {
-            ledger.omitted(item, "bytes that are no UTF-8");
+            ledger.report_omitted(item, "the line contains invalid UTF-8");
             continue;
         }
         recorded.push(RecordedLine { line, location, item });
@@ -97,7 +100,7 @@
     Ok(recorded)
 }
 
-/// Cuts off a comment, which begins at a `#` that no backslash precedes.
+/// Removes a comment, which begins at a `#` without a backslash before it.
 fn without_comment(text: &str) -> String {
     let mut out = String::new();
     let mut chars = text.chars().peekable();
--- a/crates/import/src/modjk/workers.rs
+++ b/crates/import/src/modjk/workers.rs
@@ -1,4 +1,4 @@
-//! Workers files, and workers with what their templates give them.
+//! Reads workers files, and resolves the properties that workers inherit from templates.
 
 use super::mounts::Mount;
 use super::syntax::{record_lines, split_list};
@@ -11,41 +11,42 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// How many templates a worker may refer to, one through the other.
-const MAX_REFERENCES: usize = 20;
+/// The greatest length of a chain of templates that refer to each other.
+const MAX_TEMPLATE_CHAIN: usize = 20;
 
-/// A worker's properties.
+/// The properties of a worker.
 pub(super) struct Worker {
-    /// Its own lines, which get verdicts.
+    /// The worker's own properties, whose verdicts are reported.
     pub own: Params,
-    /// Those of its templates.
+    /// The properties of its templates.
     inherited: BTreeMap<String, String>,
 }
 
 impl Worker {
-    /// A property of its own, else of its templates.
+    /// The value of a property, from the worker itself or else from its templates.
     pub fn value(&self, name: &str) -> Option<&str> {
         let own = self.own.get(name).map(|p| p.value.as_str());
         own.or_else(|| self.inherited.get(name).map(String::as_str))
     }
 
-    /// The first of several properties that has a value: a new name takes precedence over an old one.
+    /// The value of the first of these properties that is set, so that a new name takes precedence over an
+    /// old one.
     pub fn first_value(&self, names: &[&str]) -> Option<&str> {
         names.iter().find_map(|name| self.value(name))
     }
 
-    /// Whether a property is there and says yes.
+    /// Whether a property is set to a true value.
     pub fn is_set(&self, name: &str) -> bool {
         self.value(name).and_then(parse_flag).unwrap_or(false)
     }
 
-    /// Its type, in lower case.
+    /// The worker's type in lower case, `ajp13` by default.
     pub fn worker_type(&self) -> String {
         self.value("type").unwrap_or("ajp13").to_ascii_lowercase()
     }
 }
 
-/// The name of the worker that a `reference` names.
+/// The name of the template in a `reference`, without the optional prefix `worker.`.
 pub(super) fn template_name(reference: &Param) -> &str {
     reference.value.strip_prefix("worker.").unwrap_or(&reference.value)
 }
@@ -60,15 +61,15 @@
         let file: Arc<str> = path.display().to_string().into();
         for line in record_lines(ledger, &file, bytes)? {
             let expanded = line.expand(&self.variables)?;
-            self.property(ledger, &expanded.text, line.item);
+            self.read_property(ledger, &expanded.text, line.item);
         }
         Ok(())
     }
 
-    /// Reads one line, `NAME=VALUE`, its variables expanded.
-    pub fn property(&mut self, ledger: &mut Ledger, line: &str, item: Item) {
+    /// Reads one line of the form `NAME=VALUE`, after variable expansion.
+    pub fn read_property(&mut self, ledger: &mut Ledger, line: &str, item: Item) {
         let Some((name, value)) = line.split_once('=') else {
-            return ledger.omitted(item, "no `name=value`");
+            return ledger.report_omitted(item, "the line is not of the form `name=value`");
         };
         let (name, value) = (name.trim(), value.trim());
         self.variables.insert(name.to_string(), value.to_string());
@@ -78,20 +79,20 @@
                     self.listed.push(worker);
                 }
             }
-            return ledger.mapped(item, "which workers can be mounted");
+            return ledger.report_mapped(item, "which workers can be mounted");
         }
-        if let Some(row) = coverage::find(JK_GLOBAL_PROPERTIES, name) {
-            return ledger.omitted(item, row.outcome);
+        if let Some(row) = coverage::find_row(JK_GLOBAL_PROPERTIES, name) {
+            return ledger.report_omitted(item, row.outcome);
         }
         let worker_and_property = name.strip_prefix("worker.").and_then(|n| n.rsplit_once('.'));
         match worker_and_property.filter(|(worker, _)| !worker.is_empty()) {
-            Some((worker, property)) => self.worker_property(ledger, worker, property, value, item),
-            // A variable of the file's own, for lines below.
-            None => ledger.mapped(item, "its value, where it is used"),
+            Some((worker, property)) => self.set_worker_property(ledger, worker, property, value, item),
+            // The line sets a variable that later lines of the file can use.
+            None => ledger.report_mapped(item, "its value, where it is used"),
         }
     }
 
-    fn worker_property(
+    fn set_worker_property(
         &mut self,
         ledger: &mut Ledger,
         worker: &str,
@@ -99,8 +100,8 @@
         value: &str,
         item: Item,
     ) {
-        if coverage::find(JK_WORKER_PROPERTIES, property).is_none() {
-            return ledger.omitted(item, "not known to the importer");
+        if coverage::find_row(JK_WORKER_PROPERTIES, property).is_none() {
+            return ledger.report_omitted(item, "not supported by the importer");
         }
         if !self.workers.contains_key(worker) {
             self.worker_order.push(worker.to_string());
@@ -113,27 +114,28 @@
         for pattern in split_list(value) {
             let mount =
                 Mount { item, pattern, worker: worker.to_string(), exclude: false, attributes: Vec::new() };
-            self.mounts.extend(mount.alternatives(ledger));
+            self.mounts.extend(mount.split_alternatives(ledger));
         }
     }
 
-    /// A worker with what its templates give it; `None`: no worker has this name.
-    pub(super) fn worker(&self, ledger: &mut Ledger, name: &str) -> Option<Worker> {
+    /// The worker with this name and the properties it inherits; `None` if there is no such worker.
+    pub(super) fn resolve_worker(&self, ledger: &mut Ledger, name: &str) -> Option<Worker> {
         let own = self.workers.get(name)?.clone();
         let own_reference = own.get("reference").cloned();
         let mut inherited = BTreeMap::new();
         if let Some(reference) = &own_reference {
-            self.inherit(ledger, name, reference, &mut inherited);
+            self.collect_inherited(ledger, name, reference, &mut inherited);
         }
         inherited.remove("reference");
         if let Some(reference) = own_reference {
-            ledger.mapped(reference.item, "the template's properties");
+            ledger.report_mapped(reference.item, "the template's properties");
         }
         Some(Worker { own, inherited })
     }
 
-    /// Follows the templates from a worker's own `reference`, the nearest first, whose properties take precedence.
-    fn inherit(
+    /// Collects the properties of a worker's templates, beginning with its own `reference`. Properties of
+    /// nearer templates take precedence.
+    fn collect_inherited(
         &self,
         ledger: &mut Ledger,
         name: &str,
@@ -145,11 +147,13 @@
         while let Some(reference) = next {
             let template = template_name(reference);
             let Some(properties) = self.workers.get(template) else {
-                return ledger.omitted(own_reference.item, format!("no worker is called `{template}`"));
+                return ledger.report_omitted(own_reference.item, format!("there is no worker `{template}`"));
             };
-            if !seen.insert(template) || seen.len() - 1 > MAX_REFERENCES {
-                let reason = format!("`{template}` refers back to itself, or too far");
-                return ledger.omitted(own_reference.item, reason);
+            if !seen.insert(template) || seen.len() - 1 > MAX_TEMPLATE_CHAIN {
+                let reason = format!(
+                    "the reference to `{template}` closes a cycle or exceeds {MAX_TEMPLATE_CHAIN} templates"
+                );
+                return ledger.report_omitted(own_reference.item, reason);
             }
             for (property, param) in &properties.0 {
                 inherited.entry(property.clone()).or_insert_with(|| param.value.clone());
--- a/crates/import/src/params.rs
+++ b/crates/import/src/params.rs
@@ -1,20 +1,20 @@
-//! Parameters and their values. Of several settings of one parameter the last takes effect, and the others are reported
-//! as overridden.
+//! Parameters and their values. If a parameter is set several times, the last value takes effect and the
+//! earlier ones are reported as overridden.
 
 use crate::ledger::{Item, Ledger};
 use std::collections::BTreeMap;
 
-/// The longest time that a site document takes: a day.
+/// The longest duration that a site document accepts: one day, in milliseconds.
 const MAX_TIME_MS: u64 = 86_400_000;
 
-/// A parameter's value, as it was read.
+/// The value of a parameter, and its item in the ledger.
 #[derive(Clone, Debug)]
 pub(crate) struct Param {
     pub value: String,
     pub item: Item,
 }
 
-/// A parameter of a directive, or an attribute of a mount.
+/// A parameter of a directive, or an attribute of a mount, with its name.
 #[derive(Clone, Debug)]
 pub(crate) struct NamedParam {
     pub name: String,
@@ -22,7 +22,7 @@
     pub item: Item,
 }
 
-/// Parameters by their names.
+/// Parameters, keyed by name.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Params(pub BTreeMap<String, Param>);
 
@@ -35,13 +35,14 @@
         let NamedParam { name, value, item } = param;
         let earlier = self.0.insert(name, Param { value, item });
         if let Some(earlier) = earlier.filter(|e| e.item != item) {
-            ledger.overridden(earlier.item, item);
+            ledger.report_overridden(earlier.item, item);
         }
     }
 }
 
-/// A time in milliseconds, a day at the most: a number with a unit (`ms`, `s`, `min` or `mi`, `h`), or of `unit_ms`
-/// each without one. `None`: it is none, or longer.
+/// Parses a duration, and returns it in milliseconds. The text is a whole number with a unit (`ms`, `s`,
+/// `min` or `mi`, `h`), or without one, which then counts units of `unit_ms`. Returns `None` for invalid text
+/// and for more than one day.
 pub(crate) fn parse_time_ms(text: &str, unit_ms: u64) -> Option<u64> {
     let digits = text.len() - text.trim_start_matches(|c: char| c.is_ascii_digit()).len();
     let number: u64 = text[..digits].parse().ok()?;
@@ -56,7 +57,7 @@
     number.checked_mul(unit_ms).filter(|ms| *ms <= MAX_TIME_MS)
 }
 
-/// Yes or no, in the spellings of httpd and mod_jk.
+/// Parses a Boolean in the spellings that httpd and mod_jk accept; `None` for any other text.
 pub(crate) fn parse_flag(text: &str) -> Option<bool> {
     match text.to_ascii_lowercase().as_str() {
         "on" | "true" | "t" | "yes" | "y" | "1" => Some(true),
--- a/crates/import/src/report.rs
+++ b/crates/import/src/report.rs
@@ -1,29 +1,29 @@
-//! The report of an import: what became of every directive and every parameter.
+//! The report of an import, which says what every directive and parameter became in the site document.
 //!
-//! Its JSON form and the words of the verdicts are pinned by `docs/operate/import.md`.
+//! `docs/operate/import.md` documents its JSON form and the spelling of the verdicts, so neither may change.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// What became of a directive or a parameter; a later variant is more severe.
+/// How completely a directive or parameter was imported. The variants are ordered by increasing severity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// The site document says the same.
+    /// The site document expresses it completely.
     Mapped,
-    /// The site document says something similar; the reason tells the difference.
+    /// The site document expresses something similar; the entry's reason gives the difference.
     Approximated,
-    /// The site document says nothing of it; the reason tells why.
+    /// The site document does not express it; the entry's reason says why.
     #[serde(rename = "left_out")]
     Omitted,
 }
 
 impl Verdict {
-    /// Every verdict.
+    /// All verdicts, in increasing severity.
     pub(crate) const ALL: [Verdict; 3] = [Verdict::Mapped, Verdict::Approximated, Verdict::Omitted];
 
-    /// The verdict as the report spells it.
+    /// The verdict as it is spelled in the report.
     pub fn as_str(self) -> &'static str {
         match self {
             Verdict::Mapped => "mapped",
@@ -33,32 +33,33 @@
     }
 }
 
-/// One directive or parameter of the report.
+/// The report's entry for one directive or parameter.
 #[derive(Clone, Debug, Serialize)]
 pub struct Entry {
-    /// The file.
+    /// The path of the input file.
     pub file: String,
-    /// The line, from 1.
+    /// The line number, starting at 1.
     pub line: usize,
-    /// The column, in characters from 1.
+    /// The column in characters, starting at 1.
     pub column: usize,
-    /// The directive, or the directive and its parameter. Values are not repeated: some are secrets.
+    /// The directive, or the directive and its parameter. Values are left out because some of them are
+    /// secrets.
     pub directive: String,
-    /// What became of it.
+    /// How completely it was imported.
     pub verdict: Verdict,
-    /// What in the site document it became; empty: nothing.
+    /// What it became in the site document; empty if it was omitted.
     pub target: String,
-    /// Why not all of it is there; empty where all is.
+    /// Why it was approximated or omitted; empty if it was mapped.
     #[serde(rename = "why")]
     pub reason: String,
 }
 
-/// The complete report.
+/// The report of one import.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Every directive and parameter once, in the order of files and lines.
+    /// One entry for each directive and parameter, sorted by file, line and column.
     pub entries: Vec<Entry>,
-    /// How many entries have each verdict, by the report's spelling.
+    /// The number of entries with each verdict, keyed by the verdict's spelling in the report.
     pub counts: BTreeMap<&'static str, usize>,
 }
 
@@ -71,17 +72,18 @@
         Report { entries, counts }
     }
 
-    /// How many entries have that verdict.
+    /// The number of entries with this verdict.
     pub fn count(&self, verdict: Verdict) -> usize {
         self.counts.get(verdict.as_str()).copied().unwrap_or(0)
     }
 
-    /// As JSON, ending in a line end.
+    /// The report as JSON, with a newline at the end.
     pub fn to_json(&self) -> String {
         serde_json::to_string_pretty(self).unwrap_or_default() + "\n"
     }
 
-    /// As a table for people: what was omitted or approximated, and the counts.
+    /// A text table of the omitted and approximated entries, followed by the number of entries with each
+    /// verdict.
     pub fn to_table(&self) -> String {
         let shown: Vec<&Entry> = self.entries.iter().filter(|e| e.verdict != Verdict::Mapped).collect();
         let locations: Vec<String> =
