--- a/crates/import/src/text.rs
+++ b/crates/import/src/text.rs
@@ -1,36 +1,37 @@
-//! Bytes to lines and tokens, each with its position in the file.
+//! Splits files into lines and tokens, and keeps the position of each in the file.
 
 use crate::error::ImportError;
 use crate::location::Location;
 use std::borrow::Cow;
 use std::sync::Arc;
 
-/// Limit of a line, in bytes, continuations joined and variables expanded.
+/// The greatest length of a line in bytes, after continuation lines are joined and after variables are
+/// expanded.
 pub const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// One logical line.
+/// A logical line, which consists of one or more lines of the file.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Line {
     pub text: String,
-    /// Some of its bytes are no UTF-8; they are replaced.
+    /// Whether the line contained invalid UTF-8, which was replaced by U+FFFD.
     pub invalid_utf8: bool,
-    /// The physical lines that it is joined from.
+    /// The lines of the file that were joined, in order.
     parts: Vec<PhysicalLine>,
 }
 
-/// A line of the file within a logical line.
+/// The position of one line of the file within a logical line.
 #[derive(Clone, Debug)]
 struct PhysicalLine {
-    /// Where it begins in the logical line's text, bytes.
+    /// The byte offset in the logical line's text at which it begins.
     start: usize,
-    /// Its number in the file, from 1.
+    /// Its line number in the file, starting at 1.
     number: usize,
-    /// How many bytes of blanks were cut off its front.
+    /// The number of bytes of leading whitespace that were removed.
     trimmed: usize,
 }
 
 impl Line {
-    /// Where a byte of the text stands in the file.
+    /// The position in the file of the byte at `offset` of the text.
     pub fn location(&self, file: &Arc<str>, offset: usize) -> Location {
         let index = self.parts.partition_point(|p| p.start <= offset).max(1) - 1;
         let PhysicalLine { start, number, trimmed } = self.parts[index];
@@ -42,7 +43,7 @@
         Location { file: file.clone(), line: number, column }
     }
 
-    /// Appends a physical line.
+    /// Appends a line of the file; leading whitespace is removed only from the first one.
     fn append(&mut self, bytes: &[u8], number: usize) {
         let text = String::from_utf8_lossy(bytes);
         self.invalid_utf8 |= matches!(text, Cow::Owned(_));
@@ -53,16 +54,16 @@
     }
 }
 
-/// What a backslash at the end of a line means.
+/// The meaning of a backslash at the end of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Continuations {
-    /// The line goes on in the next one.
+    /// The line continues on the next line.
     Joined,
-    /// Nothing.
+    /// The backslash is part of the text.
     Ignored,
 }
 
-/// The logical lines of a file that are not blank, trimmed.
+/// Splits a file into logical lines without leading and trailing whitespace, and drops blank lines.
 pub(crate) fn read_lines(
     file: &Arc<str>,
     bytes: &[u8],
@@ -97,16 +98,17 @@
     Ok(lines)
 }
 
-/// A token of a line, without its quotes.
+/// A token of a line, without the quotes around it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Token {
     pub text: String,
-    /// Where it begins in the line, bytes.
+    /// The byte offset in the line at which it begins.
     pub offset: usize,
 }
 
-/// Splits a line as httpd does: at blanks outside of quotes; within quotes a backslash escapes a backslash or the quote.
-pub(crate) fn tokens(text: &str) -> Vec<Token> {
+/// Splits a line as httpd does, at whitespace outside quotes. Within quotes, a backslash escapes a backslash
+/// or the quote.
+pub(crate) fn split_tokens(text: &str) -> Vec<Token> {
     let mut out = Vec::new();
     let mut chars = text.char_indices().peekable();
     while let Some(&(offset, c)) = chars.peek() {
@@ -135,23 +137,25 @@
     out
 }
 
-/// A text with its variables expanded, and where its segments came from.
+/// Text after variable expansion, with the origin of each segment in the source text.
 pub(crate) struct Expanded {
     pub text: String,
     segments: Vec<Segment>,
 }
 
+/// A part of an expanded text: either copied from the source, or the value of one variable.
 struct Segment {
-    /// Where it begins in the expanded text, bytes.
+    /// The byte offset in the expanded text at which it begins.
     start: usize,
-    /// Where it, or the variable that it is the value of, begins in the source, bytes.
+    /// The byte offset in the source text at which the copied text or the variable begins.
     source: usize,
-    /// Whether it is the source's own text, not a value.
+    /// Whether it is copied from the source text; otherwise it is the value of a variable.
     is_literal: bool,
 }
 
 impl Expanded {
-    /// The byte of the source that a byte of the text came from; for a value, where its variable begins.
+    /// The byte offset in the source text for an offset in the expanded text. Within a value, it is the start
+    /// of the variable.
     pub fn source_offset(&self, offset: usize) -> usize {
         let index = self.segments.partition_point(|s| s.start <= offset);
         match self.segments.get(index.wrapping_sub(1)) {
@@ -161,39 +165,40 @@
         }
     }
 
-    /// Begins a segment at the end of the text.
-    fn begin(&mut self, source: usize, is_literal: bool) {
+    /// Starts a new segment at the current end of the text.
+    fn begin_segment(&mut self, source: usize, is_literal: bool) {
         self.segments.push(Segment { start: self.text.len(), source, is_literal });
     }
 }
 
-/// Expands variables, from `open` to `close`, once: a value is not expanded again, so that none can contain itself. A
-/// variable without a value stays as it is written. `None`: the text grows past [`MAX_LINE_BYTES`].
-pub(crate) fn expand<'v>(
+/// Expands the variables that `open` and `close` delimit. Values are not expanded again, so a variable cannot
+/// expand without end. A variable without a value is copied unchanged. Returns `None` if the result exceeds
+/// [`MAX_LINE_BYTES`].
+pub(crate) fn expand_variables<'v>(
     text: &str,
     open: &str,
     close: char,
-    value: impl Fn(&str) -> Option<&'v str>,
+    value_of: impl Fn(&str) -> Option<&'v str>,
 ) -> Option<Expanded> {
     let mut out = Expanded { text: String::new(), segments: Vec::new() };
-    out.begin(0, true);
+    out.begin_segment(0, true);
     let mut at = 0;
     while let Some(start) = text[at..].find(open).map(|i| at + i) {
         let name_at = start + open.len();
         let Some(end) = text[name_at..].find(close).map(|i| name_at + i) else { break };
         out.text += &text[at..start];
-        match value(&text[name_at..end]) {
+        match value_of(&text[name_at..end]) {
             Some(value) => {
-                out.begin(start, false);
+                out.begin_segment(start, false);
                 out.text += value;
             }
             None => {
-                out.begin(start, true);
+                out.begin_segment(start, true);
                 out.text += &text[start..=end];
             }
         }
         at = end + close.len_utf8();
-        out.begin(at, true);
+        out.begin_segment(at, true);
         if out.text.len() > MAX_LINE_BYTES {
             return None;
         }
--- a/crates/import/tests/samples.rs
+++ b/crates/import/tests/samples.rs
@@ -1,37 +1,47 @@
-//! Every sample in `examples/import/`: its document and report are compared with snapshots, the document can be read,
-//! and every directive and parameter of its files is in the report exactly once.
+//! Imports every sample in `examples/import/`, and checks that the document and report equal the recorded
+//! snapshots, that the document parses, and that the report lists every directive and parameter exactly once.
 
-use fernslip_import::{httpd, modjk, Imported, Memory, Options, Verdict};
+use fernslip_import::{httpd, modjk, Imported, MemoryFiles, Options, Verdict};
 use fernslip_site::{Site, State};
 use std::collections::{BTreeMap, HashSet};
 use std::path::{Path, PathBuf};
 
-fn samples_directory() -> PathBuf {
+fn samples_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/import")
 }
 
-fn samples() -> Vec<PathBuf> {
-    let mut all: Vec<_> =
-        std::fs::read_dir(samples_directory()).expect("samples").flatten().map(|e| e.path()).collect();
+/// The directories of all samples, sorted by name.
+fn sample_directories() -> Vec<PathBuf> {
+    let mut all: Vec<_> = std::fs::read_dir(samples_root())
+        .expect("the directory of samples can be listed")
+        .flatten()
+        .map(|e| e.path())
+        .collect();
     all.retain(|p| p.is_dir());
     all.sort();
     all
 }
 
-fn collect_files(directory: &Path, root: &Path, into: &mut Memory) {
-    for path in std::fs::read_dir(directory).expect("a directory").flatten().map(|e| e.path()) {
+fn collect_files(directory: &Path, root: &Path, into: &mut MemoryFiles) {
+    for path in std::fs::read_dir(directory)
+        .expect("the sample's directory can be listed")
+        .flatten()
+        .map(|e| e.path())
+    {
         if path.is_dir() {
             collect_files(&path, root, into);
         } else {
-            let name = path.strip_prefix(root).expect("below the root").to_path_buf();
-            into.0.insert(name, std::fs::read(&path).expect("a file"));
+            let name =
+                path.strip_prefix(root).expect("the path is below the sample's directory").to_path_buf();
+            into.0.insert(name, std::fs::read(&path).expect("the sample's file can be read"));
         }
     }
 }
 
-/// Under names that begin in the sample's directory, so that reports are the same on every machine.
-fn import(sample: &Path) -> Imported {
-    let mut files = Memory::default();
+/// Imports a sample. File names are relative to its directory, so that the report is the same on every
+/// machine.
+fn import_sample(sample: &Path) -> Imported {
+    let mut files = MemoryFiles::default();
     collect_files(sample, sample, &mut files);
     let options = Options::default();
     let imported = if sample.join("httpd.conf").exists() {
@@ -40,18 +50,23 @@
         let [workers, mounts] = ["workers.properties", "uriworkermap.properties"].map(PathBuf::from);
         modjk(&files, &[workers], &[mounts], &[], &options)
     };
-    imported.unwrap_or_else(|e| panic!("{}: {e}", sample.display()))
+    imported.unwrap_or_else(|e| panic!("the import of the sample {} failed: {e}", sample.display()))
 }
 
 #[test]
 fn each_sample_gives_its_recorded_document_and_report() {
-    assert!(samples().len() >= 25);
-    for sample in samples() {
-        let name = sample.file_name().and_then(|n| n.to_str()).expect("a name").to_string();
-        let imported = import(&sample);
+    assert!(sample_directories().len() >= 25);
+    for sample in sample_directories() {
+        let name = sample
+            .file_name()
+            .and_then(|n| n.to_str())
+            .expect("the sample's directory has a name in UTF-8")
+            .to_string();
+        let imported = import_sample(&sample);
         let text = imported.site.to_kdl();
-        let parsed = Site::parse("site.kdl", &text).unwrap_or_else(|e| panic!("{name}: {e}\n{text}"));
-        assert_eq!(parsed.site, imported.site, "{name}");
+        let parsed = Site::parse("site.kdl", &text)
+            .unwrap_or_else(|e| panic!("the document of the sample {name} does not parse: {e}\n{text}"));
+        assert_eq!(parsed.site, imported.site, "the document of {name} parses to the imported site");
         let mut out = text;
         for w in parsed.warnings {
             out += &format!("// warning: {w}\n");
@@ -73,11 +88,12 @@
     }
 }
 
-/// Directives, and parameters of those that have some, counted without the importer: one for each line that is no
-/// comment and closes no section, one for each `name=value` behind a directive with parameters, one for each
-/// attribute of a mount.
+/// Counts directives and parameters independently of the importer: one for each line that is neither a
+/// comment nor a closing tag, one for each `name=value` after a directive that takes parameters, and one for
+/// each attribute of a mount.
 fn count_directives(file: &Path) -> usize {
-    let text = String::from_utf8_lossy(&std::fs::read(file).expect("the sample")).into_owned();
+    let text =
+        String::from_utf8_lossy(&std::fs::read(file).expect("the sample's file can be read")).into_owned();
     let joined = text.replace("\\\r\n", " ").replace("\\\n", " ");
     let lines = joined.lines().map(str::trim).filter(|l| !l.is_empty() && !l.starts_with(['#']));
     let properties = file.extension().is_some_and(|e| e == "properties");
@@ -104,32 +120,47 @@
 
 #[test]
 fn every_directive_and_parameter_is_reported_exactly_once() {
-    for sample in samples() {
-        let report = import(&sample).report;
+    for sample in sample_directories() {
+        let report = import_sample(&sample).report;
         let mut by_file: BTreeMap<String, usize> = BTreeMap::new();
         let mut seen = HashSet::new();
         for e in &report.entries {
             *by_file.entry(e.file.clone()).or_default() += 1;
-            assert!(seen.insert((&e.file, e.line, e.column, &e.directive)), "twice: {e:?}");
-            assert!(e.verdict != Verdict::Omitted || !e.reason.is_empty(), "no reason: {e:?}");
-            assert!(e.verdict == Verdict::Omitted || !e.target.is_empty(), "no target: {e:?}");
+            assert!(
+                seen.insert((&e.file, e.line, e.column, &e.directive)),
+                "the report lists this entry twice: {e:?}"
+            );
+            assert!(
+                e.verdict != Verdict::Omitted || !e.reason.is_empty(),
+                "the omitted entry has no reason: {e:?}"
+            );
+            assert!(
+                e.verdict == Verdict::Omitted || !e.target.is_empty(),
+                "the imported entry has no target: {e:?}"
+            );
         }
         for (file, n) in by_file {
-            assert_eq!(n, count_directives(&sample.join(&file)), "{file}: {}", report.to_table());
+            assert_eq!(
+                n,
+                count_directives(&sample.join(&file)),
+                "the report of {file} lists each directive and parameter: {}",
+                report.to_table()
+            );
         }
         assert_eq!(report.counts.values().sum::<usize>(), report.entries.len());
     }
 }
 
-/// The operators' first concern: whatever is written at a member to take it out of service, it never arrives live.
+/// A member that the input takes out of service, in whatever notation, must not receive requests after the
+/// import.
 #[test]
-fn a_disabled_or_stopped_member_never_arrives_live() {
+fn a_disabled_or_stopped_member_is_never_imported_as_ready() {
     let conf = |member: &str| {
         let text = format!(
             "<Proxy balancer://b>\nBalancerMember http://h:1 {member}\n</Proxy>\nProxyPass / balancer://b\n"
         );
-        let files = Memory::from_files([("c", text.as_bytes())]);
-        httpd(&files, &["c".into()], &Options::default()).expect("an import").site
+        let files = MemoryFiles::from_files([("c", text.as_bytes())]);
+        httpd(&files, &["c".into()], &Options::default()).expect("the configuration is valid").site
     };
     for (flags, state) in [
         ("D", State::Draining),
@@ -143,12 +174,18 @@
         ("Disabled", State::Stopped),
     ] {
         let site = conf(&format!("status={flags}"));
-        assert_eq!(site.pools[0].members[0].state, Some(state), "{flags}");
+        assert_eq!(
+            site.pools[0].members[0].state,
+            Some(state),
+            "the state of a member with the flags {flags}"
+        );
     }
     let jk = |lines: &str| {
         let text = format!("worker.list=l\nworker.l.type=lb\nworker.l.balance_workers=w\n{lines}\n");
-        let files = Memory::from_files([("w", text.as_bytes())]);
-        let site = modjk(&files, &["w".into()], &[], &[], &Options::default()).expect("an import").site;
+        let files = MemoryFiles::from_files([("w", text.as_bytes())]);
+        let site = modjk(&files, &["w".into()], &[], &[], &Options::default())
+            .expect("the configuration is valid")
+            .site;
         site.effective().pools[0].members[0].state
     };
     for (lines, state) in [
@@ -159,16 +196,16 @@
         ("worker.w.activation=off", State::Draining),
         ("worker.t.activation=stopped\nworker.w.reference=worker.t", State::Stopped),
     ] {
-        assert_eq!(jk(lines), Some(state), "{lines}");
+        assert_eq!(jk(lines), Some(state), "the state of a member with the properties {lines}");
     }
 }
 
 #[test]
-fn the_operators_page_shows_every_coverage_table() {
+fn the_operators_page_contains_the_coverage_tables() {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/operate/import.md");
-    let text = std::fs::read_to_string(page).expect("the page");
+    let text = std::fs::read_to_string(page).expect("docs/operate/import.md can be read");
     assert!(
-        text.contains(&fernslip_import::coverage::markdown()),
-        "put the output of `coverage::markdown` in"
+        text.contains(&fernslip_import::coverage::markdown_tables()),
+        "docs/operate/import.md must contain the output of the example `coverage`"
     );
 }
