--- a/crates/pool/src/health.rs
+++ b/crates/pool/src/health.rs
@@ -1,54 +1,59 @@
-//! A member's health as its traffic shows it: healthy, ejected, or half-open while single requests probe it.
+//! The health of a member as its attempts show it: healthy, ejected, or half-open while one request at a time
+//! probes it.
 
 use crate::spec::Spec;
 
 /// How an attempt ended, as far as its member's health is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It answered as it should.
+    /// The member answered correctly.
     Success,
-    /// The connection was refused: no process runs there, and one that comes back will be warming up.
+    /// The connection was refused: no process runs there, and a process that answers later will be warming
+    /// up.
     ConnectionRefused,
-    /// It failed otherwise: an error, a broken connection, a timeout.
+    /// The attempt failed in another way: an error, a broken connection or a timeout.
     Failure,
-    /// It says nothing of the member's health: cancelled, rejected, a lookup miss.
+    /// The end says nothing about the member's health: the attempt was cancelled, rejected or a lookup miss.
     Inconclusive,
 }
 
-/// How an ejected member came back.
+/// What the recovery of an ejected member tells about its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Recovery {
-    /// Its process ran all the while.
+    /// Neither the ejecting failure nor a probe was a refused connection, so the process is taken to have run
+    /// throughout.
     SameProcess,
-    /// Its connections were refused before: the process that answers now has just started.
+    /// The ejecting failure or a probe was a refused connection, so the process that answers now has just
+    /// started.
     JustStarted,
 }
 
-/// A member's health. All times are milliseconds on the pool's clock.
+/// The health of a member. All times are in milliseconds on the clock of the pool's caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Health {
-    /// In use.
+    /// The member may receive requests.
     Healthy {
-        /// Consecutive failures.
+        /// The number of consecutive failures so far.
         failures: u64,
     },
-    /// Not used until a half-open probe is due.
+    /// The member receives no requests until a half-open probe is due.
     Ejected {
-        /// When the half-open probe is due.
+        /// The time at which the half-open probe is due.
         until_ms: f64,
-        /// The backoff that led to it, without jitter.
+        /// The backoff before this probe, without jitter.
         backoff_ms: f64,
-        /// A connection was refused: what comes back has just started.
-        refused: bool,
+        /// Whether the failure that ejected the member, or a probe since, was a refused connection: a process
+        /// that answers later has then just started.
+        connection_refused: bool,
     },
-    /// Half-open: one request at a time may probe it.
+    /// One request at a time may probe the member.
     HalfOpen {
-        /// The request that probes it now.
+        /// The number of the request that probes the member now; `None` if no probe is in flight.
         probe: Option<u64>,
-        /// The last backoff, without jitter.
+        /// The backoff before the current probe, without jitter.
         backoff_ms: f64,
-        /// As in `Ejected`.
-        refused: bool,
+        /// Whether the failure that ejected the member, or a probe since, was a refused connection.
+        connection_refused: bool,
     },
 }
 
@@ -59,12 +64,12 @@
         matches!(self, Health::Healthy { .. })
     }
 
-    /// Whether a request may be sent to it, be it as a half-open probe.
+    /// Whether a request may be sent to the member, as ordinary traffic or as a half-open probe.
     pub fn accepts_requests(self) -> bool {
         matches!(self, Health::Healthy { .. } | Health::HalfOpen { probe: None, .. })
     }
 
-    /// When a half-open probe is due, in milliseconds.
+    /// The time at which the half-open probe of an ejected member is due; `None` in the other states.
     pub fn probe_due_ms(self) -> Option<f64> {
         match self {
             Health::Ejected { until_ms, .. } => Some(until_ms),
@@ -72,27 +77,28 @@
         }
     }
 
-    /// An ejected member whose backoff is over becomes half-open.
-    pub fn tick(&mut self, now_ms: f64) {
-        if let Health::Ejected { until_ms, backoff_ms, refused } = *self {
+    /// Makes an ejected member half-open if its backoff is over at `now_ms`.
+    pub fn half_open_if_due(&mut self, now_ms: f64) {
+        if let Health::Ejected { until_ms, backoff_ms, connection_refused } = *self {
             if now_ms >= until_ms {
-                *self = Health::HalfOpen { probe: None, backoff_ms, refused };
+                *self = Health::HalfOpen { probe: None, backoff_ms, connection_refused };
             }
         }
     }
 
-    /// An attempt of a request was sent to it; to a half-open member that is the probe.
-    pub fn on_sent(&mut self, request: u64) {
+    /// Records that an attempt of a request was sent to the member; to a half-open member without a probe in
+    /// flight this attempt is the probe.
+    pub fn on_attempt_sent(&mut self, request: u64) {
         if let Health::HalfOpen { probe: probe @ None, .. } = self {
             *probe = Some(request);
         }
     }
 
-    /// A request's attempt at it ended. `Some` if the member has recovered with it.
+    /// Records the end of a request's attempt at the member; returns `Some` if the member recovered by it.
     ///
-    /// `jitter`, a factor of at least 1, stretches the backoff, so that the fronts' probes of one member don't
-    /// coincide.
-    pub fn on_ended(
+    /// `jitter`, a factor of at least 1, lengthens the backoff, so that the probes of one member by several
+    /// fronts do not coincide.
+    pub fn on_attempt_ended(
         &mut self,
         now_ms: f64,
         request: u64,
@@ -100,10 +106,10 @@
         spec: &Spec,
         jitter: f64,
     ) -> Option<Recovery> {
-        let ejected = |backoff_ms: f64, refused| Health::Ejected {
+        let ejected = |backoff_ms: f64, connection_refused| Health::Ejected {
             until_ms: now_ms + backoff_ms * jitter,
             backoff_ms,
-            refused,
+            connection_refused,
         };
         match (*self, outcome) {
             (Health::Healthy { .. }, AttemptOutcome::Success) => *self = Health::HEALTHY,
@@ -114,20 +120,27 @@
                     false => Health::Healthy { failures },
                 };
             }
-            // Only the probe itself counts: what was sent before may end late, well or badly.
-            (Health::HalfOpen { probe: Some(probe), backoff_ms, refused }, _) if probe == request => {
+            // Only the probe itself counts: attempts sent before the ejection may still end with any outcome.
+            (Health::HalfOpen { probe: Some(probe), backoff_ms, connection_refused }, _)
+                if probe == request =>
+            {
                 match outcome {
                     AttemptOutcome::Success => {
                         *self = Health::HEALTHY;
-                        return Some(if refused { Recovery::JustStarted } else { Recovery::SameProcess });
+                        return Some(if connection_refused {
+                            Recovery::JustStarted
+                        } else {
+                            Recovery::SameProcess
+                        });
                     }
                     AttemptOutcome::Inconclusive => {
-                        *self = Health::HalfOpen { probe: None, backoff_ms, refused };
+                        *self = Health::HalfOpen { probe: None, backoff_ms, connection_refused };
                     }
                     AttemptOutcome::Failure | AttemptOutcome::ConnectionRefused => {
                         let next = (backoff_ms * 2.0)
                             .clamp(spec.first_backoff_ms, spec.max_backoff_ms.max(spec.first_backoff_ms));
-                        *self = ejected(next, refused || outcome == AttemptOutcome::ConnectionRefused);
+                        *self =
+                            ejected(next, connection_refused || outcome == AttemptOutcome::ConnectionRefused);
                     }
                 }
             }
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,22 +1,26 @@
-//! What stands between a request and the decision module: which pool it belongs to, whether the pool has capacity,
-//! and which of its endpoints (cache nodes) the module may pick from.
+//! The steps before the decision module: to which pool a request belongs, whether the pool has capacity for
+//! it, and which of the pool's endpoints (cache nodes) the module may pick from.
 //!
-//! [`Routes`] sends a host and a path to a pool, in the order of Apache or of mod_jk. [`Pool`] is one pool's state: it
-//! takes an [`Event`] and the time and returns [`Action`]s. There are no sockets, threads or clocks in here; equal
-//! inputs give equal outputs.
+//! [`Routes`] maps a host and a path to a pool, with the rule order of Apache httpd or of mod_jk. [`Pool`] is
+//! the state of one pool: it takes an [`Event`] and the time and returns [`Action`]s. The crate uses no
+//! sockets, threads or clocks; equal inputs give equal outputs.
 //!
 //! # The contract
 //!
-//! - Times are milliseconds on the caller's one clock, which never runs back.
-//! - A request that arrives ([`Event::Arrived`]) is admitted ([`Action::Admit`]) or rejected ([`Action::Reject`]) by
-//!   exactly one action (unless it finished first), and if it was admitted it is [`Event::Finished`] in the end.
-//! - Each attempt of an admitted request is one [`Event::AttemptSent`] and one [`Event::AttemptEnded`]. The caller
-//!   sends only to endpoints whose last [`Endpoint::phase`] is [`Phase::Serving`], and reports each send before it
-//!   takes the next step: then limits hold exactly, and an ejected endpoint gets one half-open probe at a time.
-//! - Before a retry [`Event::RetryRequested`] is handled; [`Action::Retry`] or [`Action::RetryDenied`] answers.
-//! - An endpoint whose administrative state is draining or stopped is never published as [`Phase::Serving`], from the
-//!   very event on that brings the state: not by recovery, not as a stand-in, not by a half-open probe.
-//! - [`Pool::wake_at`] tells when the next [`Event::Tick`] is due; one that comes early does no harm.
+//! - All times are milliseconds on one clock of the caller, which never runs backwards.
+//! - A request that arrives ([`Event::Arrived`]) is admitted ([`Action::Admit`]) or rejected
+//!   ([`Action::Reject`]) by exactly one action, unless it finishes first. The caller reports the end of an
+//!   admitted request by [`Event::Finished`].
+//! - The caller reports each attempt of an admitted request by one [`Event::AttemptSent`] and one
+//!   [`Event::AttemptEnded`]. It sends only to endpoints whose last [`Endpoint::phase`] is
+//!   [`Phase::Serving`], and reports each send before its next step: then limits hold exactly, and an ejected
+//!   endpoint gets one half-open probe at a time.
+//! - Before a retry the caller sends [`Event::RetryRequested`]; the pool answers with [`Action::Retry`] or
+//!   [`Action::RetryDenied`].
+//! - An endpoint whose administrative state is draining or stopped is not published as [`Phase::Serving`]
+//!   from the event that sets the state on: not after recovery, not as a replacement, not for a half-open
+//!   probe.
+//! - [`Pool::wake_at`] returns when the next [`Event::Tick`] is due; an earlier one is harmless.
 //!
 //! ```
 //! use fernslip_pool::{Action, AttemptOutcome, Event, Phase, Pool, Spec};
@@ -37,7 +41,7 @@
 //! actions.clear();
 //! pool.handle(1.0, Event::Arrived { request: 1, wait_until_ms: 1000.0 }, &mut actions);
 //! pool.handle(1.0, Event::Arrived { request: 2, wait_until_ms: 1000.0 }, &mut actions);
-//! assert_eq!(actions, [Action::Admit { request: 1 }]); // the second waits for capacity
+//! assert_eq!(actions, [Action::Admit { request: 1 }]); // request 2 waits for capacity
 //! actions.clear();
 //! pool.handle(20.0, Event::Finished { request: 1 }, &mut actions);
 //! assert_eq!(actions, [Action::Admit { request: 2 }]);
--- a/crates/pool/src/message.rs
+++ b/crates/pool/src/message.rs
@@ -1,151 +1,153 @@
-//! The messages between a pool and its caller: the events it takes, the actions it returns, and the endpoints
-//! and counters that these carry.
+//! The messages between a pool and its caller: the events that a pool takes, the actions that it returns, and
+//! the endpoints and counters that these carry.
 
 use crate::health::AttemptOutcome;
 use crate::spec::Spec;
 use std::sync::Arc;
 
-/// A member's phase for the decision module.
+/// Whether the decision module may send requests to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// May be picked.
+    /// The member may be picked for requests.
     Serving,
-    /// Takes nothing new, be it by its administrative state, by what traffic shows, or because it is at capacity.
+    /// The member receives no new requests: its administrative state forbids it, it is not selected, or it is
+    /// at its in-flight limit.
     Draining,
-    /// Out of service.
+    /// The member is stopped, is not on the endpoint list, or was removed from the pool.
     OutOfService,
 }
 
-/// What the endpoint list says of a member.
+/// The state of a member according to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notified {
-    /// It runs.
+    /// The member is running.
     Up,
-    /// It drains.
+    /// The member is draining.
     Draining,
-    /// It was removed from the endpoint list, or was never on it.
+    /// The member was removed from the endpoint list, or was never on it.
     Removed,
 }
 
-/// A member as the decision module sees it: an endpoint it may pick, or may no longer pick.
+/// A member as it is published to the decision module, whether or not it may be picked now.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its id.
+    /// The member's id.
     pub id: Arc<str>,
-    /// Its phase.
+    /// Whether the member may be picked.
     pub phase: Phase,
-    /// Its weight relative to the pool's other members.
+    /// The member's weight relative to the pool's other members, without a unit.
     pub weight: f64,
-    /// When it last started, in milliseconds on the caller's clock; 0: long ago.
+    /// When the member last started, in milliseconds on the caller's clock; 0 means long ago.
     pub started_ms: f64,
 }
 
-/// Why a request is rejected.
+/// Why a pool rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The queue is full: as many requests wait already as may.
+    /// The request could not be queued: the queue is full, the request may not wait, or its number is in use.
     QueueFull,
-    /// It waited in the queue as long as it may.
+    /// The request reached its deadline in the queue before the pool had capacity for it.
     QueueTimeout,
 }
 
-/// What happens to a pool.
+/// An input of a pool.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The pool's specification changed.
+    /// The pool's specification was replaced by this one.
     Reconfigured(Spec),
-    /// The endpoint list reports a member.
+    /// The endpoint list reports the state of a member.
     Notified {
-        /// The member.
+        /// The member's id.
         id: Arc<str>,
-        /// What the endpoint list says of it.
+        /// The member's state according to the endpoint list.
         state: Notified,
-        /// When it last started, in milliseconds on the caller's clock; 0: long ago.
+        /// When the member last started, in milliseconds on the caller's clock; 0 means long ago.
         started_ms: f64,
     },
-    /// A request arrives.
+    /// A request arrived.
     Arrived {
-        /// Its number, unique among those in the pool.
+        /// The request's number, unique among the requests in the pool.
         request: u64,
-        /// The latest time it may wait until, whatever the pool allows; in milliseconds on the caller's clock.
+        /// The time in milliseconds on the caller's clock after which the request may not wait, even where
+        /// the pool's own limit is longer.
         wait_until_ms: f64,
     },
-    /// A request is over, or its client disconnected.
+    /// A request was completed, or its client disconnected.
     Finished {
-        /// Its number.
+        /// The request's number.
         request: u64,
     },
-    /// An attempt goes out.
+    /// An attempt of a request is being sent to a member.
     AttemptSent {
-        /// The request.
+        /// The request's number.
         request: u64,
-        /// The member.
+        /// The id of the member that the attempt is sent to.
         id: Arc<str>,
     },
-    /// An attempt ended.
+    /// An attempt of a request at a member ended.
     AttemptEnded {
-        /// The request.
+        /// The request's number.
         request: u64,
-        /// The member.
+        /// The id of the member that the attempt was sent to.
         id: Arc<str>,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: AttemptOutcome,
     },
-    /// A request wants a retry.
+    /// The caller asks whether a request may be retried.
     RetryRequested {
-        /// Its number.
+        /// The request's number.
         request: u64,
     },
-    /// Time went by.
+    /// Time has passed and nothing else has happened.
     Tick,
 }
 
-/// What the caller is to do.
+/// An output of a pool: what the caller is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// These endpoints have changed for the decision module.
+    /// Pass these endpoints, whose phase, weight or start time has changed, to the decision module.
     Endpoints(Vec<Endpoint>),
-    /// The request goes to the decision module.
+    /// Hand the request to the decision module.
     Admit {
-        /// Its number.
+        /// The request's number.
         request: u64,
     },
-    /// The request is rejected.
+    /// Reject the request.
     Reject {
-        /// Its number.
+        /// The request's number.
         request: u64,
-        /// Why it was rejected.
+        /// Why the request is rejected.
         reason: RejectReason,
     },
-    /// The request may have a retry.
+    /// Retry the request.
     Retry {
-        /// Its number.
+        /// The request's number.
         request: u64,
     },
-    /// It may not retry.
+    /// Do not retry the request.
     RetryDenied {
-        /// Its number.
+        /// The request's number.
         request: u64,
     },
 }
 
-/// What a pool has done, for the operators.
+/// Counters of a pool since it was created, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests admitted.
+    /// Requests admitted, at once or from the queue.
     pub admitted: u64,
-    /// Requests that waited first.
+    /// Requests that were put into the queue.
     pub waited: u64,
-    /// Requests rejected since the queue was full.
+    /// Requests rejected because the queue was full or they might not wait.
     pub queue_full: u64,
-    /// Requests rejected since they timed out in the queue.
+    /// Requests rejected because they reached their deadline in the queue.
     pub timed_out: u64,
     /// Retries allowed.
     pub retries: u64,
     /// Retries denied.
     pub retries_denied: u64,
-    /// Members ejected after consecutive failures.
+    /// Times that a healthy member was ejected after consecutive failures.
     pub ejections: u64,
-    /// Ejected members that recovered.
+    /// Times that an ejected member recovered through a half-open probe.
     pub recoveries: u64,
 }
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -1,7 +1,7 @@
-//! One pool as a state machine: events and the time in, actions out.
+//! One pool as a state machine that takes events and the time and returns actions.
 //!
-//! Its members (health, capacity, the endpoints published of them) are in `members`, its requests (admission, the
-//! queue, the retry budget) in `requests`.
+//! The module `members` handles health, capacity and published endpoints; `requests` handles admission, the
+//! queue and the retry budget.
 
 mod members;
 mod requests;
@@ -13,90 +13,93 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// One member's state.
+/// The state of one member of the pool.
 #[derive(Clone, Debug)]
 struct MemberState {
     health: Health,
-    /// What the endpoint list last said of it.
+    /// The member's state in the last report of the endpoint list.
     notified: Notified,
-    /// When it last started, in milliseconds on the caller's clock; 0: long ago.
+    /// When the member last started, in milliseconds on the caller's clock; 0 means long ago.
     started_ms: f64,
-    /// Attempts sent to it that have not ended.
+    /// The number of attempts sent to the member that have not ended.
     in_flight: u64,
-    /// At its limit, and not free enough since.
+    /// Whether the member reached its in-flight limit and has not freed enough of it since (hysteresis).
     at_capacity: bool,
-    /// What was last published of it.
+    /// The member's endpoint as last published; `None` before the first publication.
     published: Option<Endpoint>,
 }
 
-/// A request between its admission and its end.
+/// A request that was admitted and has not finished.
 #[derive(Clone, Debug, Default)]
 struct AdmittedRequest {
-    /// Attempts sent so far.
+    /// The number of attempts sent so far.
     attempts: u64,
 }
 
-/// How many requests a pool has.
+/// The number of requests that a pool has at a moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Occupancy {
-    /// Admitted, and not finished.
+    /// Requests admitted and not finished.
     pub in_flight: usize,
-    /// Waiting in the queue.
+    /// Requests that wait in the queue.
     pub queued: usize,
 }
 
-/// One pool's state.
+/// The state of one pool.
 #[derive(Clone, Debug)]
 pub struct Pool {
     spec: Spec,
-    /// Differs from front to front: spreads the probes of one member.
+    /// Differs from front to front, so that the fronts probe one member at different times.
     seed: u64,
-    /// What holds of a member that no notification was received for.
+    /// The assumed state of a member that no notification was received for.
     default_notified: Notified,
-    /// The latest time of an event, in milliseconds on the caller's clock.
+    /// The time of the latest event, in milliseconds on the caller's clock.
     now_ms: f64,
     by_id: HashMap<Arc<str>, usize>,
-    /// In the order of `spec.members`, whose ids `by_id` maps to their index.
+    /// Member states in the order of `spec.members`; `by_id` maps ids to the index.
     members: Vec<MemberState>,
-    /// Members removed from the pool that still have attempts in flight, with the number of these.
+    /// The number of attempts in flight at members that were removed from the pool, by id; an entry that
+    /// reaches 0 is removed.
     departed_in_flight: HashMap<Arc<str>, u64>,
     admitted: HashMap<u64, AdmittedRequest>,
     queue: Queue,
-    /// Retries that the retry budget has saved up.
+    /// The number of retries that the retry budget allows now; fractions accumulate.
     retry_tokens: f64,
-    /// Half-open probes to come: (due time in microseconds, member index).
+    /// The half-open probes that are not due yet, as (due time in microseconds, member index).
     probes_due: BTreeSet<(u64, usize)>,
-    /// Members published as serving.
+    /// The number of members published as serving.
     serving_count: usize,
-    /// Requests that the serving members have capacity for; `None`: one of them has no limit.
+    /// The number of further requests that the serving members have capacity for; `None` if one of them has
+    /// no limit.
     serving_capacity: Option<u64>,
-    /// Admitted requests whose first attempt has not been sent: each will take capacity.
+    /// The number of admitted requests whose first attempt has not been sent; each will take capacity.
     admitted_unsent: u64,
     counts: Counts,
-    /// An event was handled: members that come from now on join a pool in service.
-    started: bool,
-    /// The endpoints may differ from what was published.
+    /// Whether an event was handled: members added after the first event join a pool that is in service.
+    in_service: bool,
+    /// Whether the endpoints may differ from the published ones.
     endpoints_changed: bool,
 }
 
-/// Milliseconds as whole microseconds, which are ordered.
-fn micros(ms: f64) -> u64 {
+/// Converts milliseconds to whole microseconds, which can be ordered.
+fn to_micros(ms: f64) -> u64 {
     (ms.max(0.0) * 1000.0) as u64
 }
 
 impl Pool {
-    /// A pool whose members all run, as far as is known. `seed` differs from front to front and spreads their
-    /// half-open probes. The first event publishes all members.
+    /// Creates a pool whose members are assumed to run until a notification says otherwise. `seed` differs
+    /// from front to front, so that they probe one member at different times. The first event publishes all
+    /// members.
     pub fn new(spec: Spec, seed: u64) -> Pool {
-        Pool::with(spec, seed, Notified::Up)
+        Pool::with_default_notified(spec, seed, Notified::Up)
     }
 
-    /// A pool whose members are out of service until [`Event::Notified`] reports them.
+    /// Creates a pool whose members are out of service until [`Event::Notified`] reports them.
     pub fn awaiting_endpoint_list(spec: Spec, seed: u64) -> Pool {
-        Pool::with(spec, seed, Notified::Removed)
+        Pool::with_default_notified(spec, seed, Notified::Removed)
     }
 
-    fn with(spec: Spec, seed: u64, default_notified: Notified) -> Pool {
+    fn with_default_notified(spec: Spec, seed: u64, default_notified: Notified) -> Pool {
         let retry_tokens = spec.retry_burst;
         let mut pool = Pool {
             spec: Spec { members: Vec::new(), ..spec.clone() },
@@ -114,41 +117,41 @@
             serving_capacity: None,
             admitted_unsent: 0,
             counts: Counts::default(),
-            started: false,
+            in_service: false,
             endpoints_changed: true,
         };
         pool.apply_spec(spec, &mut Vec::new());
         pool
     }
 
-    /// Its specification.
+    /// The pool's current specification.
     pub fn spec(&self) -> &Spec {
         &self.spec
     }
 
-    /// What it has done so far.
+    /// The pool's counters since it was created.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// How many requests it has now.
+    /// The number of requests in the pool now.
     pub fn occupancy(&self) -> Occupancy {
         Occupancy { in_flight: self.admitted.len(), queued: self.queue.len() }
     }
 
-    /// When the next [`Event::Tick`] is due, in milliseconds on the caller's clock.
+    /// When the next [`Event::Tick`] is due, in milliseconds on the caller's clock; `None` if none is needed.
     pub fn wake_at(&self) -> Option<f64> {
         let probe = self.probes_due.first().map(|(due_us, _)| *due_us as f64 / 1000.0 + 0.001);
         [probe, self.queue.next_deadline_ms()].into_iter().flatten().reduce(f64::min)
     }
 
-    /// Takes one event at the time `now_ms` and adds what is to be done to `actions`.
+    /// Handles one event at the time `now_ms` (milliseconds) and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         if now_ms.is_finite() {
             self.now_ms = self.now_ms.max(now_ms);
         }
-        self.started = true;
-        self.start_due_probes();
+        self.in_service = true;
+        self.half_open_due_members();
         match event {
             Event::Reconfigured(spec) => self.apply_spec(spec, actions),
             Event::Notified { id, state, started_ms } => self.on_notified(&id, state, started_ms),
--- a/crates/pool/src/pool/members.rs
+++ b/crates/pool/src/pool/members.rs
@@ -1,6 +1,6 @@
-//! A pool's members: their specification, health and capacity, and the endpoints that are published of them.
+//! The members of a pool: their specification, health and capacity, and the endpoints published for them.
 
-use super::{micros, MemberState, Pool};
+use super::{to_micros, MemberState, Pool};
 use crate::health::{AttemptOutcome, Health, Recovery};
 use crate::message::{Action, Endpoint, Notified, Phase};
 use crate::select::{select_endpoints, MemberStatus};
@@ -9,14 +9,15 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Fraction of a member's in-flight limit: a member at capacity serves again only when this much is free, so that it
-/// does not flap between serving and draining with each request (hysteresis).
+/// The fraction of its in-flight limit that a member at capacity must have free before it serves again
+/// (hysteresis), so that it does not flap between serving and draining with each request.
 const CAPACITY_HYSTERESIS_FRACTION: f64 = 0.1;
-/// A half-open probe waits up to this fraction longer than its backoff, by member and front (jitter).
+/// The fraction by which the wait for a half-open probe may exceed its backoff; it varies by member and front
+/// (jitter).
 const PROBE_JITTER_FRACTION: f64 = 0.25;
 
 impl Pool {
-    /// Replaces the specification; members that stay keep what traffic showed of them.
+    /// Replaces the specification; members that stay in the pool retain their health, counts and start time.
     pub(super) fn apply_spec(&mut self, spec: Spec, actions: &mut Vec<Action>) {
         let old_members = std::mem::take(&mut self.spec.members);
         let mut old: HashMap<Arc<str>, (State, MemberState)> = old_members
@@ -32,7 +33,7 @@
             };
             self.members.push(member);
         }
-        self.remove_departed(old, actions);
+        self.remove_departed_members(old, actions);
         self.by_id = spec.members.iter().enumerate().map(|(i, m)| (m.id.clone(), i)).collect();
         self.retry_tokens = self.retry_tokens.min(spec.retry_burst);
         self.spec = spec;
@@ -40,7 +41,7 @@
             .members
             .iter()
             .enumerate()
-            .filter_map(|(i, m)| Some((micros(m.health.probe_due_ms()?), i)))
+            .filter_map(|(i, m)| Some((to_micros(m.health.probe_due_ms()?), i)))
             .collect();
         for i in 0..self.members.len() {
             self.update_at_capacity(i);
@@ -48,8 +49,9 @@
         self.endpoints_changed = true;
     }
 
-    /// A member that stays in the pool. Out of service it may have been restarted: it counts as just started. The
-    /// other way round would let all fronts at a cold cache node at once.
+    /// The state of a member that stays in the pool. A stopped member may have been restarted, so it counts
+    /// as just started when it returns; otherwise all fronts would send to an empty cache node at full rate
+    /// at once.
     fn retained_member(&self, mut member: MemberState, old_state: State, state: State) -> MemberState {
         if old_state == State::Stopped && state != State::Stopped {
             member.started_ms = self.now_ms;
@@ -58,9 +60,11 @@
         member
     }
 
+    /// The state of a member that joins the pool with `in_flight` attempts from an earlier membership.
     fn new_member(&self, in_flight: u64) -> MemberState {
-        // One that joins a pool in service may have been started for it; an endpoint list would report its start.
-        let just_started = self.started && self.default_notified == Notified::Up;
+        // A member that joins a pool in service may have been started for that purpose. Where there is an
+        // endpoint list, it reports the start time instead.
+        let just_started = self.in_service && self.default_notified == Notified::Up;
         MemberState {
             health: Health::HEALTHY,
             notified: self.default_notified,
@@ -71,9 +75,9 @@
         }
     }
 
-    /// Publishes the members that are no longer in the pool as out of service, and keeps count of what they still
-    /// have in flight.
-    fn remove_departed(
+    /// Publishes members that are no longer in the pool as out of service, and continues to count their
+    /// attempts in flight.
+    fn remove_departed_members(
         &mut self,
         departed: HashMap<Arc<str>, (State, MemberState)>,
         actions: &mut Vec<Action>,
@@ -93,7 +97,7 @@
         }
     }
 
-    /// The endpoint list reports a member.
+    /// Handles a report of the endpoint list about a member.
     pub(super) fn on_notified(&mut self, id: &str, notified: Notified, started_ms: f64) {
         let Some(&i) = self.by_id.get(id) else { return };
         let m = &mut self.members[i];
@@ -106,16 +110,16 @@
         self.endpoints_changed = true;
     }
 
-    /// Ejected members whose backoff is over become half-open.
-    pub(super) fn start_due_probes(&mut self) {
-        while let Some(&(due_us, i)) = self.probes_due.first().filter(|d| d.0 <= micros(self.now_ms)) {
+    /// Makes ejected members half-open whose backoff is over.
+    pub(super) fn half_open_due_members(&mut self) {
+        while let Some(&(due_us, i)) = self.probes_due.first().filter(|d| d.0 <= to_micros(self.now_ms)) {
             self.probes_due.remove(&(due_us, i));
-            self.members[i].health.tick(self.now_ms.max(due_us as f64 / 1000.0 + 0.001));
+            self.members[i].health.half_open_if_due(self.now_ms.max(due_us as f64 / 1000.0 + 0.001));
             self.endpoints_changed = true;
         }
     }
 
-    /// Recalculates whether a member is at capacity, with hysteresis.
+    /// Recalculates whether the member of index `i` is at capacity, with hysteresis.
     fn update_at_capacity(&mut self, i: usize) {
         let limit = self.spec.members[i].in_flight;
         let m = &mut self.members[i];
@@ -131,7 +135,8 @@
         self.endpoints_changed |= m.at_capacity != was_at_capacity;
     }
 
-    /// A serving member's capacity changed by `change` requests.
+    /// Changes the serving capacity by `change` requests if the member of index `i` is serving and has a
+    /// limit.
     fn adjust_serving_capacity(&mut self, i: usize, change: i64) {
         let serving = self.members[i].published.as_ref().is_some_and(|e| e.phase == Phase::Serving);
         if let (true, Some(_), Some(capacity)) =
@@ -141,24 +146,24 @@
         }
     }
 
-    /// An attempt was sent to a member.
+    /// Records that an attempt of a request was sent to a member.
     pub(super) fn on_attempt_sent(&mut self, request: u64, id: &str) {
         self.count_attempt(request);
         let Some(&i) = self.by_id.get(id) else {
-            // It departed between the decision and the send.
+            // The member was removed from the pool between the decision and the send.
             *self.departed_in_flight.entry(id.into()).or_default() += 1;
             return;
         };
         let m = &mut self.members[i];
         m.in_flight += 1;
         let before = m.health;
-        m.health.on_sent(request);
+        m.health.on_attempt_sent(request);
         self.endpoints_changed |= m.health != before;
         self.update_at_capacity(i);
         self.adjust_serving_capacity(i, -1);
     }
 
-    /// An attempt at a member ended.
+    /// Records that an attempt of a request at a member ended.
     pub(super) fn on_attempt_ended(&mut self, request: u64, id: &str, outcome: AttemptOutcome) {
         let Some(&i) = self.by_id.get(id) else {
             if let Some(in_flight) = self.departed_in_flight.get_mut(id) {
@@ -173,7 +178,7 @@
         let m = &mut self.members[i];
         m.in_flight = m.in_flight.saturating_sub(1);
         let before = m.health;
-        let recovery = m.health.on_ended(self.now_ms, request, outcome, &self.spec, jitter);
+        let recovery = m.health.on_attempt_ended(self.now_ms, request, outcome, &self.spec, jitter);
         if recovery == Some(Recovery::JustStarted) {
             m.started_ms = self.now_ms;
         }
@@ -181,7 +186,7 @@
         if m.health != before {
             self.counts.ejections += u64::from(before.is_healthy() && !m.health.is_healthy());
             if let Some(due_ms) = m.health.probe_due_ms() {
-                self.probes_due.insert((micros(due_ms), i));
+                self.probes_due.insert((to_micros(due_ms), i));
             }
             self.endpoints_changed = true;
         }
@@ -189,9 +194,10 @@
         self.adjust_serving_capacity(i, 1);
     }
 
-    /// The factor on a member's backoff, by member and front: from 1 to 1 + [`PROBE_JITTER_FRACTION`].
+    /// The factor applied to a member's backoff, from 1 to 1 + [`PROBE_JITTER_FRACTION`]; it depends on the
+    /// member's id and the front's seed.
     fn probe_jitter(&self, id: &str) -> f64 {
-        // FNV-1a: any hash will do, but it must not change from run to run.
+        // FNV-1a. Any hash would do that gives the same value in every run.
         let hash = id
             .bytes()
             .chain(self.seed.to_le_bytes())
@@ -239,7 +245,7 @@
         }
     }
 
-    /// Its phase for the decision module, given whether it was selected.
+    /// The phase to publish for the member, given whether it was selected.
     fn phase(&self, spec: &MemberSpec, selected: bool) -> Phase {
         match (spec.state, self.notified) {
             (State::Stopped, _) | (_, Notified::Removed) => Phase::OutOfService,
--- a/crates/pool/src/pool/requests.rs
+++ b/crates/pool/src/pool/requests.rs
@@ -1,12 +1,13 @@
-//! A pool's requests: admission, the wait in the queue, and the retry budget.
+//! The requests of a pool: admission, the wait in the queue, and the retry budget.
 
 use super::{AdmittedRequest, Pool};
 use crate::message::{Action, Notified, RejectReason};
 
 impl Pool {
-    /// Whether one more request may go to the decision module: the pool has capacity, and a member will have some when
-    /// the request gets there. Guards admitted requests against finding every member at capacity, which the module
-    /// would reject. Where no member is usable at all it may: what to reject then is the module's decision, at once.
+    /// Whether one more request may go to the decision module: the pool is below its limit, and the serving
+    /// members have more capacity than the admitted requests not yet sent will take. The module would reject
+    /// a request that finds every member at capacity. Where no member is usable, requests are admitted so
+    /// that the module rejects them at once.
     fn has_capacity(&self) -> bool {
         if self.spec.in_flight.is_some_and(|n| self.admitted.len() as u64 >= n) {
             return false;
@@ -17,10 +18,10 @@
         }
     }
 
-    /// A request arrives: it is admitted, queued or rejected.
+    /// Admits, queues or rejects a request that arrives.
     pub(super) fn on_arrived(&mut self, request: u64, wait_until_ms: f64, actions: &mut Vec<Action>) {
         if self.admitted.contains_key(&request) || self.queue.contains(request) {
-            // The caller's numbers are unique; one that is not can't be told from the other.
+            // The caller must use unique numbers; two requests of one number can't be distinguished.
             return actions.push(Action::Reject { request, reason: RejectReason::QueueFull });
         }
         self.retry_tokens = (self.retry_tokens + self.spec.retry_budget).min(self.spec.retry_burst);
@@ -43,7 +44,7 @@
         actions.push(Action::Admit { request });
     }
 
-    /// A request is over, or its client disconnected.
+    /// Removes a request that was completed or whose client disconnected.
     pub(super) fn on_finished(&mut self, request: u64) {
         if !self.queue.remove(request) {
             let admitted = self.admitted.remove(&request);
@@ -51,7 +52,7 @@
         }
     }
 
-    /// An attempt of a request was sent.
+    /// Counts an attempt that was sent for a request.
     pub(super) fn count_attempt(&mut self, request: u64) {
         if let Some(admitted) = self.admitted.get_mut(&request) {
             self.admitted_unsent -= u64::from(admitted.attempts == 0);
@@ -59,7 +60,8 @@
         }
     }
 
-    /// Rejects the queued requests that timed out, and admits the first of the others while there is capacity.
+    /// Rejects the queued requests whose deadline has passed, then admits others in order of arrival while
+    /// there is capacity.
     pub(super) fn admit_queued(&mut self, actions: &mut Vec<Action>) {
         while let Some(request) = self.queue.pop_expired(self.now_ms) {
             self.counts.timed_out += 1;
@@ -71,7 +73,7 @@
         }
     }
 
-    /// A request wants a retry: the budget and the limit on attempts decide.
+    /// Allows or denies a retry by the retry budget and the limit on attempts.
     pub(super) fn on_retry_requested(&mut self, request: u64, actions: &mut Vec<Action>) {
         let attempts = self.admitted.get(&request).map_or(u64::MAX, |a| a.attempts);
         if attempts >= self.spec.max_attempts || self.retry_tokens < 1.0 {
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -1,9 +1,9 @@
-//! The bounded wait for capacity: requests in the order of their arrival, each with a deadline of its own.
+//! The queue of requests that wait for capacity, in order of arrival, each with its own deadline.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeSet, HashMap};
 
-/// When a queued request times out; ordered by time, then by request number.
+/// The time at which a queued request times out; ordered by time, then by request number.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Deadline {
     at_ms: f64,
@@ -22,18 +22,19 @@
     }
 }
 
-/// A queued request's keys in the two orders of the [`Queue`].
+/// The keys of a queued request in the two sorted sets of the [`Queue`].
 #[derive(Clone, Copy, Debug)]
 struct Queued {
     sequence: u64,
     deadline_ms: f64,
 }
 
-/// First in, first out, with a deadline for each request. Each operation costs the logarithm of the length.
+/// A first-in, first-out queue with a deadline for each request. Each operation takes logarithmic time in the
+/// length.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
     next_sequence: u64,
-    /// (arrival sequence, request).
+    /// The queued requests as (arrival sequence number, request number).
     by_arrival: BTreeSet<(u64, u64)>,
     by_deadline: BTreeSet<Deadline>,
     queued: HashMap<u64, Queued>,
@@ -56,7 +57,7 @@
         self.queued.contains_key(&request)
     }
 
-    /// Takes a request out; returns whether it was queued.
+    /// Removes a request; returns whether it was queued.
     pub fn remove(&mut self, request: u64) -> bool {
         let Some(Queued { sequence, deadline_ms }) = self.queued.remove(&request) else { return false };
         self.by_arrival.remove(&(sequence, request));
@@ -64,14 +65,14 @@
         true
     }
 
-    /// Takes out the request that arrived first.
+    /// Removes and returns the request that arrived first.
     pub fn pop(&mut self) -> Option<u64> {
         let (_, request) = *self.by_arrival.first()?;
         self.remove(request);
         Some(request)
     }
 
-    /// Takes out one request whose deadline has passed at `now_ms`.
+    /// Removes and returns the request of the earliest deadline, if that has passed at `now_ms`.
     pub fn pop_expired(&mut self, now_ms: f64) -> Option<u64> {
         let Deadline { at_ms, request } = *self.by_deadline.first()?;
         (now_ms >= at_ms).then(|| {
@@ -80,7 +81,7 @@
         })
     }
 
-    /// The earliest deadline, in milliseconds.
+    /// The earliest deadline, in milliseconds on the caller's clock; `None` if the queue is empty.
     pub fn next_deadline_ms(&self) -> Option<f64> {
         self.by_deadline.first().map(|d| d.at_ms)
     }
--- a/crates/pool/src/route.rs
+++ b/crates/pool/src/route.rs
@@ -1,27 +1,27 @@
-//! From a host and a path to a pool.
+//! Routing of requests to pools by host and path.
 
 use fernslip_site::{Match, Order, Route, RouteSet, Site, Target, MAX_REGEX_BYTES};
 use regex::{Regex, RegexBuilder};
 use std::collections::HashMap;
 
-/// Where a request goes.
+/// The result of routing a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Routed {
-    /// To the pool of that index among the site's pools.
+    /// The request goes to the pool of this index among the site's pools.
     Pool(usize),
-    /// A rule excludes it.
+    /// A rule excludes the request from routing.
     Excluded,
-    /// No rule matches it.
+    /// No rule matches the request.
     Unrouted,
 }
 
-/// What a rule does with a request that matches it; pools go by their index.
+/// What a rule does with a request that matches it. Pools are given by their index.
 #[derive(Clone, Copy, Debug)]
 enum RuleTarget {
     Pool(usize),
-    Nowhere,
-    /// What another rule would route to that pool is excluded.
-    ExcludeFrom(usize),
+    Excluded,
+    /// A request that another rule would route to this pool is excluded; others are not affected.
+    ExcludedFromPool(usize),
 }
 
 /// A rule's target and its position in the order in which the rules of its set apply.
@@ -39,27 +39,28 @@
 
 #[derive(Debug)]
 struct RuleSet {
-    /// What no rule of the set matches goes on to the default set.
+    /// Whether a request that no rule of the set matches is routed by the default set.
     inherit: bool,
-    /// Rules on an exact path, by path.
+    /// The rules for an exact path, by path.
     exact: HashMap<String, Vec<RankedTarget>>,
-    /// Rules on a path and all below it, by path.
+    /// The rules for a path and all paths below it, by path.
     prefix: HashMap<String, Vec<RankedTarget>>,
-    /// Rules that no table can look up: each is matched, in their order.
+    /// The wildcard and regular-expression rules, which no table can look up: each of them is tried on every
+    /// path.
     scanned: Vec<(Pattern, RankedTarget)>,
 }
 
-/// The rules that match one path, as far as they have been looked up.
+/// The result so far of looking up the rules that match one path.
 #[derive(Default)]
-struct Matched {
+struct MatchedRules {
     first: Option<RankedTarget>,
     excluded_pools: Vec<usize>,
 }
 
-impl Matched {
+impl MatchedRules {
     fn add(&mut self, rule: RankedTarget) {
         match rule.target {
-            RuleTarget::ExcludeFrom(pool) => self.excluded_pools.push(pool),
+            RuleTarget::ExcludedFromPool(pool) => self.excluded_pools.push(pool),
             _ if self.first.is_none_or(|first| rule.position < first.position) => self.first = Some(rule),
             _ => {}
         }
@@ -69,7 +70,7 @@
         rules.into_iter().flatten().for_each(|rule| self.add(*rule));
     }
 
-    fn routed(&self) -> Routed {
+    fn decide(&self) -> Routed {
         match self.first.map(|first| first.target) {
             None => Routed::Unrouted,
             Some(RuleTarget::Pool(pool)) if !self.excluded_pools.contains(&pool) => Routed::Pool(pool),
@@ -78,20 +79,20 @@
     }
 }
 
-/// The routing rules of a site, in tables for the lookup.
+/// The routing rules of a site, in tables for fast lookup.
 #[derive(Debug)]
 pub struct Routes {
     sets: Vec<RuleSet>,
-    /// Index of a host's set, by its lower-case name.
+    /// The index in `sets` of a host's rule set, by the host's lower-case name.
     hosts: HashMap<String, usize>,
-    /// Sets of wildcard hosts (`*.example.com`), by what follows `*.`.
+    /// The index in `sets` for a wildcard host (`*.example.com`), by the domain that follows `*.`.
     wildcard_hosts: HashMap<String, usize>,
-    /// The set without hosts.
+    /// The index in `sets` of the rule set without hosts, which applies to every other host.
     default_set: Option<usize>,
 }
 
-/// Whether a text matches a wildcard pattern, `*` standing for any text and `?` for one character. The cost is bounded
-/// by the product of the lengths, not by a power.
+/// Whether a text matches a wildcard pattern, where `*` stands for any text and `?` for one character. The
+/// time is bounded by the product of the two lengths; it is not exponential in the number of stars.
 fn wildcard_matches(pattern: &[char], text: &[char]) -> bool {
     let (mut p, mut t, mut star) = (0, 0, None);
     while t < text.len() {
@@ -113,7 +114,8 @@
     pattern[p..].iter().all(|c| *c == '*')
 }
 
-/// A path without empty and dot segments. Guards rules on a folder against ways round it: `/a/../b`, `//b`.
+/// Removes empty and dot segments from a path, so that a rule for a folder can't be bypassed by `/a/../b` or
+/// `//b`.
 fn normalize_path(path: &str) -> String {
     let mut segments: Vec<&str> = Vec::new();
     for segment in path.split('/') {
@@ -129,9 +131,9 @@
     format!("/{}{end}", segments.join("/"))
 }
 
-/// The prefixes under which rules that match a path stand, the shortest first: `/a/b` is below `/`, `/a`, `/a/` and
+/// The prefix patterns that match a path, the shortest first: for `/a/b` these are `/`, `/a`, `/a/` and
 /// `/a/b`.
-fn prefixes(path: &str) -> impl Iterator<Item = &str> {
+fn prefixes_of(path: &str) -> impl Iterator<Item = &str> {
     let slashes = path.char_indices().filter(|(_, c)| *c == '/');
     let ancestors = slashes.flat_map(|(i, _)| [&path[..i], &path[..=i]]).chain([path]);
     let mut previous = None;
@@ -139,19 +141,19 @@
 }
 
 impl RuleSet {
-    fn of(set: &RouteSet, pools: &HashMap<&str, usize>) -> RuleSet {
-        let mut out = RuleSet {
+    fn from_route_set(set: &RouteSet, pools: &HashMap<&str, usize>) -> RuleSet {
+        let mut rule_set = RuleSet {
             inherit: set.inherit == Some(true),
             exact: HashMap::new(),
             prefix: HashMap::new(),
             scanned: Vec::new(),
         };
-        for (position, rule) in in_order(set).into_iter().enumerate() {
-            if let Some(target) = RuleTarget::of(rule, pools) {
-                out.insert(rule, RankedTarget { position, target });
+        for (position, rule) in rules_in_order(set).into_iter().enumerate() {
+            if let Some(target) = RuleTarget::from_route(rule, pools) {
+                rule_set.insert(rule, RankedTarget { position, target });
             }
         }
-        out
+        rule_set
     }
 
     fn insert(&mut self, rule: &Route, ranked: RankedTarget) {
@@ -162,19 +164,19 @@
                 self.scanned.push((Pattern::Wildcard(rule.pattern.chars().collect()), ranked));
             }
             Match::Regex => {
-                // A checked site has none that does not compile; one that does not matches nothing.
+                // A checked site has only regular expressions that compile; any other would match nothing.
                 let regex = RegexBuilder::new(&rule.pattern).size_limit(MAX_REGEX_BYTES).build();
                 self.scanned.extend(regex.ok().map(|r| (Pattern::Regex(r), ranked)));
             }
         }
     }
 
-    /// Where the rules send a normalized path.
+    /// Routes a normalized path by the rules of this set.
     fn route(&self, path: &str) -> Routed {
-        let mut matched = Matched::default();
+        let mut matched = MatchedRules::default();
         matched.add_all(self.exact.get(path));
         if !self.prefix.is_empty() {
-            for prefix in prefixes(path) {
+            for prefix in prefixes_of(path) {
                 matched.add_all(self.prefix.get(prefix));
             }
         }
@@ -190,25 +192,26 @@
                 }
             }
         }
-        matched.routed()
+        matched.decide()
     }
 }
 
 impl RuleTarget {
-    /// `None`: the rule excludes from a pool that the site does not have, which is nothing.
-    fn of(rule: &Route, pools: &HashMap<&str, usize>) -> Option<RuleTarget> {
+    /// `None` if the rule excludes requests from a pool that the site does not have, and so has no effect.
+    fn from_route(rule: &Route, pools: &HashMap<&str, usize>) -> Option<RuleTarget> {
         let index = |name: &String| pools.get(name.as_str()).copied();
         match &rule.target {
-            Target::Pool(name) => Some(index(name).map_or(RuleTarget::Nowhere, RuleTarget::Pool)),
-            Target::Exclude(None) => Some(RuleTarget::Nowhere),
-            Target::Exclude(Some(name)) => index(name).map(RuleTarget::ExcludeFrom),
+            Target::Pool(name) => Some(index(name).map_or(RuleTarget::Excluded, RuleTarget::Pool)),
+            Target::Exclude(None) => Some(RuleTarget::Excluded),
+            Target::Exclude(Some(name)) => index(name).map(RuleTarget::ExcludedFromPool),
         }
     }
 }
 
-/// The rules of a set in the order in which they apply, the first that matches deciding. Sorted once, the longest order
-/// is such an order too; exclusions stand before what they exclude.
-fn in_order(set: &RouteSet) -> Vec<&Route> {
+/// The rules of a set in the order in which they apply: the first one that matches decides. For
+/// `order="longest"` the rules are sorted by length once, with the exclusions before all rules that route to
+/// a pool.
+fn rules_in_order(set: &RouteSet) -> Vec<&Route> {
     let mut rules: Vec<&Route> = set.rules.iter().collect();
     if set.order == Some(Order::Longest) {
         rules.sort_by_key(|rule| {
@@ -221,40 +224,40 @@
 }
 
 impl Routes {
-    /// The rules of a site that was read and checked.
+    /// Builds the routing tables from a site that was parsed and checked.
     pub fn of(site: &Site) -> Routes {
         let pools: HashMap<&str, usize> =
             site.pools.iter().enumerate().map(|(i, p)| (p.name.as_str(), i)).collect();
-        let mut out = Routes {
+        let mut routes = Routes {
             sets: Vec::new(),
             hosts: HashMap::new(),
             wildcard_hosts: HashMap::new(),
             default_set: None,
         };
         for set in &site.routes {
-            let index = out.sets.len();
-            out.sets.push(RuleSet::of(set, &pools));
+            let index = routes.sets.len();
+            routes.sets.push(RuleSet::from_route_set(set, &pools));
             if set.hosts.is_empty() {
-                out.default_set.get_or_insert(index);
+                routes.default_set.get_or_insert(index);
             }
             for host in &set.hosts {
                 let host = host.to_ascii_lowercase();
                 match host.strip_prefix("*.") {
-                    Some(domain) => out.wildcard_hosts.entry(domain.to_string()).or_insert(index),
-                    None => out.hosts.entry(host).or_insert(index),
+                    Some(domain) => routes.wildcard_hosts.entry(domain.to_string()).or_insert(index),
+                    None => routes.hosts.entry(host).or_insert(index),
                 };
             }
         }
-        out
+        routes
     }
 
-    /// Whether there are no rules at all.
+    /// Whether the site has no rule sets.
     pub fn is_empty(&self) -> bool {
         self.sets.is_empty()
     }
 
-    /// Where a request for a path of a host goes; the host may have a port, and any case. The host's own rule set
-    /// applies, else that of the longest wildcard host that matches, else the one without hosts.
+    /// Routes a request by its host, in any case and with or without a port, and its path. The rule set of
+    /// the host applies, else that of the longest matching wildcard host, else the one without hosts.
     pub fn route(&self, host: &str, path: &str) -> Routed {
         let path = normalize_path(path);
         let host = host
--- a/crates/pool/src/select.rs
+++ b/crates/pool/src/select.rs
@@ -1,66 +1,69 @@
-//! Which members the decision module may pick from: administrative states, health, tiers, spares, standbys and
-//! stand-ins, all in one pure function.
+//! Selection of the members that the decision module may pick from, as a pure function of administrative
+//! states, health, tiers, spares, standbys and replacements.
 
 use crate::spec::MemberSpec;
 use fernslip_site::State;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-/// What is known of a member besides its specification.
+/// The observed status of a member, as far as the selection needs it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MemberStatus {
-    /// On the endpoint list, and not draining by it.
+    /// Whether the endpoint list has the member as up.
     pub listed: bool,
-    /// Neither ejected nor half-open.
+    /// Whether the member is neither ejected nor half-open.
     pub healthy: bool,
-    /// Half-open, and a request may probe it.
+    /// Whether the member is half-open and a request may be sent to it as a probe.
     pub probe_due: bool,
 }
 
-/// Whether each member is an endpoint that may be picked, in the order of `members`.
+/// Returns for each member, in the order of `members`, whether it may be picked.
 ///
-/// 1. The lowest tier that has a usable member serves; a member is usable if it is ready, listed and healthy.
-/// 2. For each unusable ready member of a tier one usable spare of the tier joins, in their order.
-/// 3. Where a tier has neither, its standbys serve.
-/// 4. Where a tier is lost, those members of the next one that share a group with one of the lost serve before the
-///    others of that tier do.
-/// 5. The stand-in (`instead`) of an unusable member joins, from whatever tier.
-/// 6. Members due for a half-open probe join, from tiers up to the serving one.
+/// 1. The lowest tier that has a usable member serves. A member is usable if it is in service (ready, spare
+///    or standby), listed as up and healthy.
+/// 2. For each unusable ready member of the tier, one usable spare of the tier is added, in the order of the
+///    spares.
+/// 3. If the tier has neither a usable ready member nor a usable spare, its usable standbys serve.
+/// 4. If a lower tier has no usable member, and some members of the serving tier belong to a group of that
+///    lower tier, only these serve.
+/// 5. The replacement (`instead`) of an unusable member is added, from any tier.
+/// 6. Members due for a half-open probe are added, from tiers up to the serving one.
 ///
-/// Draining and stopped members never join. Being at capacity is no reason to fall back: such a member is waited for.
+/// Draining and stopped members are never selected. A member at capacity is still usable, because requests
+/// wait for it rather than fall back to another member.
 pub(crate) fn select_endpoints(members: &[MemberSpec], status: &[MemberStatus]) -> Vec<bool> {
     let selection = Selection { members, status };
     let mut selected = vec![false; members.len()];
-    let serving_tier = selection.serve_lowest_tier(&mut selected);
-    selection.add_stand_ins(serving_tier, &mut selected);
+    let serving_tier = selection.select_lowest_tier(&mut selected);
+    selection.add_replacements(serving_tier, &mut selected);
     selection.add_probes(serving_tier, &mut selected);
     selected
 }
 
-/// The inputs of one selection; members go by their index.
+/// The inputs of one selection. Its methods refer to members by their index.
 struct Selection<'a> {
     members: &'a [MemberSpec],
     status: &'a [MemberStatus],
 }
 
 impl Selection<'_> {
-    fn in_service(&self, i: usize) -> bool {
-        matches!(self.members[i].state, State::Ready | State::Spare | State::Standby)
+    fn in_service(&self, index: usize) -> bool {
+        matches!(self.members[index].state, State::Ready | State::Spare | State::Standby)
     }
 
-    fn usable(&self, i: usize) -> bool {
-        self.in_service(i) && self.status[i].listed && self.status[i].healthy
+    fn usable(&self, index: usize) -> bool {
+        self.in_service(index) && self.status[index].listed && self.status[index].healthy
     }
 
-    /// Rules 1 to 4; the tier that serves.
-    fn serve_lowest_tier(&self, selected: &mut [bool]) -> Option<u64> {
+    /// Selects members by rules 1 to 4 of [`select_endpoints`]; returns the tier that serves, if any.
+    fn select_lowest_tier(&self, selected: &mut [bool]) -> Option<u64> {
         let mut tiers: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
         for (i, m) in self.members.iter().enumerate().filter(|(i, _)| self.in_service(*i)) {
             tiers.entry(m.tier).or_default().push(i);
         }
         let mut lost_groups: HashSet<&Arc<str>> = HashSet::new();
         for (tier, tier_members) in &tiers {
-            let chosen = self.serving_of_tier(tier_members);
+            let chosen = self.serving_members_of_tier(tier_members);
             if !chosen.is_empty() {
                 let same_group: Vec<usize> = chosen
                     .iter()
@@ -77,37 +80,39 @@
         None
     }
 
-    /// The members of one tier that can serve: its ready ones and a spare for each lost one, else its standbys.
-    fn serving_of_tier(&self, tier_members: &[usize]) -> Vec<usize> {
-        let of = |state| tier_members.iter().copied().filter(move |i| self.members[*i].state == state);
-        let lost = of(State::Ready).filter(|i| !self.usable(*i)).count();
-        let ready: Vec<usize> = of(State::Ready)
+    /// The members that serve if this tier does: the usable ready ones with a spare for each unusable one, or
+    /// else the usable standbys.
+    fn serving_members_of_tier(&self, tier_members: &[usize]) -> Vec<usize> {
+        let in_state = |state| tier_members.iter().copied().filter(move |i| self.members[*i].state == state);
+        let unusable_ready = in_state(State::Ready).filter(|i| !self.usable(*i)).count();
+        let ready: Vec<usize> = in_state(State::Ready)
             .filter(|i| self.usable(*i))
-            .chain(of(State::Spare).filter(|i| self.usable(*i)).take(lost))
+            .chain(in_state(State::Spare).filter(|i| self.usable(*i)).take(unusable_ready))
             .collect();
         match ready.is_empty() {
             false => ready,
-            true => of(State::Standby).filter(|i| self.usable(*i)).collect(),
+            true => in_state(State::Standby).filter(|i| self.usable(*i)).collect(),
         }
     }
 
-    /// Rule 5.
-    fn add_stand_ins(&self, serving_tier: Option<u64>, selected: &mut [bool]) {
+    /// Selects the replacements of unusable members (rule 5 of [`select_endpoints`]).
+    fn add_replacements(&self, serving_tier: Option<u64>, selected: &mut [bool]) {
         if self.members.iter().all(|m| m.instead.is_none()) {
             return;
         }
         let by_id: HashMap<&str, usize> = self.members.iter().enumerate().map(|(i, m)| (&*m.id, i)).collect();
         for (i, m) in self.members.iter().enumerate() {
-            // A member that was excluded manually has its stand-in too: that is what one is named for.
+            // Draining and stopped members are replaced as well: operators name a replacement for that
+            // purpose.
             let out_of_use = !self.usable(i) && serving_tier.is_none_or(|t| m.tier <= t);
-            let stand_in = m.instead.as_ref().filter(|_| out_of_use).and_then(|id| by_id.get(&**id));
-            if let Some(&j) = stand_in.filter(|j| self.usable(**j)) {
+            let replacement = m.instead.as_ref().filter(|_| out_of_use).and_then(|id| by_id.get(&**id));
+            if let Some(&j) = replacement.filter(|j| self.usable(**j)) {
                 selected[j] = true;
             }
         }
     }
 
-    /// Rule 6.
+    /// Selects the members due for a half-open probe (rule 6 of [`select_endpoints`]).
     fn add_probes(&self, serving_tier: Option<u64>, selected: &mut [bool]) {
         for (i, m) in self.members.iter().enumerate() {
             let probed = self.in_service(i) && self.status[i].listed && self.status[i].probe_due;
--- a/crates/pool/src/select/tests.rs
+++ b/crates/pool/src/select/tests.rs
@@ -1,10 +1,12 @@
-//! Unit tests of the private items of `select`.
+//! Unit tests of the selection of endpoints.
 
 use super::*;
 
-/// The selection among members written one a token: `a0` is ready in tier 0; `S` spare, `H` standby, `D` draining,
-/// `X` stopped; `!` ejected, `?` due for a probe; `@g` a group, `>n` a stand-in by its index.
-fn selected(tokens: &str) -> String {
+/// Selects among the members that `tokens` describes and returns `1` or `0` for each. One token is one
+/// member: a letter for its state (`a` ready, `S` spare, `H` standby, `D` draining, `X` stopped), its tier,
+/// then `!` if it is ejected, `?` if it is due for a probe, `@g` for its group and `>n` for the index of its
+/// replacement.
+fn selection_of(tokens: &str) -> String {
     let id = |n: usize| -> Arc<str> { format!("m{n}").into() };
     let mut members = Vec::new();
     let mut status = Vec::new();
@@ -32,34 +34,37 @@
 }
 
 #[test]
-fn endpoints_are_selected_by_tier_spare_standby_group_stand_in_and_probe_rules() {
+fn endpoints_are_selected_by_tier_spare_standby_group_replacement_and_probe_rules() {
     for (members, expected) in [
         ("a0 a0 a1", "110"),
         ("a0! a0 a1", "010"),
         ("a0! a0! a1", "001"),
         ("D0 X0 a1", "001"),
         ("D0 X0", "00"),
-        // A spare for each that is lost, no more; before the standby, which comes before the next tier.
+        // One spare is added for each unusable member. Spares come before standbys, and these before the next
+        // tier.
         ("a0! a0 S0 S0", "0110"),
         ("a0! a0! S0 S0! S0", "00101"),
         ("a0 S0 H0", "100"),
         ("a0! H0 a1", "010"),
         ("a0! H0! a1", "001"),
         ("D0 S0 a1", "001"),
-        // Groups stand in for each other across tiers.
+        // Members of the same group in the next tier replace the members of a tier that has none usable.
         ("a0@x! a1@y a1@x", "001"),
         ("a0@z! a1@y a1@x", "011"),
-        // Stand-ins, also from other tiers, also for a manually excluded member; never one that is draining itself.
+        // A replacement may be in another tier and may replace a draining member, but must not be draining
+        // itself.
         ("a0>2! a0 H1", "011"),
         ("a0>2 a0 H1", "110"),
         ("D0>2 a0 H1", "011"),
         ("a0>2! a0 D1", "010"),
-        // Probes join; a failed tier does not serve again before its probe succeeds.
+        // Members due for a probe are added, but the next tier serves until a probe of the failed tier
+        // succeeds.
         ("a0? a1", "11"),
         ("a0? a0 a1?", "110"),
         ("D0? X0? a0", "001"),
         ("a0!", "0"),
     ] {
-        assert_eq!(selected(members), expected, "{members}");
+        assert_eq!(selection_of(members), expected, "{members}");
     }
 }
--- a/crates/pool/src/spec.rs
+++ b/crates/pool/src/spec.rs
@@ -1,46 +1,51 @@
-//! A pool's specification as the operators wrote it in the site document, with every default filled in.
+//! The specification of a pool: its settings from the site document, with every default filled in.
 
 use fernslip_site::{Pool, Site, State};
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// One member of a pool as the pool specification has it: the member's own settings merged with the pool's `use`.
+/// The specification of one member of a pool: the member's own settings merged with those of the pool's `use`
+/// node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberSpec {
-    /// The member.
+    /// The member's id.
     pub id: Arc<str>,
-    /// Its weight relative to the other members' (no unit; 1.0 by default).
+    /// The member's weight relative to the other members (no unit; 1.0 by default).
     pub weight: f64,
-    /// Its administrative state: the stricter of the member's and the pool's `use`.
+    /// The administrative state: the stricter of the member's own and that of the `use` node.
     pub state: State,
-    /// Its tier; the lowest tier with a usable member serves.
+    /// The failover tier (0 by default); the lowest tier with a usable member serves.
     pub tier: u64,
-    /// Its failover group: members of a lost tier's groups stand in first.
+    /// The failover group: if a tier has no usable member, members of its groups in the next tier serve
+    /// first.
     pub group: Option<Arc<str>>,
-    /// The id of the member that stands in for it when it is unusable.
+    /// The id of the member that replaces this one while it is unusable.
     pub instead: Option<Arc<str>>,
-    /// Its in-flight request limit; a connection carries one request at least, so a connection limit counts too.
+    /// The limit of requests in flight, or the connection limit if that is lower, since a connection carries
+    /// at least one request; `None` for no limit.
     pub in_flight: Option<u64>,
 }
 
 /// A pool's specification, in the units that [`crate::Pool`] uses (milliseconds, counts).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Spec {
-    /// Its name.
+    /// The name of the pool.
     pub name: String,
-    /// Its members, in their order; each id once.
+    /// The members in the order of the document; each id occurs once.
     pub members: Vec<MemberSpec>,
-    /// Its in-flight request limit; a connection limit counts too.
+    /// The limit of requests in flight in the pool, or the connection limit if that is lower; `None` for no
+    /// limit.
     pub in_flight: Option<u64>,
-    /// How long a request may wait in the queue for capacity, in milliseconds (KDL key `wait-ms`).
+    /// The longest wait of a request in the queue, in milliseconds (KDL key `wait-ms`).
     pub max_queue_wait_ms: f64,
-    /// How many requests may wait in the queue (KDL key `waiting`).
+    /// The greatest number of requests in the queue (KDL key `waiting`).
     pub max_queued: usize,
-    /// The most attempts at a request, the first included (KDL key `attempts`).
+    /// The greatest number of attempts at a request, the first included (KDL key `attempts`).
     pub max_attempts: u64,
-    /// Retries that each arriving request adds to the pool's retry budget.
+    /// The number of retries, usually a fraction, that each arriving request adds to the retry budget (KDL
+    /// key `budget`).
     pub retry_budget: f64,
-    /// The most retries that the budget can save up.
+    /// The greatest number of retries that the retry budget can accumulate (KDL key `burst`).
     pub retry_burst: f64,
     /// Consecutive failures after which a member is ejected, at least 1 (KDL key `failures`).
     pub eject_after_failures: u64,
@@ -51,14 +56,14 @@
 }
 
 impl Spec {
-    /// The specification of one pool of a site that was read and checked. Members that the site does not have are
+    /// The specification of one pool of a parsed and checked site. Members that the site does not define are
     /// skipped.
     pub fn of(site: &Site, pool: &Pool) -> Spec {
         let one = Site { pools: vec![pool.clone()], routes: Vec::new(), ..site.clone() };
         Spec::all(&one).remove(0)
     }
 
-    /// The specifications of every pool of a site, in the site's order.
+    /// The specifications of all pools of a site, in the order of the document.
     pub fn all(site: &Site) -> Vec<Spec> {
         let site = site.effective();
         let members: HashMap<&str, &fernslip_site::Member> =
@@ -83,7 +88,7 @@
                         })
                     })
                     .collect(),
-                // A connection carries one request at least.
+                // A connection carries at least one request, so a connection limit bounds the requests too.
                 in_flight: [p.limits.in_flight, p.limits.connections].into_iter().flatten().min(),
                 max_queue_wait_ms: p.limits.wait_ms.unwrap_or(0) as f64,
                 max_queued: p.limits.waiting.unwrap_or(0) as usize,
--- a/crates/pool/tests/invariants.rs
+++ b/crates/pool/tests/invariants.rs
@@ -1,4 +1,5 @@
-//! A pool under any events that keep its contract: the invariants are checked after every one of them.
+//! Random sequences of events that follow the contract of a pool; its invariants are checked after each
+//! event.
 
 use fernslip_pool::*;
 use fernslip_site::State;
@@ -6,21 +7,32 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
+/// A step of a random sequence. Indices are taken modulo the number of candidates.
 #[derive(Clone, Debug)]
 enum Step {
+    /// Lets this many milliseconds pass.
     PassTime(f64),
+    /// A new request arrives.
     Arrive,
+    /// A queued request, or an admitted one without an attempt in flight, finishes.
     Finish(usize),
+    /// An attempt of an admitted request (first index) is sent to a serving member (second index).
     Send(usize, usize),
+    /// The attempt of a request ends with the outcome of this index in `OUTCOMES`.
     EndAttempt(usize, u8),
+    /// An admitted request without an attempt in flight asks for a retry.
     Retry(usize),
+    /// The specification gives a member the state of this index in `STATES`.
     SetState(usize, u8),
+    /// The specification no longer contains this member.
     Remove(usize),
+    /// The specification contains this member again.
     Add(usize),
+    /// The endpoint list reports a member with the state of this index in `NOTIFICATIONS`.
     Notify(usize, u8),
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
         3 => (0.0..400.0f64).prop_map(Step::PassTime),
         6 => Just(Step::Arrive),
@@ -44,32 +56,35 @@
     AttemptOutcome::Inconclusive,
 ];
 
-fn id(n: usize) -> Arc<str> {
-    format!("m{n}").into()
+fn member_id(index: usize) -> Arc<str> {
+    format!("m{index}").into()
 }
 
-fn member(n: usize, limit: Option<u64>) -> MemberSpec {
+fn member_spec(index: usize, limit: Option<u64>) -> MemberSpec {
     MemberSpec {
-        id: id(n),
-        weight: 1.0 + n as f64,
-        state: STATES[[0, 0, 0, 4, 3, 0][n]],
-        tier: (n / 3) as u64,
-        group: Some(["x", "y"][n % 2].into()),
-        instead: (n == 0).then(|| id(4)),
+        id: member_id(index),
+        weight: 1.0 + index as f64,
+        state: STATES[[0, 0, 0, 4, 3, 0][index]],
+        tier: (index / 3) as u64,
+        group: Some(["x", "y"][index % 2].into()),
+        instead: (index == 0).then(|| member_id(4)),
         in_flight: limit,
     }
 }
 
-/// A caller that keeps the contract and knows nothing but the actions.
+/// A caller that follows the contract and knows only the actions that the pool returns.
 struct Caller {
     pool: Pool,
     spec: Spec,
-    now: f64,
-    next: u64,
+    now_ms: f64,
+    last_request: u64,
     endpoints: BTreeMap<Arc<str>, Endpoint>,
     notified: HashMap<Arc<str>, Notified>,
+    /// The deadline of each queued request, in milliseconds.
     queued: BTreeMap<u64, f64>,
+    /// The member at which each admitted request has an attempt in flight, if any.
     admitted: BTreeMap<u64, Option<Arc<str>>>,
+    /// The number of attempts sent for each request.
     attempts: HashMap<u64, u64>,
     retry_requested: BTreeSet<u64>,
     in_flight: HashMap<Arc<str>, u64>,
@@ -84,8 +99,8 @@
         let mut caller = Caller {
             pool: Pool::new(spec.clone(), 5),
             spec,
-            now: 0.0,
-            next: 0,
+            now_ms: 0.0,
+            last_request: 0,
             endpoints: BTreeMap::new(),
             notified,
             queued: BTreeMap::new(),
@@ -97,14 +112,14 @@
             retries: 0,
             log: Vec::new(),
         };
-        caller.feed(Event::Tick);
+        caller.handle(Event::Tick);
         caller
     }
 
-    fn feed(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.log.push(format!("{:.3} {event:?}", self.now));
-        self.pool.handle(self.now, event, &mut actions);
+        self.log.push(format!("{:.3} {event:?}", self.now_ms));
+        self.pool.handle(self.now_ms, event, &mut actions);
         for a in &actions {
             self.log.push(format!("  {a:?}"));
         }
@@ -114,14 +129,20 @@
                 Action::Admit { request } => {
                     assert!(
                         self.will_have_capacity(),
-                        "admitted for capacity that others will take: {:?}",
+                        "request {request} was admitted for capacity that earlier ones will take: {:?}",
                         self.log
                     );
-                    assert!(self.queued.remove(&request).is_some(), "admitted once, and while it waits");
+                    assert!(
+                        self.queued.remove(&request).is_some(),
+                        "request {request} must be admitted at most once, and only while it waits"
+                    );
                     self.admitted.insert(request, None);
                 }
                 Action::Reject { request, .. } => {
-                    assert!(self.queued.remove(&request).is_some(), "rejected once, and while it waits");
+                    assert!(
+                        self.queued.remove(&request).is_some(),
+                        "request {request} must be rejected at most once, and only while it waits"
+                    );
                 }
                 Action::Retry { request } => {
                     self.retries += 1;
@@ -130,10 +151,11 @@
                 Action::RetryDenied { request } => assert!(self.retry_requested.remove(&request)),
             }
         }
-        self.check();
+        self.check_invariants();
     }
 
-    /// Whether the serving endpoints have capacity for one more beside all admitted requests that were not sent yet.
+    /// Whether the serving endpoints have capacity for one more request besides the admitted requests not
+    /// sent yet; true if none is serving.
     fn will_have_capacity(&self) -> bool {
         let open: Vec<_> = self.endpoints.values().filter(|m| m.phase == Phase::Serving).collect();
         let limit = |m: &Endpoint| self.spec.members.iter().find(|p| p.id == m.id).and_then(|p| p.in_flight);
@@ -145,131 +167,163 @@
         open.is_empty() || unsent < open.iter().map(free).sum()
     }
 
-    fn check(&self) {
+    fn check_invariants(&self) {
         for p in &self.spec.members {
             let Some(m) = self.endpoints.get(&p.id) else { continue };
             if m.phase == Phase::Serving {
-                assert!(!matches!(p.state, State::Draining | State::Stopped), "{}: {:?}", p.id, self.log);
-                assert_eq!(self.notified[&p.id], Notified::Up, "{}", p.id);
+                assert!(
+                    !matches!(p.state, State::Draining | State::Stopped),
+                    "member {} is {:?} and must not be published as serving: {:?}",
+                    p.id,
+                    p.state,
+                    self.log
+                );
+                assert_eq!(
+                    self.notified[&p.id],
+                    Notified::Up,
+                    "member {} is serving, so the endpoint list must have it as up",
+                    p.id
+                );
             }
             assert_eq!(
                 p.state == State::Stopped || self.notified[&p.id] == Notified::Removed,
                 m.phase == Phase::OutOfService
             );
             if let Some(limit) = p.in_flight {
-                assert!(self.in_flight.get(&p.id).copied().unwrap_or(0) <= limit, "{}: over its limit", p.id);
+                assert!(
+                    self.in_flight.get(&p.id).copied().unwrap_or(0) <= limit,
+                    "member {} must not exceed its limit of {limit} requests in flight",
+                    p.id
+                );
             }
         }
         for (id, m) in &self.endpoints {
             let here = self.spec.members.iter().any(|p| p.id == *id);
-            assert!(here || m.phase == Phase::OutOfService, "{id} departed and may still be picked");
+            assert!(
+                here || m.phase == Phase::OutOfService,
+                "member {id} was removed from the pool and must be published as out of service"
+            );
         }
         assert!(self.spec.in_flight.is_none_or(|n| self.admitted.len() as u64 <= n));
         assert!(self.queued.len() <= self.spec.max_queued);
         assert!(
-            self.queued.values().all(|until| self.now <= *until + 0.01),
-            "nobody waits beyond their time"
+            self.queued.values().all(|until| self.now_ms <= *until + 0.01),
+            "no request may wait beyond its deadline"
         );
         let earned = self.spec.retry_burst + self.spec.retry_budget * self.arrivals as f64;
-        assert!(self.retries as f64 <= earned + 1e-6, "the retry budget holds");
+        assert!(self.retries as f64 <= earned + 1e-6, "the retries must stay within the retry budget");
         let occupancy = Occupancy { in_flight: self.admitted.len(), queued: self.queued.len() };
         assert_eq!(self.pool.occupancy(), occupancy);
     }
 
     fn pass_time(&mut self, ms: f64) {
-        let end = self.now + ms;
+        let end = self.now_ms + ms;
         while let Some(at) = self.pool.wake_at().filter(|at| *at <= end) {
-            assert!(at >= self.now - 0.01, "no tick is due in the past");
-            self.now = self.now.max(at);
-            self.feed(Event::Tick);
+            assert!(at >= self.now_ms - 0.01, "the time of the next tick must not be in the past");
+            self.now_ms = self.now_ms.max(at);
+            self.handle(Event::Tick);
         }
-        self.now = end;
-        self.feed(Event::Tick);
+        self.now_ms = end;
+        self.handle(Event::Tick);
     }
 
-    fn nth(&self, n: usize, out: bool) -> Option<(u64, Option<Arc<str>>)> {
-        let all: Vec<_> = self.admitted.iter().filter(|(_, at)| at.is_some() == out).collect();
-        (!all.is_empty()).then(|| (*all[n % all.len()].0, all[n % all.len()].1.clone()))
+    /// The admitted request of this index (modulo their number) among those with an attempt in flight
+    /// (`in_flight`) or without, and the member of the attempt.
+    fn nth_admitted(&self, index: usize, in_flight: bool) -> Option<(u64, Option<Arc<str>>)> {
+        let all: Vec<_> = self.admitted.iter().filter(|(_, at)| at.is_some() == in_flight).collect();
+        (!all.is_empty()).then(|| (*all[index % all.len()].0, all[index % all.len()].1.clone()))
     }
 
     fn apply(&mut self, step: Step) {
         match step {
             Step::PassTime(ms) => self.pass_time(ms),
             Step::Arrive => {
-                self.next += 1;
+                self.last_request += 1;
                 self.arrivals += 1;
-                self.queued.insert(self.next, self.now + self.spec.max_queue_wait_ms);
-                self.feed(Event::Arrived { request: self.next, wait_until_ms: self.now + 1000.0 });
+                self.queued.insert(self.last_request, self.now_ms + self.spec.max_queue_wait_ms);
+                self.handle(Event::Arrived {
+                    request: self.last_request,
+                    wait_until_ms: self.now_ms + 1000.0,
+                });
             }
             Step::Finish(n) => {
-                // A client leaves while it waits, or a request without an attempt out is over.
+                // The client of a queued request disconnects, or a request without an attempt in flight is
+                // completed.
                 let waits = self.queued.keys().nth(n % (self.queued.len() + 1)).copied();
-                let request = waits.or_else(|| self.nth(n, false).map(|r| r.0));
+                let request = waits.or_else(|| self.nth_admitted(n, false).map(|r| r.0));
                 if let Some(request) = request {
                     self.queued.remove(&request);
                     self.admitted.remove(&request);
-                    self.feed(Event::Finished { request });
+                    self.handle(Event::Finished { request });
                 }
             }
             Step::Send(r, m) => {
                 let open: Vec<_> = self.endpoints.values().filter(|m| m.phase == Phase::Serving).collect();
-                if let (Some((request, _)), false) = (self.nth(r, false), open.is_empty()) {
+                if let (Some((request, _)), false) = (self.nth_admitted(r, false), open.is_empty()) {
                     let id = open[m % open.len()].id.clone();
                     *self.in_flight.entry(id.clone()).or_default() += 1;
                     *self.attempts.entry(request).or_default() += 1;
                     self.admitted.insert(request, Some(id.clone()));
-                    self.feed(Event::AttemptSent { request, id });
+                    self.handle(Event::AttemptSent { request, id });
                 }
             }
             Step::EndAttempt(r, end) => {
-                if let Some((request, Some(id))) = self.nth(r, true) {
+                if let Some((request, Some(id))) = self.nth_admitted(r, true) {
                     *self.in_flight.entry(id.clone()).or_default() -= 1;
                     self.admitted.insert(request, None);
-                    self.feed(Event::AttemptEnded { request, id, outcome: OUTCOMES[usize::from(end)] });
+                    self.handle(Event::AttemptEnded { request, id, outcome: OUTCOMES[usize::from(end)] });
                 }
             }
             Step::Retry(r) => {
-                if let Some((request, _)) = self.nth(r, false) {
+                if let Some((request, _)) = self.nth_admitted(r, false) {
                     self.retry_requested.insert(request);
                     let before = self.retries;
-                    self.feed(Event::RetryRequested { request });
+                    self.handle(Event::RetryRequested { request });
                     let made = self.attempts.get(&request).copied().unwrap_or(0);
-                    assert!(self.retries == before || made < self.spec.max_attempts, "attempts are bounded");
-                    assert!(self.retry_requested.is_empty(), "answered at once");
+                    assert!(
+                        self.retries == before || made < self.spec.max_attempts,
+                        "request {request} must not be retried beyond the limit on attempts"
+                    );
+                    assert!(
+                        self.retry_requested.is_empty(),
+                        "a request for a retry must be answered by the same event"
+                    );
                 }
             }
             Step::SetState(m, s) => {
-                if let Some(p) = self.spec.members.iter_mut().find(|p| p.id == id(m)) {
+                if let Some(p) = self.spec.members.iter_mut().find(|p| p.id == member_id(m)) {
                     p.state = STATES[usize::from(s)];
                 }
-                self.feed(Event::Reconfigured(self.spec.clone()));
+                self.handle(Event::Reconfigured(self.spec.clone()));
             }
             Step::Remove(m) => {
-                self.spec.members.retain(|p| p.id != id(m));
-                self.feed(Event::Reconfigured(self.spec.clone()));
+                self.spec.members.retain(|p| p.id != member_id(m));
+                self.handle(Event::Reconfigured(self.spec.clone()));
             }
             Step::Add(m) => {
-                if !self.spec.members.iter().any(|p| p.id == id(m)) {
-                    self.spec.members.push(member(m, self.spec.members.first().and_then(|p| p.in_flight)));
-                    self.notified.insert(id(m), Notified::Up);
+                if !self.spec.members.iter().any(|p| p.id == member_id(m)) {
+                    self.spec
+                        .members
+                        .push(member_spec(m, self.spec.members.first().and_then(|p| p.in_flight)));
+                    self.notified.insert(member_id(m), Notified::Up);
                 }
-                self.feed(Event::Reconfigured(self.spec.clone()));
+                self.handle(Event::Reconfigured(self.spec.clone()));
             }
             Step::Notify(m, t) => {
-                if self.spec.members.iter().any(|p| p.id == id(m)) {
+                if self.spec.members.iter().any(|p| p.id == member_id(m)) {
                     let notified = NOTIFICATIONS[usize::from(t)];
-                    self.notified.insert(id(m), notified);
-                    self.feed(Event::Notified { id: id(m), state: notified, started_ms: 0.0 });
+                    self.notified.insert(member_id(m), notified);
+                    self.handle(Event::Notified { id: member_id(m), state: notified, started_ms: 0.0 });
                 }
             }
         }
     }
 }
 
-fn spec(limit: Option<u64>, in_flight: Option<u64>) -> Spec {
+fn pool_spec(member_limit: Option<u64>, in_flight: Option<u64>) -> Spec {
     Spec {
         name: "p".into(),
-        members: (0..6).map(|n| member(n, limit)).collect(),
+        members: (0..6).map(|index| member_spec(index, member_limit)).collect(),
         in_flight,
         max_queue_wait_ms: 120.0,
         max_queued: 5,
@@ -287,22 +341,24 @@
 
     #[test]
     fn the_invariants_hold_after_every_event(
-        steps in proptest::collection::vec(step(), 0..200),
+        steps in proptest::collection::vec(any_step(), 0..200),
         limit in proptest::option::of(1u64..4),
         in_flight in proptest::option::of(1u64..6),
     ) {
         let run = || {
-            let mut caller = Caller::new(spec(limit, in_flight));
+            let mut caller = Caller::new(pool_spec(limit, in_flight));
             steps.iter().for_each(|s| caller.apply(s.clone()));
-            // In the end the queue is empty, and ejected members were probed.
+            // After this time every queued request has left the queue and every half-open probe has become
+            // due.
             caller.pass_time(10_000.0);
             assert!(caller.queued.is_empty());
             caller.log
         };
-        prop_assert_eq!(run(), run(), "equal inputs give equal outputs");
+        prop_assert_eq!(run(), run(), "equal inputs must give equal outputs");
     }
 }
 
+/// The phases of the endpoints in the order of their ids: `i` serving, `d` draining, `o` out of service.
 fn phases(caller: &Caller) -> String {
     let letter = |m: &Endpoint| match m.phase {
         Phase::Serving => 'i',
@@ -312,69 +368,76 @@
     caller.endpoints.values().map(letter).collect()
 }
 
-/// Guards against sends to a member long after it was set to draining: each way back into use is tried meanwhile.
+/// Guards against requests to a member after it was set to draining. Each way of being selected again is
+/// tried: a probe, a standby and a replacement.
 #[test]
-fn a_draining_member_is_published_as_serving_by_no_path() {
-    let mut caller =
-        Caller::new(Spec { members: (0..3).map(|n| member(n, None)).collect(), ..spec(None, None) });
+fn a_draining_member_is_never_published_as_serving() {
+    let mut caller = Caller::new(Spec {
+        members: (0..3).map(|n| member_spec(n, None)).collect(),
+        ..pool_spec(None, None)
+    });
     caller.spec.members[2].state = State::Standby;
-    caller.spec.members[0].instead = Some(id(2));
-    caller.feed(Event::Reconfigured(caller.spec.clone()));
+    caller.spec.members[0].instead = Some(member_id(2));
+    caller.handle(Event::Reconfigured(caller.spec.clone()));
     assert_eq!(phases(&caller), "iid");
     for request in 1..=2 {
         caller.apply(Step::Arrive);
-        *caller.in_flight.entry(id(0)).or_default() += 1;
-        caller.admitted.insert(request, Some(id(0)));
-        caller.feed(Event::AttemptSent { request, id: id(0) });
+        *caller.in_flight.entry(member_id(0)).or_default() += 1;
+        caller.admitted.insert(request, Some(member_id(0)));
+        caller.handle(Event::AttemptSent { request, id: member_id(0) });
     }
     for _ in 0..2 {
         caller.apply(Step::EndAttempt(0, 2));
     }
-    assert_eq!(phases(&caller), "dii", "m0 has failed, m2 stands in for it");
-    // All three drain: neither the probe that is due, nor the standby, nor the stand-in is published as serving.
+    assert_eq!(phases(&caller), "dii", "m0 is ejected and its replacement m2 must be serving");
+    // All three members drain: none is published as serving for a probe, as a standby or as a replacement.
     caller.spec.members.iter_mut().for_each(|p| p.state = State::Draining);
-    caller.feed(Event::Reconfigured(caller.spec.clone()));
+    caller.handle(Event::Reconfigured(caller.spec.clone()));
     assert_eq!(phases(&caller), "ddd");
     caller.pass_time(5_000.0);
     assert_eq!(phases(&caller), "ddd");
     caller.spec.members[0].state = State::Ready;
-    caller.feed(Event::Reconfigured(caller.spec.clone()));
-    assert_eq!(phases(&caller), "idd", "back: its probe was due long ago");
+    caller.handle(Event::Reconfigured(caller.spec.clone()));
+    assert_eq!(phases(&caller), "idd", "m0 is ready again and its probe is due, so it must be serving");
     assert_eq!(
-        caller.endpoints[&id(0)].started_ms,
+        caller.endpoints[&member_id(0)].started_ms,
         0.0,
-        "draining is not out of service: it ran all the while"
+        "a member that was only draining must not count as just started"
     );
 }
 
-/// Guards members that were out of service against the load that warm ones get.
+/// Guards against full load on a member that was out of service and may have been restarted with an empty
+/// cache.
 #[test]
-fn a_member_that_was_out_of_service_comes_back_as_just_started() {
-    let mut caller = Caller::new(spec(None, None));
-    assert_eq!(caller.endpoints[&id(0)].started_ms, 0.0);
+fn a_member_that_was_out_of_service_returns_as_just_started() {
+    let mut caller = Caller::new(pool_spec(None, None));
+    assert_eq!(caller.endpoints[&member_id(0)].started_ms, 0.0);
     caller.spec.members[0].state = State::Stopped;
-    caller.feed(Event::Reconfigured(caller.spec.clone()));
+    caller.handle(Event::Reconfigured(caller.spec.clone()));
     caller.pass_time(1000.0);
     caller.spec.members[0].state = State::Ready;
-    caller.feed(Event::Reconfigured(caller.spec.clone()));
+    caller.handle(Event::Reconfigured(caller.spec.clone()));
     assert_eq!(
-        (caller.endpoints[&id(0)].started_ms, caller.endpoints[&id(0)].phase),
+        (caller.endpoints[&member_id(0)].started_ms, caller.endpoints[&member_id(0)].phase),
         (1000.0, Phase::Serving)
     );
-    caller.spec.members.push(MemberSpec { id: "new".into(), ..member(0, None) });
+    caller.spec.members.push(MemberSpec { id: "new".into(), ..member_spec(0, None) });
     caller.notified.insert("new".into(), Notified::Up);
-    caller.feed(Event::Reconfigured(caller.spec.clone()));
-    assert_eq!(caller.endpoints["new"].started_ms, 1000.0, "it joined a pool in service");
+    caller.handle(Event::Reconfigured(caller.spec.clone()));
+    assert_eq!(
+        caller.endpoints["new"].started_ms, 1000.0,
+        "a member added to a pool in service must count as just started"
+    );
 }
 
 #[test]
-fn the_queue_is_first_in_first_out_and_bounded() {
-    let mut caller = Caller::new(Spec { in_flight: Some(1), max_queued: 2, ..spec(None, None) });
+fn the_queue_is_bounded_and_admits_requests_in_order_of_arrival() {
+    let mut caller = Caller::new(Spec { in_flight: Some(1), max_queued: 2, ..pool_spec(None, None) });
     (0..5).for_each(|_| caller.apply(Step::Arrive));
     assert_eq!((caller.admitted.len(), caller.queued.len(), caller.pool.counts().queue_full), (1, 2, 2));
     caller.pass_time(60.0);
     caller.admitted.remove(&1);
-    caller.feed(Event::Finished { request: 1 });
+    caller.handle(Event::Finished { request: 1 });
     assert_eq!(caller.admitted.keys().copied().collect::<Vec<_>>(), [2]);
     caller.pass_time(60.1);
     assert_eq!((caller.queued.len(), caller.pool.counts().timed_out), (0, 1));
--- a/crates/pool/tests/routes.rs
+++ b/crates/pool/tests/routes.rs
@@ -1,10 +1,11 @@
-//! Routes against their definition, and the orders of both formats by example.
+//! Tests of routing: random rule sets against a simple reference implementation, and examples of both rule
+//! orders.
 
 use fernslip_pool::{Routed, Routes};
 use fernslip_site::{Match, Order, Pool, Recovery, Retry, Route, RouteSet, Site, Target};
 use proptest::prelude::*;
 
-fn site(sets: Vec<RouteSet>) -> Site {
+fn site_with_routes(sets: Vec<RouteSet>) -> Site {
     let pool = |n: usize| Pool {
         name: format!("p{n}"),
         members: Vec::new(),
@@ -15,57 +16,58 @@
     Site { pools: (0..4).map(pool).collect(), routes: sets, ..Site::default() }
 }
 
-fn matches(rule: &Route, path: &str) -> bool {
-    let p = rule.pattern.as_str();
+fn rule_matches(rule: &Route, path: &str) -> bool {
+    let pattern = rule.pattern.as_str();
     match rule.matching {
-        Some(Match::Exact) => path == p,
-        Some(Match::Wildcard) => wildcard_matches(p, path),
-        _ => path == p || path.starts_with(&format!("{}/", p.trim_end_matches('/'))),
+        Some(Match::Exact) => path == pattern,
+        Some(Match::Wildcard) => wildcard_matches(pattern, path),
+        _ => path == pattern || path.starts_with(&format!("{}/", pattern.trim_end_matches('/'))),
     }
 }
 
-fn wildcard_matches(p: &str, t: &str) -> bool {
-    let Some(c) = p.chars().next() else { return t.is_empty() };
-    let tail_pattern = &p[c.len_utf8()..];
-    let tails = || t.char_indices().map(|(i, _)| &t[i..]).chain([""]);
-    match (c, t.chars().next()) {
+fn wildcard_matches(pattern: &str, text: &str) -> bool {
+    let Some(c) = pattern.chars().next() else { return text.is_empty() };
+    let tail_pattern = &pattern[c.len_utf8()..];
+    let tails = || text.char_indices().map(|(i, _)| &text[i..]).chain([""]);
+    match (c, text.chars().next()) {
         ('*', _) => tails().any(|tail| wildcard_matches(tail_pattern, tail)),
         (_, None) => false,
-        (c, Some(d)) => (c == '?' || c == d) && wildcard_matches(tail_pattern, &t[d.len_utf8()..]),
+        (c, Some(d)) => (c == '?' || c == d) && wildcard_matches(tail_pattern, &text[d.len_utf8()..]),
     }
 }
 
-fn pool(name: &str) -> usize {
-    name[1..].parse().expect("p and a number")
+fn pool_index(name: &str) -> usize {
+    name[1..].parse().expect("a pool's name is `p` and its index")
 }
 
-/// The definition: of the rules that match, the first or the longest with the exact one before a wildcard; unless
-/// a rule excludes everything, or what goes to that pool.
-fn routed_by_definition(set: &RouteSet, path: &str) -> Routed {
-    let mut found: Vec<&Route> = set.rules.iter().filter(|r| matches(r, path)).collect();
-    let without: Vec<usize> = found
+/// The reference implementation. Among the rules that match, the first one decides, or in longest order the
+/// longest one, with an exact rule before a wildcard of the same length. In longest order any matching rule
+/// that excludes everything wins; in both orders a rule can exclude what would go to one pool.
+fn reference_route(set: &RouteSet, path: &str) -> Routed {
+    let mut matching: Vec<&Route> = set.rules.iter().filter(|r| rule_matches(r, path)).collect();
+    let excluded_pools: Vec<usize> = matching
         .iter()
-        .filter_map(|r| if let Target::Exclude(Some(p)) = &r.target { Some(pool(p)) } else { None })
+        .filter_map(|r| if let Target::Exclude(Some(p)) = &r.target { Some(pool_index(p)) } else { None })
         .collect();
-    found.retain(|r| !matches!(r.target, Target::Exclude(Some(_))));
+    matching.retain(|r| !matches!(r.target, Target::Exclude(Some(_))));
     if set.order == Some(Order::Longest) {
-        if found.iter().any(|r| r.target == Target::Exclude(None)) {
+        if matching.iter().any(|r| r.target == Target::Exclude(None)) {
             return Routed::Excluded;
         }
         let rank = |r: &&Route| (r.pattern.chars().count(), r.matching == Some(Match::Exact));
-        // The first of equals.
-        found.reverse();
-        found.sort_by_key(rank);
-        found.reverse();
+        // Reversed around the stable sort, so that among equal rules the first one stays first.
+        matching.reverse();
+        matching.sort_by_key(rank);
+        matching.reverse();
     }
-    match found.first().map(|r| &r.target) {
+    match matching.first().map(|r| &r.target) {
         None => Routed::Unrouted,
-        Some(Target::Pool(p)) if !without.contains(&pool(p)) => Routed::Pool(pool(p)),
+        Some(Target::Pool(p)) if !excluded_pools.contains(&pool_index(p)) => Routed::Pool(pool_index(p)),
         Some(_) => Routed::Excluded,
     }
 }
 
-fn rule() -> impl Strategy<Value = Route> {
+fn any_rule() -> impl Strategy<Value = Route> {
     let path = proptest::collection::vec(prop_oneof![Just("a"), Just("b"), Just("ab")], 0..3);
     let kind = prop_oneof![Just(None), Just(Some(Match::Exact)), Just(Some(Match::Wildcard))];
     let target = prop_oneof![
@@ -88,8 +90,8 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(2000) })]
 
     #[test]
-    fn routes_follow_their_definition(
-        rules in proptest::collection::vec(rule(), 0..8),
+    fn routing_agrees_with_the_reference_implementation(
+        rules in proptest::collection::vec(any_rule(), 0..8),
         longest in any::<bool>(),
         parts in proptest::collection::vec(prop_oneof![Just("a"), Just("b"), Just("ab"), Just("c")], 0..4),
         end in any::<bool>(),
@@ -97,14 +99,16 @@
         let order = Some(if longest { Order::Longest } else { Order::First });
         let set = RouteSet { hosts: Vec::new(), order, inherit: None, rules };
         let path = format!("/{}{}", parts.join("/"), if end && !parts.is_empty() { "/" } else { "" });
-        let routes = Routes::of(&site(vec![set.clone()]));
-        prop_assert_eq!(routes.route("any", &path), routed_by_definition(&set, &path), "{}", path);
+        let routes = Routes::of(&site_with_routes(vec![set.clone()]));
+        prop_assert_eq!(routes.route("any", &path), reference_route(&set, &path), "{}", path);
     }
 }
 
-fn routes_of(text: &str) -> Routes {
+fn parse_routes(text: &str) -> Routes {
     let pools = "pool \"p0\"\npool \"p1\"\npool \"p2\"\n";
-    Routes::of(&Site::parse("site.kdl", &format!("{pools}{text}")).expect("a site").site)
+    Routes::of(
+        &Site::parse("site.kdl", &format!("{pools}{text}")).expect("the test's site document is valid").site,
+    )
 }
 
 #[test]
@@ -115,15 +119,15 @@
         route "/docs/old/x" match="exact" pool="p2"
         route "/docs/img/*" match="wildcard" pool="p0" exclude=#true
     }"#;
-    let first = routes_of(&format!("routes order=\"first\" {{ {rules}"));
-    let longest = routes_of(&format!("routes order=\"longest\" {{ {rules}"));
+    let first = parse_routes(&format!("routes order=\"first\" {{ {rules}"));
+    let longest = parse_routes(&format!("routes order=\"longest\" {{ {rules}"));
     for (path, by_first, by_longest) in [
         ("/docs", Routed::Pool(0), Routed::Pool(0)),
         ("/docsx", Routed::Unrouted, Routed::Unrouted),
         ("/docs/old/y", Routed::Pool(0), Routed::Pool(1)),
         ("/docs/old/x", Routed::Pool(0), Routed::Pool(2)),
         ("/docs/img/1", Routed::Excluded, Routed::Excluded),
-        // No way round a rule.
+        // Empty and dot segments must not bypass a rule.
         ("//docs/./img//1", Routed::Excluded, Routed::Excluded),
         ("/docs/x/../img/1", Routed::Excluded, Routed::Excluded),
         ("/../docs", Routed::Pool(0), Routed::Pool(0)),
@@ -133,15 +137,15 @@
 }
 
 #[test]
-fn hosts_and_wildcard_hosts_have_rule_sets_of_their_own() {
-    let r = routes_of(
+fn hosts_and_wildcard_hosts_are_routed_by_their_own_rule_sets() {
+    let routes = parse_routes(
         r#"
         routes { route "/" pool="p0"; route "/open" pool="p0"; }
         routes inherit=#true { host "a.example" "*.b.example"; route "/x" pool="p1"; }
         routes { host "deep.b.example" "*.c.b.example"; route "^/(x|y)$" match="regex" pool="p2"; }
         "#,
     );
-    for (host, path, to) in [
+    for (host, path, expected) in [
         ("a.example", "/x", Routed::Pool(1)),
         ("A.Example:8080", "/x/y", Routed::Pool(1)),
         ("a.example", "/other", Routed::Pool(0)),
@@ -152,14 +156,15 @@
         ("1.c.b.example", "/x", Routed::Pool(2)),
         ("", "/x", Routed::Pool(0)),
     ] {
-        assert_eq!(r.route(host, path), to, "{host}{path}");
+        assert_eq!(routes.route(host, path), expected, "{host}{path}");
     }
 }
 
-/// Guards against patterns whose stars would be tried in every combination.
+/// Guards against a matcher that tries every combination of positions for the stars of a pattern, which would
+/// take exponential time.
 #[test]
-fn a_pattern_of_many_stars_costs_little() {
+fn a_pattern_with_many_stars_is_matched_in_polynomial_time() {
     let text = format!("routes {{ route \"/{}b\" match=\"wildcard\" pool=\"p0\"; }}", "a*".repeat(40));
-    let r = routes_of(&text);
-    assert_eq!(r.route("", &format!("/{}", "a".repeat(5000))), Routed::Unrouted);
+    let routes = parse_routes(&text);
+    assert_eq!(routes.route("", &format!("/{}", "a".repeat(5000))), Routed::Unrouted);
 }
