--- a/crates/site/src/check.rs
+++ b/crates/site/src/check.rs
@@ -1,4 +1,5 @@
-//! What only the complete document shows: names that nothing has, invalid addresses, pools that can't serve.
+//! Checks that need the complete document: undefined names, invalid addresses, duplicates and pools that
+//! can't serve.
 
 use crate::model::*;
 use crate::problems::{suggestion, Problems};
@@ -6,11 +7,12 @@
 use miette::SourceSpan;
 use std::collections::{HashMap, HashSet};
 
-/// Limit of a compiled regular expression, bytes.
+/// The greatest size of a compiled regular expression in a route pattern, in bytes.
 pub const MAX_REGEX_BYTES: usize = 1 << 20;
 
-/// The host, without brackets, and the port of a valid `host:port`; an IPv6 address stands in brackets. The host is
-/// a name of letters, digits, `.`, `-` and `_`, or an IP address; it is not looked up.
+/// Splits a valid `host:port` into the host, without brackets, and the port (1 to 65535); `None` if it is
+/// invalid. The host is a name of letters, digits, `.`, `-` and `_`, an IPv4 address, or an IPv6 address in
+/// brackets; it is not resolved.
 pub fn host_port(address: &str) -> Option<(&str, u16)> {
     let (host, port) = address.rsplit_once(':')?;
     let port: u16 = port.parse().ok().filter(|p| *p > 0)?;
@@ -27,7 +29,7 @@
     is_host.then_some((bare, port))
 }
 
-/// Reports a name that is not among those defined.
+/// Reports a reference to a name that is not among the defined ones; `kind` says of what, such as `pool`.
 fn check_reference<V>(
     kind: &str,
     name: &str,
@@ -38,21 +40,21 @@
     if defined.contains_key(name) {
         return;
     }
-    // Suggestions are for hand-written documents: a generated one with thousands of such mistakes must not take time
-    // that is quadratic in its length.
+    // Suggestions are for documents written by hand. In a generated document with thousands of undefined
+    // names they would take time quadratic in its length.
     let hint =
         if defined.len() <= 1000 { suggestion(name, defined.keys().map(String::as_str)) } else { None };
     problems.error(span, format!("no {kind} is called `{name}`"), hint);
 }
 
-/// Checks the complete document.
+/// Runs all checks that need the complete document, and adds the mistakes and warnings to `problems`.
 pub(crate) fn check(site: &Site, spans: &SourceSpans, problems: &mut Problems<'_>) {
     check_zones(site, spans, problems);
     check_addresses(site, spans, problems);
     check_classes(site, spans, problems);
     let members: HashMap<&str, &Member> = site.members.iter().map(|m| (m.id.as_str(), m)).collect();
     for (pool, uses) in site.pools.iter().zip(&spans.uses) {
-        check_uses(pool, uses, spans, problems);
+        check_memberships(pool, uses, spans, problems);
         check_pool(pool, &members, spans, problems);
     }
     check_route_sets(site, spans, problems);
@@ -71,8 +73,10 @@
 fn check_addresses(site: &Site, spans: &SourceSpans, problems: &mut Problems<'_>) {
     for (m, span) in site.members.iter().zip(&spans.addresses) {
         if !m.address.is_empty() && host_port(&m.address).is_none() {
-            let hint = Some("write host:port, an IPv6 address in brackets".to_string());
-            problems.error(*span, format!("`{}` is no address", m.address), hint);
+            let hint = Some(
+                "write host:port with a port from 1 to 65535; put an IPv6 address in brackets".to_string(),
+            );
+            problems.error(*span, format!("`{}` is not a valid address", m.address), hint);
         }
     }
 }
@@ -80,13 +84,16 @@
 fn check_classes(site: &Site, spans: &SourceSpans, problems: &mut Problems<'_>) {
     for c in site.classes.iter().filter(|c| c.deadline_ms < c.latency_objective_ms) {
         if let Some(span) = spans.classes.get(&c.name) {
-            problems.error(*span, format!("`{}` is wanted after clients give up", c.name), None);
+            let (objective, deadline) = (c.latency_objective_ms, c.deadline_ms);
+            let message = format!("class `{}`: aim-ms={objective} exceeds deadline-ms={deadline}", c.name);
+            problems.error(*span, message, None);
         }
     }
 }
 
-/// Checks that a pool's memberships name members, each once, and replacements of the same pool.
-fn check_uses(pool: &Pool, uses: &[UseSpans], spans: &SourceSpans, problems: &mut Problems<'_>) {
+/// Checks that the `use` nodes of a pool name defined members, each once, and replacements from the same
+/// pool.
+fn check_memberships(pool: &Pool, uses: &[UseSpans], spans: &SourceSpans, problems: &mut Problems<'_>) {
     let member_ids: HashSet<&str> = pool.members.iter().map(|u| u.member.as_str()).collect();
     let mut seen = HashSet::new();
     for (u, at) in pool.members.iter().zip(uses) {
@@ -94,20 +101,29 @@
             check_reference("member", &u.member, at.member, &spans.members, problems);
         }
         if !seen.insert(&u.member) {
-            problems.error(at.member, format!("`{}` is used twice in `{}`", u.member, pool.name), None);
+            problems.error(
+                at.member,
+                format!("member `{}` is used more than once in pool `{}`", u.member, pool.name),
+                None,
+            );
         }
         if let (Some(name), Some(span)) = (&u.instead, at.instead) {
             if *name == u.member {
-                problems.error(span, format!("`{name}` can't stand in for itself"), None);
+                problems.error(span, format!("member `{name}` can't be its own replacement"), None);
             } else if !member_ids.contains(name.as_str()) {
                 let hint = Some(format!("add it with: use \"{name}\" state=\"standby\""));
-                problems.error(span, format!("`{name}` is not in `{}`", pool.name), hint);
+                problems.error(
+                    span,
+                    format!("replacement `{name}` is not a member of pool `{}`", pool.name),
+                    hint,
+                );
             }
         }
     }
 }
 
-/// Checks that a pool can serve, and that its recovery and its limits are consistent.
+/// Checks that a pool has a member that may serve, and that its recovery settings and its limits are
+/// consistent.
 fn check_pool(
     pool: &Pool,
     members: &HashMap<&str, &Member>,
@@ -121,20 +137,23 @@
         matches!(state, State::Ready | State::Standby | State::Spare)
     };
     if !pool.members.is_empty() && !pool.members.iter().any(may_serve) {
-        let message = format!("every member of `{name}` drains or is stopped: it refuses all");
+        let message =
+            format!("every member of pool `{name}` is draining or stopped: the pool rejects all requests");
         problems.warn(span, message, None);
     } else if pool.members.is_empty() {
-        problems.warn(span, format!("`{name}` has no member: it refuses all"), None);
+        problems.warn(span, format!("pool `{name}` has no members: it rejects all requests"), None);
     }
     if let (Some(first), Some(max)) = (pool.recovery.first_backoff_ms, pool.recovery.max_backoff_ms) {
         if first > max {
-            problems.error(span, format!("`{name}`: first-ms is above most-ms"), None);
+            problems.error(span, format!("pool `{name}`: first-ms={first} exceeds most-ms={max}"), None);
         }
     }
     let queue_is_set = pool.limits.wait_ms.is_some() || pool.limits.waiting.is_some();
     if queue_is_set && !pool.is_bounded(members) {
-        let hint = Some("set in-flight, or leave wait-ms and waiting out".to_string());
-        let message = format!("nothing waits in `{name}`: neither it nor its members have limits");
+        let hint = Some("set in-flight, or remove wait-ms and waiting".to_string());
+        let message = format!(
+            "wait-ms and waiting have no effect in pool `{name}`: neither it nor its members have limits"
+        );
         problems.warn(span, message, hint);
     }
 }
@@ -146,18 +165,18 @@
         let span = spans.route_sets[i];
         sets_without_hosts += usize::from(set.hosts.is_empty());
         if set.hosts.is_empty() && sets_without_hosts == 2 {
-            let hint = Some("put all rules for it into one, or name hosts".to_string());
-            problems.error(span, "two `routes` stand for every other host", hint);
+            let hint = Some("merge their rules into one node, or give each node a `host`".to_string());
+            problems.error(span, "more than one `routes` node has no `host`", hint);
         }
         for host in &set.hosts {
             if set_of_host.insert(host, i).is_some_and(|earlier| earlier != i) {
-                problems.error(span, format!("host `{host}` has two `routes`"), None);
+                problems.error(span, format!("host `{host}` is named by more than one `routes` node"), None);
             }
         }
         for (rule, at) in set.rules.iter().zip(&spans.routes[i]) {
             check_route(rule, *at, spans, problems);
         }
-        warn_of_shadowed_rules(set, &spans.routes[i], problems);
+        warn_about_shadowed_rules(set, &spans.routes[i], problems);
     }
 }
 
@@ -166,13 +185,17 @@
         Some(Match::Regex) => {
             if let Err(e) = regex::RegexBuilder::new(&rule.pattern).size_limit(MAX_REGEX_BYTES).build() {
                 let message = e.to_string();
-                let last = message.lines().last().unwrap_or("no regular expression").trim();
-                problems.error(at.pattern, format!("`{}`: {last}", rule.pattern), None);
+                let last = message.lines().last().unwrap_or("it does not compile").trim();
+                problems.error(
+                    at.pattern,
+                    format!("invalid regular expression `{}`: {last}", rule.pattern),
+                    None,
+                );
             }
         }
         _ if !rule.pattern.starts_with('/') => {
-            let hint = Some("a path begins with `/`; for a regular expression write match=\"regex\"".into());
-            problems.error(at.pattern, format!("`{}` is no path", rule.pattern), hint);
+            let hint = Some("a path begins with `/`; for a regular expression, add match=\"regex\"".into());
+            problems.error(at.pattern, format!("route pattern `{}` is not a path", rule.pattern), hint);
         }
         _ => {}
     }
@@ -181,12 +204,13 @@
     }
 }
 
-/// Warns of rules that can't match because an earlier prefix takes all their paths.
-fn warn_of_shadowed_rules(set: &RouteSet, spans: &[RouteSpans], problems: &mut Problems<'_>) {
+/// Warns about rules that never apply, because an earlier prefix rule matches all their paths.
+fn warn_about_shadowed_rules(set: &RouteSet, spans: &[RouteSpans], problems: &mut Problems<'_>) {
     if set.order == Some(Order::Longest) {
         return;
     }
-    // Each rule looks only its own ancestors up among the prefixes so far, so that many rules stay cheap.
+    // Each rule looks up only its own ancestor paths among the earlier prefixes, so that the time is not
+    // quadratic in the number of rules.
     let mut prefixes: HashSet<&str> = HashSet::new();
     for (rule, at) in set.rules.iter().zip(spans) {
         if matches!(rule.matching, None | Some(Match::Prefix | Match::Exact)) {
@@ -194,7 +218,9 @@
             let ancestors =
                 path.char_indices().filter(|(_, c)| *c == '/').flat_map(|(i, _)| [&path[..i], &path[..=i]]);
             if let Some(earlier) = ancestors.chain([path]).find(|a| prefixes.contains(a)) {
-                let message = format!("`{path}` is never reached: `{earlier}` comes before it");
+                let message = format!(
+                    "route `{path}` is never reached: the earlier route `{earlier}` matches its paths"
+                );
                 problems.warn(at.pattern, message, Some("put the longer path first".into()));
             }
         }
--- a/crates/site/src/error.rs
+++ b/crates/site/src/error.rs
@@ -1,32 +1,31 @@
-//! What is wrong with a document, and where.
+//! Mistakes and warnings about a document, with their positions.
 
 use miette::{Diagnostic, NamedSource, SourceSpan};
 
-/// One mistake, or one warning.
+/// A mistake in a document, or a warning about it.
 ///
-/// Its message names the value as it is written; the place is given as line and column for people and as a byte span for
-/// tools.
+/// The position is given as line and column for people and as a byte span for tools.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Diagnostic)]
 #[error("{message}")]
 #[diagnostic(severity(Error))]
 pub struct Problem {
-    /// The line, from 1.
+    /// The line of the position, counted from 1.
     pub line: usize,
-    /// The column, in characters from 1.
+    /// The column of the position, in characters counted from 1.
     pub column: usize,
-    /// Where in the text, in bytes.
+    /// The part of the text that the message is about, as a byte offset and a length.
     #[label]
     pub span: SourceSpan,
-    /// What is wrong.
+    /// The description of the mistake, with the value as it is written in the document.
     pub message: String,
-    /// How it can probably be corrected.
+    /// A suggestion for correcting the mistake; `None` if there is none.
     #[help]
     pub hint: Option<String>,
 }
 
-/// Every mistake of a document, in the order of their places.
+/// The error of a document with mistakes: all of them, in the order of their positions.
 #[derive(Debug, thiserror::Error, Diagnostic)]
-#[error("{}", listed(.source_code.name(), .problems))]
+#[error("{}", format_problems(.source_code.name(), .problems))]
 pub struct SiteError {
     #[source_code]
     source_code: NamedSource<String>,
@@ -40,14 +39,14 @@
         SiteError { source_code: NamedSource::new(file, text.to_string()), problems }
     }
 
-    /// The mistakes.
+    /// All mistakes, in the order of their positions.
     pub fn problems(&self) -> &[Problem] {
         &self.problems
     }
 }
 
-/// One line a mistake, `FILE:LINE:COLUMN: message`, and its hint below it.
-fn listed(file: &str, problems: &[Problem]) -> String {
+/// Formats each mistake as a line `FILE:LINE:COLUMN: message`, with its hint on the next line.
+fn format_problems(file: &str, problems: &[Problem]) -> String {
     let line = |p: &Problem| {
         let hint = p.hint.as_ref().map(|hint| format!("\n  hint: {hint}")).unwrap_or_default();
         format!("{file}:{}:{}: {}{hint}", p.line, p.column, p.message)
--- a/crates/site/src/fields.rs
+++ b/crates/site/src/fields.rs
@@ -1,4 +1,5 @@
-//! A node's arguments and properties, each read once and checked; what was not requested is a mistake.
+//! Reading of one KDL node: each argument and property is read once and checked, and those that were not
+//! requested are mistakes.
 
 use crate::model::Keyword;
 use crate::problems::{suggestion, Problems};
@@ -6,29 +7,30 @@
 use miette::SourceSpan;
 use std::ops::RangeInclusive;
 
-/// The span of a node's name: a node's own span holds its children too, which is too much to point at.
+/// The span of a node's name. Messages point at it, because the span of the node includes all its children.
 pub(crate) fn name_span(node: &KdlNode) -> SourceSpan {
     node.name().span()
 }
 
-fn type_name(v: &KdlValue) -> &'static str {
-    match v {
-        KdlValue::String(_) => "a text",
-        KdlValue::Integer(_) | KdlValue::Float(_) => "a number",
-        KdlValue::Bool(_) => "true or false",
-        KdlValue::Null => "null",
+/// The type of a value with its article, as error messages put it before the value.
+fn type_name(value: &KdlValue) -> &'static str {
+    match value {
+        KdlValue::String(_) => "the string",
+        KdlValue::Integer(_) | KdlValue::Float(_) => "the number",
+        KdlValue::Bool(_) => "the boolean",
+        KdlValue::Null => "the value",
     }
 }
 
-/// A text of the document, and where it stands.
+/// A string value of the document with its position.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Spanned<'n> {
     pub text: &'n str,
     pub span: SourceSpan,
 }
 
-/// One node being read.
-pub(crate) struct Fields<'n, 'p, 'a> {
+/// A reader for the arguments, properties and children of one node.
+pub(crate) struct NodeReader<'n, 'p, 'a> {
     node: &'n KdlNode,
     args: Vec<&'n KdlEntry>,
     next_arg: usize,
@@ -36,44 +38,51 @@
     pub problems: &'p mut Problems<'a>,
 }
 
-impl<'n, 'p, 'a> Fields<'n, 'p, 'a> {
+impl<'n, 'p, 'a> NodeReader<'n, 'p, 'a> {
+    /// Starts reading `node`; mistakes are added to `problems`.
     pub fn new(node: &'n KdlNode, problems: &'p mut Problems<'a>) -> Self {
         let args = node.entries().iter().filter(|e| e.name().is_none()).collect();
-        Fields { node, args, next_arg: 0, requested: Vec::new(), problems }
+        NodeReader { node, args, next_arg: 0, requested: Vec::new(), problems }
     }
 
+    /// The span of the node's name.
     pub fn span(&self) -> SourceSpan {
         name_span(self.node)
     }
 
-    fn label(&self) -> &'n str {
+    fn node_name(&self) -> &'n str {
         self.node.name().value()
     }
 
-    fn entry(&mut self, name: &'static str) -> Option<&'n KdlEntry> {
+    /// The property of this name, if the node has it; a second one of the same name is reported.
+    fn property(&mut self, name: &'static str) -> Option<&'n KdlEntry> {
         self.requested.push(name);
         let mut found = self.node.entries().iter().filter(|e| e.name().is_some_and(|n| n.value() == name));
         let first = found.next()?;
         if let Some(again) = found.next() {
-            // KDL lets the last one win; two values for one setting are a slip that would hide itself.
-            self.problems.error(again.span(), format!("`{name}` is there twice"), None);
+            // KDL uses the last of several values without a message, which would hide the operator's mistake.
+            self.problems.error(again.span(), format!("property `{name}` is given more than once"), None);
         }
         Some(first)
     }
 
-    fn wrong_type(&mut self, e: &KdlEntry, name: &str, what: &str) {
-        let got = type_name(e.value());
-        self.problems.error(e.span(), format!("`{name}` must be {what}, not {got}"), None);
+    fn report_wrong_type(&mut self, entry: &KdlEntry, subject: &str, expected: &str) {
+        let received = type_name(entry.value());
+        self.problems.error(
+            entry.span(),
+            format!("{subject} must be {expected}, not {received} `{}`", entry.value()),
+            None,
+        );
     }
 
-    /// The next argument, a text that must be there.
-    pub fn arg(&mut self, what: &str) -> Option<Spanned<'n>> {
+    /// Reads the next argument, which must be present and a string; `what` describes it in messages.
+    pub fn text_argument(&mut self, what: &str) -> Option<Spanned<'n>> {
         let Some(e) = self.args.get(self.next_arg).copied() else {
-            let (span, label) = (self.span(), self.label());
+            let (span, label) = (self.span(), self.node_name());
             self.problems.error(
                 span,
-                format!("`{label}` needs {what}"),
-                Some(format!("write it behind the name: {label} \"…\"")),
+                format!("`{label}` requires {what}"),
+                Some(format!("write it after the node's name: {label} \"…\"")),
             );
             return None;
         };
@@ -81,62 +90,63 @@
         match e.value() {
             KdlValue::String(text) => Some(Spanned { text, span: e.span() }),
             _ => {
-                self.wrong_type(e, what, "a text");
+                self.report_wrong_type(e, what, "a string");
                 None
             }
         }
     }
 
-    /// All further arguments.
-    pub fn args(&mut self, what: &str) -> Vec<Spanned<'n>> {
+    /// Reads all remaining arguments, which must be strings; `what` describes one of them in messages.
+    pub fn text_arguments(&mut self, what: &str) -> Vec<Spanned<'n>> {
         let mut all = Vec::new();
         while self.next_arg < self.args.len() {
-            all.extend(self.arg(what));
+            all.extend(self.text_argument(what));
         }
         all
     }
 
-    /// A property with a text.
-    pub fn text(&mut self, name: &'static str) -> Option<Spanned<'n>> {
-        let e = self.entry(name)?;
+    /// Reads a property whose value is a string.
+    pub fn text_property(&mut self, name: &'static str) -> Option<Spanned<'n>> {
+        let e = self.property(name)?;
         match e.value() {
             KdlValue::String(text) => Some(Spanned { text, span: e.span() }),
             _ => {
-                self.wrong_type(e, name, "a text");
+                self.report_wrong_type(e, &format!("`{name}`"), "a string");
                 None
             }
         }
     }
 
-    /// A property with a text, copied.
-    pub fn owned(&mut self, name: &'static str) -> Option<String> {
-        self.text(name).map(|t| t.text.to_string())
+    /// Reads a property whose value is a string, as an owned copy.
+    pub fn owned_text_property(&mut self, name: &'static str) -> Option<String> {
+        self.text_property(name).map(|t| t.text.to_string())
     }
 
-    /// Reports a property that must be there and is not; one of a wrong value is reported already.
-    pub fn required<T>(&mut self, name: &'static str, value: Option<T>) -> Option<T> {
+    /// Reports a mandatory property that is absent; one that is present with an invalid value was already
+    /// reported.
+    pub fn require<T>(&mut self, name: &'static str, value: Option<T>) -> Option<T> {
         if value.is_none() && self.node.entry(name).is_none() {
-            let (span, label) = (self.span(), self.label());
-            self.problems.error(span, format!("`{label}` needs `{name}`"), None);
+            let (span, label) = (self.span(), self.node_name());
+            self.problems.error(span, format!("`{label}` requires the property `{name}`"), None);
         }
         value
     }
 
-    /// A property that is `#true` or `#false`.
-    pub fn flag(&mut self, name: &'static str) -> Option<bool> {
-        let e = self.entry(name)?;
+    /// Reads a property that is `#true` or `#false`.
+    pub fn bool_property(&mut self, name: &'static str) -> Option<bool> {
+        let e = self.property(name)?;
         match e.value() {
             KdlValue::Bool(b) => Some(*b),
             _ => {
-                self.wrong_type(e, name, "#true or #false");
+                self.report_wrong_type(e, &format!("`{name}`"), "#true or #false");
                 None
             }
         }
     }
 
-    /// A property with a whole number of that range.
-    pub fn integer(&mut self, name: &'static str, range: RangeInclusive<u64>) -> Option<u64> {
-        let e = self.entry(name)?;
+    /// Reads a property that is a whole number in `range`.
+    pub fn integer_property(&mut self, name: &'static str, range: RangeInclusive<u64>) -> Option<u64> {
+        let e = self.property(name)?;
         match e.value() {
             KdlValue::Integer(i) => match u64::try_from(*i).ok().filter(|n| range.contains(n)) {
                 Some(n) => Some(n),
@@ -151,25 +161,25 @@
                 }
             },
             _ => {
-                self.wrong_type(e, name, "a whole number");
+                self.report_wrong_type(e, &format!("`{name}`"), "a whole number");
                 None
             }
         }
     }
 
-    /// A time in milliseconds, at most a day: a longer one is a mistaken unit.
-    pub fn ms(&mut self, name: &'static str) -> Option<u64> {
-        self.integer(name, 0..=86_400_000)
+    /// Reads a time in milliseconds, at most one day: a larger number probably has another unit by mistake.
+    pub fn milliseconds_property(&mut self, name: &'static str) -> Option<u64> {
+        self.integer_property(name, 0..=86_400_000)
     }
 
-    /// A property with a number from `min` to `max`.
-    pub fn number(&mut self, name: &'static str, min: f64, max: f64) -> Option<f64> {
-        let e = self.entry(name)?;
+    /// Reads a property that is a number from `min` to `max`.
+    pub fn number_property(&mut self, name: &'static str, min: f64, max: f64) -> Option<f64> {
+        let e = self.property(name)?;
         let v = match e.value() {
             KdlValue::Integer(i) => *i as f64,
             KdlValue::Float(f) => *f,
             _ => {
-                self.wrong_type(e, name, "a number");
+                self.report_wrong_type(e, &format!("`{name}`"), "a number");
                 return None;
             }
         };
@@ -180,44 +190,50 @@
         None
     }
 
-    /// A property with one of the keywords of a set.
-    pub fn keyword<K: Keyword>(&mut self, name: &'static str) -> Option<K> {
-        let Spanned { text, span } = self.text(name)?;
+    /// Reads a property whose value is one of the keywords of `K`.
+    pub fn keyword_property<K: Keyword>(&mut self, name: &'static str) -> Option<K> {
+        let Spanned { text, span } = self.text_property(name)?;
         let found = K::from_keyword(text);
         if found.is_none() {
             let all: Vec<&str> = K::KEYWORDS.iter().map(|(keyword, _)| *keyword).collect();
-            let hint = suggestion(text, all.iter().copied()).unwrap_or(format!("one of: {}", all.join(", ")));
-            self.problems.error(span, format!("`{name}` can't be `{text}`"), Some(hint));
+            let hint = suggestion(text, all.iter().copied())
+                .unwrap_or(format!("accepted values: {}", all.join(", ")));
+            self.problems.error(span, format!("`{name}` does not accept the value `{text}`"), Some(hint));
         }
         found
     }
 
-    /// The children, each of which must have one of these names; those of other names are mistakes.
-    pub fn children(&mut self, names: &[&'static str]) -> Vec<&'n KdlNode> {
-        let label = self.label();
+    /// The child nodes that have one of these names; children with other names are reported.
+    pub fn known_children(&mut self, names: &[&'static str]) -> Vec<&'n KdlNode> {
+        let label = self.node_name();
         let Some(doc) = self.node.children() else { return Vec::new() };
         known_nodes(doc, label, names, self.problems)
     }
 
-    /// Ends the reading: what was not requested is a mistake.
-    pub fn done(self) {
-        let label = self.label();
+    /// Ends the reading of the node and reports the arguments and properties that were not requested.
+    pub fn finish(self) {
+        let label = self.node_name();
         for e in &self.args[self.next_arg.min(self.args.len())..] {
-            self.problems.error(e.span(), format!("`{label}` takes no further value"), None);
+            self.problems.error(
+                e.span(),
+                format!("`{label}` does not accept the additional argument `{}`", e.value()),
+                None,
+            );
         }
         for e in self.node.entries() {
             let Some(name) = e.name() else { continue };
             if !self.requested.contains(&name.value()) {
                 let hint = suggestion(name.value(), self.requested.iter().copied())
-                    .unwrap_or(format!("it has: {}", self.requested.join(", ")));
-                let message = format!("`{label}` has no `{}`", name.value());
+                    .unwrap_or(format!("accepted properties: {}", self.requested.join(", ")));
+                let message = format!("`{label}` does not accept the property `{}`", name.value());
                 self.problems.error(e.span(), message, Some(hint));
             }
         }
     }
 }
 
-/// The nodes of a document that have one of these names; the others are mistakes.
+/// The nodes of a document, or of a block of children, that have one of these names; the others are reported.
+/// `inside` names the document or the parent node in messages.
 pub(crate) fn known_nodes<'n>(
     doc: &'n KdlDocument,
     inside: &str,
@@ -231,9 +247,9 @@
             found.push(node);
             continue;
         }
-        let hint =
-            suggestion(name, names.iter().copied()).unwrap_or(format!("known here: {}", names.join(", ")));
-        problems.error(name_span(node), format!("{inside} has no `{name}`"), Some(hint));
+        let hint = suggestion(name, names.iter().copied())
+            .unwrap_or(format!("accepted nodes: {}", names.join(", ")));
+        problems.error(name_span(node), format!("unknown node `{name}` in {inside}"), Some(hint));
     }
     found
 }
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -1,15 +1,16 @@
-//! The site document: what operators write about their zones, classes, members, pools and routes, in
+//! The site document, in which operators describe zones, classes, members, pools and routes in
 //! [KDL 2](https://kdl.dev/spec/).
 //!
-//! [`Site::parse`] reads a document and finds every mistake in it in one go, each with file, line, column and a hint;
-//! [`Site::to_kdl`] prints a model so that reading it again gives the same value. There is no I/O in here: a text
-//! comes in, a value or a [`SiteError`] goes out.
+//! [`Site::parse`] parses a document and reports all mistakes in it at once, each with file, line, column
+//! and, where possible, a hint. [`Site::to_kdl`] prints a model such that parsing the text gives the same
+//! model. The crate performs no I/O: it takes a text and returns a value or a [`SiteError`].
 //!
-//! What a document leaves out is `None` in the model, so that printing adds nothing of its own; [`Site::effective`]
-//! fills the defaults in.
+//! A setting that the document does not contain is `None` in the model, so that printing adds nothing.
+//! [`Site::effective`] fills in the defaults.
 //!
-//! A text passes through these modules in turn: `parse` (limits, KDL), `read` (nodes to the model, with `fields` for one
-//! node), `check` (what only the complete document shows); `print` goes the other way.
+//! A text passes through these modules in turn: `parse` (size limits and KDL syntax), `read` (nodes to the
+//! model, with `fields` for a single node) and `check` (checks that need the complete document). `print`
+//! converts a model to text.
 //!
 //! ```
 //! use fernslip_site::{Site, State};
@@ -30,10 +31,10 @@
 //! assert_eq!(parsed.site.members[1].state, State::Draining);
 //! assert_eq!(Site::parse("again", &parsed.site.to_kdl())?.site, parsed.site);
 //!
-//! // Mistakes are reported all at once, with their places.
+//! // All mistakes are reported at once, with their positions.
 //! let wrong = Site::parse("site.kdl", "member \"a\" adress=\"127.0.0.1:1\"\npool \"p\" { use \"x\"; }\n");
 //! let message = wrong.unwrap_err().to_string();
-//! assert!(message.contains("site.kdl:1:12: `member` has no `adress`"), "{message}");
+//! assert!(message.contains("site.kdl:1:12: `member` does not accept the property `adress`"), "{message}");
 //! assert!(message.contains("did you mean `address`?"), "{message}");
 //! assert!(message.contains("site.kdl:2:16: no member is called `x`"), "{message}");
 //! # Ok::<(), fernslip_site::SiteError>(())
--- a/crates/site/src/model/class.rs
+++ b/crates/site/src/model/class.rs
@@ -1,40 +1,42 @@
-//! Classes of requests.
+//! The model of request classes.
 
 use super::keyword::Effect;
 use serde::Serialize;
 use std::fmt;
 
-/// A class of requests.
+/// A class of requests, with its latency objective, deadline, weights and caching rules (KDL node `class`).
 #[derive(Clone, PartialEq, Serialize)]
 pub struct Class {
-    /// Its name.
+    /// The name of the class, unique in the site.
     pub name: String,
-    /// The latency objective (`aim-ms`): a response within it counts at full weight.
+    /// The latency objective in milliseconds (KDL key `aim-ms`); a response within it counts at full weight.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: u64,
-    /// The objective grows by this multiple of a request's own sending time (`aim-stretch`).
+    /// The multiple of a request's own sending time by which its latency objective is extended, up to the
+    /// deadline (KDL key `aim-stretch`).
     #[serde(rename = "aim_stretch")]
     pub objective_stretch: Option<f64>,
-    /// How long a client waits at most.
+    /// The longest time that a client waits for a response, in milliseconds.
     pub deadline_ms: u64,
-    /// The priority weight of a request (`worth`).
+    /// The priority weight of a request of this class, without a unit (KDL key `worth`).
     #[serde(rename = "worth")]
     pub priority_weight: Option<f64>,
-    /// The fraction of the weight that a response after the objective still counts (`late-worth`).
+    /// The fraction of the priority weight, from 0 to 1, that counts for a response after the latency
+    /// objective (KDL key `late-worth`).
     #[serde(rename = "late_worth")]
     pub late_weight: Option<f64>,
-    /// Which requests may be retried.
+    /// Which requests of the class may be retried.
     pub effect: Option<Effect>,
-    /// Runs at the origin and is never cached.
+    /// Whether requests of the class are executed at the origin and never cached.
     pub write: Option<bool>,
-    /// How long a cached copy is fresh; 0: until purged.
+    /// How long a cached copy is fresh, in milliseconds; 0 means until it is purged.
     pub fresh_ms: Option<u64>,
-    /// How long a stale copy may still be served.
+    /// How long a stale copy may still be served, in milliseconds.
     pub grace_ms: Option<u64>,
 }
 
-/// With the document's keys as field names: fronts hash this form to compare their configurations, also with fronts of
-/// earlier versions.
+/// Written by hand with the document's keys as field names. Fronts hash this form to compare their
+/// configurations, also with fronts of earlier versions, so it must not change.
 impl fmt::Debug for Class {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Class")
--- a/crates/site/src/model/effective.rs
+++ b/crates/site/src/model/effective.rs
@@ -1,4 +1,4 @@
-//! Filling in the defaults of everything that a document leaves out.
+//! Filling in the defaults of the settings that a document does not contain.
 
 use super::defaults::*;
 use super::{
@@ -8,27 +8,28 @@
 use std::collections::HashMap;
 
 impl Site {
-    /// The site with every default filled in. What has no default (an absent limit is no limit) stays absent.
+    /// Returns the site with every default filled in. Settings without a default stay `None`: an absent limit
+    /// means no limit.
     pub fn effective(&self) -> Site {
         let mut site = self.clone();
         site.members_from.get_or_insert(MembersFrom::Bus);
-        site.front.iter_mut().for_each(fill_front);
+        site.front.iter_mut().for_each(fill_front_defaults);
         for zone in &mut site.zones {
             zone.fronts.get_or_insert(1);
         }
-        site.classes.iter_mut().for_each(fill_class);
-        site.members.iter_mut().for_each(fill_member);
+        site.classes.iter_mut().for_each(fill_class_defaults);
+        site.members.iter_mut().for_each(fill_member_defaults);
         let members: HashMap<&str, &Member> = site.members.iter().map(|m| (m.id.as_str(), m)).collect();
-        site.pools.iter_mut().for_each(|pool| fill_pool(pool, &members));
-        site.gossip.iter_mut().for_each(fill_gossip);
-        site.view.iter_mut().for_each(fill_view);
-        site.routes.iter_mut().for_each(fill_routes);
+        site.pools.iter_mut().for_each(|pool| fill_pool_defaults(pool, &members));
+        site.gossip.iter_mut().for_each(fill_gossip_defaults);
+        site.view.iter_mut().for_each(fill_view_defaults);
+        site.routes.iter_mut().for_each(fill_routes_defaults);
         site
     }
 }
 
 impl Pool {
-    /// Whether the pool or any of its members limits requests, so that requests may have to wait for a permit.
+    /// Whether the pool or any of its members has a limit, so that requests may have to wait for a permit.
     pub(crate) fn is_bounded(&self, members: &HashMap<&str, &Member>) -> bool {
         let member_is_bounded =
             |u: &Use| members.get(u.member.as_str()).is_some_and(|m| m.limits.is_bounded());
@@ -38,20 +39,21 @@
 }
 
 impl Use {
-    /// The administrative state that takes effect: the stricter of the membership's and the member's own.
+    /// The administrative state that takes effect: the stricter of the state in this pool and the member's
+    /// own.
     pub(crate) fn effective_state(&self, member: Option<&Member>) -> State {
         let own = member.map_or(State::Ready, |m| m.state);
-        self.state.map_or(own, |here| here.stricter(own))
+        self.state.map_or(own, |in_pool| in_pool.stricter(own))
     }
 }
 
-fn fill_front(front: &mut Front) {
+fn fill_front_defaults(front: &mut Front) {
     front.memory_mb.get_or_insert(MEMORY_MB);
-    front.sockets.get_or_insert(SOCKETS);
+    front.sockets.get_or_insert(MAX_SOCKETS);
     front.stream_kb_per_s.get_or_insert(STREAM_KB_PER_S);
 }
 
-fn fill_class(class: &mut Class) {
+fn fill_class_defaults(class: &mut Class) {
     class.objective_stretch.get_or_insert(0.0);
     class.priority_weight.get_or_insert(1.0);
     class.late_weight.get_or_insert(0.0);
@@ -61,7 +63,7 @@
     class.grace_ms.get_or_insert(0);
 }
 
-fn fill_member(member: &mut Member) {
+fn fill_member_defaults(member: &mut Member) {
     member.protocol.get_or_insert(Protocol::Resp);
     member.kind.get_or_insert(Kind::Cache);
     member.weight.get_or_insert(1.0);
@@ -70,7 +72,7 @@
     member.limits.idle_ms.get_or_insert(IDLE_MS);
 }
 
-fn fill_pool(pool: &mut Pool, members: &HashMap<&str, &Member>) {
+fn fill_pool_defaults(pool: &mut Pool, members: &HashMap<&str, &Member>) {
     for u in &mut pool.members {
         let member = members.get(u.member.as_str()).copied();
         u.weight = u.weight.or(member.and_then(|m| m.weight));
@@ -78,34 +80,35 @@
         u.tier.get_or_insert(0);
     }
     if pool.is_bounded(members) {
-        pool.limits.wait_ms.get_or_insert(WAIT_MS);
-        pool.limits.waiting.get_or_insert(QUEUED);
+        pool.limits.wait_ms.get_or_insert(QUEUE_WAIT_MS);
+        pool.limits.waiting.get_or_insert(MAX_QUEUED);
     }
-    pool.retry.attempts.get_or_insert(ATTEMPTS);
+    pool.retry.attempts.get_or_insert(MAX_ATTEMPTS);
     pool.retry.budget.get_or_insert(RETRY_BUDGET);
     pool.retry.burst.get_or_insert(RETRY_BURST);
     let recovery = &mut pool.recovery;
-    recovery.failures.get_or_insert(FAILURES);
-    // A default never passes the value that was given for the other: what is shown must be readable.
+    recovery.failures.get_or_insert(EJECT_AFTER_FAILURES);
+    // A default must not conflict with the value given for the other setting, because the printed site has to
+    // be accepted when it is parsed.
     let first_default = recovery.max_backoff_ms.unwrap_or(FIRST_BACKOFF_MS).min(FIRST_BACKOFF_MS);
     let first = *recovery.first_backoff_ms.get_or_insert(first_default);
     recovery.max_backoff_ms.get_or_insert(MAX_BACKOFF_MS.max(first));
 }
 
-fn fill_gossip(gossip: &mut Gossip) {
+fn fill_gossip_defaults(gossip: &mut Gossip) {
     gossip.bytes_per_s.get_or_insert(GOSSIP_BYTES_PER_S);
     gossip.burst_bytes.get_or_insert(GOSSIP_BURST_BYTES);
-    gossip.skew_ms.get_or_insert(SKEW_MS);
+    gossip.skew_ms.get_or_insert(GOSSIP_SKEW_MS);
     gossip.peers.get_or_insert(GossipPeers::Own);
 }
 
-fn fill_view(view: &mut FleetView) {
-    view.watchers.get_or_insert(WATCHERS);
+fn fill_view_defaults(view: &mut FleetView) {
+    view.watchers.get_or_insert(WATCHERS_PER_FRONT);
     view.bytes_per_s.get_or_insert(VIEW_BYTES_PER_S);
     view.burst_bytes.get_or_insert(VIEW_BURST_BYTES);
 }
 
-fn fill_routes(set: &mut RouteSet) {
+fn fill_routes_defaults(set: &mut RouteSet) {
     set.order.get_or_insert(Order::First);
     set.inherit.get_or_insert(false);
     for rule in &mut set.rules {
--- a/crates/site/src/model/front.rs
+++ b/crates/site/src/model/front.rs
@@ -1,71 +1,72 @@
-//! A front's own settings, and how fronts talk to each other.
+//! The model of a front's own settings and of its communication with other fronts.
 
 use super::keyword::GossipPeers;
 use serde::Serialize;
 
-/// One front's own settings.
+/// The settings of the front itself (KDL node `front`).
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Front {
-    /// Its name.
+    /// The name of the front.
     pub name: String,
-    /// Where clients connect: an IP address and a port.
+    /// The address at which the front listens for clients: an IP address and a port.
     pub listen: String,
-    /// Its zone.
+    /// The name of the zone that the front is in.
     pub zone: Option<String>,
-    /// Memory limit, MB.
+    /// The memory limit of the front, in MB.
     pub memory_mb: Option<u64>,
-    /// Limit of open descriptors.
+    /// The greatest number of open descriptors.
     pub sockets: Option<u64>,
-    /// Pace at which one response is sent, KB a second.
+    /// The rate at which one response is sent to a client, in KB per second.
     pub stream_kb_per_s: Option<f64>,
 }
 
-/// Gossip among fronts.
+/// The settings of gossip among fronts (KDL node `gossip`).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Gossip {
-    /// Where datagrams come in, and come from: an IP address and a port.
+    /// The address at which datagrams are received, and from which they are sent unless `advertise` is set:
+    /// an IP address and a port.
     pub listen: String,
-    /// The file with the keys.
+    /// The path of the file with the keys for gossip datagrams.
     pub key_file: String,
-    /// The local socket for `fernslip gossip status`.
+    /// The path of the local socket for `fernslip gossip status`; `None` for no socket.
     pub control: Option<String>,
-    /// Fronts to join through: IP addresses and ports.
+    /// The addresses of fronts to join gossip through, as IP addresses with ports.
     pub seeds: Vec<String>,
-    /// Names of all fronts that may take part; empty: whoever has the key.
+    /// The names of all fronts that may take part; if empty, any front with the key may.
     pub fronts: Vec<String>,
-    /// Rate limit of datagrams, bytes a second.
+    /// The rate limit of sent gossip datagrams, in bytes per second.
     pub bytes_per_s: Option<u64>,
-    /// Burst of its token bucket, bytes.
+    /// The size of the rate limit's token bucket, in bytes.
     pub burst_bytes: Option<u64>,
-    /// Greatest accepted difference between clocks, ms.
+    /// The greatest accepted difference between the clocks of two fronts, in milliseconds.
     pub skew_ms: Option<u64>,
-    /// Where its peers come from.
+    /// Where the list of gossip peers comes from.
     pub peers: Option<GossipPeers>,
-    /// The address that it advertises and sends from; `None`: where it listens.
+    /// The address that the front advertises for gossip and sends from; `None` means the value of `listen`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub advertise: Option<String>,
 }
 
-/// The view that fronts keep of the fleet.
+/// The settings of the membership view that fronts maintain of all fronts (KDL node `view`).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FleetView {
-    /// Where datagrams come in: an IP address and a port.
+    /// The address at which datagrams are received: an IP address and a port.
     pub listen: String,
-    /// The address that it advertises and sends from; `None`: where it listens.
+    /// The address that the front advertises for the view and sends from; `None` means the value of `listen`.
     pub advertise: Option<String>,
-    /// The file with the keys.
+    /// The path of the file with the keys for the datagrams of the view.
     pub key_file: String,
-    /// The local socket for `fernslip fleet`.
+    /// The path of the local socket for `fernslip fleet`; `None` for no socket.
     pub control: Option<String>,
-    /// The file of its durable state; `None`: nothing outlives a restart.
+    /// The path of the file of the view's durable state; `None` means that no state survives a restart.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub store: Option<String>,
-    /// Fronts to join through: IP addresses and ports.
+    /// The addresses of fronts to join the view through, as IP addresses with ports.
     pub seeds: Vec<String>,
-    /// How many fronts watch each one.
+    /// How many fronts watch each front for failures.
     pub watchers: Option<u64>,
-    /// Rate limit of datagrams, bytes a second.
+    /// The rate limit of sent view datagrams, in bytes per second.
     pub bytes_per_s: Option<u64>,
-    /// Burst of its token bucket, bytes.
+    /// The size of the rate limit's token bucket, in bytes.
     pub burst_bytes: Option<u64>,
 }
--- a/crates/site/src/model/keyword.rs
+++ b/crates/site/src/model/keyword.rs
@@ -1,25 +1,25 @@
-//! Keywords: the closed sets of values that a property of the document takes, each with its spelling in KDL.
+//! Enumerations of the model whose values are written as keywords in the document.
 
 use serde::Serialize;
 use std::fmt;
 
-/// A value that the document spells as one of a fixed set of keywords.
+/// A type whose values are written in the document as one of a fixed set of keywords.
 pub trait Keyword: Copy + PartialEq + 'static {
-    /// Every keyword and the value it stands for, in the order in which messages list them.
+    /// All keywords with their values, in the order in which error messages list them.
     const KEYWORDS: &'static [(&'static str, Self)];
 
-    /// The keyword for this value.
+    /// The keyword that stands for this value.
     fn keyword(self) -> &'static str {
         Self::KEYWORDS.iter().find(|(_, value)| *value == self).map_or("", |(keyword, _)| keyword)
     }
 
-    /// The value of a keyword; `None`: it is none of this set.
+    /// The value that `keyword` stands for; `None` if it is not in the set.
     fn from_keyword(keyword: &str) -> Option<Self> {
         Self::KEYWORDS.iter().find(|(known, _)| *known == keyword).map(|(_, value)| *value)
     }
 }
 
-/// Declares an enum, its keywords and their JSON form, which is the keyword too.
+/// Declares an enum with its keywords; the keyword is also the JSON form of a value.
 macro_rules! keywords {
     ($(#[$doc:meta])* $name:ident { $($(#[$variant_doc:meta])* $variant:ident = $keyword:literal,)* }) => {
         $(#[$doc])*
@@ -39,59 +39,61 @@
 }
 
 keywords! {
-    /// Where the list of members comes from.
+    /// Where a front gets the list of the members that it serves from.
     MembersFrom {
-        /// The event bus of the configuration: members of this document are not served from.
+        /// The discovery bus that the front's configuration names; the members of the site document are not
+        /// used.
         Bus = "bus",
-        /// This document.
+        /// The site document itself.
         File = "file",
     }
 }
 
 keywords! {
-    /// Where gossip's peers come from.
+    /// Where the list of gossip peers comes from.
     GossipPeers {
-        /// Its own membership.
+        /// The membership that gossip maintains itself.
         Own = "own",
-        /// The fleet view, which the document must configure.
+        /// The membership view, which the document must then configure.
         View = "view",
     }
 }
 
 keywords! {
-    /// The protocol that a member speaks.
+    /// The protocol in which a member accepts requests.
     Protocol {
-        /// RESP arrays: the only one that fernslip's front supports.
+        /// RESP arrays, the only protocol that fernslip's front supports.
         Resp = "resp",
-        /// HTTP/1.1.
+        /// HTTP/1.1 without encryption.
         Http = "http",
         /// HTTP/1.1 over TLS.
         Https = "https",
         /// HTTP/2 over TLS.
         H2 = "h2",
-        /// HTTP/2 in the clear.
+        /// HTTP/2 without encryption.
         H2c = "h2c",
-        /// AJP 1.3.
+        /// Apache JServ Protocol, version 1.3.
         Ajp13 = "ajp13",
-        /// AJP 1.4.
+        /// Apache JServ Protocol, version 1.4.
         Ajp14 = "ajp14",
-        /// FastCGI.
+        /// The FastCGI protocol.
         Fcgi = "fcgi",
-        /// SCGI.
+        /// The Simple Common Gateway Interface (SCGI).
         Scgi = "scgi",
-        /// uWSGI.
+        /// The binary uwsgi protocol.
         Uwsgi = "uwsgi",
-        /// WebSocket.
+        /// WebSocket without encryption.
         Ws = "ws",
         /// WebSocket over TLS.
         Wss = "wss",
-        /// FTP.
+        /// The File Transfer Protocol.
         Ftp = "ftp",
     }
 }
 
 impl Protocol {
-    /// Whether fernslip's front can use it; a member of another protocol can be described but not served from.
+    /// Whether fernslip's front can send requests in this protocol. A document may describe members of other
+    /// protocols, but a front can't use them.
     pub fn is_supported(self) -> bool {
         self == Protocol::Resp
     }
@@ -100,11 +102,11 @@
 keywords! {
     /// The role of a member in the network of caches.
     Kind {
-        /// Serves clients' requests from its cache.
+        /// A cache node that serves the requests of clients.
         Cache = "cache",
-        /// Fills caches from its own cache.
+        /// A cache that fills other caches.
         Parent = "parent",
-        /// Has every object.
+        /// The origin, which has every object.
         Origin = "origin",
     }
 }
@@ -112,58 +114,58 @@
 keywords! {
     /// The administrative state of a member, independent of its observed health.
     State {
-        /// In service.
+        /// The member is in service.
         Ready = "ready",
-        /// Finishes requests in flight and receives no new ones.
+        /// The member completes requests in flight and receives no new ones.
         Draining = "draining",
-        /// Out of service.
+        /// The member is out of service.
         Stopped = "stopped",
-        /// In service only while neither a ready member nor a spare of its tier can be used.
+        /// The member serves only while neither a ready member nor a spare of its tier is usable.
         Standby = "standby",
-        /// Takes the place of one member of its tier that can't be used.
+        /// The member replaces one ready member of its tier that is unusable.
         Spare = "spare",
     }
 }
 
 keywords! {
-    /// Which requests of a class may be retried; see the decision module.
+    /// Which requests of a class the decision module may retry.
     Effect {
-        /// Any request.
+        /// Any request may be retried.
         Idempotent = "idempotent",
-        /// Repeats are recognised and dropped within a window.
+        /// Requests may be retried within the time window in which repeated ones are recognised and dropped.
         Deduplicated = "deduplicated",
-        /// None that may have been executed.
+        /// A request that may have been executed is not retried.
         AtMostOnce = "at-most-once",
     }
 }
 
 keywords! {
-    /// Which of several rules that match a path wins.
+    /// Which of several rules that match a path applies.
     Order {
-        /// The first, as written.
+        /// The first matching rule in the order of the document.
         First = "first",
-        /// The longest path; an exact one before a wildcard of the same length.
+        /// The matching rule with the longest pattern; an exact one before a wildcard of the same length.
         Longest = "longest",
     }
 }
 
 keywords! {
-    /// How a rule's pattern is compared with a path.
+    /// How the pattern of a rule is compared with a path.
     Match {
-        /// The path, or what lies below it: `/a` takes `/a` and `/a/b`, not `/ab`.
+        /// Matches the path and all paths below it: `/a` matches `/a` and `/a/b`, but not `/ab`.
         Prefix = "prefix",
-        /// The path alone.
+        /// Matches only the path itself.
         Exact = "exact",
-        /// `*` stands for any text, `?` for one character.
+        /// Matches the whole path, where `*` stands for any text and `?` for one character.
         Wildcard = "wildcard",
-        /// A regular expression, found anywhere unless anchored.
+        /// Matches a regular expression anywhere in the path, unless it is anchored.
         Regex = "regex",
     }
 }
 
 impl State {
-    /// The one of two states that admits less traffic, so that a member that is draining everywhere is not ready in
-    /// one of its pools.
+    /// The one of two states that admits less traffic, so that a member whose own state is draining is not
+    /// ready in any pool.
     pub fn stricter(self, other: State) -> State {
         if other.strictness() > self.strictness() {
             other
@@ -172,6 +174,7 @@
         }
     }
 
+    /// The rank of a state; a higher one admits less traffic.
     fn strictness(self) -> u8 {
         match self {
             State::Ready => 0,
--- a/crates/site/src/model/member.rs
+++ b/crates/site/src/model/member.rs
@@ -1,51 +1,52 @@
-//! Members: the cache nodes, parents and origins that serve requests.
+//! The model of members: the cache nodes, parents and origins that serve requests.
 
 use super::keyword::{Kind, Protocol, State};
 use serde::Serialize;
 
-/// Limits and time-outs of a member; `None`: no limit, or the default time-out.
+/// The limits and time-outs of a member. `None` means no limit, or the default time-out.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct MemberLimits {
-    /// Connections to it.
+    /// The greatest number of connections to the member.
     pub connections: Option<u64>,
-    /// Requests in flight to it.
+    /// The greatest number of requests in flight at the member.
     pub in_flight: Option<u64>,
-    /// Connect time-out.
+    /// The time-out for a connection to be established, in milliseconds.
     pub connect_ms: Option<u64>,
-    /// Time-out of a complete response.
+    /// The time-out for a complete response, in milliseconds.
     pub answer_ms: Option<u64>,
-    /// An idle connection is closed after this long.
+    /// The time after which an idle connection is closed, in milliseconds.
     pub idle_ms: Option<u64>,
 }
 
 impl MemberLimits {
-    /// Whether its capacity is limited, so that requests may have to wait for it.
+    /// Whether the member has a limit, so that requests may have to wait for a permit.
     pub fn is_bounded(&self) -> bool {
         self.in_flight.is_some() || self.connections.is_some()
     }
 }
 
-/// A cache node, parent or origin.
+/// A cache node, parent or origin (KDL node `member`).
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Member {
-    /// Its id, unique in the site.
+    /// The id of the member, unique in the site.
     pub id: String,
-    /// Host and port; an IPv6 address in brackets.
+    /// The host and port of the member, as `host:port`; an IPv6 address is in brackets.
     pub address: String,
-    /// The protocol it speaks; default: RESP.
+    /// The protocol in which the member accepts requests; the default is RESP.
     pub protocol: Option<Protocol>,
-    /// The path prefix below which it serves, for protocols with paths.
+    /// The path prefix below which the member serves, for protocols that have paths.
     pub path: Option<String>,
-    /// Its role; default: a cache.
+    /// The role of the member; the default is a cache node.
     pub kind: Option<Kind>,
-    /// Its weight, relative to the others'; default: 1.
+    /// The weight of the member relative to the other members; the default is 1.
     pub weight: Option<f64>,
-    /// Its administrative state.
+    /// The administrative state of the member in all pools.
     pub state: State,
-    /// Its zone.
+    /// The name of the zone that the member is in.
     pub zone: Option<String>,
-    /// Bandwidth of its link out, KB a second. A pool's weights divide the mean of its members' links.
+    /// The bandwidth of the member's outgoing link, in KB per second. In a pool, the mean bandwidth of the
+    /// members is distributed among them by their weights.
     pub link_kb_per_s: Option<f64>,
-    /// Its limits.
+    /// The limits and time-outs of the member.
     pub limits: MemberLimits,
 }
--- a/crates/site/src/model/mod.rs
+++ b/crates/site/src/model/mod.rs
@@ -1,9 +1,9 @@
-//! The model of a site. Times are whole milliseconds, rates KB a second, weights multiples of an ordinary member's
-//! share.
+//! The model of a site document. Times are whole milliseconds and rates KB per second; a weight is a multiple
+//! of the traffic of a member of weight 1.
 //!
-//! A field that is `None` was absent from the document; [`defaults`] has the value that then takes effect, and
-//! [`Site::effective`] fills it in. Field names are the keys of `show --format json`; where a key has an older name, the
-//! field carries it as its serde name.
+//! A field that is `None` was absent from the document; [`Site::effective`] fills in the value from
+//! [`defaults`] that then applies. Field names are the keys of `show --format json`, except where a serde
+//! attribute gives another key.
 
 mod class;
 pub mod defaults;
--- a/crates/site/src/model/pool.rs
+++ b/crates/site/src/model/pool.rs
@@ -1,69 +1,71 @@
-//! Pools: which members serve together, and within which limits.
+//! The model of pools: which members serve together, with which limits.
 
 use super::keyword::State;
 use serde::Serialize;
 use std::fmt;
 
-/// The membership of one member in a pool.
+/// The membership of one member in a pool (KDL node `use`).
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Use {
-    /// The member's id.
+    /// The id of the member.
     pub member: String,
-    /// Its weight in this pool; default: the member's.
+    /// The member's weight in this pool; the default is the member's own weight.
     pub weight: Option<f64>,
-    /// Its administrative state in this pool; default: the member's. The stricter of the two takes effect.
+    /// The member's administrative state in this pool; the default is the member's own. The stricter of the
+    /// two takes effect.
     pub state: Option<State>,
-    /// Its failover tier: only the lowest tier with a usable member is used.
+    /// The member's failover tier in this pool; only the lowest tier with a usable member serves.
     pub tier: Option<u64>,
-    /// The failover group: members of one group replace each other first.
+    /// The failover group: if a tier has no usable member, members of its groups in the next tier serve
+    /// first.
     pub group: Option<String>,
-    /// The member that replaces it while it is unavailable.
+    /// The id of the member that replaces this one while it is unusable.
     pub instead: Option<String>,
 }
 
-/// Limits of all members of a pool together.
+/// The limits that apply to all members of a pool together (KDL node `limits` in a `pool`).
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct PoolLimits {
-    /// Requests in flight in the pool.
+    /// The greatest number of requests in flight in the pool.
     pub in_flight: Option<u64>,
-    /// Connections to all its members.
+    /// The greatest number of connections to all members of the pool together.
     pub connections: Option<u64>,
-    /// How long a request may wait for a permit.
+    /// The longest time that a request may wait for a permit, in milliseconds.
     pub wait_ms: Option<u64>,
-    /// Requests that may be queued for a permit.
+    /// The greatest number of requests that may be queued for a permit.
     pub waiting: Option<u64>,
-    /// Time-out of a complete response.
+    /// The time-out for a complete response, in milliseconds.
     pub answer_ms: Option<u64>,
 }
 
-/// The retry policy of a pool.
+/// The retry policy of a pool (KDL node `retry`).
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Retry {
-    /// Attempts at a request, the first included.
+    /// The greatest number of attempts at a request, the first included.
     pub attempts: Option<u64>,
-    /// The retry budget: retries that each request adds for the pool.
+    /// The number of retries, usually a fraction, that each request adds to the pool's retry budget.
     pub budget: Option<f64>,
-    /// The largest budget that can accumulate.
+    /// The greatest number of retries that the retry budget can accumulate.
     pub burst: Option<u64>,
 }
 
-/// When a member is ejected, and how it recovers.
+/// The rules by which members of a pool are ejected and recover (KDL node `recovery`).
 #[derive(Clone, Default, PartialEq, Serialize)]
 pub struct Recovery {
-    /// Consecutive failures after which it is ejected.
+    /// The number of consecutive failures after which a member is ejected.
     pub failures: Option<u64>,
-    /// The backoff from then to the first half-open probe (`first-ms`).
+    /// The backoff from the ejection to the first half-open probe, in milliseconds (KDL key `first-ms`).
     #[serde(rename = "first_ms")]
     pub first_backoff_ms: Option<u64>,
-    /// The backoff doubles with each failed probe up to this (`most-ms`).
+    /// The limit up to which the backoff doubles with each failed probe, in milliseconds (KDL key `most-ms`).
     #[serde(rename = "most_ms")]
     pub max_backoff_ms: Option<u64>,
-    /// Responses with these status codes count as failures.
+    /// The HTTP status codes of responses that count as failures, each from 100 to 599.
     pub fail_on: Vec<u16>,
 }
 
-/// With the document's keys as field names: fronts hash this form to compare their configurations, also with fronts of
-/// earlier versions.
+/// Written by hand with the document's keys as field names. Fronts hash this form to compare their
+/// configurations, also with fronts of earlier versions, so it must not change.
 impl fmt::Debug for Recovery {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Recovery")
@@ -75,22 +77,22 @@
     }
 }
 
-/// A group of interchangeable members.
+/// A group of interchangeable members (KDL node `pool`).
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Pool {
-    /// Its name.
+    /// The name of the pool, unique in the site.
     pub name: String,
-    /// Its members.
+    /// The memberships of the pool, in the order of the document.
     pub members: Vec<Use>,
-    /// Its limits.
+    /// The limits of the pool.
     pub limits: PoolLimits,
-    /// Its retry policy.
+    /// The retry policy of the pool.
     pub retry: Retry,
-    /// Ejection and recovery of its members.
+    /// The rules for ejection and recovery of the pool's members.
     pub recovery: Recovery,
 }
 
-/// An HTTP status code from 100 to 599.
+/// Parses an HTTP status code; `None` if the text is not a number from 100 to 599.
 pub fn status_code(text: &str) -> Option<u16> {
     text.parse().ok().filter(|code| (100..=599).contains(code))
 }
--- a/crates/site/src/model/route.rs
+++ b/crates/site/src/model/route.rs
@@ -1,42 +1,45 @@
-//! Routing rules.
+//! The model of routing rules.
 
 use super::keyword::{Match, Order};
 use serde::Serialize;
 
-/// Where a rule sends what it matches.
+/// What a rule does with the requests that it matches.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub enum Target {
-    /// To a pool.
+    /// Routes matching requests to the pool of this name.
     #[serde(rename = "pool")]
     Pool(String),
-    /// Excluded: what is matched is not routed by this set. With a pool's name, only what would go to that pool
-    /// is excluded.
+    /// Excludes matching requests from routing by this set. With the name of a pool, only requests that would
+    /// be routed to that pool are excluded.
     #[serde(rename = "exclude")]
     Exclude(Option<String>),
 }
 
-/// One routing rule.
+/// One routing rule (KDL node `route`).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Route {
-    /// What it is compared with: a path, or a regular expression.
+    /// The pattern that the path of a request is compared with: a path, a wildcard pattern or a regular
+    /// expression.
     pub pattern: String,
-    /// How it is compared; default: as a prefix.
+    /// How the pattern is compared with a path; the default is as a prefix.
     pub matching: Option<Match>,
-    /// Where matching requests go.
+    /// What the rule does with matching requests.
     pub target: Target,
-    /// What the matched part becomes at the member; `$1` is a group of a regular expression.
+    /// The text that replaces the matched part of the path at the member; `$1` stands for a group of a
+    /// regular expression.
     pub rewrite: Option<String>,
 }
 
-/// The rules of a group of virtual hosts.
+/// The routing rules of a group of virtual hosts (KDL node `routes`).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RouteSet {
-    /// The hosts; `*.` at the front stands for any subdomain. None: every host that no other set names.
+    /// The host names, where a leading `*.` stands for any subdomain. If empty, the set applies to every host
+    /// that no other set names.
     pub hosts: Vec<String>,
-    /// Which rule wins; default: the first.
+    /// Which of several matching rules applies; the default is the first one.
     pub order: Option<Order>,
-    /// Whether the set without hosts applies where this one has no matching rule; default: no.
+    /// Whether the set without hosts applies to requests that no rule of this set matches; the default is no.
     pub inherit: Option<bool>,
-    /// The rules.
+    /// The rules of the set, in the order of the document.
     pub rules: Vec<Route>,
 }
--- a/crates/site/src/model/site.rs
+++ b/crates/site/src/model/site.rs
@@ -1,4 +1,4 @@
-//! A complete site, and its zones.
+//! The model of a complete site and of its zones.
 
 use super::class::Class;
 use super::front::{FleetView, Front, Gossip};
@@ -8,30 +8,31 @@
 use super::route::RouteSet;
 use serde::Serialize;
 
-/// A complete site document.
+/// The model of a complete site document.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Site {
-    /// The site's name.
+    /// The name of the site.
     pub name: String,
-    /// Where the list of members comes from; default: the bus.
+    /// Where a front gets the list of members from; the default is the discovery bus.
     pub members_from: Option<MembersFrom>,
-    /// The front that serves from it, where no other configuration describes one.
+    /// The settings of the front that serves from this document; `None` if a separate configuration describes
+    /// the front.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub front: Option<Front>,
-    /// Zones.
+    /// The zones that fronts and members can be in.
     pub zones: Vec<Zone>,
-    /// Classes of requests.
+    /// The classes of requests.
     pub classes: Vec<Class>,
-    /// Cache nodes, parents and origins.
+    /// The cache nodes, parents and origins.
     pub members: Vec<Member>,
-    /// Groups of interchangeable members.
+    /// The groups of interchangeable members.
     pub pools: Vec<Pool>,
-    /// Which requests go to which pool; one set for each group of virtual hosts.
+    /// The routing rules that map requests to pools, one set for each group of virtual hosts.
     pub routes: Vec<RouteSet>,
-    /// How fronts share suspicions; `None`: not at all.
+    /// The gossip by which fronts exchange suspicions; `None` if they do not.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub gossip: Option<Gossip>,
-    /// How fronts keep a view of the fleet; `None`: they keep none.
+    /// The membership view that fronts maintain; `None` if they maintain none.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub view: Option<FleetView>,
 }
@@ -53,13 +54,13 @@
     }
 }
 
-/// A zone.
+/// A zone: a location with fronts and members (KDL node `zone`).
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Zone {
-    /// Its name.
+    /// The name of the zone, unique in the site.
     pub name: String,
-    /// Bandwidth of its link for fills, KB a second; `None`: not known.
+    /// The bandwidth of the zone's incoming link for fills, in KB per second; `None` if it is not known.
     pub link_in_kb_per_s: Option<f64>,
-    /// How many fronts serve it.
+    /// The number of fronts that serve the zone.
     pub fronts: Option<u64>,
 }
--- a/crates/site/src/parse.rs
+++ b/crates/site/src/parse.rs
@@ -1,4 +1,4 @@
-//! [`Site::parse`]: a text to a checked model, or every mistake in it.
+//! Parsing of a site document: [`Site::parse`] returns a checked model, or all mistakes in the text.
 
 use crate::check::check;
 use crate::error::{Problem, SiteError};
@@ -8,28 +8,29 @@
 use kdl::KdlDocument;
 use miette::SourceSpan;
 
-/// Longer documents, in bytes, are rejected: 50,000 members take a tenth of it.
+/// The greatest length of a document in bytes; longer ones are rejected. A document with 50,000 members takes
+/// a tenth of it.
 pub const MAX_DOCUMENT_BYTES: usize = 64 << 20;
 
-/// Nodes nest four deep at the most. The KDL parser recurses once a level, so deeper texts are rejected before they
-/// reach it and exhaust the stack.
+/// The greatest nesting depth of a document; valid documents need at most four levels. The KDL parser
+/// recurses for each level, so deeper texts are rejected before they can exhaust its stack.
 const MAX_DEPTH: usize = 32;
 
-/// A document without mistakes, and warnings about it.
+/// The result of parsing a document without mistakes.
 #[derive(Clone, Debug)]
 pub struct ParsedSite {
-    /// The model.
+    /// The model of the document.
     pub site: Site,
-    /// What is allowed but probably not intended, in the order of the file.
+    /// Settings that are allowed but probably not intended, in the order of the document.
     pub warnings: Vec<Problem>,
 }
 
 impl Site {
-    /// Reads and checks a document; `file` is how its mistakes name it.
+    /// Parses and checks a document; `file` is the file name that error messages show.
     ///
     /// # Errors
-    /// Every mistake of the document at once, each with its place, except that a text that is no KDL 2, is longer than
-    /// [`MAX_DOCUMENT_BYTES`] or nests too deeply is not examined further.
+    /// Returns all mistakes of the document, each with its position. A text that is not KDL 2, is longer than
+    /// [`MAX_DOCUMENT_BYTES`] or is nested too deeply is not examined further.
     pub fn parse(file: &str, text: &str) -> Result<ParsedSite, SiteError> {
         let mut problems = Problems::new(text);
         if let Some(message) = limit_exceeded(text) {
@@ -40,7 +41,7 @@
             Ok(document) => document,
             Err(e) => {
                 for d in e.diagnostics {
-                    let message = d.message.or(d.label).unwrap_or("not KDL".into());
+                    let message = d.message.or(d.label).unwrap_or("the document is not valid KDL 2".into());
                     problems.error(d.span, message, d.help);
                 }
                 return Err(SiteError::new(file, text, problems.errors));
@@ -56,15 +57,21 @@
     }
 }
 
-/// Why the text may not be given to the KDL parser, if so.
+/// A message that says which limit the text exceeds, so that it must not be passed to the KDL parser; `None`
+/// if it is within the limits.
 fn limit_exceeded(text: &str) -> Option<String> {
     if text.len() > MAX_DOCUMENT_BYTES {
-        return Some(format!("longer than {MAX_DOCUMENT_BYTES} bytes"));
+        return Some(format!(
+            "the document has {} bytes, more than the limit of {MAX_DOCUMENT_BYTES}",
+            text.len()
+        ));
     }
-    (nesting_depth(text) > MAX_DEPTH).then(|| format!("nested deeper than {MAX_DEPTH}"))
+    (nesting_depth(text) > MAX_DEPTH)
+        .then(|| format!("the document is nested deeper than {MAX_DEPTH} levels"))
 }
 
-/// An upper bound, in constant stack, of how deep braces, parentheses and comments nest outside of quoted strings.
+/// An upper bound of how deep braces, parentheses and block comments are nested outside quoted strings,
+/// computed without recursion.
 fn nesting_depth(text: &str) -> usize {
     let bytes = text.as_bytes();
     let (mut at, mut open, mut comments, mut deepest) = (0, 0usize, 0usize, 0);
--- a/crates/site/src/print.rs
+++ b/crates/site/src/print.rs
@@ -1,10 +1,10 @@
-//! The model to KDL, in one canonical form that reads back as the same value.
+//! Printing of the model as KDL, in one canonical form that parses to the same model, and as JSON.
 
 use crate::model::*;
 use kdl::KdlValue;
 use std::fmt::Write;
 
-/// One node being written.
+/// A writer for one node: its name, arguments and properties on one line.
 struct NodeWriter<'o> {
     out: &'o mut String,
 }
@@ -16,19 +16,19 @@
         NodeWriter { out }
     }
 
-    fn value(&mut self, v: KdlValue) {
-        // The library's own form of a value: its quoting is what its parser reads.
-        let _ = write!(self.out, "{v}");
+    fn write_value(&mut self, value: KdlValue) {
+        // The KDL library's own form of a value, which its parser accepts.
+        let _ = write!(self.out, "{value}");
     }
 
-    fn arg(mut self, text: &str) -> Self {
+    fn argument(mut self, text: &str) -> Self {
         self.out.push(' ');
-        self.quoted(text);
+        self.write_quoted(text);
         self
     }
 
-    /// Quoted also where KDL allows a bare identifier, so that a name always looks like one.
-    fn quoted(&mut self, text: &str) {
+    /// Writes a string in quotes, also where KDL allows a bare identifier, so that all strings look the same.
+    fn write_quoted(&mut self, text: &str) {
         self.out.push('"');
         for c in text.chars() {
             match c {
@@ -37,7 +37,8 @@
                 '\n' => self.out.push_str("\\n"),
                 '\r' => self.out.push_str("\\r"),
                 '\t' => self.out.push_str("\\t"),
-                // Control and direction characters, which KDL allows in no literal form, and other line ends.
+                // Control and text-direction characters, which KDL does not allow unescaped, and other line
+                // ends.
                 c if c.is_control()
                     || matches!(c, '\u{200e}' | '\u{200f}' | '\u{202a}'..='\u{202e}' | '\u{2028}'
                         | '\u{2029}' | '\u{2066}'..='\u{2069}' | '\u{feff}') =>
@@ -50,230 +51,238 @@
         self.out.push('"');
     }
 
-    fn name(&mut self, name: &str) {
+    fn write_property_name(&mut self, name: &str) {
         self.out.push(' ');
         self.out.push_str(name);
         self.out.push('=');
     }
 
-    fn text(mut self, name: &str, v: Option<&str>) -> Self {
-        if let Some(v) = v {
-            self.name(name);
-            self.quoted(v);
+    fn text_property(mut self, name: &str, value: Option<&str>) -> Self {
+        if let Some(value) = value {
+            self.write_property_name(name);
+            self.write_quoted(value);
         }
         self
     }
 
-    fn keyword<K: Keyword>(self, name: &str, v: Option<K>) -> Self {
-        self.text(name, v.map(Keyword::keyword))
+    fn keyword_property<K: Keyword>(self, name: &str, value: Option<K>) -> Self {
+        self.text_property(name, value.map(Keyword::keyword))
     }
 
-    fn integer(mut self, name: &str, v: Option<u64>) -> Self {
-        if let Some(v) = v {
-            self.name(name);
-            self.value(KdlValue::Integer(v.into()));
+    fn integer_property(mut self, name: &str, value: Option<u64>) -> Self {
+        if let Some(value) = value {
+            self.write_property_name(name);
+            self.write_value(KdlValue::Integer(value.into()));
         }
         self
     }
 
-    fn number(mut self, name: &str, v: Option<f64>) -> Self {
-        if let Some(v) = v {
-            self.name(name);
-            self.value(KdlValue::Float(v));
+    fn number_property(mut self, name: &str, value: Option<f64>) -> Self {
+        if let Some(value) = value {
+            self.write_property_name(name);
+            self.write_value(KdlValue::Float(value));
         }
         self
     }
 
-    fn flag(mut self, name: &str, v: Option<bool>) -> Self {
-        if let Some(v) = v {
-            self.name(name);
-            self.value(KdlValue::Bool(v));
+    fn bool_property(mut self, name: &str, value: Option<bool>) -> Self {
+        if let Some(value) = value {
+            self.write_property_name(name);
+            self.write_value(KdlValue::Bool(value));
         }
         self
     }
 
-    fn end(self) {
+    /// Ends the line of a node without children.
+    fn end_line(self) {
         self.out.push('\n');
     }
 
-    fn open(self) {
+    /// Ends the line with the brace that opens the block of children; the caller closes the block.
+    fn open_block(self) {
         self.out.push_str(" {\n");
     }
 }
 
 impl Site {
-    /// The document for this model. Reading it gives the same value, where the model is one that a document could
-    /// give.
+    /// Prints the model as a document. Parsing the document gives the same model, provided that the model is
+    /// one that a document can describe.
     pub fn to_kdl(&self) -> String {
-        let mut out = String::new();
-        let o = &mut out;
-        NodeWriter::new(o, 0, "site").arg(&self.name).keyword("members-from", self.members_from).end();
-        self.front.iter().for_each(|f| front(o, f));
-        self.zones.iter().for_each(|z| zone(o, z));
-        self.classes.iter().for_each(|c| class(o, c));
-        self.members.iter().for_each(|m| member(o, m));
-        self.pools.iter().for_each(|p| pool(o, p));
-        self.routes.iter().for_each(|r| routes(o, r));
-        self.gossip.iter().for_each(|g| gossip(o, g));
-        self.view.iter().for_each(|v| view(o, v));
-        out
+        let mut text = String::new();
+        let out = &mut text;
+        NodeWriter::new(out, 0, "site")
+            .argument(&self.name)
+            .keyword_property("members-from", self.members_from)
+            .end_line();
+        self.front.iter().for_each(|f| print_front(out, f));
+        self.zones.iter().for_each(|z| print_zone(out, z));
+        self.classes.iter().for_each(|c| print_class(out, c));
+        self.members.iter().for_each(|m| print_member(out, m));
+        self.pools.iter().for_each(|p| print_pool(out, p));
+        self.routes.iter().for_each(|r| print_routes(out, r));
+        self.gossip.iter().for_each(|g| print_gossip(out, g));
+        self.view.iter().for_each(|v| print_view(out, v));
+        text
     }
 
-    /// The model as JSON, with the keys that `show --format json` documents.
+    /// Prints the model as JSON, with the keys that are documented for `show --format json`.
     pub fn to_json(&self) -> String {
         serde_json::to_string_pretty(self).unwrap_or_default()
     }
 }
 
-fn front(o: &mut String, f: &Front) {
-    NodeWriter::new(o, 0, "front")
-        .arg(&f.name)
-        .text("listen", Some(&f.listen))
-        .text("zone", f.zone.as_deref())
-        .integer("memory-mb", f.memory_mb)
-        .integer("sockets", f.sockets)
-        .number("stream-kb-per-s", f.stream_kb_per_s)
-        .end();
+fn print_front(out: &mut String, front: &Front) {
+    NodeWriter::new(out, 0, "front")
+        .argument(&front.name)
+        .text_property("listen", Some(&front.listen))
+        .text_property("zone", front.zone.as_deref())
+        .integer_property("memory-mb", front.memory_mb)
+        .integer_property("sockets", front.sockets)
+        .number_property("stream-kb-per-s", front.stream_kb_per_s)
+        .end_line();
 }
 
-fn zone(o: &mut String, z: &Zone) {
-    NodeWriter::new(o, 0, "zone")
-        .arg(&z.name)
-        .number("link-in-kb-per-s", z.link_in_kb_per_s)
-        .integer("fronts", z.fronts)
-        .end();
+fn print_zone(out: &mut String, zone: &Zone) {
+    NodeWriter::new(out, 0, "zone")
+        .argument(&zone.name)
+        .number_property("link-in-kb-per-s", zone.link_in_kb_per_s)
+        .integer_property("fronts", zone.fronts)
+        .end_line();
 }
 
-fn class(o: &mut String, c: &Class) {
-    NodeWriter::new(o, 0, "class")
-        .arg(&c.name)
-        .integer("aim-ms", Some(c.latency_objective_ms))
-        .number("aim-stretch", c.objective_stretch)
-        .integer("deadline-ms", Some(c.deadline_ms))
-        .number("worth", c.priority_weight)
-        .number("late-worth", c.late_weight)
-        .keyword("effect", c.effect)
-        .flag("write", c.write)
-        .integer("fresh-ms", c.fresh_ms)
-        .integer("grace-ms", c.grace_ms)
-        .end();
+fn print_class(out: &mut String, class: &Class) {
+    NodeWriter::new(out, 0, "class")
+        .argument(&class.name)
+        .integer_property("aim-ms", Some(class.latency_objective_ms))
+        .number_property("aim-stretch", class.objective_stretch)
+        .integer_property("deadline-ms", Some(class.deadline_ms))
+        .number_property("worth", class.priority_weight)
+        .number_property("late-worth", class.late_weight)
+        .keyword_property("effect", class.effect)
+        .bool_property("write", class.write)
+        .integer_property("fresh-ms", class.fresh_ms)
+        .integer_property("grace-ms", class.grace_ms)
+        .end_line();
 }
 
-fn gossip(o: &mut String, g: &Gossip) {
-    NodeWriter::new(o, 0, "gossip")
-        .text("listen", Some(&g.listen))
-        .text("key-file", Some(&g.key_file))
-        .text("control", g.control.as_deref())
-        .integer("bytes-per-s", g.bytes_per_s)
-        .integer("burst-bytes", g.burst_bytes)
-        .integer("skew-ms", g.skew_ms)
-        .text("advertise", g.advertise.as_deref())
-        .keyword("peers", g.peers)
-        .open();
-    g.seeds.iter().for_each(|s| NodeWriter::new(o, 1, "seed").arg(s).end());
-    g.fronts.iter().for_each(|n| NodeWriter::new(o, 1, "front").arg(n).end());
-    o.push_str("}\n");
+fn print_gossip(out: &mut String, gossip: &Gossip) {
+    NodeWriter::new(out, 0, "gossip")
+        .text_property("listen", Some(&gossip.listen))
+        .text_property("key-file", Some(&gossip.key_file))
+        .text_property("control", gossip.control.as_deref())
+        .integer_property("bytes-per-s", gossip.bytes_per_s)
+        .integer_property("burst-bytes", gossip.burst_bytes)
+        .integer_property("skew-ms", gossip.skew_ms)
+        .text_property("advertise", gossip.advertise.as_deref())
+        .keyword_property("peers", gossip.peers)
+        .open_block();
+    gossip.seeds.iter().for_each(|s| NodeWriter::new(out, 1, "seed").argument(s).end_line());
+    gossip.fronts.iter().for_each(|n| NodeWriter::new(out, 1, "front").argument(n).end_line());
+    out.push_str("}\n");
 }
 
-fn view(o: &mut String, v: &FleetView) {
-    NodeWriter::new(o, 0, "view")
-        .text("listen", Some(&v.listen))
-        .text("advertise", v.advertise.as_deref())
-        .text("key-file", Some(&v.key_file))
-        .text("control", v.control.as_deref())
-        .text("store", v.store.as_deref())
-        .integer("watchers", v.watchers)
-        .integer("bytes-per-s", v.bytes_per_s)
-        .integer("burst-bytes", v.burst_bytes)
-        .open();
-    v.seeds.iter().for_each(|s| NodeWriter::new(o, 1, "seed").arg(s).end());
-    o.push_str("}\n");
+fn print_view(out: &mut String, view: &FleetView) {
+    NodeWriter::new(out, 0, "view")
+        .text_property("listen", Some(&view.listen))
+        .text_property("advertise", view.advertise.as_deref())
+        .text_property("key-file", Some(&view.key_file))
+        .text_property("control", view.control.as_deref())
+        .text_property("store", view.store.as_deref())
+        .integer_property("watchers", view.watchers)
+        .integer_property("bytes-per-s", view.bytes_per_s)
+        .integer_property("burst-bytes", view.burst_bytes)
+        .open_block();
+    view.seeds.iter().for_each(|s| NodeWriter::new(out, 1, "seed").argument(s).end_line());
+    out.push_str("}\n");
 }
 
-fn member(o: &mut String, m: &Member) {
-    let state = Some(m.state).filter(|s| *s != State::Ready);
-    let line = NodeWriter::new(o, 0, "member")
-        .arg(&m.id)
-        .text("address", Some(&m.address))
-        .keyword("protocol", m.protocol)
-        .text("path", m.path.as_deref())
-        .keyword("kind", m.kind)
-        .number("weight", m.weight)
-        .keyword("state", state)
-        .text("zone", m.zone.as_deref())
-        .number("link-kb-per-s", m.link_kb_per_s);
-    if m.limits == MemberLimits::default() {
-        return line.end();
+fn print_member(out: &mut String, member: &Member) {
+    let state = Some(member.state).filter(|s| *s != State::Ready);
+    let line = NodeWriter::new(out, 0, "member")
+        .argument(&member.id)
+        .text_property("address", Some(&member.address))
+        .keyword_property("protocol", member.protocol)
+        .text_property("path", member.path.as_deref())
+        .keyword_property("kind", member.kind)
+        .number_property("weight", member.weight)
+        .keyword_property("state", state)
+        .text_property("zone", member.zone.as_deref())
+        .number_property("link-kb-per-s", member.link_kb_per_s);
+    if member.limits == MemberLimits::default() {
+        return line.end_line();
     }
-    line.open();
-    NodeWriter::new(o, 1, "limits")
-        .integer("connections", m.limits.connections)
-        .integer("in-flight", m.limits.in_flight)
-        .integer("connect-ms", m.limits.connect_ms)
-        .integer("answer-ms", m.limits.answer_ms)
-        .integer("idle-ms", m.limits.idle_ms)
-        .end();
-    o.push_str("}\n");
+    line.open_block();
+    NodeWriter::new(out, 1, "limits")
+        .integer_property("connections", member.limits.connections)
+        .integer_property("in-flight", member.limits.in_flight)
+        .integer_property("connect-ms", member.limits.connect_ms)
+        .integer_property("answer-ms", member.limits.answer_ms)
+        .integer_property("idle-ms", member.limits.idle_ms)
+        .end_line();
+    out.push_str("}\n");
 }
 
-fn pool(o: &mut String, p: &Pool) {
-    NodeWriter::new(o, 0, "pool").arg(&p.name).open();
-    for u in &p.members {
-        NodeWriter::new(o, 1, "use")
-            .arg(&u.member)
-            .number("weight", u.weight)
-            .keyword("state", u.state)
-            .integer("tier", u.tier)
-            .text("group", u.group.as_deref())
-            .text("instead", u.instead.as_deref())
-            .end();
+fn print_pool(out: &mut String, pool: &Pool) {
+    NodeWriter::new(out, 0, "pool").argument(&pool.name).open_block();
+    for u in &pool.members {
+        NodeWriter::new(out, 1, "use")
+            .argument(&u.member)
+            .number_property("weight", u.weight)
+            .keyword_property("state", u.state)
+            .integer_property("tier", u.tier)
+            .text_property("group", u.group.as_deref())
+            .text_property("instead", u.instead.as_deref())
+            .end_line();
     }
-    if p.limits != PoolLimits::default() {
-        NodeWriter::new(o, 1, "limits")
-            .integer("in-flight", p.limits.in_flight)
-            .integer("connections", p.limits.connections)
-            .integer("wait-ms", p.limits.wait_ms)
-            .integer("waiting", p.limits.waiting)
-            .integer("answer-ms", p.limits.answer_ms)
-            .end();
+    if pool.limits != PoolLimits::default() {
+        NodeWriter::new(out, 1, "limits")
+            .integer_property("in-flight", pool.limits.in_flight)
+            .integer_property("connections", pool.limits.connections)
+            .integer_property("wait-ms", pool.limits.wait_ms)
+            .integer_property("waiting", pool.limits.waiting)
+            .integer_property("answer-ms", pool.limits.answer_ms)
+            .end_line();
     }
-    if p.retry != Retry::default() {
-        NodeWriter::new(o, 1, "retry")
-            .integer("attempts", p.retry.attempts)
-            .number("budget", p.retry.budget)
-            .integer("burst", p.retry.burst)
-            .end();
+    if pool.retry != Retry::default() {
+        NodeWriter::new(out, 1, "retry")
+            .integer_property("attempts", pool.retry.attempts)
+            .number_property("budget", pool.retry.budget)
+            .integer_property("burst", pool.retry.burst)
+            .end_line();
     }
-    if p.recovery != Recovery::default() {
-        let codes: Vec<String> = p.recovery.fail_on.iter().map(u16::to_string).collect();
+    if pool.recovery != Recovery::default() {
+        let codes: Vec<String> = pool.recovery.fail_on.iter().map(u16::to_string).collect();
         let codes = codes.join(",");
-        NodeWriter::new(o, 1, "recovery")
-            .integer("failures", p.recovery.failures)
-            .integer("first-ms", p.recovery.first_backoff_ms)
-            .integer("most-ms", p.recovery.max_backoff_ms)
-            .text("fail-on", Some(codes.as_str()).filter(|c| !c.is_empty()))
-            .end();
+        NodeWriter::new(out, 1, "recovery")
+            .integer_property("failures", pool.recovery.failures)
+            .integer_property("first-ms", pool.recovery.first_backoff_ms)
+            .integer_property("most-ms", pool.recovery.max_backoff_ms)
+            .text_property("fail-on", Some(codes.as_str()).filter(|c| !c.is_empty()))
+            .end_line();
     }
-    o.push_str("}\n");
+    out.push_str("}\n");
 }
 
-fn routes(o: &mut String, r: &RouteSet) {
-    NodeWriter::new(o, 0, "routes").keyword("order", r.order).flag("inherit", r.inherit).open();
-    for h in &r.hosts {
-        NodeWriter::new(o, 1, "host").arg(h).end();
+fn print_routes(out: &mut String, route_set: &RouteSet) {
+    NodeWriter::new(out, 0, "routes")
+        .keyword_property("order", route_set.order)
+        .bool_property("inherit", route_set.inherit)
+        .open_block();
+    for h in &route_set.hosts {
+        NodeWriter::new(out, 1, "host").argument(h).end_line();
     }
-    for rule in &r.rules {
+    for rule in &route_set.rules {
         let (pool, exclude) = match &rule.target {
             Target::Pool(p) => (Some(p), None),
             Target::Exclude(p) => (p.as_ref(), Some(true)),
         };
-        NodeWriter::new(o, 1, "route")
-            .arg(&rule.pattern)
-            .keyword("match", rule.matching)
-            .text("pool", pool.map(String::as_str))
-            .flag("exclude", exclude)
-            .text("rewrite", rule.rewrite.as_deref())
-            .end();
+        NodeWriter::new(out, 1, "route")
+            .argument(&rule.pattern)
+            .keyword_property("match", rule.matching)
+            .text_property("pool", pool.map(String::as_str))
+            .bool_property("exclude", exclude)
+            .text_property("rewrite", rule.rewrite.as_deref())
+            .end_line();
     }
-    o.push_str("}\n");
+    out.push_str("}\n");
 }
--- a/crates/site/src/problems.rs
+++ b/crates/site/src/problems.rs
@@ -1,9 +1,9 @@
-//! Collecting mistakes and warnings while a document is read and checked.
+//! Collection of mistakes and warnings while a document is read and checked.
 
 use crate::error::Problem;
 use miette::SourceSpan;
 
-/// Every mistake and warning found so far.
+/// The mistakes and warnings found so far in one document.
 pub(crate) struct Problems<'a> {
     lines: LineIndex<'a>,
     pub errors: Vec<Problem>,
@@ -16,22 +16,22 @@
     }
 
     pub fn error(&mut self, span: SourceSpan, message: impl Into<String>, hint: Option<String>) {
-        let problem = self.problem(span, message.into(), hint);
+        let problem = self.new_problem(span, message.into(), hint);
         self.errors.push(problem);
     }
 
     pub fn warn(&mut self, span: SourceSpan, message: impl Into<String>, hint: Option<String>) {
-        let problem = self.problem(span, message.into(), hint);
+        let problem = self.new_problem(span, message.into(), hint);
         self.warnings.push(problem);
     }
 
-    fn problem(&self, span: SourceSpan, message: String, hint: Option<String>) -> Problem {
+    fn new_problem(&self, span: SourceSpan, message: String, hint: Option<String>) -> Problem {
         let LineColumn { line, column } = self.lines.locate(span.offset());
         Problem { line, column, span, message, hint }
     }
 }
 
-/// A hint towards the known name that is the most similar to `name`, if any is similar enough.
+/// A hint that suggests the known name most similar to `name`; `None` if none has a similarity above 0.8.
 pub(crate) fn suggestion<'k>(name: &str, known: impl IntoIterator<Item = &'k str>) -> Option<String> {
     let similar = known
         .into_iter()
@@ -40,15 +40,16 @@
     similar.max_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, k)| format!("did you mean `{k}`?"))
 }
 
-/// A line, from 1, and a column in characters, from 1.
+/// A position as a line and a column in characters, both counted from 1.
 struct LineColumn {
     line: usize,
     column: usize,
 }
 
-/// The byte offsets at which lines begin.
+/// An index of the lines of a text, which maps byte offsets to lines and columns.
 struct LineIndex<'a> {
     text: &'a str,
+    /// The byte offset of the first character of each line.
     starts: Vec<usize>,
 }
 
@@ -58,7 +59,8 @@
         LineIndex { text, starts: std::iter::once(0).chain(after).collect() }
     }
 
-    /// The line and column of a byte offset; one past the end or inside a character is moved back to a boundary.
+    /// The line and column of a byte offset; an offset past the end or inside a character is first moved back
+    /// to the nearest character boundary.
     fn locate(&self, offset: usize) -> LineColumn {
         let mut offset = offset.min(self.text.len());
         while !self.text.is_char_boundary(offset) {
--- a/crates/site/src/read/front.rs
+++ b/crates/site/src/read/front.rs
@@ -1,98 +1,100 @@
-//! `front`, `gossip` and `view`: one front's own settings and how fronts talk to each other.
+//! Reading of `front`, `gossip` and `view` nodes: a front's own settings and its communication with other
+//! fronts.
 
-use crate::fields::{Fields, Spanned};
+use crate::fields::{NodeReader, Spanned};
 use crate::model::{FleetView, Front, Gossip};
 use crate::spans::SourceSpans;
 
-pub(super) fn read_front(mut f: Fields<'_, '_, '_>, spans: &mut SourceSpans) -> Front {
-    let name = f.arg("a name").map(|n| n.text.to_string());
-    let listen = f.owned("listen");
-    let listen = f.required("listen", listen);
-    let zone = f.text("zone");
+pub(super) fn read_front(mut reader: NodeReader<'_, '_, '_>, spans: &mut SourceSpans) -> Front {
+    let name = reader.text_argument("a name").map(|n| n.text.to_string());
+    let listen = reader.owned_text_property("listen");
+    let listen = reader.require("listen", listen);
+    let zone = reader.text_property("zone");
     spans.front_zone = zone.map(|z| z.span);
     let front = Front {
         name: name.unwrap_or_default(),
         listen: listen.unwrap_or_default(),
         zone: zone.map(|z| z.text.into()),
-        memory_mb: f.integer("memory-mb", 16..=1 << 20),
-        sockets: f.integer("sockets", 16..=1 << 24),
-        stream_kb_per_s: f.number("stream-kb-per-s", 0.001, 1e9),
+        memory_mb: reader.integer_property("memory-mb", 16..=1 << 20),
+        sockets: reader.integer_property("sockets", 16..=1 << 24),
+        stream_kb_per_s: reader.number_property("stream-kb-per-s", 0.001, 1e9),
     };
-    f.done();
+    reader.finish();
     front
 }
 
-pub(super) fn read_gossip(mut f: Fields<'_, '_, '_>) -> Gossip {
-    let listen = f.text("listen");
-    let listen = f.required("listen", listen);
-    check_address(&mut f, listen);
-    let key_file = f.owned("key-file");
-    let advertise = f.text("advertise");
-    check_address(&mut f, advertise);
+pub(super) fn read_gossip(mut reader: NodeReader<'_, '_, '_>) -> Gossip {
+    let listen = reader.text_property("listen");
+    let listen = reader.require("listen", listen);
+    check_address(&mut reader, listen);
+    let key_file = reader.owned_text_property("key-file");
+    let advertise = reader.text_property("advertise");
+    check_address(&mut reader, advertise);
     let mut g = Gossip {
         listen: listen.map_or(String::new(), |l| l.text.into()),
-        key_file: f.required("key-file", key_file).unwrap_or_default(),
-        control: f.owned("control"),
+        key_file: reader.require("key-file", key_file).unwrap_or_default(),
+        control: reader.owned_text_property("control"),
         seeds: Vec::new(),
         fronts: Vec::new(),
-        // Less would not let a health check and its answer through.
-        bytes_per_s: f.integer("bytes-per-s", 512..=1 << 30),
-        burst_bytes: f.integer("burst-bytes", 1024..=1 << 30),
-        skew_ms: f.ms("skew-ms"),
-        peers: f.keyword("peers"),
+        // At a lower rate not even one health check and its answer could be sent.
+        bytes_per_s: reader.integer_property("bytes-per-s", 512..=1 << 30),
+        burst_bytes: reader.integer_property("burst-bytes", 1024..=1 << 30),
+        skew_ms: reader.milliseconds_property("skew-ms"),
+        peers: reader.keyword_property("peers"),
         advertise: advertise.map(|a| a.text.into()),
     };
-    for node in f.children(&["seed", "front"]) {
-        let mut f = Fields::new(node, f.problems);
+    for node in reader.known_children(&["seed", "front"]) {
+        let mut reader = NodeReader::new(node, reader.problems);
         if node.name().value() == "seed" {
-            for seed in f.args("an address") {
-                check_address(&mut f, Some(seed));
+            for seed in reader.text_arguments("an address") {
+                check_address(&mut reader, Some(seed));
                 g.seeds.push(seed.text.into());
             }
         } else {
-            g.fronts.extend(f.args("a front's name").iter().map(|n| n.text.to_string()));
+            g.fronts.extend(reader.text_arguments("a front's name").iter().map(|n| n.text.to_string()));
         }
-        f.done();
+        reader.finish();
     }
-    f.done();
+    reader.finish();
     g
 }
 
-pub(super) fn read_view(mut f: Fields<'_, '_, '_>) -> FleetView {
-    let listen = f.text("listen");
-    let listen = f.required("listen", listen);
-    check_address(&mut f, listen);
-    let advertise = f.text("advertise");
-    check_address(&mut f, advertise);
-    let key_file = f.owned("key-file");
+pub(super) fn read_view(mut reader: NodeReader<'_, '_, '_>) -> FleetView {
+    let listen = reader.text_property("listen");
+    let listen = reader.require("listen", listen);
+    check_address(&mut reader, listen);
+    let advertise = reader.text_property("advertise");
+    check_address(&mut reader, advertise);
+    let key_file = reader.owned_text_property("key-file");
     let mut v = FleetView {
         listen: listen.map_or(String::new(), |l| l.text.into()),
         advertise: advertise.map(|a| a.text.into()),
-        key_file: f.required("key-file", key_file).unwrap_or_default(),
-        control: f.owned("control"),
-        store: f.owned("store"),
+        key_file: reader.require("key-file", key_file).unwrap_or_default(),
+        control: reader.owned_text_property("control"),
+        store: reader.owned_text_property("store"),
         seeds: Vec::new(),
-        // With one watcher a single front's message could remove another.
-        watchers: f.integer("watchers", 2..=16),
-        // Less would not let pings and their answers through.
-        bytes_per_s: f.integer("bytes-per-s", 4096..=1 << 30),
-        burst_bytes: f.integer("burst-bytes", 8192..=1 << 30),
+        // With a single watcher, one front's message alone could remove another front.
+        watchers: reader.integer_property("watchers", 2..=16),
+        // At a lower rate pings and their answers could not be sent.
+        bytes_per_s: reader.integer_property("bytes-per-s", 4096..=1 << 30),
+        burst_bytes: reader.integer_property("burst-bytes", 8192..=1 << 30),
     };
-    for node in f.children(&["seed"]) {
-        let mut f = Fields::new(node, f.problems);
-        for seed in f.args("an address") {
-            check_address(&mut f, Some(seed));
+    for node in reader.known_children(&["seed"]) {
+        let mut reader = NodeReader::new(node, reader.problems);
+        for seed in reader.text_arguments("an address") {
+            check_address(&mut reader, Some(seed));
             v.seeds.push(seed.text.into());
         }
-        f.done();
+        reader.finish();
     }
-    f.done();
+    reader.finish();
     v
 }
 
-/// Datagrams are sent to IP addresses: a front resolves no names.
-fn check_address(f: &mut Fields<'_, '_, '_>, text: Option<Spanned<'_>>) {
+/// Reports a text that is not an IP address with a port: fronts send datagrams there and resolve no host
+/// names.
+fn check_address(reader: &mut NodeReader<'_, '_, '_>, text: Option<Spanned<'_>>) {
     if let Some(Spanned { text, span }) = text.filter(|t| t.text.parse::<std::net::SocketAddr>().is_err()) {
-        f.problems.error(span, format!("`{text}` is no IP address and port"), None);
+        reader.problems.error(span, format!("`{text}` is not an IP address with a port"), None);
     }
 }
--- a/crates/site/src/read/member.rs
+++ b/crates/site/src/read/member.rs
@@ -1,40 +1,40 @@
-//! `member`, with its limits.
+//! Reading of `member` nodes and their limits.
 
 use super::name::{unique_name, MAX_WEIGHT};
-use crate::fields::Fields;
+use crate::fields::NodeReader;
 use crate::model::{Member, MemberLimits, Site, State};
 use crate::spans::SourceSpans;
 
-pub(super) fn read_member(mut f: Fields<'_, '_, '_>, site: &mut Site, spans: &mut SourceSpans) {
-    let id = unique_name(&mut f, &mut spans.members);
-    let address = f.text("address");
-    let address = f.required("address", address);
-    let zone = f.text("zone");
+pub(super) fn read_member(mut reader: NodeReader<'_, '_, '_>, site: &mut Site, spans: &mut SourceSpans) {
+    let id = unique_name(&mut reader, &mut spans.members);
+    let address = reader.text_property("address");
+    let address = reader.require("address", address);
+    let zone = reader.text_property("zone");
     let mut m = Member {
         id,
         address: address.map_or(String::new(), |a| a.text.into()),
-        protocol: f.keyword("protocol"),
-        path: f.owned("path"),
-        kind: f.keyword("kind"),
-        weight: f.number("weight", 1e-6, MAX_WEIGHT),
-        state: f.keyword("state").unwrap_or(State::Ready),
+        protocol: reader.keyword_property("protocol"),
+        path: reader.owned_text_property("path"),
+        kind: reader.keyword_property("kind"),
+        weight: reader.number_property("weight", 1e-6, MAX_WEIGHT),
+        state: reader.keyword_property("state").unwrap_or(State::Ready),
         zone: zone.map(|z| z.text.into()),
-        link_kb_per_s: f.number("link-kb-per-s", 0.001, 1e12),
+        link_kb_per_s: reader.number_property("link-kb-per-s", 0.001, 1e12),
         limits: MemberLimits::default(),
     };
-    spans.addresses.push(address.map_or(f.span(), |a| a.span));
+    spans.addresses.push(address.map_or(reader.span(), |a| a.span));
     spans.member_zones.push(zone.map(|z| z.span));
-    for node in f.children(&["limits"]) {
-        let mut f = Fields::new(node, f.problems);
+    for node in reader.known_children(&["limits"]) {
+        let mut reader = NodeReader::new(node, reader.problems);
         m.limits = MemberLimits {
-            connections: f.integer("connections", 1..=1 << 24),
-            in_flight: f.integer("in-flight", 1..=1 << 24),
-            connect_ms: f.ms("connect-ms"),
-            answer_ms: f.ms("answer-ms"),
-            idle_ms: f.ms("idle-ms"),
+            connections: reader.integer_property("connections", 1..=1 << 24),
+            in_flight: reader.integer_property("in-flight", 1..=1 << 24),
+            connect_ms: reader.milliseconds_property("connect-ms"),
+            answer_ms: reader.milliseconds_property("answer-ms"),
+            idle_ms: reader.milliseconds_property("idle-ms"),
         };
-        f.done();
+        reader.finish();
     }
-    f.done();
+    reader.finish();
     site.members.push(m);
 }
--- a/crates/site/src/read/name.rs
+++ b/crates/site/src/read/name.rs
@@ -1,19 +1,27 @@
-//! Names of what nodes describe, and weights, which several kinds of node have.
+//! The parts that several kinds of node have in common: unique names, and the limit of weights.
 
-use crate::fields::{Fields, Spanned};
+use crate::fields::{NodeReader, Spanned};
 use miette::SourceSpan;
 use std::collections::HashMap;
 
-/// The greatest weight that a member or a membership may have.
+/// The greatest weight that a `member` or `use` node may have.
 pub(super) const MAX_WEIGHT: f64 = 1e6;
 
-/// The name of what a node describes, which must be unique among its kind.
-pub(super) fn unique_name(f: &mut Fields<'_, '_, '_>, defined: &mut HashMap<String, SourceSpan>) -> String {
-    let Some(Spanned { text: name, span }) = f.arg("a name") else { return String::new() };
+/// Reads the name that is a node's first argument. An empty name, or one that an earlier node of the kind
+/// has, is reported.
+pub(super) fn unique_name(
+    reader: &mut NodeReader<'_, '_, '_>,
+    defined: &mut HashMap<String, SourceSpan>,
+) -> String {
+    let Some(Spanned { text: name, span }) = reader.text_argument("a name") else { return String::new() };
     if name.is_empty() {
-        f.problems.error(span, "a name can't be empty", None);
+        reader.problems.error(span, "the name is empty, but must have at least one character", None);
     } else if defined.insert(name.to_string(), span).is_some() {
-        f.problems.error(span, format!("`{name}` is there twice"), Some("give each its own name".into()));
+        reader.problems.error(
+            span,
+            format!("the name `{name}` is already in use"),
+            Some("names of one kind must be unique".into()),
+        );
     }
     name.to_string()
 }
--- a/crates/site/src/read/routes.rs
+++ b/crates/site/src/read/routes.rs
@@ -1,55 +1,55 @@
-//! `routes`: a set of rules, and the hosts that it is for.
+//! Reading of `routes` nodes: a set of routing rules and the hosts that it applies to.
 
-use crate::fields::{Fields, Spanned};
+use crate::fields::{NodeReader, Spanned};
 use crate::model::{Route, RouteSet, Site, Target};
 use crate::problems::Problems;
 use crate::spans::{RouteSpans, SourceSpans};
 use kdl::KdlNode;
 
-pub(super) fn read_routes(mut f: Fields<'_, '_, '_>, site: &mut Site, spans: &mut SourceSpans) {
-    spans.route_sets.push(f.span());
+pub(super) fn read_routes(mut reader: NodeReader<'_, '_, '_>, site: &mut Site, spans: &mut SourceSpans) {
+    spans.route_sets.push(reader.span());
     let mut set = RouteSet {
         hosts: Vec::new(),
-        order: f.keyword("order"),
-        inherit: f.flag("inherit"),
+        order: reader.keyword_property("order"),
+        inherit: reader.bool_property("inherit"),
         rules: Vec::new(),
     };
     let mut rule_spans = Vec::new();
-    for node in f.children(&["host", "route"]) {
+    for node in reader.known_children(&["host", "route"]) {
         if node.name().value() == "host" {
-            let mut f = Fields::new(node, f.problems);
-            set.hosts.extend(f.args("a host").iter().map(|h| h.text.to_string()));
-            f.done();
+            let mut reader = NodeReader::new(node, reader.problems);
+            set.hosts.extend(reader.text_arguments("a host").iter().map(|h| h.text.to_string()));
+            reader.finish();
             continue;
         }
-        if let Some((rule, at)) = read_route(node, f.problems) {
+        if let Some((rule, at)) = read_route(node, reader.problems) {
             set.rules.push(rule);
             rule_spans.push(at);
         }
     }
-    f.done();
+    reader.finish();
     site.routes.push(set);
     spans.routes.push(rule_spans);
 }
 
 fn read_route(node: &KdlNode, problems: &mut Problems<'_>) -> Option<(Route, RouteSpans)> {
-    let mut f = Fields::new(node, problems);
-    let pattern = f.arg("a path");
-    let matching = f.keyword("match");
-    let pool = f.text("pool");
-    let exclude = f.flag("exclude").unwrap_or(false);
-    let rewrite = f.owned("rewrite");
+    let mut reader = NodeReader::new(node, problems);
+    let pattern = reader.text_argument("a path");
+    let matching = reader.keyword_property("match");
+    let pool = reader.text_property("pool");
+    let exclude = reader.bool_property("exclude").unwrap_or(false);
+    let rewrite = reader.owned_text_property("rewrite");
     let target = match (exclude, pool) {
         (true, p) => Target::Exclude(p.map(|p| p.text.into())),
         (false, Some(p)) => Target::Pool(p.text.into()),
         (false, None) => {
-            let (span, hint) = (f.span(), "write pool=\"…\" or exclude=#true".to_string());
-            f.problems.error(span, "`route` leads nowhere", Some(hint));
+            let (span, hint) = (reader.span(), "set pool=\"…\" or exclude=#true".to_string());
+            reader.problems.error(span, "`route` has neither a pool nor an exclusion", Some(hint));
             Target::Exclude(None)
         }
     };
-    let target_span = pool.map_or(f.span(), |p| p.span);
-    f.done();
+    let target_span = pool.map_or(reader.span(), |p| p.span);
+    reader.finish();
     let Spanned { text: pattern, span } = pattern?;
     let spans = RouteSpans { pattern: span, target: target_span };
     Some((Route { pattern: pattern.into(), matching, target, rewrite }, spans))
--- a/crates/site/src/spans.rs
+++ b/crates/site/src/spans.rs
@@ -1,9 +1,9 @@
-//! Where in the text the parts of a model stand, for the checks that need the complete document.
+//! The positions in the text of the parts of a model, for the checks that need the complete document.
 
 use miette::SourceSpan;
 use std::collections::HashMap;
 
-/// Spans of names by name, and of uses in the order of the model.
+/// The positions in the text of names, by name, and of references to names, in the order of the model.
 #[derive(Default)]
 pub(crate) struct SourceSpans {
     pub zones: HashMap<String, SourceSpan>,
@@ -11,25 +11,25 @@
     pub members: HashMap<String, SourceSpan>,
     pub pools: HashMap<String, SourceSpan>,
     pub front_zone: Option<SourceSpan>,
-    /// By member.
+    /// The address of each member, or the member's node if it has no address.
     pub addresses: Vec<SourceSpan>,
-    /// By member.
+    /// The zone of each member; `None` if the member has none.
     pub member_zones: Vec<Option<SourceSpan>>,
-    /// By pool, by membership.
+    /// The `use` nodes of each pool.
     pub uses: Vec<Vec<UseSpans>>,
-    /// By route set.
+    /// The name of each `routes` node.
     pub route_sets: Vec<SourceSpan>,
-    /// By route set, by rule.
+    /// The `route` nodes of each `routes` node.
     pub routes: Vec<Vec<RouteSpans>>,
 }
 
-/// Where a `use` names its member, and the one that replaces it.
+/// The positions at which a `use` node names its member and the replacement (`instead`).
 pub(crate) struct UseSpans {
     pub member: SourceSpan,
     pub instead: Option<SourceSpan>,
 }
 
-/// Where a `route` has its pattern and its target.
+/// The positions of the pattern and the target of a `route` node.
 #[derive(Clone, Copy)]
 pub(crate) struct RouteSpans {
     pub pattern: SourceSpan,
--- a/crates/site/tests/mistakes.rs
+++ b/crates/site/tests/mistakes.rs
@@ -1,4 +1,4 @@
-//! Documents with mistakes: all of them are reported, each at its position.
+//! Tests that all mistakes of a document are reported, each at its position.
 
 use fernslip_site::Site;
 
@@ -55,17 +55,24 @@
     route "/doc" pool="empty"
 }
 "#;
-    let parsed = Site::parse("site.kdl", text).expect("allowed");
+    let parsed = Site::parse("site.kdl", text).expect("a document with warnings only is valid");
     let reported: Vec<_> = parsed.warnings.iter().map(|w| format!("{}:{} {w}", w.line, w.column)).collect();
     insta::assert_snapshot!(reported.join("\n"));
 }
 
-/// Guards the stack: a parser that goes down a level for each brace ended the process.
+/// Guards against a stack overflow in the KDL parser, which recurses for each opening brace and would abort
+/// the process.
 #[test]
-fn endlessly_nested_text_is_rejected() {
+fn text_that_is_nested_too_deeply_is_rejected() {
     for open in ["a {", "/* ", "(", "a \"x\" { /*"] {
-        let e = Site::parse("x", &open.repeat(100_000)).unwrap_err();
-        assert!(e.to_string().contains("nested deeper"), "{open}");
+        let error = Site::parse("x", &open.repeat(100_000)).unwrap_err();
+        assert!(
+            error.to_string().contains("nested deeper"),
+            "100,000 times `{open}` must be rejected as too deep"
+        );
     }
-    assert!(Site::parse("x", &format!("site {:?}", "{".repeat(100))).is_ok(), "braces in a text don't nest");
+    assert!(
+        Site::parse("x", &format!("site {:?}", "{".repeat(100))).is_ok(),
+        "braces inside a string must not count as nesting"
+    );
 }
--- a/crates/site/tests/properties.rs
+++ b/crates/site/tests/properties.rs
@@ -1,31 +1,46 @@
-//! Any model that a document can give is printed and read again as it was; any text is parsed or rejected, and never
-//! more than that.
+//! Property tests: any model that a document can describe is unchanged after printing and parsing, and any
+//! text is parsed or rejected without a panic.
 
 use fernslip_site::*;
 use proptest::prelude::*;
 
-fn some<T: Clone + std::fmt::Debug>(s: impl Strategy<Value = T>) -> impl Strategy<Value = Option<T>> {
-    proptest::option::of(s)
+/// Values of the strategy, or `None`.
+fn optional<T: Clone + std::fmt::Debug>(
+    values: impl Strategy<Value = T>,
+) -> impl Strategy<Value = Option<T>> {
+    proptest::option::of(values)
 }
 
-fn one_of<K: Keyword + std::fmt::Debug>() -> impl Strategy<Value = K> {
+fn any_keyword<K: Keyword + std::fmt::Debug>() -> impl Strategy<Value = K> {
     (0..K::KEYWORDS.len()).prop_map(|i| K::KEYWORDS[i].1)
 }
 
-fn number() -> impl Strategy<Value = f64> {
+fn positive_number() -> impl Strategy<Value = f64> {
     prop_oneof![Just(1.0), Just(0.1), (1e-6..1e6f64), (1u64..1000).prop_map(|n| n as f64)]
 }
 
-fn ms() -> impl Strategy<Value = u64> {
+fn milliseconds() -> impl Strategy<Value = u64> {
     0..=86_400_000u64
 }
 
-fn members() -> impl Strategy<Value = Vec<Member>> {
+fn members_with_unique_ids() -> impl Strategy<Value = Vec<Member>> {
     let member = (
-        // A name may hold anything but nothing.
+        // An id may contain any characters but must not be empty.
         ("\\PC{1,8}|[\\x00-\\x7f]{1,6}", "[a-z0-9.-]{1,12}", 1u16..),
-        (some(one_of()), some("/\\PC{0,6}"), some(one_of()), some(number()), one_of()),
-        (some(1u64..1 << 24), some(1u64..1 << 24), some(ms()), some(ms()), some(ms())),
+        (
+            optional(any_keyword()),
+            optional("/\\PC{0,6}"),
+            optional(any_keyword()),
+            optional(positive_number()),
+            any_keyword(),
+        ),
+        (
+            optional(1u64..1 << 24),
+            optional(1u64..1 << 24),
+            optional(milliseconds()),
+            optional(milliseconds()),
+            optional(milliseconds()),
+        ),
     );
     let member = member.prop_map(|((id, host, port), (protocol, path, kind, weight, state), l)| Member {
         id,
@@ -52,22 +67,37 @@
     })
 }
 
-fn pool(members: Vec<String>) -> impl Strategy<Value = Pool> {
+fn pool_of(members: Vec<String>) -> impl Strategy<Value = Pool> {
     let uses = members.into_iter().map(|member| {
-        (some(number()), some(one_of()), some(0..=u64::from(u32::MAX)), some("\\PC{0,5}")).prop_map(
-            move |(weight, state, tier, group)| Use {
+        (
+            optional(positive_number()),
+            optional(any_keyword()),
+            optional(0..=u64::from(u32::MAX)),
+            optional("\\PC{0,5}"),
+        )
+            .prop_map(move |(weight, state, tier, group)| Use {
                 member: member.clone(),
                 weight,
                 state,
                 tier,
                 group,
                 instead: None,
-            },
-        )
+            })
     });
-    let limits = (some(1u64..1 << 24), some(1u64..1 << 24), some(ms()), some(0u64..1 << 20), some(ms()));
-    let retry_and_recovery =
-        (some(1u64..=1000), some(0.0..10.0f64), some(0u64..100_000), some(1u64..1000), some(ms()));
+    let limits = (
+        optional(1u64..1 << 24),
+        optional(1u64..1 << 24),
+        optional(milliseconds()),
+        optional(0u64..1 << 20),
+        optional(milliseconds()),
+    );
+    let retry_and_recovery = (
+        optional(1u64..=1000),
+        optional(0.0..10.0f64),
+        optional(0u64..100_000),
+        optional(1u64..1000),
+        optional(milliseconds()),
+    );
     let codes = proptest::collection::vec(100u16..600, 0..4);
     (uses.collect::<Vec<_>>(), limits, retry_and_recovery, codes).prop_map(|(members, l, r, fail_on)| Pool {
         name: "p".into(),
@@ -78,24 +108,30 @@
     })
 }
 
-fn route_set() -> impl Strategy<Value = RouteSet> {
+fn any_route_set() -> impl Strategy<Value = RouteSet> {
     let target = prop_oneof![
         Just(Target::Pool("p".into())),
         Just(Target::Exclude(None)),
         Just(Target::Exclude(Some("p".into())))
     ];
-    let matching = some(prop_oneof![Just(Match::Prefix), Just(Match::Exact), Just(Match::Wildcard)]);
-    let rule = ("/\\PC{0,8}", matching, target, some("\\PC{0,5}"))
+    let matching = optional(prop_oneof![Just(Match::Prefix), Just(Match::Exact), Just(Match::Wildcard)]);
+    let rule = ("/\\PC{0,8}", matching, target, optional("\\PC{0,5}"))
         .prop_map(|(pattern, matching, target, rewrite)| Route { pattern, matching, target, rewrite });
-    (proptest::collection::vec(rule, 0..5), some(one_of()), some(any::<bool>()))
+    (proptest::collection::vec(rule, 0..5), optional(any_keyword()), optional(any::<bool>()))
         .prop_map(|(rules, order, inherit)| RouteSet { hosts: vec!["*.x".into()], order, inherit, rules })
 }
 
-fn site() -> impl Strategy<Value = Site> {
-    (members(), "\\PC{0,9}", some(one_of()), route_set(), some(number())).prop_flat_map(
-        |(members, name, members_from, routes, link)| {
+fn any_site() -> impl Strategy<Value = Site> {
+    (
+        members_with_unique_ids(),
+        "\\PC{0,9}",
+        optional(any_keyword()),
+        any_route_set(),
+        optional(positive_number()),
+    )
+        .prop_flat_map(|(members, name, members_from, routes, link)| {
             let ids = members.iter().map(|m| m.id.clone()).collect();
-            pool(ids).prop_map(move |p| Site {
+            pool_of(ids).prop_map(move |p| Site {
                 name: name.clone(),
                 members_from,
                 front: Some(Front {
@@ -146,23 +182,22 @@
                     burst_bytes: Some(8192),
                 }),
             })
-        },
-    )
+        })
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(64) })]
 
     #[test]
-    fn a_printed_site_parses_to_the_same_site(mut site in site()) {
+    fn a_printed_site_parses_to_the_same_site(mut site in any_site()) {
         if let Some(c) = site.classes[0].objective_stretch.as_mut() { *c = c.min(1000.0); }
         let text = site.to_kdl();
         let parsed = Site::parse("site.kdl", &text).map_err(|e| TestCaseError::fail(format!("{e}\n{text}")))?;
         prop_assert_eq!(&parsed.site, &site, "{}", text);
         let effective = site.effective();
         let again = Site::parse("e", &effective.to_kdl()).map_err(|e| TestCaseError::fail(e.to_string()))?;
-        prop_assert_eq!(&again.site, &effective, "what is shown can be read");
-        prop_assert_eq!(effective.effective(), effective, "filled in once is filled in");
+        prop_assert_eq!(&again.site, &effective, "the effective site must parse to itself when printed");
+        prop_assert_eq!(effective.effective(), effective, "filling in defaults twice must change nothing");
     }
 
     #[test]
@@ -170,15 +205,17 @@
         let _ = Site::parse("x", &text);
     }
 
-    /// Closer to a document than arbitrary text: pieces of one in any order.
+    /// Random sequences of tokens come closer to valid documents than arbitrary characters do.
     #[test]
     fn any_sequence_of_tokens_is_parsed_or_rejected(tokens in proptest::collection::vec(prop_oneof![
-        Just("member"), Just("pool"), Just("use"), Just("routes"), Just("{"), Just("}"), Just("\n"), Just(";"),
-        Just("\"a\""), Just("address="), Just("\"a:1\""), Just("weight="), Just("-1"), Just("1e400"), Just("#inf"),
-        Just("/*"), Just("*/"), Just("/-"), Just("("), Just("#\""), Just("\\"), Just("é"), Just("=")], 0..40)) {
+        Just("member"), Just("pool"), Just("use"), Just("routes"), Just("{"), Just("}"), Just("\n"),
+        Just(";"), Just("\"a\""), Just("address="), Just("\"a:1\""), Just("weight="), Just("-1"),
+        Just("1e400"), Just("#inf"), Just("/*"), Just("*/"), Just("/-"), Just("("), Just("#\""),
+        Just("\\"), Just("é"), Just("=")], 0..40)) {
         if let Err(e) = Site::parse("x", &tokens.join(" ")) {
-            prop_assert!(!e.problems().is_empty(), "an error says what is wrong");
-            prop_assert!(e.problems().iter().all(|p| p.line > 0 && p.column > 0));
+            prop_assert!(!e.problems().is_empty(), "a rejected text must have at least one mistake");
+            let positive = e.problems().iter().all(|p| p.line > 0 && p.column > 0);
+            prop_assert!(positive, "lines and columns must be counted from 1");
         }
     }
 }
