--- a/crates/pool/benches/request.rs
+++ b/crates/pool/benches/request.rs
@@ -24,7 +24,7 @@
     Site::parse("bench", &text).expect("the site document of the benchmark is valid").site
 }
 
-fn bench_members(criterion: &mut Criterion) {
+fn bench_pool_and_routes(criterion: &mut Criterion) {
     for members in [10, 100, 1000] {
         let site = site_with_members(members, "limits in-flight=1000");
         let mut pool = Pool::new(Spec::all(&site).remove(0), 1);
@@ -72,6 +72,6 @@
 
 fn main() {
     let mut criterion = Criterion::default().configure_from_args();
-    bench_members(&mut criterion);
+    bench_pool_and_routes(&mut criterion);
     criterion.final_summary();
 }
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -18,8 +18,8 @@
 //! - Before a retry the caller sends [`Event::RetryRequested`]; the pool answers with [`Action::Retry`] or
 //!   [`Action::RetryDenied`].
 //! - An endpoint whose administrative state is draining or stopped is not published as [`Phase::Serving`]
-//!   from the event that sets the state on: not after recovery, not as a replacement, not for a half-open
-//!   probe.
+//!   once the event that sets this state was handled: not after recovery, not as a replacement and not for a
+//!   half-open probe.
 //! - [`Pool::wake_at`] returns when the next [`Event::Tick`] is due; an earlier one is harmless.
 //!
 //! ```
@@ -32,10 +32,10 @@
 //! pool "docs" { use "a"; use "b"; limits in-flight=1 wait-ms=50; }
 //! "#;
 //! let site = Site::parse("site.kdl", text)?.site;
-//! let mut pool = Pool::new(Spec::of(&site, &site.pools[0]), 7);
+//! let mut pool = Pool::new(Spec::for_pool(&site, &site.pools[0]), 7);
 //! let mut actions = Vec::new();
 //! pool.handle(0.0, Event::Tick, &mut actions);
-//! let Action::Endpoints(endpoints) = &actions[0] else { panic!() };
+//! let Action::Endpoints(endpoints) = &actions[0] else { panic!("the first event publishes all members") };
 //! assert_eq!(endpoints.iter().map(|e| e.phase).collect::<Vec<_>>(), [Phase::Serving, Phase::Draining]);
 //!
 //! actions.clear();
--- a/crates/pool/src/pool/members.rs
+++ b/crates/pool/src/pool/members.rs
@@ -14,7 +14,7 @@
 const CAPACITY_HYSTERESIS_FRACTION: f64 = 0.1;
 /// The fraction by which the wait for a half-open probe may exceed its backoff; it varies by member and front
 /// (jitter).
-const PROBE_JITTER_FRACTION: f64 = 0.25;
+const MAX_PROBE_JITTER_FRACTION: f64 = 0.25;
 
 impl Pool {
     /// Replaces the specification; members that stay in the pool retain their health, counts and start time.
@@ -194,15 +194,15 @@
         self.adjust_serving_capacity(i, 1);
     }
 
-    /// The factor applied to a member's backoff, from 1 to 1 + [`PROBE_JITTER_FRACTION`]; it depends on the
-    /// member's id and the front's seed.
+    /// The factor applied to a member's backoff, from 1 to 1 + [`MAX_PROBE_JITTER_FRACTION`]; it depends on
+    /// the member's id and the front's seed.
     fn probe_jitter(&self, id: &str) -> f64 {
         // FNV-1a. Any hash would do that gives the same value in every run.
         let hash = id
             .bytes()
             .chain(self.seed.to_le_bytes())
             .fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
-        1.0 + PROBE_JITTER_FRACTION * (hash >> 11) as f64 / (1u64 << 53) as f64
+        1.0 + MAX_PROBE_JITTER_FRACTION * (hash >> 11) as f64 / (1u64 << 53) as f64
     }
 
     /// Publishes the endpoints whose phase, weight or start time changed.
@@ -210,7 +210,7 @@
         if !std::mem::take(&mut self.endpoints_changed) {
             return;
         }
-        let status: Vec<MemberStatus> = self.members.iter().map(MemberState::status).collect();
+        let status: Vec<MemberStatus> = self.members.iter().map(MemberState::selection_status).collect();
         let selected = select_endpoints(&self.spec.members, &status);
         let mut changed = Vec::new();
         self.serving_count = 0;
@@ -237,7 +237,7 @@
 }
 
 impl MemberState {
-    fn status(&self) -> MemberStatus {
+    fn selection_status(&self) -> MemberStatus {
         MemberStatus {
             listed: self.notified == Notified::Up,
             healthy: self.health.is_healthy(),
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -24,7 +24,7 @@
 
 /// The keys of a queued request in the two sorted sets of the [`Queue`].
 #[derive(Clone, Copy, Debug)]
-struct Queued {
+struct QueuedKeys {
     sequence: u64,
     deadline_ms: f64,
 }
@@ -37,7 +37,7 @@
     /// The queued requests as (arrival sequence number, request number).
     by_arrival: BTreeSet<(u64, u64)>,
     by_deadline: BTreeSet<Deadline>,
-    queued: HashMap<u64, Queued>,
+    queued: HashMap<u64, QueuedKeys>,
 }
 
 impl Queue {
@@ -50,7 +50,7 @@
         self.next_sequence += 1;
         self.by_arrival.insert((sequence, request));
         self.by_deadline.insert(Deadline { at_ms: deadline_ms, request });
-        self.queued.insert(request, Queued { sequence, deadline_ms });
+        self.queued.insert(request, QueuedKeys { sequence, deadline_ms });
     }
 
     pub fn contains(&self, request: u64) -> bool {
@@ -59,7 +59,7 @@
 
     /// Removes a request; returns whether it was queued.
     pub fn remove(&mut self, request: u64) -> bool {
-        let Some(Queued { sequence, deadline_ms }) = self.queued.remove(&request) else { return false };
+        let Some(QueuedKeys { sequence, deadline_ms }) = self.queued.remove(&request) else { return false };
         self.by_arrival.remove(&(sequence, request));
         self.by_deadline.remove(&Deadline { at_ms: deadline_ms, request });
         true
--- a/crates/pool/src/route.rs
+++ b/crates/pool/src/route.rs
@@ -58,7 +58,7 @@
 }
 
 impl MatchedRules {
-    fn add(&mut self, rule: RankedTarget) {
+    fn add_rule(&mut self, rule: RankedTarget) {
         match rule.target {
             RuleTarget::ExcludedFromPool(pool) => self.excluded_pools.push(pool),
             _ if self.first.is_none_or(|first| rule.position < first.position) => self.first = Some(rule),
@@ -66,11 +66,11 @@
         }
     }
 
-    fn add_all(&mut self, rules: Option<&Vec<RankedTarget>>) {
-        rules.into_iter().flatten().for_each(|rule| self.add(*rule));
+    fn add_rules(&mut self, rules: Option<&Vec<RankedTarget>>) {
+        rules.into_iter().flatten().for_each(|rule| self.add_rule(*rule));
     }
 
-    fn decide(&self) -> Routed {
+    fn decide_route(&self) -> Routed {
         match self.first.map(|first| first.target) {
             None => Routed::Unrouted,
             Some(RuleTarget::Pool(pool)) if !self.excluded_pools.contains(&pool) => Routed::Pool(pool),
@@ -174,10 +174,10 @@
     /// Routes a normalized path by the rules of this set.
     fn route(&self, path: &str) -> Routed {
         let mut matched = MatchedRules::default();
-        matched.add_all(self.exact.get(path));
+        matched.add_rules(self.exact.get(path));
         if !self.prefix.is_empty() {
             for prefix in prefixes_of(path) {
-                matched.add_all(self.prefix.get(prefix));
+                matched.add_rules(self.prefix.get(prefix));
             }
         }
         if !self.scanned.is_empty() {
@@ -188,11 +188,11 @@
                     Pattern::Wildcard(w) => wildcard_matches(w, &chars),
                 };
                 if applies {
-                    matched.add(*rule);
+                    matched.add_rule(*rule);
                 }
             }
         }
-        matched.decide()
+        matched.decide_route()
     }
 }
 
--- a/crates/pool/src/select.rs
+++ b/crates/pool/src/select.rs
@@ -47,18 +47,18 @@
 }
 
 impl Selection<'_> {
-    fn in_service(&self, index: usize) -> bool {
+    fn is_in_service(&self, index: usize) -> bool {
         matches!(self.members[index].state, State::Ready | State::Spare | State::Standby)
     }
 
-    fn usable(&self, index: usize) -> bool {
-        self.in_service(index) && self.status[index].listed && self.status[index].healthy
+    fn is_usable(&self, index: usize) -> bool {
+        self.is_in_service(index) && self.status[index].listed && self.status[index].healthy
     }
 
     /// Selects members by rules 1 to 4 of [`select_endpoints`]; returns the tier that serves, if any.
     fn select_lowest_tier(&self, selected: &mut [bool]) -> Option<u64> {
         let mut tiers: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
-        for (i, m) in self.members.iter().enumerate().filter(|(i, _)| self.in_service(*i)) {
+        for (i, m) in self.members.iter().enumerate().filter(|(i, _)| self.is_in_service(*i)) {
             tiers.entry(m.tier).or_default().push(i);
         }
         let mut lost_groups: HashSet<&Arc<str>> = HashSet::new();
@@ -84,14 +84,14 @@
     /// else the usable standbys.
     fn serving_members_of_tier(&self, tier_members: &[usize]) -> Vec<usize> {
         let in_state = |state| tier_members.iter().copied().filter(move |i| self.members[*i].state == state);
-        let unusable_ready = in_state(State::Ready).filter(|i| !self.usable(*i)).count();
+        let unusable_ready = in_state(State::Ready).filter(|i| !self.is_usable(*i)).count();
         let ready: Vec<usize> = in_state(State::Ready)
-            .filter(|i| self.usable(*i))
-            .chain(in_state(State::Spare).filter(|i| self.usable(*i)).take(unusable_ready))
+            .filter(|i| self.is_usable(*i))
+            .chain(in_state(State::Spare).filter(|i| self.is_usable(*i)).take(unusable_ready))
             .collect();
         match ready.is_empty() {
             false => ready,
-            true => in_state(State::Standby).filter(|i| self.usable(*i)).collect(),
+            true => in_state(State::Standby).filter(|i| self.is_usable(*i)).collect(),
         }
     }
 
@@ -104,9 +104,9 @@
         for (i, m) in self.members.iter().enumerate() {
             // Draining and stopped members are replaced as well: operators name a replacement for that
             // purpose.
-            let out_of_use = !self.usable(i) && serving_tier.is_none_or(|t| m.tier <= t);
+            let out_of_use = !self.is_usable(i) && serving_tier.is_none_or(|t| m.tier <= t);
             let replacement = m.instead.as_ref().filter(|_| out_of_use).and_then(|id| by_id.get(&**id));
-            if let Some(&j) = replacement.filter(|j| self.usable(**j)) {
+            if let Some(&j) = replacement.filter(|j| self.is_usable(**j)) {
                 selected[j] = true;
             }
         }
@@ -115,7 +115,7 @@
     /// Selects the members due for a half-open probe (rule 6 of [`select_endpoints`]).
     fn add_probes(&self, serving_tier: Option<u64>, selected: &mut [bool]) {
         for (i, m) in self.members.iter().enumerate() {
-            let probed = self.in_service(i) && self.status[i].listed && self.status[i].probe_due;
+            let probed = self.is_in_service(i) && self.status[i].listed && self.status[i].probe_due;
             if probed && serving_tier.is_none_or(|t| m.tier <= t) {
                 selected[i] = true;
             }
--- a/crates/pool/src/spec.rs
+++ b/crates/pool/src/spec.rs
@@ -58,7 +58,7 @@
 impl Spec {
     /// The specification of one pool of a parsed and checked site. Members that the site does not define are
     /// skipped.
-    pub fn of(site: &Site, pool: &Pool) -> Spec {
+    pub fn for_pool(site: &Site, pool: &Pool) -> Spec {
         let one = Site { pools: vec![pool.clone()], routes: Vec::new(), ..site.clone() };
         Spec::all(&one).remove(0)
     }
--- a/crates/pool/tests/invariants.rs
+++ b/crates/pool/tests/invariants.rs
@@ -234,7 +234,7 @@
         (!all.is_empty()).then(|| (*all[index % all.len()].0, all[index % all.len()].1.clone()))
     }
 
-    fn apply(&mut self, step: Step) {
+    fn apply_step(&mut self, step: Step) {
         match step {
             Step::PassTime(ms) => self.pass_time(ms),
             Step::Arrive => {
@@ -286,7 +286,7 @@
                     );
                     assert!(
                         self.retry_requested.is_empty(),
-                        "a request for a retry must be answered by the same event"
+                        "a retry request must be answered while its event is handled"
                     );
                 }
             }
@@ -347,7 +347,7 @@
     ) {
         let run = || {
             let mut caller = Caller::new(pool_spec(limit, in_flight));
-            steps.iter().for_each(|s| caller.apply(s.clone()));
+            steps.iter().for_each(|s| caller.apply_step(s.clone()));
             // After this time every queued request has left the queue and every half-open probe has become
             // due.
             caller.pass_time(10_000.0);
@@ -359,7 +359,7 @@
 }
 
 /// The phases of the endpoints in the order of their ids: `i` serving, `d` draining, `o` out of service.
-fn phases(caller: &Caller) -> String {
+fn phase_letters(caller: &Caller) -> String {
     let letter = |m: &Endpoint| match m.phase {
         Phase::Serving => 'i',
         Phase::Draining => 'd',
@@ -379,26 +379,30 @@
     caller.spec.members[2].state = State::Standby;
     caller.spec.members[0].instead = Some(member_id(2));
     caller.handle(Event::Reconfigured(caller.spec.clone()));
-    assert_eq!(phases(&caller), "iid");
+    assert_eq!(phase_letters(&caller), "iid");
     for request in 1..=2 {
-        caller.apply(Step::Arrive);
+        caller.apply_step(Step::Arrive);
         *caller.in_flight.entry(member_id(0)).or_default() += 1;
         caller.admitted.insert(request, Some(member_id(0)));
         caller.handle(Event::AttemptSent { request, id: member_id(0) });
     }
     for _ in 0..2 {
-        caller.apply(Step::EndAttempt(0, 2));
+        caller.apply_step(Step::EndAttempt(0, 2));
     }
-    assert_eq!(phases(&caller), "dii", "m0 is ejected and its replacement m2 must be serving");
+    assert_eq!(phase_letters(&caller), "dii", "m0 is ejected and its replacement m2 must be serving");
     // All three members drain: none is published as serving for a probe, as a standby or as a replacement.
     caller.spec.members.iter_mut().for_each(|p| p.state = State::Draining);
     caller.handle(Event::Reconfigured(caller.spec.clone()));
-    assert_eq!(phases(&caller), "ddd");
+    assert_eq!(phase_letters(&caller), "ddd");
     caller.pass_time(5_000.0);
-    assert_eq!(phases(&caller), "ddd");
+    assert_eq!(phase_letters(&caller), "ddd");
     caller.spec.members[0].state = State::Ready;
     caller.handle(Event::Reconfigured(caller.spec.clone()));
-    assert_eq!(phases(&caller), "idd", "m0 is ready again and its probe is due, so it must be serving");
+    assert_eq!(
+        phase_letters(&caller),
+        "idd",
+        "m0 is ready again and its probe is due, so it must be serving"
+    );
     assert_eq!(
         caller.endpoints[&member_id(0)].started_ms,
         0.0,
@@ -433,7 +437,7 @@
 #[test]
 fn the_queue_is_bounded_and_admits_requests_in_order_of_arrival() {
     let mut caller = Caller::new(Spec { in_flight: Some(1), max_queued: 2, ..pool_spec(None, None) });
-    (0..5).for_each(|_| caller.apply(Step::Arrive));
+    (0..5).for_each(|_| caller.apply_step(Step::Arrive));
     assert_eq!((caller.admitted.len(), caller.queued.len(), caller.pool.counts().queue_full), (1, 2, 2));
     caller.pass_time(60.0);
     caller.admitted.remove(&1);
--- a/crates/site/src/check.rs
+++ b/crates/site/src/check.rs
@@ -2,7 +2,7 @@
 //! can't serve.
 
 use crate::model::*;
-use crate::problems::{suggestion, Problems};
+use crate::problems::{suggest_similar, Problems};
 use crate::spans::{RouteSpans, SourceSpans, UseSpans};
 use miette::SourceSpan;
 use std::collections::{HashMap, HashSet};
@@ -43,12 +43,12 @@
     // Suggestions are for documents written by hand. In a generated document with thousands of undefined
     // names they would take time quadratic in its length.
     let hint =
-        if defined.len() <= 1000 { suggestion(name, defined.keys().map(String::as_str)) } else { None };
-    problems.error(span, format!("no {kind} is called `{name}`"), hint);
+        if defined.len() <= 1000 { suggest_similar(name, defined.keys().map(String::as_str)) } else { None };
+    problems.add_error(span, format!("no {kind} is called `{name}`"), hint);
 }
 
 /// Runs all checks that need the complete document, and adds the mistakes and warnings to `problems`.
-pub(crate) fn check(site: &Site, spans: &SourceSpans, problems: &mut Problems<'_>) {
+pub(crate) fn check_document(site: &Site, spans: &SourceSpans, problems: &mut Problems<'_>) {
     check_zones(site, spans, problems);
     check_addresses(site, spans, problems);
     check_classes(site, spans, problems);
@@ -76,7 +76,7 @@
             let hint = Some(
                 "write host:port with a port from 1 to 65535; put an IPv6 address in brackets".to_string(),
             );
-            problems.error(*span, format!("`{}` is not a valid address", m.address), hint);
+            problems.add_error(*span, format!("`{}` is not a valid address", m.address), hint);
         }
     }
 }
@@ -86,7 +86,7 @@
         if let Some(span) = spans.classes.get(&c.name) {
             let (objective, deadline) = (c.latency_objective_ms, c.deadline_ms);
             let message = format!("class `{}`: aim-ms={objective} exceeds deadline-ms={deadline}", c.name);
-            problems.error(*span, message, None);
+            problems.add_error(*span, message, None);
         }
     }
 }
@@ -101,7 +101,7 @@
             check_reference("member", &u.member, at.member, &spans.members, problems);
         }
         if !seen.insert(&u.member) {
-            problems.error(
+            problems.add_error(
                 at.member,
                 format!("member `{}` is used more than once in pool `{}`", u.member, pool.name),
                 None,
@@ -109,10 +109,10 @@
         }
         if let (Some(name), Some(span)) = (&u.instead, at.instead) {
             if *name == u.member {
-                problems.error(span, format!("member `{name}` can't be its own replacement"), None);
+                problems.add_error(span, format!("member `{name}` can't be its own replacement"), None);
             } else if !member_ids.contains(name.as_str()) {
-                let hint = Some(format!("add it with: use \"{name}\" state=\"standby\""));
-                problems.error(
+                let hint = Some(format!("add it to the pool with: use \"{name}\" state=\"standby\""));
+                problems.add_error(
                     span,
                     format!("replacement `{name}` is not a member of pool `{}`", pool.name),
                     hint,
@@ -139,13 +139,13 @@
     if !pool.members.is_empty() && !pool.members.iter().any(may_serve) {
         let message =
             format!("every member of pool `{name}` is draining or stopped: the pool rejects all requests");
-        problems.warn(span, message, None);
+        problems.add_warning(span, message, None);
     } else if pool.members.is_empty() {
-        problems.warn(span, format!("pool `{name}` has no members: it rejects all requests"), None);
+        problems.add_warning(span, format!("pool `{name}` has no members: it rejects all requests"), None);
     }
     if let (Some(first), Some(max)) = (pool.recovery.first_backoff_ms, pool.recovery.max_backoff_ms) {
         if first > max {
-            problems.error(span, format!("pool `{name}`: first-ms={first} exceeds most-ms={max}"), None);
+            problems.add_error(span, format!("pool `{name}`: first-ms={first} exceeds most-ms={max}"), None);
         }
     }
     let queue_is_set = pool.limits.wait_ms.is_some() || pool.limits.waiting.is_some();
@@ -154,7 +154,7 @@
         let message = format!(
             "wait-ms and waiting have no effect in pool `{name}`: neither it nor its members have limits"
         );
-        problems.warn(span, message, hint);
+        problems.add_warning(span, message, hint);
     }
 }
 
@@ -165,12 +165,16 @@
         let span = spans.route_sets[i];
         sets_without_hosts += usize::from(set.hosts.is_empty());
         if set.hosts.is_empty() && sets_without_hosts == 2 {
-            let hint = Some("merge their rules into one node, or give each node a `host`".to_string());
-            problems.error(span, "more than one `routes` node has no `host`", hint);
+            let hint = Some("merge these `routes` nodes into one, or give each of them a `host`".to_string());
+            problems.add_error(span, "more than one `routes` node has no `host`", hint);
         }
         for host in &set.hosts {
             if set_of_host.insert(host, i).is_some_and(|earlier| earlier != i) {
-                problems.error(span, format!("host `{host}` is named by more than one `routes` node"), None);
+                problems.add_error(
+                    span,
+                    format!("host `{host}` is named by more than one `routes` node"),
+                    None,
+                );
             }
         }
         for (rule, at) in set.rules.iter().zip(&spans.routes[i]) {
@@ -186,7 +190,7 @@
             if let Err(e) = regex::RegexBuilder::new(&rule.pattern).size_limit(MAX_REGEX_BYTES).build() {
                 let message = e.to_string();
                 let last = message.lines().last().unwrap_or("it does not compile").trim();
-                problems.error(
+                problems.add_error(
                     at.pattern,
                     format!("invalid regular expression `{}`: {last}", rule.pattern),
                     None,
@@ -195,7 +199,7 @@
         }
         _ if !rule.pattern.starts_with('/') => {
             let hint = Some("a path begins with `/`; for a regular expression, add match=\"regex\"".into());
-            problems.error(at.pattern, format!("route pattern `{}` is not a path", rule.pattern), hint);
+            problems.add_error(at.pattern, format!("route pattern `{}` is not a path", rule.pattern), hint);
         }
         _ => {}
     }
@@ -221,7 +225,11 @@
                 let message = format!(
                     "route `{path}` is never reached: the earlier route `{earlier}` matches its paths"
                 );
-                problems.warn(at.pattern, message, Some("put the longer path first".into()));
+                problems.add_warning(
+                    at.pattern,
+                    message,
+                    Some("put the route with the longer path first".into()),
+                );
             }
         }
         let is_prefix = matches!(rule.matching, None | Some(Match::Prefix));
--- a/crates/site/src/fields.rs
+++ b/crates/site/src/fields.rs
@@ -2,7 +2,7 @@
 //! requested are mistakes.
 
 use crate::model::Keyword;
-use crate::problems::{suggestion, Problems};
+use crate::problems::{suggest_similar, Problems};
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
 use miette::SourceSpan;
 use std::ops::RangeInclusive;
@@ -24,7 +24,7 @@
 
 /// A string value of the document with its position.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Spanned<'n> {
+pub(crate) struct SpannedText<'n> {
     pub text: &'n str,
     pub span: SourceSpan,
 }
@@ -61,14 +61,14 @@
         let first = found.next()?;
         if let Some(again) = found.next() {
             // KDL uses the last of several values without a message, which would hide the operator's mistake.
-            self.problems.error(again.span(), format!("property `{name}` is given more than once"), None);
+            self.problems.add_error(again.span(), format!("property `{name}` is given more than once"), None);
         }
         Some(first)
     }
 
     fn report_wrong_type(&mut self, entry: &KdlEntry, subject: &str, expected: &str) {
         let received = type_name(entry.value());
-        self.problems.error(
+        self.problems.add_error(
             entry.span(),
             format!("{subject} must be {expected}, not {received} `{}`", entry.value()),
             None,
@@ -76,19 +76,19 @@
     }
 
     /// Reads the next argument, which must be present and a string; `what` describes it in messages.
-    pub fn text_argument(&mut self, what: &str) -> Option<Spanned<'n>> {
+    pub fn text_argument(&mut self, what: &str) -> Option<SpannedText<'n>> {
         let Some(e) = self.args.get(self.next_arg).copied() else {
             let (span, label) = (self.span(), self.node_name());
-            self.problems.error(
+            self.problems.add_error(
                 span,
                 format!("`{label}` requires {what}"),
-                Some(format!("write it after the node's name: {label} \"…\"")),
+                Some(format!("write {what} in quotes after the node's name: {label} \"…\"")),
             );
             return None;
         };
         self.next_arg += 1;
         match e.value() {
-            KdlValue::String(text) => Some(Spanned { text, span: e.span() }),
+            KdlValue::String(text) => Some(SpannedText { text, span: e.span() }),
             _ => {
                 self.report_wrong_type(e, what, "a string");
                 None
@@ -97,7 +97,7 @@
     }
 
     /// Reads all remaining arguments, which must be strings; `what` describes one of them in messages.
-    pub fn text_arguments(&mut self, what: &str) -> Vec<Spanned<'n>> {
+    pub fn text_arguments(&mut self, what: &str) -> Vec<SpannedText<'n>> {
         let mut all = Vec::new();
         while self.next_arg < self.args.len() {
             all.extend(self.text_argument(what));
@@ -106,10 +106,10 @@
     }
 
     /// Reads a property whose value is a string.
-    pub fn text_property(&mut self, name: &'static str) -> Option<Spanned<'n>> {
+    pub fn text_property(&mut self, name: &'static str) -> Option<SpannedText<'n>> {
         let e = self.property(name)?;
         match e.value() {
-            KdlValue::String(text) => Some(Spanned { text, span: e.span() }),
+            KdlValue::String(text) => Some(SpannedText { text, span: e.span() }),
             _ => {
                 self.report_wrong_type(e, &format!("`{name}`"), "a string");
                 None
@@ -127,7 +127,7 @@
     pub fn require<T>(&mut self, name: &'static str, value: Option<T>) -> Option<T> {
         if value.is_none() && self.node.entry(name).is_none() {
             let (span, label) = (self.span(), self.node_name());
-            self.problems.error(span, format!("`{label}` requires the property `{name}`"), None);
+            self.problems.add_error(span, format!("`{label}` requires the property `{name}`"), None);
         }
         value
     }
@@ -152,7 +152,7 @@
                 Some(n) => Some(n),
                 None => {
                     let (min, max) = range.into_inner();
-                    self.problems.error(
+                    self.problems.add_error(
                         e.span(),
                         format!("`{name}` must be from {min} to {max}, not {i}"),
                         None,
@@ -186,19 +186,19 @@
         if v >= min && v <= max {
             return Some(v);
         }
-        self.problems.error(e.span(), format!("`{name}` must be from {min} to {max}, not {v}"), None);
+        self.problems.add_error(e.span(), format!("`{name}` must be from {min} to {max}, not {v}"), None);
         None
     }
 
     /// Reads a property whose value is one of the keywords of `K`.
     pub fn keyword_property<K: Keyword>(&mut self, name: &'static str) -> Option<K> {
-        let Spanned { text, span } = self.text_property(name)?;
+        let SpannedText { text, span } = self.text_property(name)?;
         let found = K::from_keyword(text);
         if found.is_none() {
             let all: Vec<&str> = K::KEYWORDS.iter().map(|(keyword, _)| *keyword).collect();
-            let hint = suggestion(text, all.iter().copied())
+            let hint = suggest_similar(text, all.iter().copied())
                 .unwrap_or(format!("accepted values: {}", all.join(", ")));
-            self.problems.error(span, format!("`{name}` does not accept the value `{text}`"), Some(hint));
+            self.problems.add_error(span, format!("`{name}` does not accept the value `{text}`"), Some(hint));
         }
         found
     }
@@ -214,7 +214,7 @@
     pub fn finish(self) {
         let label = self.node_name();
         for e in &self.args[self.next_arg.min(self.args.len())..] {
-            self.problems.error(
+            self.problems.add_error(
                 e.span(),
                 format!("`{label}` does not accept the additional argument `{}`", e.value()),
                 None,
@@ -223,10 +223,10 @@
         for e in self.node.entries() {
             let Some(name) = e.name() else { continue };
             if !self.requested.contains(&name.value()) {
-                let hint = suggestion(name.value(), self.requested.iter().copied())
+                let hint = suggest_similar(name.value(), self.requested.iter().copied())
                     .unwrap_or(format!("accepted properties: {}", self.requested.join(", ")));
                 let message = format!("`{label}` does not accept the property `{}`", name.value());
-                self.problems.error(e.span(), message, Some(hint));
+                self.problems.add_error(e.span(), message, Some(hint));
             }
         }
     }
@@ -247,9 +247,9 @@
             found.push(node);
             continue;
         }
-        let hint = suggestion(name, names.iter().copied())
+        let hint = suggest_similar(name, names.iter().copied())
             .unwrap_or(format!("accepted nodes: {}", names.join(", ")));
-        problems.error(name_span(node), format!("unknown node `{name}` in {inside}"), Some(hint));
+        problems.add_error(name_span(node), format!("unknown node `{name}` in {inside}"), Some(hint));
     }
     found
 }
--- a/crates/site/src/model/member.rs
+++ b/crates/site/src/model/member.rs
@@ -44,8 +44,8 @@
     pub state: State,
     /// The name of the zone that the member is in.
     pub zone: Option<String>,
-    /// The bandwidth of the member's outgoing link, in KB per second. In a pool, the mean bandwidth of the
-    /// members is distributed among them by their weights.
+    /// The bandwidth of the member's outgoing link, in KB per second. In a pool it is scaled by the ratio of
+    /// the member's weight to the mean weight of the pool's members.
     pub link_kb_per_s: Option<f64>,
     /// The limits and time-outs of the member.
     pub limits: MemberLimits,
--- a/crates/site/src/parse.rs
+++ b/crates/site/src/parse.rs
@@ -1,6 +1,6 @@
 //! Parsing of a site document: [`Site::parse`] returns a checked model, or all mistakes in the text.
 
-use crate::check::check;
+use crate::check::check_document;
 use crate::error::{Problem, SiteError};
 use crate::model::Site;
 use crate::problems::Problems;
@@ -14,7 +14,7 @@
 
 /// The greatest nesting depth of a document; valid documents need at most four levels. The KDL parser
 /// recurses for each level, so deeper texts are rejected before they can exhaust its stack.
-const MAX_DEPTH: usize = 32;
+const MAX_NESTING_DEPTH: usize = 32;
 
 /// The result of parsing a document without mistakes.
 #[derive(Clone, Debug)]
@@ -33,8 +33,8 @@
     /// [`MAX_DOCUMENT_BYTES`] or is nested too deeply is not examined further.
     pub fn parse(file: &str, text: &str) -> Result<ParsedSite, SiteError> {
         let mut problems = Problems::new(text);
-        if let Some(message) = limit_exceeded(text) {
-            problems.error(SourceSpan::from((0, 0)), message, None);
+        if let Some(message) = exceeded_limit(text) {
+            problems.add_error(SourceSpan::from((0, 0)), message, None);
             return Err(SiteError::new(file, text, problems.errors));
         }
         let document = match KdlDocument::parse_v2(text) {
@@ -42,13 +42,13 @@
             Err(e) => {
                 for d in e.diagnostics {
                     let message = d.message.or(d.label).unwrap_or("the document is not valid KDL 2".into());
-                    problems.error(d.span, message, d.help);
+                    problems.add_error(d.span, message, d.help);
                 }
                 return Err(SiteError::new(file, text, problems.errors));
             }
         };
         let (site, spans) = read_document(&document, &mut problems);
-        check(&site, &spans, &mut problems);
+        check_document(&site, &spans, &mut problems);
         if !problems.errors.is_empty() {
             return Err(SiteError::new(file, text, problems.errors));
         }
@@ -59,15 +59,15 @@
 
 /// A message that says which limit the text exceeds, so that it must not be passed to the KDL parser; `None`
 /// if it is within the limits.
-fn limit_exceeded(text: &str) -> Option<String> {
+fn exceeded_limit(text: &str) -> Option<String> {
     if text.len() > MAX_DOCUMENT_BYTES {
         return Some(format!(
             "the document has {} bytes, more than the limit of {MAX_DOCUMENT_BYTES}",
             text.len()
         ));
     }
-    (nesting_depth(text) > MAX_DEPTH)
-        .then(|| format!("the document is nested deeper than {MAX_DEPTH} levels"))
+    (nesting_depth(text) > MAX_NESTING_DEPTH)
+        .then(|| format!("the document is nested deeper than {MAX_NESTING_DEPTH} levels"))
 }
 
 /// An upper bound of how deep braces, parentheses and block comments are nested outside quoted strings,
--- a/crates/site/src/problems.rs
+++ b/crates/site/src/problems.rs
@@ -15,24 +15,24 @@
         Problems { lines: LineIndex::new(text), errors: Vec::new(), warnings: Vec::new() }
     }
 
-    pub fn error(&mut self, span: SourceSpan, message: impl Into<String>, hint: Option<String>) {
+    pub fn add_error(&mut self, span: SourceSpan, message: impl Into<String>, hint: Option<String>) {
         let problem = self.new_problem(span, message.into(), hint);
         self.errors.push(problem);
     }
 
-    pub fn warn(&mut self, span: SourceSpan, message: impl Into<String>, hint: Option<String>) {
+    pub fn add_warning(&mut self, span: SourceSpan, message: impl Into<String>, hint: Option<String>) {
         let problem = self.new_problem(span, message.into(), hint);
         self.warnings.push(problem);
     }
 
     fn new_problem(&self, span: SourceSpan, message: String, hint: Option<String>) -> Problem {
-        let LineColumn { line, column } = self.lines.locate(span.offset());
+        let LineColumn { line, column } = self.lines.line_and_column(span.offset());
         Problem { line, column, span, message, hint }
     }
 }
 
 /// A hint that suggests the known name most similar to `name`; `None` if none has a similarity above 0.8.
-pub(crate) fn suggestion<'k>(name: &str, known: impl IntoIterator<Item = &'k str>) -> Option<String> {
+pub(crate) fn suggest_similar<'k>(name: &str, known: impl IntoIterator<Item = &'k str>) -> Option<String> {
     let similar = known
         .into_iter()
         .map(|k| (strsim::jaro_winkler(name, k), k))
@@ -61,7 +61,7 @@
 
     /// The line and column of a byte offset; an offset past the end or inside a character is first moved back
     /// to the nearest character boundary.
-    fn locate(&self, offset: usize) -> LineColumn {
+    fn line_and_column(&self, offset: usize) -> LineColumn {
         let mut offset = offset.min(self.text.len());
         while !self.text.is_char_boundary(offset) {
             offset -= 1;
--- a/crates/site/src/read/front.rs
+++ b/crates/site/src/read/front.rs
@@ -1,7 +1,7 @@
 //! Reading of `front`, `gossip` and `view` nodes: a front's own settings and its communication with other
 //! fronts.
 
-use crate::fields::{NodeReader, Spanned};
+use crate::fields::{NodeReader, SpannedText};
 use crate::model::{FleetView, Front, Gossip};
 use crate::spans::SourceSpans;
 
@@ -93,8 +93,9 @@
 
 /// Reports a text that is not an IP address with a port: fronts send datagrams there and resolve no host
 /// names.
-fn check_address(reader: &mut NodeReader<'_, '_, '_>, text: Option<Spanned<'_>>) {
-    if let Some(Spanned { text, span }) = text.filter(|t| t.text.parse::<std::net::SocketAddr>().is_err()) {
-        reader.problems.error(span, format!("`{text}` is not an IP address with a port"), None);
+fn check_address(reader: &mut NodeReader<'_, '_, '_>, text: Option<SpannedText<'_>>) {
+    if let Some(SpannedText { text, span }) = text.filter(|t| t.text.parse::<std::net::SocketAddr>().is_err())
+    {
+        reader.problems.add_error(span, format!("`{text}` is not an IP address with a port"), None);
     }
 }
--- a/crates/site/src/read/mod.rs
+++ b/crates/site/src/read/mod.rs
@@ -17,18 +17,19 @@
 use std::collections::HashMap;
 
 /// The names of the nodes at the top level of a document.
-const TOP_LEVEL: [&str; 9] = ["site", "front", "zone", "class", "member", "pool", "routes", "gossip", "view"];
+const TOP_LEVEL_NODES: [&str; 9] =
+    ["site", "front", "zone", "class", "member", "pool", "routes", "gossip", "view"];
 /// The names of the top-level nodes that a document may contain at most once.
-const SINGLETONS: [&str; 4] = ["site", "front", "gossip", "view"];
+const SINGLETON_NODES: [&str; 4] = ["site", "front", "gossip", "view"];
 
 /// Reads the nodes of a document; returns the model and the positions that the checks need.
 pub(crate) fn read_document(document: &KdlDocument, problems: &mut Problems<'_>) -> (Site, SourceSpans) {
     let (mut site, mut spans) = (Site::default(), SourceSpans::default());
     let mut singletons: HashMap<&str, SourceSpan> = HashMap::new();
-    for node in known_nodes(document, "the document", &TOP_LEVEL, problems) {
+    for node in known_nodes(document, "the document", &TOP_LEVEL_NODES, problems) {
         let label = node.name().value();
-        if SINGLETONS.contains(&label) && singletons.insert(label, name_span(node)).is_some() {
-            problems.error(name_span(node), format!("node `{label}` occurs more than once"), None);
+        if SINGLETON_NODES.contains(&label) && singletons.insert(label, name_span(node)).is_some() {
+            problems.add_error(name_span(node), format!("node `{label}` occurs more than once"), None);
         }
         let reader = NodeReader::new(node, problems);
         match label {
@@ -45,7 +46,7 @@
     }
     let peers_from_view = site.gossip.as_ref().is_some_and(|g| g.peers == Some(GossipPeers::View));
     if let Some(span) = singletons.get("gossip").filter(|_| peers_from_view && site.view.is_none()) {
-        problems.error(*span, "`gossip peers=\"view\"` requires a `view` node", None);
+        problems.add_error(*span, "`gossip peers=\"view\"` requires a `view` node", None);
     }
     (site, spans)
 }
--- a/crates/site/src/read/name.rs
+++ b/crates/site/src/read/name.rs
@@ -1,6 +1,6 @@
 //! The parts that several kinds of node have in common: unique names, and the limit of weights.
 
-use crate::fields::{NodeReader, Spanned};
+use crate::fields::{NodeReader, SpannedText};
 use miette::SourceSpan;
 use std::collections::HashMap;
 
@@ -13,14 +13,14 @@
     reader: &mut NodeReader<'_, '_, '_>,
     defined: &mut HashMap<String, SourceSpan>,
 ) -> String {
-    let Some(Spanned { text: name, span }) = reader.text_argument("a name") else { return String::new() };
+    let Some(SpannedText { text: name, span }) = reader.text_argument("a name") else { return String::new() };
     if name.is_empty() {
-        reader.problems.error(span, "the name is empty, but must have at least one character", None);
+        reader.problems.add_error(span, "the name is empty, but must have at least one character", None);
     } else if defined.insert(name.to_string(), span).is_some() {
-        reader.problems.error(
+        reader.problems.add_error(
             span,
             format!("the name `{name}` is already in use"),
-            Some("names of one kind must be unique".into()),
+            Some("each zone, class, member or pool needs a unique name".into()),
         );
     }
     name.to_string()
--- a/crates/site/src/read/pool.rs
+++ b/crates/site/src/read/pool.rs
@@ -1,7 +1,7 @@
 //! Reading of `pool` nodes: members, limits, retries and recovery.
 
 use super::name::{unique_name, MAX_WEIGHT};
-use crate::fields::{NodeReader, Spanned};
+use crate::fields::{NodeReader, SpannedText};
 use crate::model::{status_code, Pool, PoolLimits, Recovery, Retry, Site, Use};
 use crate::spans::{SourceSpans, UseSpans};
 
@@ -79,11 +79,11 @@
 
 /// Reads the status codes of `fail-on`, such as `"500,503"`; none if the property is absent or invalid.
 fn read_status_codes(reader: &mut NodeReader<'_, '_, '_>) -> Vec<u16> {
-    let Some(Spanned { text, span }) = reader.text_property("fail-on") else { return Vec::new() };
+    let Some(SpannedText { text, span }) = reader.text_property("fail-on") else { return Vec::new() };
     let codes: Option<Vec<u16>> = text.split(',').map(|code| status_code(code.trim())).collect();
     if codes.is_none() {
         let hint = "write status codes from 100 to 599, separated by commas: \"500,503\"".to_string();
-        reader.problems.error(span, format!("`fail-on` does not accept the value `{text}`"), Some(hint));
+        reader.problems.add_error(span, format!("`fail-on` does not accept the value `{text}`"), Some(hint));
     }
     codes.unwrap_or_default()
 }
--- a/crates/site/src/read/routes.rs
+++ b/crates/site/src/read/routes.rs
@@ -1,6 +1,6 @@
 //! Reading of `routes` nodes: a set of routing rules and the hosts that it applies to.
 
-use crate::fields::{NodeReader, Spanned};
+use crate::fields::{NodeReader, SpannedText};
 use crate::model::{Route, RouteSet, Site, Target};
 use crate::problems::Problems;
 use crate::spans::{RouteSpans, SourceSpans};
@@ -44,13 +44,13 @@
         (false, Some(p)) => Target::Pool(p.text.into()),
         (false, None) => {
             let (span, hint) = (reader.span(), "set pool=\"…\" or exclude=#true".to_string());
-            reader.problems.error(span, "`route` has neither a pool nor an exclusion", Some(hint));
+            reader.problems.add_error(span, "`route` has neither a pool nor an exclusion", Some(hint));
             Target::Exclude(None)
         }
     };
     let target_span = pool.map_or(reader.span(), |p| p.span);
     reader.finish();
-    let Spanned { text: pattern, span } = pattern?;
+    let SpannedText { text: pattern, span } = pattern?;
     let spans = RouteSpans { pattern: span, target: target_span };
     Some((Route { pattern: pattern.into(), matching, target, rewrite }, spans))
 }
