--- a/crates/pool/src/select.rs
+++ b/crates/pool/src/select.rs
@@ -19,14 +19,15 @@
 
 /// Returns for each member, in the order of `members`, whether it may be picked.
 ///
-/// 1. The lowest tier that has a usable member serves. A member is usable if it is in service (ready, spare
-///    or standby), listed as up and healthy.
-/// 2. For each unusable ready member of the tier, one usable spare of the tier is added, in the order of the
-///    spares.
-/// 3. If the tier has neither a usable ready member nor a usable spare, its usable standbys serve.
-/// 4. If a lower tier has no usable member, and some members of the serving tier belong to a group of that
-///    lower tier, only these serve.
-/// 5. The replacement (`instead`) of an unusable member is added, from any tier.
+/// 1. The lowest tier that has a member to serve by rules 2 and 3 serves. A member is usable if it is in
+///    service (ready, spare or standby), listed as up and healthy.
+/// 2. In a tier the usable ready members serve, and for each unusable ready member one usable spare, in the
+///    order of the spares.
+/// 3. If rule 2 gives no member, the usable standbys of the tier serve.
+/// 4. If lower tiers have no member to serve, and some of the members chosen in the serving tier belong to a
+///    group of these tiers, only those serve.
+/// 5. The replacement (`instead`) of an unusable member is added, from any tier, unless the unusable member
+///    is in a tier above the serving one.
 /// 6. Members due for a half-open probe are added, from tiers up to the serving one.
 ///
 /// Draining and stopped members are never selected. A member at capacity is still usable, because requests
@@ -61,21 +62,23 @@
         for (i, m) in self.members.iter().enumerate().filter(|(i, _)| self.is_in_service(*i)) {
             tiers.entry(m.tier).or_default().push(i);
         }
-        let mut lost_groups: HashSet<&Arc<str>> = HashSet::new();
+        let mut groups_of_lower_tiers: HashSet<&Arc<str>> = HashSet::new();
         for (tier, tier_members) in &tiers {
             let chosen = self.serving_members_of_tier(tier_members);
             if !chosen.is_empty() {
                 let same_group: Vec<usize> = chosen
                     .iter()
                     .copied()
-                    .filter(|i| self.members[*i].group.as_ref().is_some_and(|g| lost_groups.contains(g)))
+                    .filter(|i| {
+                        self.members[*i].group.as_ref().is_some_and(|g| groups_of_lower_tiers.contains(g))
+                    })
                     .collect();
                 for i in if same_group.is_empty() { chosen } else { same_group } {
                     selected[i] = true;
                 }
                 return Some(*tier);
             }
-            lost_groups.extend(tier_members.iter().filter_map(|i| self.members[*i].group.as_ref()));
+            groups_of_lower_tiers.extend(tier_members.iter().filter_map(|i| self.members[*i].group.as_ref()));
         }
         None
     }
