--- a/crates/rig/examples/plan.rs
+++ b/crates/rig/examples/plan.rs
@@ -1,4 +1,5 @@
-//! Prints the faults that a seed draws: `cargo run --release -p fernslip-rig --example plan -- SEED SECONDS FRONTS`.
+//! Prints the faults of a soak that are drawn from a seed. Usage:
+//! `cargo run --release -p fernslip-rig --example plan -- SEED SECONDS FRONTS`.
 
 use fernslip_rig::soak::plan::draw_plan;
 use fernslip_rig::soak::run::fleet;
--- a/crates/rig/shim/faults.c
+++ b/crates/rig/shim/faults.c
@@ -1,7 +1,7 @@
-/* System calls that fail as Linux documents, and a wall clock that can be stepped, for processes of this project's tests.
+/* Makes system calls fail with errors that Linux documents, and offsets the wall clock, in processes under test.
  *
- * Loaded with LD_PRELOAD. FAULTS_FILE names a file of 64-bit integers that the test maps too and changes while the process
- * runs; see `struct faults`. FAULTS_SEED makes the draws repeatable thread by thread. Rates are parts of a thousand. */
+ * The library is loaded with LD_PRELOAD. FAULTS_FILE is the path of a file that holds a `struct faults`; the test changes it
+ * while the process runs. FAULTS_SEED makes the random draws of each thread repeatable. Rates are per thousand calls. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -19,13 +19,13 @@
 #include <unistd.h>
 
 struct faults {
-    int64_t wall_offset_ns; /* added to the wall clock */
-    int64_t accept_rate;    /* accept fails: ECONNABORTED, ENFILE, ENOBUFS, EINTR */
-    int64_t connect_rate;   /* socket and connect fail: ENOBUFS, EADDRNOTAVAIL, ENETUNREACH, EINTR */
-    int64_t transfer_rate;  /* send and receive: EINTR, ENOBUFS or ENOMEM, or one byte alone */
-    int64_t wait_rate;      /* epoll_wait: EINTR */
-    int64_t register_rate;  /* epoll_ctl: ENOMEM */
-    int64_t disk_rate;      /* open, write, fsync and rename of files: ENOSPC, EIO */
+    int64_t wall_offset_ns; /* added to the wall clock, in nanoseconds */
+    int64_t accept_rate;    /* accept4 fails with ECONNABORTED, ENFILE, ENOBUFS or EINTR */
+    int64_t connect_rate;   /* socket fails with ENOBUFS or ENFILE; connect with EADDRNOTAVAIL, ENETUNREACH, ENOBUFS or EINTR */
+    int64_t transfer_rate;  /* send and recv fail with EINTR, ENOMEM or (send) ENOBUFS, or transfer a single byte */
+    int64_t wait_rate;      /* epoll_wait fails with EINTR */
+    int64_t register_rate;  /* adding a descriptor with epoll_ctl fails with ENOMEM */
+    int64_t disk_rate;      /* open64, write, fsync and rename of files fail with ENOSPC or EIO, or write half of the data */
 };
 
 static struct faults none;
--- a/crates/rig/src/addresses.rs
+++ b/crates/rig/src/addresses.rs
@@ -1,30 +1,32 @@
-//! The loopback addresses of one run, reserved so that runs at the same time don't collide.
+//! The loopback addresses of one run, reserved so that concurrent runs don't use the same ones.
 //!
-//! Front `i` listens for gossip on 127.10.x.y and advertises 127.20.x.y, which the rig binds: a datagram to the advertised
-//! address is forwarded to the front from its sender's own 127.20 address, unless an injected fault says otherwise. Every
-//! front reaches every cache node at an address of its own (127.40.x.y and up), so that these links are separate too.
+//! Front `endpoint` listens for gossip on 127.10.x.y and advertises 127.20.x.y, which the rig binds. The rig
+//! forwards a datagram sent to the advertised address to the front, from the 127.20 address of the sender,
+//! unless an injected fault prevents it. Each pair of front and cache node has a separate address (127.40.x.y
+//! and up), so that these links are separate too.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 
-/// Addresses of a block: as many as the last byte of an address tells apart, without its ends.
+/// Number of addresses in a block: the values of the last byte of an address, without those at both ends.
 const ADDRESSES_PER_BLOCK: usize = 250;
-/// Blocks: one for each value of the address's third byte but the last.
+/// Number of blocks: one for each value of the third byte of an address except the last.
 const BLOCK_COUNT: usize = 255;
 
-/// Loopback addresses that belong to this run alone for as long as the value lives.
+/// Loopback addresses that are reserved for one run until this value is dropped.
 #[derive(Debug)]
 pub struct LoopbackAddresses {
     first: usize,
-    /// A socket on the lock address of each block; another run that finds the port in use takes other blocks.
+    /// Sockets bound to the lock address of each block; a run that finds such a port in use takes other
+    /// blocks.
     _reservations: Vec<UdpSocket>,
 }
 
 impl LoopbackAddresses {
-    /// Reserves addresses for `fronts` fronts; a front that restarts at another address counts again.
+    /// Reserves addresses for `fronts` fronts. A front that restarts at another address counts twice.
     ///
     /// # Errors
-    /// Not enough consecutive blocks are free.
+    /// There are not enough consecutive free blocks.
     pub fn reserve(fronts: usize) -> io::Result<LoopbackAddresses> {
         let blocks = fronts.div_ceil(ADDRESSES_PER_BLOCK).max(1);
         let reserve = |block: usize| UdpSocket::bind(SocketAddr::from(([127, 9, 0, block as u8], 7099)));
@@ -35,33 +37,36 @@
         }
         Err(io::Error::new(
             io::ErrorKind::AddrInUse,
-            format!("no {blocks} blocks of addresses in a row are free"),
+            format!("no {blocks} consecutive blocks of loopback addresses are free"),
         ))
     }
 
-    fn address(&self, network: u8, i: usize, port: u16) -> SocketAddr {
-        let (x, y) = ((self.first + i) / ADDRESSES_PER_BLOCK, (self.first + i) % ADDRESSES_PER_BLOCK + 1);
+    fn address_in_network(&self, network: u8, endpoint: usize, port: u16) -> SocketAddr {
+        let (x, y) = (
+            (self.first + endpoint) / ADDRESSES_PER_BLOCK,
+            (self.first + endpoint) % ADDRESSES_PER_BLOCK + 1,
+        );
         SocketAddr::from(([127, network, x as u8, y as u8], port))
     }
 
-    /// Where front `i` listens for other fronts.
-    pub fn gossip_listen(&self, i: usize) -> SocketAddr {
-        self.address(10, i, 7100)
+    /// The address at which front `endpoint` listens for gossip.
+    pub fn gossip_listen(&self, endpoint: usize) -> SocketAddr {
+        self.address_in_network(10, endpoint, 7100)
     }
 
-    /// Where front `i` tells other fronts to reach it: an address of the rig's.
-    pub fn gossip_advertised(&self, i: usize) -> SocketAddr {
-        self.address(20, i, 7100)
+    /// The gossip address that front `endpoint` advertises to other fronts; the rig binds it.
+    pub fn gossip_advertised(&self, endpoint: usize) -> SocketAddr {
+        self.address_in_network(20, endpoint, 7100)
     }
 
-    /// Where clients reach front `i`.
-    pub fn client_listen(&self, i: usize) -> SocketAddr {
-        self.address(10, i, 4100)
+    /// The address at which front `endpoint` listens for clients.
+    pub fn client_listen(&self, endpoint: usize) -> SocketAddr {
+        self.address_in_network(10, endpoint, 4100)
     }
 
-    /// Where front `i` reaches cache node `node`.
-    pub fn cache_node(&self, i: usize, node: usize) -> SocketAddr {
-        self.address(40 + node as u8, i, 6000)
+    /// The address at which front `endpoint` connects to cache node `node`.
+    pub fn cache_node(&self, endpoint: usize, node: usize) -> SocketAddr {
+        self.address_in_network(40 + node as u8, endpoint, 6000)
     }
 }
 
--- a/crates/rig/src/addresses/tests.rs
+++ b/crates/rig/src/addresses/tests.rs
@@ -1,9 +1,11 @@
 use super::*;
 
 #[test]
-fn runs_at_the_same_time_have_addresses_of_their_own() {
-    let (a, b) =
-        (LoopbackAddresses::reserve(300).expect("free"), LoopbackAddresses::reserve(1).expect("free"));
+fn concurrent_runs_reserve_disjoint_addresses() {
+    let (a, b) = (
+        LoopbackAddresses::reserve(300).expect("two free blocks"),
+        LoopbackAddresses::reserve(1).expect("a free block"),
+    );
     let all = |addresses: &LoopbackAddresses, n| {
         (0..n)
             .flat_map(|i| {
@@ -21,5 +23,5 @@
     let mut sorted = of_a.clone();
     sorted.sort();
     sorted.dedup();
-    assert_eq!(sorted.len(), of_a.len(), "no address twice");
+    assert_eq!(sorted.len(), of_a.len(), "every address of a run is different");
 }
--- a/crates/rig/src/args.rs
+++ b/crates/rig/src/args.rs
@@ -1,132 +1,135 @@
-//! The command line. Doc comments on arguments and variants are the help texts that users read.
+//! The command line of the rig. Doc comments on arguments and variants are shown as help texts.
 
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
 
-/// Plays scenarios with real fronts on loopback, and faults on the links between them.
+/// Runs scenarios with real front processes on loopback and injects faults on the links between them.
 #[derive(Debug, Parser)]
 #[command(name = "fernslip-rig", version, about)]
 pub struct Args {
-    /// The sub-command.
+    /// The sub-command to execute.
     #[command(subcommand)]
     pub command: Command,
 }
 
+/// The sub-commands of the rig.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Plays one scenario; 3 where something did not hold.
+    /// Runs one scenario; exit code 3 if a check failed.
     Run(RunArgs),
-    /// Plays many scenarios with several seeds, a row of figures each; 3 where something did not hold.
+    /// Runs several scenarios with several seeds, with one row of figures for each; exit code 3 if a check
+    /// failed.
     Suite(SuiteArgs),
-    /// Plays this build against an earlier landing of the repository: mixed, rolled forward and back; 3 where something
-    /// did not hold.
+    /// Runs this build together with an earlier revision: mixed, rolled forward and rolled back; exit code 3
+    /// if a check failed.
     Pairs(PairsArgs),
-    /// Plays overlapping troubles under real fronts with the platform's configuration, a run a seed; 3 where a rule was broken.
+    /// Runs real fronts with the platform's configuration under overlapping faults, once for each seed; exit
+    /// code 3 if a rule was broken.
     Soak(SoakArgs),
-    /// Names the scenarios that come with the rig.
+    /// Lists the names of the bundled scenarios.
     List,
 }
 
-/// Arguments of `run`.
+/// The arguments of the sub-command `run`.
 #[derive(Debug, clap::Args)]
 pub struct RunArgs {
-    /// A document, or the name of one that comes with the rig.
+    /// Path of a scenario document, or the name of a bundled scenario.
     pub scenario: String,
-    /// Fronts; without it what the document says.
+    /// Number of fronts; by default the number given in the scenario document.
     #[arg(long)]
     pub fronts: Option<usize>,
-    /// For all that is drawn.
+    /// Seed of the random number generator.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// A folder for `result.json` and `members.svg`.
+    /// Folder to which `result.json` and `members.svg` are written.
     #[arg(long)]
     pub out: Option<PathBuf>,
     #[command(flatten)]
     pub fleet: FleetArgs,
 }
 
-/// Arguments of `suite`.
+/// The arguments of the sub-command `suite`.
 #[derive(Debug, clap::Args)]
 pub struct SuiteArgs {
-    /// `view` (all of them) or `main` (the five main ones).
+    /// `view` (all bundled scenarios) or `main` (the five main ones).
     pub which: String,
-    /// Fronts.
+    /// Number of fronts.
     #[arg(long, default_value_t = 9)]
     pub fronts: usize,
-    /// Seeds.
+    /// Seeds, separated by commas; there is one run for each.
     #[arg(long, value_delimiter = ',', default_value = "1,2,3")]
     pub seeds: Vec<u64>,
-    /// Only these scenarios.
+    /// Run only these scenarios, separated by commas.
     #[arg(long, value_delimiter = ',')]
     pub only: Vec<String>,
-    /// Where the rows go, as JSON; without it to standard output.
+    /// File to which the rows are written as JSON; standard output by default.
     #[arg(long)]
     pub json: Option<PathBuf>,
-    /// A folder for a picture of each scenario's first seed.
+    /// Folder for a chart of each scenario's run with the first seed.
     #[arg(long)]
     pub pictures: Option<PathBuf>,
     #[command(flatten)]
     pub fleet: FleetArgs,
 }
 
-/// Arguments of `pairs`.
+/// The arguments of the sub-command `pairs`.
 #[derive(Debug, clap::Args)]
 pub struct PairsArgs {
-    /// The earlier revision; without it the last landing's, as the repository names it.
+    /// The earlier revision; by default the revision in the file LANDING of this build.
     #[arg(long)]
     pub with: Option<String>,
-    /// Fronts.
+    /// Number of fronts.
     #[arg(long, default_value_t = 9)]
     pub fronts: usize,
-    /// Seeds.
+    /// Seeds, separated by commas; there is one run for each.
     #[arg(long, value_delimiter = ',', default_value = "1")]
     pub seeds: Vec<u64>,
-    /// Where the rows go, as JSON; without it to standard output.
+    /// File to which the rows are written as JSON; standard output by default.
     #[arg(long)]
     pub json: Option<PathBuf>,
     #[command(flatten)]
     pub fleet: FleetArgs,
 }
 
-/// Arguments of `soak`.
+/// The arguments of the sub-command `soak`.
 #[derive(Debug, clap::Args)]
 pub struct SoakArgs {
-    /// Fronts.
+    /// Number of fronts.
     #[arg(long, default_value_t = 24)]
     pub fronts: usize,
-    /// Seeds.
+    /// Seeds, separated by commas; there is one run for each.
     #[arg(long, value_delimiter = ',', default_value = "1")]
     pub seeds: Vec<u64>,
-    /// How long troubles come, in seconds.
+    /// How long faults are injected, in seconds.
     #[arg(long, default_value_t = 25)]
     pub seconds: u64,
-    /// Requests a second at each front.
+    /// Requests per second sent to each front.
     #[arg(long, default_value_t = 15.0)]
     pub load: f64,
-    /// No trouble at all.
+    /// Inject no faults.
     #[arg(long = "calm")]
     pub without_faults: bool,
-    /// A folder for the fronts' logs.
+    /// Folder to which the logs of the fronts are written.
     #[arg(long)]
     pub logs: Option<PathBuf>,
-    /// The program; without it the one beside this.
+    /// Path of the program under test; by default `fernslip` in the folder of this executable.
     #[arg(long)]
     pub program: Option<PathBuf>,
-    /// Where the runs go, as JSON; without it to standard output.
+    /// File to which the runs are written as JSON; standard output by default.
     #[arg(long)]
     pub json: Option<PathBuf>,
 }
 
-/// Arguments about the fleet that scenarios run with.
+/// The arguments that describe the fleet in which scenarios are run.
 #[derive(Debug, clap::Args)]
 pub struct FleetArgs {
-    /// The program; without it the one beside this.
+    /// Path of the program under test; by default `fernslip` in the folder of this executable.
     #[arg(long)]
     pub program: Option<PathBuf>,
-    /// Stand-in boxes, the origin among them.
+    /// Number of simulated cache nodes, including the origin; at least 4.
     #[arg(long = "boxes", value_name = "BOXES", default_value_t = 4)]
     pub cache_nodes: usize,
-    /// Fronts keep no view: for comparing cost.
+    /// Run the fronts without a membership view, to compare their cost.
     #[arg(long)]
     pub without_view: bool,
 }
--- a/crates/rig/src/cache_nodes.rs
+++ b/crates/rig/src/cache_nodes.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for cache nodes and the origin. They serve every request, and check from outside that no request is at two
-//! nodes at once and that no write is executed twice.
+//! Simulated cache nodes and origin. They serve every request and check, independently of the fronts, that no
+//! request is at two nodes at once and that no write is executed twice.
 
 use crate::addresses::LoopbackAddresses;
 use crate::sync::lock;
@@ -12,23 +12,24 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// How long a node takes for an answer.
+/// The time that a node takes to answer a request.
 const SERVICE_TIME: Duration = Duration::from_millis(3);
-/// Wait after a failed accept.
+/// Delay after a failed `accept` before the next one.
 const ACCEPT_RETRY: Duration = Duration::from_millis(5);
-/// Violations that are recorded with their text; further ones are only counted.
+/// The number of violations that are recorded with their text; further ones are only counted.
 const MAX_VIOLATION_TEXTS: usize = 100;
-/// Objects from here up are requested once only: two requests for one of them at once are two attempts of one request.
+/// The first object number that is requested only once. Two simultaneous requests for such an object are two
+/// attempts of one client request.
 pub const FIRST_UNIQUE_OBJECT: u64 = 1 << 63;
-/// The class whose requests may be executed once only.
+/// The request class of writes, which must not be executed more than once.
 pub const WRITE_CLASS: &str = "change";
 
-/// Rules broken at the cache nodes.
+/// The violations of the request rules that the cache nodes observed.
 #[derive(Clone, Debug, Default)]
 pub struct Violations {
-    /// How many.
+    /// The number of violations.
     pub count: usize,
-    /// The first of them as text.
+    /// Descriptions of the first violations.
     pub texts: Vec<String>,
 }
 
@@ -41,47 +42,47 @@
     }
 }
 
-/// What the nodes have seen of requests for unique objects.
+/// The requests for unique objects that the nodes have received.
 #[derive(Default)]
-struct Observed {
-    /// Requests in flight, by object, with the node that each is at.
+struct ObservedRequests {
+    /// The node that is serving each object at present.
     in_flight: HashMap<String, usize>,
-    /// How often each write was executed.
+    /// The number of times that each write was executed, by object.
     executions: HashMap<String, usize>,
     violations: Violations,
 }
 
-/// All stand-in nodes.
+/// All simulated cache nodes of a run, and the origin.
 pub struct CacheNodes {
     addresses: Arc<LoopbackAddresses>,
-    observed: Mutex<Observed>,
-    /// By front: whether its nodes refuse to serve it.
+    observed: Mutex<ObservedRequests>,
+    /// Whether each front is disconnected from its nodes, by the index of its endpoint.
     disconnected: Mutex<Vec<watch::Sender<bool>>>,
-    /// How many nodes there are; the last one is the origin.
+    /// The number of nodes; the last one is the origin.
     pub count: usize,
 }
 
 impl CacheNodes {
-    /// Creates `count` nodes that serve no front yet.
+    /// Creates `count` nodes, which don't listen for any front yet.
     pub fn new(addresses: Arc<LoopbackAddresses>, count: usize) -> Arc<CacheNodes> {
         Arc::new(CacheNodes { addresses, observed: Mutex::default(), disconnected: Mutex::default(), count })
     }
 
-    /// Listens for one more front, at an address of its own on every node.
+    /// Listens for one more front, at a separate address for each node.
     ///
     /// # Errors
-    /// An address can't be bound.
+    /// An address of a node can't be bound.
     pub async fn add_front(self: &Arc<CacheNodes>, front: usize) -> std::io::Result<()> {
         let (sender, is_disconnected) = watch::channel(false);
         lock(&self.disconnected).push(sender);
         for node in 0..self.count {
             let listener = TcpListener::bind(self.addresses.cache_node(front, node)).await?;
-            tokio::spawn(self.clone().accept(node, listener, is_disconnected.clone()));
+            tokio::spawn(self.clone().accept_connections(node, listener, is_disconnected.clone()));
         }
         Ok(())
     }
 
-    async fn accept(
+    async fn accept_connections(
         self: Arc<CacheNodes>,
         node: usize,
         listener: TcpListener,
@@ -95,24 +96,25 @@
             let (nodes, mut is_disconnected) = (self.clone(), is_disconnected.clone());
             tokio::spawn(async move {
                 let disconnected = async move { is_disconnected.wait_for(|c| *c).await.map(|_| ()) };
-                // The branch that loses is dropped, which closes the connection.
+                // The branch that has not completed is dropped, which closes the connection.
                 tokio::select! {
                     _ = disconnected => {}
-                    _ = nodes.serve(node, stream) => {}
+                    _ = nodes.serve_connection(node, stream) => {}
                 }
             });
         }
     }
 
-    /// Disconnects a front from its nodes, or connects it again.
+    /// Closes all connections of a front to its nodes, and each new one at once; or accepts connections
+    /// again.
     pub fn set_disconnected(&self, front: usize, disconnected: bool) {
         if let Some(sender) = lock(&self.disconnected).get(front) {
             let _ = sender.send(disconnected);
         }
     }
 
-    /// Serves one connection until it ends.
-    async fn serve(self: Arc<CacheNodes>, node: usize, stream: TcpStream) -> std::io::Result<()> {
+    /// Serves one connection until the front closes it.
+    async fn serve_connection(self: Arc<CacheNodes>, node: usize, stream: TcpStream) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         let (mut read, write) = stream.into_split();
         let write = Arc::new(tokio::sync::Mutex::new(write));
@@ -128,14 +130,14 @@
                 used += len;
                 let arguments: Vec<String> =
                     parts.iter().map(|p| String::from_utf8_lossy(p).into_owned()).collect();
-                self.handle(node, &arguments, &write);
+                self.handle_command(node, &arguments, &write);
             }
             buffer.drain(..used);
         }
     }
 
-    /// Starts to serve one command; anything but a request is ignored.
-    fn handle(
+    /// Starts to serve a request; all other commands are ignored.
+    fn handle_command(
         self: &Arc<CacheNodes>,
         node: usize,
         arguments: &[String],
@@ -168,7 +170,9 @@
     fn request_started(&self, node: usize, object: &str) {
         let mut observed = lock(&self.observed);
         if let Some(other) = observed.in_flight.insert(object.to_string(), node) {
-            observed.violations.record(format!("{object} is at box {other} and at box {node} at once"));
+            observed.violations.record(format!(
+                "object {object} was at cache node {other} and at cache node {node} at once"
+            ));
         }
     }
 
@@ -179,12 +183,14 @@
             let executions = observed.executions.entry(object.to_string()).or_default();
             *executions += 1;
             if *executions > 1 {
-                observed.violations.record(format!("the write {object} ran again, at box {node}"));
+                observed
+                    .violations
+                    .record(format!("the write of object {object} was executed again, at cache node {node}"));
             }
         }
     }
 
-    /// The rules broken so far.
+    /// Returns the violations so far.
     pub fn violations(&self) -> Violations {
         lock(&self.observed).violations.clone()
     }
--- a/crates/rig/src/chart/tests.rs
+++ b/crates/rig/src/chart/tests.rs
@@ -2,7 +2,7 @@
 use crate::run::{Event, Sample};
 
 #[test]
-fn a_run_is_drawn_with_its_events_and_fault_intervals() {
+fn the_chart_of_a_run_shows_its_events_and_fault_intervals() {
     let mut report = RunReport { name: "x".into(), fronts: 2, ..RunReport::default() };
     for t in 0..10 {
         for front in 0..2 {
@@ -20,10 +20,12 @@
     ];
     assert_eq!(fault_intervals(&report, 4.5), [FaultInterval { from: 1.0, to: 3.0 }]);
     let file = std::env::temp_dir().join(format!("fernslip-rig-picture-{}.svg", std::process::id()));
-    draw(&report, &file).expect("drawn");
-    let text = std::fs::read_to_string(&file).expect("written");
+    draw_run(&report, &file).expect("the chart is drawn");
+    let text = std::fs::read_to_string(&file).expect("the chart file is written");
     let _ = std::fs::remove_file(&file);
     assert!(
-        text.contains("partition") && text.contains("part settled") && text.matches("<polyline").count() >= 3
+        text.contains("partition")
+            && text.contains("fraction settled")
+            && text.matches("<polyline").count() >= 3
     );
 }
--- a/crates/rig/src/client_protocol.rs
+++ b/crates/rig/src/client_protocol.rs
@@ -1,37 +1,38 @@
-//! The client protocol (MessagePack-RPC) as the rig's clients speak it: calls, cancellations and the readiness query.
+//! The parts of the client protocol (MessagePack-RPC) that the rig's clients use: calls, cancellations and
+//! the readiness query.
 
 use rmpv::Value;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// One request for a part of an object.
+/// A call that requests one part of an object.
 #[derive(Clone, Copy, Debug)]
 pub struct Call<'a> {
-    /// The call's number on its connection.
+    /// The message number of the call, unique on its connection.
     pub number: u32,
-    /// The request class.
+    /// The request class, which is sent as the method name.
     pub class: &'a str,
-    /// The trace id.
+    /// The trace id (`trace`).
     pub trace: u64,
-    /// The object.
+    /// The object number (`entity`).
     pub object: u64,
-    /// The part of the object (`slice`).
+    /// The index of the requested part of the object (`slice`).
     pub part: u64,
-    /// The object's set.
+    /// The set to which the object belongs.
     pub set: u64,
-    /// The size that the client names.
+    /// The size of the part as stated by the client.
     pub size: u64,
-    /// How long the client waits, in milliseconds.
+    /// How long the client waits for the answer, in milliseconds (`patience`).
     pub patience_ms: u64,
-    /// Length of the request body, in bytes.
+    /// The length of the request body, in bytes.
     pub body_len: usize,
 }
 
 impl Call<'_> {
-    /// The bytes of the call.
+    /// Encodes the call as it is sent to a front.
     pub fn encode(&self) -> Vec<u8> {
-        let fields = map(&[
+        let fields = string_map(&[
             ("trace", format!("{:016x}", self.trace)),
             ("patience", self.patience_ms.to_string()),
             ("entity", format!("{:016x}", self.object)),
@@ -40,23 +41,24 @@
             ("size", self.size.to_string()),
         ]);
         let params = Value::Array(vec![fields, Value::Binary(vec![b'w'; self.body_len])]);
-        encode(&Value::Array(vec![0.into(), self.number.into(), self.class.into(), params]))
+        encode_value(&Value::Array(vec![0.into(), self.number.into(), self.class.into(), params]))
     }
 }
 
-/// The bytes of the notification that cancels a call.
+/// Encodes the notification that cancels the call with this number.
 pub fn encode_cancellation(number: u32) -> Vec<u8> {
-    encode(&Value::Array(vec![2.into(), "forget".into(), Value::Array(vec![number.into()])]))
+    encode_value(&Value::Array(vec![2.into(), "forget".into(), Value::Array(vec![number.into()])]))
 }
 
-/// Asks a front whether it is ready (`isWell`).
+/// Queries whether a front is ready (`isWell`). A connection that ends without an answer means that it is
+/// not.
 ///
 /// # Errors
-/// The connection fails.
+/// The connection can't be made, or it fails.
 pub async fn is_ready(front: SocketAddr) -> std::io::Result<bool> {
     let mut stream = TcpStream::connect(front).await?;
-    let call = Value::Array(vec![0.into(), 1.into(), "isWell".into(), Value::Array(vec![map(&[])])]);
-    stream.write_all(&encode(&call)).await?;
+    let call = Value::Array(vec![0.into(), 1.into(), "isWell".into(), Value::Array(vec![string_map(&[])])]);
+    stream.write_all(&encode_value(&call)).await?;
     let mut received = Vec::new();
     while stream.read_buf(&mut received).await? > 0 {
         if let Ok(value) = rmpv::decode::read_value(&mut &received[..]) {
@@ -66,13 +68,13 @@
     Ok(false)
 }
 
-fn map(fields: &[(&str, String)]) -> Value {
+fn string_map(fields: &[(&str, String)]) -> Value {
     Value::Map(fields.iter().map(|(k, v)| ((*k).into(), v.as_str().into())).collect())
 }
 
-fn encode(value: &Value) -> Vec<u8> {
+fn encode_value(value: &Value) -> Vec<u8> {
     let mut bytes = Vec::new();
-    // Writing to memory does not fail.
+    // Writing to a vector does not fail.
     let _ = rmpv::encode::write_value(&mut bytes, value);
     bytes
 }
--- a/crates/rig/src/fronts.rs
+++ b/crates/rig/src/fronts.rs
@@ -1,4 +1,5 @@
-//! The front processes: started with site documents of their own, stopped, killed, queried, and their logs read.
+//! The front processes of a run: starts each with its own site document, stops, kills and queries them, and
+//! reads their logs.
 
 mod site_document;
 
@@ -20,99 +21,101 @@
 use tokio::process::{Child, ChildStderr, Command};
 use tokio::time::{timeout, Instant};
 
-/// Lines of each front's log that are retained.
+/// The number of lines of each front's log that are retained.
 const MAX_LOG_LINES: usize = 400;
-/// A front that runs answers a query within this time, even on a busy machine.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
-/// A front ends within this time of SIGTERM: a second in which it still takes requests, and its longest deadline.
+/// The time within which a running front answers a query, even on a busy machine.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(3);
+/// The time within which a front ends after SIGTERM: the second in which it still accepts requests, and the
+/// longest deadline of a request, with a margin.
 const TERMINATION_TIMEOUT: Duration = Duration::from_secs(15);
-/// A front that was stopped for no longer than this must not be taken for gone.
+/// The longest stop (SIGSTOP) of a front after which other fronts must not report it gone.
 const MAX_TOLERATED_STOP: Duration = Duration::from_millis(1_300);
-/// A report that a front is gone may still spread for so long after the front is back.
-const FAILURE_REPORT_SPREAD: Duration = Duration::from_secs(8);
+/// How long a report that a front is gone may still spread after the front is reachable again.
+const FAILURE_REPORT_SPREAD_TIME: Duration = Duration::from_secs(8);
 
-/// The state of a front's process.
+/// The state of the process of a front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
-    /// It runs.
+    /// The process runs.
     Running,
-    /// It was stopped by SIGSTOP.
+    /// The process was stopped by SIGSTOP.
     Stopped,
-    /// It was killed or has ended.
+    /// The process was killed or has ended.
     Ended,
 }
 
-/// One front.
+/// A front and its process.
 pub struct Front {
-    /// Its name.
+    /// The name of the front, which it keeps after a restart.
     pub name: String,
-    /// The index of its addresses and links; another one after a restart elsewhere.
+    /// The index of its addresses and links. It changes when the front restarts at another address.
     pub endpoint: usize,
-    /// The build that it runs, or will run when it is started next.
+    /// The build that the front runs, or will run after its next start.
     pub build: Build,
-    /// Whether it runs.
+    /// The state of its process.
     pub state: ProcessState,
-    /// Whether requests that it leaves without an answer count against it.
+    /// Whether requests that the front does not answer count as unanswered; if not, they count as lost.
     pub accountable: Arc<AtomicBool>,
     child: Option<Child>,
-    /// When nobody could reach it last: it was dead, or had been stopped for long.
+    /// The last time when no other front could reach it, because it had ended or had been stopped for long.
     last_unreachable: Option<Instant>,
     stopped_at: Option<Instant>,
     log: Arc<Mutex<Vec<LogLine>>>,
 }
 
-/// A line of a front's log.
+/// A line of the log of a front.
 struct LogLine {
-    /// Time since the run began.
+    /// Time from the creation of [`Fronts`] until the line was read.
     at: Duration,
     text: String,
 }
 
-/// A front's log line that another front is gone.
+/// A log line in which a front reports that another front is gone.
 #[derive(Clone, Debug)]
 pub struct FailureReport {
-    /// The front that is reported gone.
+    /// The name of the front that is reported gone.
     pub subject: String,
-    /// The front that logged it.
+    /// The name of the front that logged the report.
     pub reporter: String,
-    /// When the line was read.
+    /// When the rig read the line.
     pub at: Instant,
 }
 
-/// What a front's process has used.
+/// The CPU time and the memory that the process of a front has used.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceUsage {
-    /// The front's index.
+    /// The index of the front.
     pub front: usize,
-    /// CPU time since its start, in seconds.
+    /// CPU time since the start of the process, in seconds.
     pub cpu_seconds: f64,
     /// Resident memory, in MB.
     pub memory_mb: f64,
 }
 
-/// All fronts of a run, and what they are started with.
+/// All fronts of a run, and the files, addresses and programs with which they are started.
 pub struct Fronts {
-    /// All that were ever started; a front that restarts stays at its index.
+    /// All fronts that were ever started. A front that restarts keeps its index.
     pub all: Vec<Front>,
-    /// The links between them.
+    /// The links between the fronts.
     pub links: Arc<Links>,
-    /// Their cache nodes.
+    /// The cache nodes to which the fronts connect.
     pub cache_nodes: Arc<CacheNodes>,
     addresses: Arc<LoopbackAddresses>,
     dir: PathBuf,
     programs: Programs,
     key_file: PathBuf,
     started: Instant,
-    /// Reports that were not looked at yet.
+    /// The reports since the last call of [`Fronts::take_false_positives`].
     failure_reports: Arc<Mutex<Vec<FailureReport>>>,
     with_view: bool,
 }
 
 impl Fronts {
-    /// No fronts yet; files go to `dir`. `with_view`: whether fronts keep a view of the fleet.
+    /// Creates the gossip keys, but no front yet. The files of all fronts are written to `dir`; `with_view`
+    /// sets whether fronts maintain a membership view.
     ///
     /// # Errors
-    /// The gossip keys can't be created.
+    /// The key file can't be created.
     pub fn new(
         addresses: Arc<LoopbackAddresses>,
         dir: &Path,
@@ -137,12 +140,12 @@
         })
     }
 
-    /// Where clients reach a front.
-    pub fn client_address(&self, i: usize) -> std::net::SocketAddr {
-        self.addresses.client_listen(self.all[i].endpoint)
+    /// Returns the address at which clients reach a front.
+    pub fn client_address(&self, index: usize) -> std::net::SocketAddr {
+        self.addresses.client_listen(self.all[index].endpoint)
     }
 
-    /// The file with the fleet's gossip keys.
+    /// Returns the path of the file with the gossip keys of the fleet.
     pub fn key_file(&self) -> &Path {
         &self.key_file
     }
@@ -151,11 +154,11 @@
         self.dir.join(format!("{endpoint}.sock"))
     }
 
-    /// Starts one more front; its index.
+    /// Starts one more front and returns its index.
     ///
     /// # Errors
     /// An address can't be bound, a file can't be written, or the process can't be started.
-    pub async fn add(&mut self) -> io::Result<usize> {
+    pub async fn start_new_front(&mut self) -> io::Result<usize> {
         let endpoint = self.links.add_endpoint().await?;
         self.cache_nodes.add_front(endpoint).await?;
         let front = Front {
@@ -170,15 +173,15 @@
             log: Arc::default(),
         };
         self.all.push(front);
-        let i = self.all.len() - 1;
-        self.start(i)?;
-        Ok(i)
+        let index = self.all.len() - 1;
+        self.start_process(index)?;
+        Ok(index)
     }
 
-    fn start(&mut self, i: usize) -> io::Result<()> {
-        let (name, endpoint) = (self.all[i].name.clone(), self.all[i].endpoint);
+    fn start_process(&mut self, index: usize) -> io::Result<()> {
+        let (name, endpoint) = (self.all[index].name.clone(), self.all[index].endpoint);
         let file = self.dir.join(format!("{endpoint}.kdl"));
-        let program = self.programs.program(self.all[i].build);
+        let program = self.programs.program(self.all[index].build);
         std::fs::write(&file, self.site_document(&name, endpoint, program.supports_store))?;
         let mut child = Command::new(&program.path)
             .args(["--log-format", "json", "run", "--site"])
@@ -193,18 +196,19 @@
             .kill_on_drop(true)
             .spawn()?;
         if let Some(stderr) = child.stderr.take() {
-            self.follow_log(i, stderr);
+            self.follow_log(index, stderr);
         }
-        let front = &mut self.all[i];
+        let front = &mut self.all[index];
         (front.child, front.state) = (Some(child), ProcessState::Running);
         front.accountable.store(true, Ordering::Relaxed);
         Ok(())
     }
 
-    /// Reads a front's log until its process ends, and collects its reports that others are gone.
-    fn follow_log(&self, i: usize, stderr: ChildStderr) {
-        let (log, reports, started) = (self.all[i].log.clone(), self.failure_reports.clone(), self.started);
-        let reporter = self.all[i].name.clone();
+    /// Reads the log of a front until its process ends, and collects its reports that other fronts are gone.
+    fn follow_log(&self, index: usize, stderr: ChildStderr) {
+        let (log, reports, started) =
+            (self.all[index].log.clone(), self.failure_reports.clone(), self.started);
+        let reporter = self.all[index].name.clone();
         tokio::spawn(async move {
             let mut lines = BufReader::new(stderr).lines();
             while let Ok(Some(text)) = lines.next_line().await {
@@ -221,38 +225,41 @@
         });
     }
 
-    fn signal(&self, i: usize, signal: Signal) -> io::Result<()> {
-        let id = self.all[i].child.as_ref().and_then(Child::id);
+    fn send_signal(&self, index: usize, signal: Signal) -> io::Result<()> {
+        let id = self.all[index].child.as_ref().and_then(Child::id);
         let pid = id.and_then(|id| Pid::from_raw(id as i32)).ok_or(io::ErrorKind::NotFound)?;
         Ok(kill_process(pid, signal)?)
     }
 
-    /// Sends SIGKILL and waits for the process to end.
+    /// Kills a front with SIGKILL and waits until its process has ended.
     ///
     /// # Errors
     /// The signal can't be sent.
-    pub async fn kill(&mut self, i: usize) -> io::Result<()> {
-        self.all[i].accountable.store(false, Ordering::Relaxed);
-        if let Some(mut child) = self.all[i].child.take() {
+    pub async fn kill(&mut self, index: usize) -> io::Result<()> {
+        self.all[index].accountable.store(false, Ordering::Relaxed);
+        if let Some(mut child) = self.all[index].child.take() {
             child.kill().await?;
         }
-        (self.all[i].state, self.all[i].last_unreachable) = (ProcessState::Ended, Some(Instant::now()));
+        (self.all[index].state, self.all[index].last_unreachable) =
+            (ProcessState::Ended, Some(Instant::now()));
         Ok(())
     }
 
-    /// Sends SIGTERM and waits for the process to end; whether it ended by itself in time. One that did not is killed.
+    /// Sends SIGTERM to a front and waits until its process has ended. Returns false, and kills it, if it
+    /// does not end in time.
     ///
     /// # Errors
     /// The signal can't be sent.
-    pub async fn terminate(&mut self, i: usize) -> io::Result<bool> {
-        self.signal(i, Signal::TERM)?;
-        let Some(mut child) = self.all[i].child.take() else { return Ok(false) };
+    pub async fn terminate(&mut self, index: usize) -> io::Result<bool> {
+        self.send_signal(index, Signal::TERM)?;
+        let Some(mut child) = self.all[index].child.take() else { return Ok(false) };
         let ended = timeout(TERMINATION_TIMEOUT, child.wait()).await.is_ok();
         if !ended {
             child.kill().await?;
         }
-        self.all[i].accountable.store(false, Ordering::Relaxed);
-        (self.all[i].state, self.all[i].last_unreachable) = (ProcessState::Ended, Some(Instant::now()));
+        self.all[index].accountable.store(false, Ordering::Relaxed);
+        (self.all[index].state, self.all[index].last_unreachable) =
+            (ProcessState::Ended, Some(Instant::now()));
         Ok(ended)
     }
 
@@ -260,10 +267,10 @@
     ///
     /// # Errors
     /// The signal can't be sent.
-    pub fn stop(&mut self, i: usize) -> io::Result<()> {
-        self.signal(i, Signal::STOP)?;
-        self.all[i].accountable.store(false, Ordering::Relaxed);
-        (self.all[i].state, self.all[i].stopped_at) = (ProcessState::Stopped, Some(Instant::now()));
+    pub fn stop(&mut self, index: usize) -> io::Result<()> {
+        self.send_signal(index, Signal::STOP)?;
+        self.all[index].accountable.store(false, Ordering::Relaxed);
+        (self.all[index].state, self.all[index].stopped_at) = (ProcessState::Stopped, Some(Instant::now()));
         Ok(())
     }
 
@@ -271,9 +278,9 @@
     ///
     /// # Errors
     /// The signal can't be sent.
-    pub fn resume(&mut self, i: usize) -> io::Result<()> {
-        self.signal(i, Signal::CONT)?;
-        let front = &mut self.all[i];
+    pub fn resume(&mut self, index: usize) -> io::Result<()> {
+        self.send_signal(index, Signal::CONT)?;
+        let front = &mut self.all[index];
         front.state = ProcessState::Running;
         if front.stopped_at.take().is_some_and(|at| at.elapsed() > MAX_TOLERATED_STOP) {
             front.last_unreachable = Some(Instant::now());
@@ -282,27 +289,28 @@
         Ok(())
     }
 
-    /// Starts a front that has ended, under its old name; at another address where `new_address` is set.
+    /// Restarts a front that has ended, under its old name, and at another address if `new_address` is set.
     ///
     /// # Errors
     /// An address can't be bound, a file can't be written, or the process can't be started.
-    pub async fn restart(&mut self, i: usize, new_address: bool) -> io::Result<()> {
+    pub async fn restart(&mut self, index: usize, new_address: bool) -> io::Result<()> {
         if new_address {
             let endpoint = self.links.add_endpoint().await?;
             self.cache_nodes.add_front(endpoint).await?;
-            self.all[i].endpoint = endpoint;
+            self.all[index].endpoint = endpoint;
         }
-        self.start(i)
+        self.start_process(index)
     }
 
-    /// The indices of the fronts in that state.
+    /// Returns the indices of the fronts in this state.
     pub fn in_state(&self, state: ProcessState) -> Vec<usize> {
-        (0..self.all.len()).filter(|i| self.all[*i].state == state).collect()
+        (0..self.all.len()).filter(|index| self.all[*index].state == state).collect()
     }
 
-    /// Sends a command to a front's control socket; `None` where it does not answer in time or not with JSON.
-    pub async fn query(&self, i: usize, command: &str) -> Option<Value> {
-        let path = self.control_socket(self.all[i].endpoint);
+    /// Sends a command to the control socket of a front. Returns `None` if it does not answer with JSON in
+    /// time.
+    pub async fn query(&self, index: usize, command: &str) -> Option<Value> {
+        let path = self.control_socket(self.all[index].endpoint);
         let answer = async move {
             let mut socket = UnixStream::connect(&path).await.ok()?;
             socket.write_all(format!("{command}\n").as_bytes()).await.ok()?;
@@ -310,12 +318,12 @@
             socket.read_to_string(&mut text).await.ok()?;
             serde_json::from_str(&text).ok()
         };
-        timeout(ANSWER_TIMEOUT, answer).await.ok()?
+        timeout(QUERY_TIMEOUT, answer).await.ok()?
     }
 
-    /// Takes the reports since the last call, and returns those that nothing explains: the front ran, had not been stopped
-    /// for long, and was reachable for the reporter. `is_cut(reporter, subject)` tells, for two endpoints, whether their
-    /// links were cut now or within the last seconds.
+    /// Takes the reports since the last call and returns the false ones: the reported front ran, had not been
+    /// stopped for long, and was reachable for the reporter. `is_cut(reporter, subject)` returns, for two
+    /// endpoints, whether a link between them is cut now or was cut within the last seconds.
     pub fn take_false_positives(&self, is_cut: impl Fn(usize, usize) -> bool) -> Vec<FailureReport> {
         let reports = std::mem::take(&mut *lock(&self.failure_reports));
         let is_false = |report: &FailureReport| {
@@ -323,7 +331,7 @@
             let Some(reporter) = self.all.iter().find(|f| f.name == report.reporter) else { return false };
             let was_unreachable = |front: &Front| {
                 let since = |at| report.at.saturating_duration_since(at);
-                front.last_unreachable.is_some_and(|at| since(at) < FAILURE_REPORT_SPREAD)
+                front.last_unreachable.is_some_and(|at| since(at) < FAILURE_REPORT_SPREAD_TIME)
             };
             let stopped_long = subject
                 .stopped_at
@@ -337,19 +345,21 @@
         reports.into_iter().filter(is_false).collect()
     }
 
-    /// The last `max` lines of a front's log, each after its time in seconds since the run began.
-    pub fn last_log_lines(&self, i: usize, max: usize) -> Vec<String> {
-        let log = lock(&self.all[i].log);
+    /// Returns the last `max` lines of the log of a front, each preceded by its time in seconds since the run
+    /// began.
+    pub fn last_log_lines(&self, index: usize, max: usize) -> Vec<String> {
+        let log = lock(&self.all[index].log);
         let from = log.len().saturating_sub(max);
         log[from..].iter().map(|line| format!("{:.3} {}", line.at.as_secs_f64(), line.text)).collect()
     }
 
-    /// CPU time and memory of every running front, as `/proc` has them.
+    /// Reads the CPU time and the memory of every running front from `/proc`.
     pub fn resource_usage(&self) -> Vec<ResourceUsage> {
         let read = |front: usize| {
             let id = self.all[front].child.as_ref()?.id()?;
             let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
-            // The process name may hold anything, so fields are counted behind it, from 3; 14 and 15 are ticks of 10 ms.
+            // The process name may hold any character, so the fields after its `)` are counted, beginning
+            // with field 3. Fields 14 and 15 are user and system time in ticks of 10 ms.
             let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
             let ticks: f64 = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
             let statm = std::fs::read_to_string(format!("/proc/{id}/statm")).ok()?;
@@ -360,7 +370,7 @@
     }
 }
 
-/// The front that a log line reports gone, if it is such a line.
+/// Returns the name of the front that a log line reports gone, or `None` for any other line.
 fn reported_failure(line: &str) -> Option<String> {
     if !line.contains("\"gone\"") {
         return None;
--- a/crates/rig/src/fronts/site_document.rs
+++ b/crates/rig/src/fronts/site_document.rs
@@ -1,10 +1,11 @@
-//! The site document that a front is started with.
+//! The site document with which a front is started.
 
 use super::Fronts;
 use crate::cache_nodes::WRITE_CLASS;
 
 impl Fronts {
-    /// The site document of a front: three zones, two classes, its cache nodes and, where it keeps one, its view.
+    /// Returns the site document of a front: three zones, two classes, the cache nodes and, if the run has
+    /// one, the view.
     pub(super) fn site_document(&self, name: &str, endpoint: usize, with_store: bool) -> String {
         let mut text = format!(
             "site \"rig\" members-from=\"file\"\nfront {name:?} listen=\"{}\" zone=\"z{}\"\n",
@@ -32,7 +33,7 @@
         text
     }
 
-    /// The `view` node of a site document.
+    /// Returns the `view` node of the site document of a front.
     fn view_document(&self, name: &str, endpoint: usize, with_store: bool) -> String {
         let key_file = self.key_file.display().to_string();
         let control = self.control_socket(endpoint).display().to_string();
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,15 +1,16 @@
 //! Runs real processes of the program on loopback, with injected faults on every link between them.
 //!
-//! - [`scenario`]: what is to happen and what must hold, parsed from a KDL document.
-//! - [`links`]: the relay that every datagram between fronts passes; each ordered pair of fronts is a link of its own.
-//! - [`cache_nodes`]: stand-ins for cache nodes and the origin, which check the request rules from outside.
-//! - [`load`]: open-loop clients; [`client_protocol`]: the calls they send.
-//! - [`fronts`]: the front processes: started, stopped, killed, queried; [`programs`]: the builds they run.
-//! - [`run`]: one scenario with one seed; [`suite`]: many runs as rows of figures; [`pairs`]: two builds in one fleet.
-//! - [`shim`]: machine faults under one process: failing system calls and a stepped wall clock.
-//! - [`soak`]: fronts with the platform's configuration under overlapping faults, checked against the rules.
-//! - [`chart`]: what each front saw over time, as an SVG file.
-//! - [`addresses`]: the loopback addresses of a run.
+//! - [`scenario`]: the steps of a run and the goals that must be reached, parsed from a KDL document.
+//! - [`links`]: the relay for all datagrams between fronts; each ordered pair of fronts is a separate link.
+//! - [`cache_nodes`]: simulated cache nodes and origin, which check the request rules outside the fronts.
+//! - [`load`]: open-loop clients; [`client_protocol`]: the calls that they send.
+//! - [`fronts`]: starts, stops, kills and queries the front processes; [`programs`]: the builds they run.
+//! - [`run`]: runs one scenario with one seed; [`suite`]: runs several and summarizes each in a row of
+//!   figures; [`pairs`]: runs two builds in one fleet.
+//! - [`shim`]: machine faults injected into one process: failing system calls and a stepped wall clock.
+//! - [`soak`]: runs fronts with the platform's configuration under overlapping faults and checks the rules.
+//! - [`chart`]: draws the member count of each front over time as an SVG file.
+//! - [`addresses`]: reserves the loopback addresses of a run.
 
 pub mod addresses;
 pub mod cache_nodes;
--- a/crates/rig/src/links.rs
+++ b/crates/rig/src/links.rs
@@ -1,4 +1,5 @@
-//! Datagrams between fronts: each ordered pair of fronts is a link, and faults are injected on links.
+//! Relays the datagrams between fronts. Each ordered pair of fronts is a link, and faults are injected on
+//! links.
 
 use crate::addresses::LoopbackAddresses;
 use crate::sync::lock;
@@ -11,58 +12,59 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
-/// Datagrams that are recorded for replay.
+/// The number of datagrams that are recorded for replay.
 const MAX_RECORDED: usize = 4096;
-/// Once that number is recorded, one datagram in this number replaces a recorded one.
+/// Once [`MAX_RECORDED`] datagrams are recorded, one in this many datagrams replaces a recorded one.
 const RECORD_EVERY: u64 = 16;
-/// A reordered datagram is delayed by up to this, in milliseconds.
+/// The longest additional delay of a reordered datagram, in milliseconds.
 const MAX_REORDERING_MS: f64 = 250.0;
 
-/// An additional delay, in milliseconds.
+/// A delay that is added to datagrams.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Delay {
-    /// The constant part.
+    /// The constant part, in milliseconds.
     pub base_ms: f64,
-    /// The upper bound of the random part.
+    /// The upper bound of the random part, in milliseconds.
     pub jitter_ms: f64,
 }
 
-/// The faults on all links at one moment. Fronts are named by the index of their endpoint.
+/// The faults on all links at one time. A front is identified by the index of its endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct LinkFaults {
-    /// Fraction of all datagrams that is lost.
+    /// The fraction of all datagrams that is lost.
     pub loss: f64,
-    /// Fraction lost of what a front sends and of what is sent to it.
+    /// The fraction lost of the datagrams from and to each front.
     pub loss_by_front: BTreeMap<usize, f64>,
-    /// Delay of what a front sends and of what is sent to it.
+    /// The delay of the datagrams from and to each front.
     pub delays: BTreeMap<usize, Delay>,
-    /// Fraction that is delivered twice.
+    /// The fraction of datagrams that is delivered twice.
     pub duplicated: f64,
-    /// Fraction that is delayed by a random time, and so overtaken by later datagrams.
+    /// The fraction of datagrams that is delayed by a random time, so that later datagrams overtake them.
     pub reordered: f64,
-    /// The side of a partition that each front is on; without an entry, side 0.
+    /// The side of a partition that each front is on. A front without an entry is on side 0.
     pub sides: BTreeMap<usize, usize>,
-    /// Links, sender first, that lose everything while the opposite direction works.
+    /// Links, as sender and receiver, that lose every datagram while the opposite direction works.
     pub one_way: BTreeSet<(usize, usize)>,
-    /// Fronts that no datagram reaches.
+    /// The fronts to which no datagram is delivered.
     pub inbound_blocked: BTreeSet<usize>,
 }
 
 impl LinkFaults {
-    /// The side of a partition that a front is on.
-    pub fn side(&self, front: usize) -> usize {
+    /// Returns the side of a partition that a front is on.
+    pub fn side_of(&self, front: usize) -> usize {
         self.sides.get(&front).copied().unwrap_or(0)
     }
 
-    /// Whether the link loses every datagram.
+    /// Returns whether the link loses every datagram.
     pub fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.side(from) != self.side(to)
+        self.side_of(from) != self.side_of(to)
             || self.inbound_blocked.contains(&to)
             || self.one_way.contains(&(from, to))
     }
 
-    /// The delay of every copy of a datagram that is delivered; none where it is lost.
-    fn deliveries(&self, from: usize, to: usize, rng: &mut ChaCha8Rng) -> Vec<Duration> {
+    /// Draws the delay of each copy of a datagram that is to be delivered. The result is empty if the
+    /// datagram is lost.
+    fn draw_deliveries(&self, from: usize, to: usize, rng: &mut ChaCha8Rng) -> Vec<Duration> {
         if self.is_cut(from, to) {
             return Vec::new();
         }
@@ -82,34 +84,34 @@
     }
 }
 
-/// A datagram as it was relayed.
+/// A datagram that the rig has relayed.
 #[derive(Clone, Debug)]
 pub struct Datagram {
     /// The front that sent it.
     pub from: usize,
     /// The front that it was sent to.
     pub to: usize,
-    /// Its payload.
+    /// The payload of the datagram.
     pub bytes: Vec<u8>,
 }
 
-/// The relay between all fronts.
+/// The relay for datagrams between all fronts.
 pub struct Links {
     addresses: Arc<LoopbackAddresses>,
     faults: Mutex<LinkFaults>,
     rng: Mutex<ChaCha8Rng>,
-    /// By front: the socket on its advertised address.
+    /// The socket on the advertised address of each front, by the index of its endpoint.
     sockets: Mutex<Vec<Arc<UdpSocket>>>,
-    /// The front that sends from each address.
+    /// The front that sends from each address, by its gossip address.
     senders: Mutex<HashMap<SocketAddr, usize>>,
-    /// By front: bytes that it has sent.
+    /// The number of bytes that each front has sent, by the index of its endpoint.
     bytes_sent: Mutex<Vec<Arc<AtomicU64>>>,
     recorded: Mutex<Vec<Datagram>>,
     relayed: AtomicU64,
 }
 
 impl Links {
-    /// A relay without fronts; `seed` decides what is lost, delayed and duplicated.
+    /// Creates a relay without fronts. `seed` determines which datagrams are lost, delayed and duplicated.
     pub fn new(addresses: Arc<LoopbackAddresses>, seed: u64) -> Arc<Links> {
         Arc::new(Links {
             addresses,
@@ -123,7 +125,8 @@
         })
     }
 
-    /// Adds the endpoint of one more front and relays what is sent to it; its index. Endpoints are added in order.
+    /// Adds the endpoint of one more front, relays the datagrams sent to it, and returns its index. Endpoints
+    /// are numbered in the order in which they are added.
     ///
     /// # Errors
     /// The advertised address can't be bound.
@@ -137,20 +140,20 @@
         tokio::spawn(async move {
             let mut data = vec![0; 65_536];
             loop {
-                // An error concerns a datagram that was sent earlier, to a front that does not run.
+                // A receive error concerns a datagram that was sent earlier to a front that does not run.
                 let Ok((n, sender)) = socket.recv_from(&mut data).await else { continue };
                 let Some(from) = lock(&links.senders).get(&sender).copied() else { continue };
-                links.relay(from, to, &data[..n]);
+                links.relay_datagram(from, to, &data[..n]);
             }
         });
         Ok(to)
     }
 
-    fn relay(self: &Arc<Links>, from: usize, to: usize, bytes: &[u8]) {
+    fn relay_datagram(self: &Arc<Links>, from: usize, to: usize, bytes: &[u8]) {
         if let Some(sent) = lock(&self.bytes_sent).get(from) {
             sent.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         }
-        // A sample over the whole run, since old datagrams are replayed later.
+        // The sample covers the entire run, since old datagrams are replayed later.
         let relayed = self.relayed.fetch_add(1, Ordering::Relaxed);
         let mut recorded = lock(&self.recorded);
         if recorded.len() < MAX_RECORDED {
@@ -160,14 +163,14 @@
                 Datagram { from, to, bytes: bytes.to_vec() };
         }
         drop(recorded);
-        let deliveries = lock(&self.faults).deliveries(from, to, &mut lock(&self.rng));
+        let deliveries = lock(&self.faults).draw_deliveries(from, to, &mut lock(&self.rng));
         for delay in deliveries {
-            self.deliver(from, to, bytes.to_vec(), delay);
+            self.deliver_datagram(from, to, bytes.to_vec(), delay);
         }
     }
 
     /// Delivers a datagram to front `to` after a delay, from the advertised address of front `from`.
-    pub fn deliver(self: &Arc<Links>, from: usize, to: usize, bytes: Vec<u8>, delay: Duration) {
+    pub fn deliver_datagram(self: &Arc<Links>, from: usize, to: usize, bytes: Vec<u8>, delay: Duration) {
         let Some(socket) = lock(&self.sockets).get(from).cloned() else { return };
         let to = self.addresses.gossip_listen(to);
         if delay.is_zero() {
@@ -180,23 +183,23 @@
         });
     }
 
-    /// The faults now.
+    /// Returns the current faults.
     pub fn faults(&self) -> LinkFaults {
         lock(&self.faults).clone()
     }
 
-    /// Changes the faults.
+    /// Changes the faults for all datagrams relayed from now on.
     pub fn update_faults(&self, update: impl FnOnce(&mut LinkFaults)) {
         update(&mut lock(&self.faults));
     }
 
-    /// Bytes that each front has sent.
+    /// Returns the number of bytes that each front has sent, by the index of its endpoint.
     pub fn bytes_sent(&self) -> Vec<u64> {
         lock(&self.bytes_sent).iter().map(|bytes| bytes.load(Ordering::Relaxed)).collect()
     }
 
-    /// A sample of the datagrams that were relayed.
-    pub fn recorded(&self) -> Vec<Datagram> {
+    /// Returns a sample of the datagrams that were relayed.
+    pub fn recorded_datagrams(&self) -> Vec<Datagram> {
         lock(&self.recorded).clone()
     }
 }
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -1,5 +1,5 @@
-//! Open-loop clients: requests are sent at times that don't depend on answers, and latency counts from when a request was
-//! due, so that a slow front is not measured as a fast one under less load.
+//! Open-loop clients: requests are sent at times that don't depend on answers, and latency is measured from
+//! the time when a request was due. Otherwise a slow front would reduce its own load and appear fast.
 
 use crate::cache_nodes::{FIRST_UNIQUE_OBJECT, WRITE_CLASS};
 use crate::client_protocol::Call;
@@ -19,43 +19,43 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long a client waits for its answer.
+/// How long a client waits for the answer to a request.
 pub const CLIENT_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// An answer that is later than the client's timeout by this is counted as missing.
+/// How long after the client's timeout a request without an answer is counted as unanswered or lost.
 const ANSWER_GRACE: Duration = Duration::from_millis(500);
-/// Objects that are requested again and again.
+/// The number of objects that are requested repeatedly.
 const SHARED_OBJECTS: u64 = 500;
-/// Wait before connecting again to a front that does not listen.
+/// The delay before a client connects again to a front that refused the connection.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
-/// How requests ended.
+/// The outcomes of requests.
 #[derive(Clone, Debug)]
 pub struct RequestOutcomes {
-    /// Latency of what was served, in microseconds.
+    /// The latency of served requests, in microseconds.
     pub latency: Histogram<u64>,
-    /// Served.
+    /// The number of requests that were served.
     pub served: u64,
-    /// Rejected or failed, with a well-formed answer.
+    /// The number of requests that were answered with an error.
     pub errors: u64,
-    /// Without an answer in time, from a front that was running throughout.
+    /// The number of requests without an answer in time from a front that was running throughout.
     pub unanswered: u64,
-    /// Lost with their front, which was killed, stopped or ended.
+    /// The number of requests that were lost because their front was killed, stopped or had ended.
     pub lost: u64,
-    /// Answers that belong to no pending request.
+    /// The number of answers that belong to no pending request.
     pub unexpected: u64,
 }
 
 impl Default for RequestOutcomes {
     fn default() -> RequestOutcomes {
-        // From a microsecond to a minute, three significant digits: bounds that the histogram accepts.
-        let latency =
-            Histogram::new_with_bounds(1, 60_000_000, 3).unwrap_or_else(|_| unreachable!("fixed bounds"));
+        // The range is a microsecond to a minute with three significant digits, which the histogram accepts.
+        let latency = Histogram::new_with_bounds(1, 60_000_000, 3)
+            .unwrap_or_else(|_| unreachable!("the histogram accepts these fixed bounds"));
         RequestOutcomes { latency, served: 0, errors: 0, unanswered: 0, lost: 0, unexpected: 0 }
     }
 }
 
 impl RequestOutcomes {
-    /// As JSON; latencies in milliseconds.
+    /// Returns the outcomes as JSON, with latency quantiles in milliseconds.
     pub fn to_json(&self) -> serde_json::Value {
         let ms = |q: f64| self.latency.value_at_quantile(q) as f64 / 1000.0;
         json!({
@@ -64,7 +64,8 @@
         })
     }
 
-    /// Counts requests that got no answer; `accountable`: whether their front was to answer them.
+    /// Counts requests without an answer: as unanswered if their front was accountable for them, otherwise as
+    /// lost.
     fn add_missing(&mut self, requests: u64, accountable: bool) {
         match accountable {
             true => self.unanswered += requests,
@@ -73,10 +74,10 @@
     }
 }
 
-/// The calls of one connection that have no answer yet: when each was due, by number.
+/// The time when each unanswered call of a connection was due, by call number.
 type PendingCalls = Arc<Mutex<HashMap<u32, Instant>>>;
 
-/// All clients of a run.
+/// Sends the requests of all clients of a run and counts their outcomes.
 pub struct LoadGenerator {
     outcomes: Mutex<RequestOutcomes>,
     next_id: AtomicU64,
@@ -84,7 +85,7 @@
 }
 
 impl LoadGenerator {
-    /// A generator without clients.
+    /// Creates a load generator without clients.
     pub fn new() -> Arc<LoadGenerator> {
         Arc::new(LoadGenerator {
             outcomes: Mutex::default(),
@@ -93,18 +94,19 @@
         })
     }
 
-    /// How requests ended so far.
+    /// Returns the outcomes of requests so far.
     pub fn outcomes(&self) -> RequestOutcomes {
         lock(&self.outcomes).clone()
     }
 
-    /// Sends no more requests.
+    /// Stops all clients from sending requests.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Sends `requests_per_second` to a front until [`LoadGenerator::stop`]. While `accountable` is false, as it is when the
-    /// front is stopped, requests that it leaves without an answer don't count against it.
+    /// Starts a client that sends `requests_per_second` to a front until [`LoadGenerator::stop`] is called.
+    /// While `accountable` is false, for example because the front is stopped, requests without an answer are
+    /// counted as lost.
     pub fn add_client(
         self: &Arc<LoadGenerator>,
         front: SocketAddr,
@@ -126,7 +128,7 @@
         });
     }
 
-    /// Sends requests over one connection until it breaks or the load stops.
+    /// Sends requests over one connection until the connection breaks or the load generator is stopped.
     async fn run_connection(
         self: &Arc<LoadGenerator>,
         stream: TcpStream,
@@ -148,9 +150,9 @@
             if self.send_request(&mut write, due, rng, &pending).await.is_err() {
                 break;
             }
-            self.expire(&pending, due, accountable);
+            self.remove_expired(&pending, due, accountable);
         }
-        // The last requests get their full time for an answer.
+        // The last requests get the full client timeout for their answers.
         let _ = timeout(CLIENT_TIMEOUT, async {
             while !lock(&pending).is_empty() && !reader.is_finished() {
                 sleep(Duration::from_millis(10)).await;
@@ -164,7 +166,8 @@
         lock(&self.outcomes).add_missing(remaining, accountable);
     }
 
-    /// Sends one request: a tenth are writes, two tenths reads of an object that is requested once.
+    /// Sends one request. One tenth of the requests are writes, and two tenths are reads of an object that is
+    /// requested only once.
     async fn send_request(
         &self,
         write: &mut OwnedWriteHalf,
@@ -210,8 +213,8 @@
         }
     }
 
-    /// Counts the requests whose answer is too late to wait for.
-    fn expire(&self, pending: &PendingCalls, now: Instant, accountable: &AtomicBool) {
+    /// Removes and counts the pending requests whose time for an answer has passed.
+    fn remove_expired(&self, pending: &PendingCalls, now: Instant, accountable: &AtomicBool) {
         let mut calls = lock(pending);
         let before = calls.len();
         calls.retain(|_, due| now.saturating_duration_since(*due) < CLIENT_TIMEOUT + ANSWER_GRACE);
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -16,37 +16,39 @@
 use std::time::Duration;
 use tokio::signal::unix::{signal, SignalKind};
 
-/// Exit code when something did not hold.
-const EXIT_BREACH: u8 = 3;
-/// A cache node for each of the three zones, and the origin.
+/// Exit code when the run completed and at least one check failed.
+const EXIT_CHECK_FAILED: u8 = 3;
+/// The smallest number of cache nodes: one for each of the three zones, and the origin.
 const MIN_CACHE_NODES: usize = 4;
 
-/// Whether everything that must hold did.
+/// The result of a sub-command that completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Verdict {
-    Holds,
-    Breached,
+    Passed,
+    Failed,
 }
 
 impl Verdict {
-    fn of(holds: bool) -> Verdict {
-        if holds {
-            Verdict::Holds
+    fn from_checks(passed: bool) -> Verdict {
+        if passed {
+            Verdict::Passed
         } else {
-            Verdict::Breached
+            Verdict::Failed
         }
     }
 }
 
-/// The program under test: the one that is named, or the one beside this.
+/// Returns the path of the program under test: `named`, or `fernslip` in the folder of this executable.
 fn find_program(named: Option<&PathBuf>) -> Result<PathBuf, String> {
     let beside = std::env::current_exe().ok().map(|p| p.with_file_name("fernslip"));
     let program = named.cloned().or(beside).filter(|p| p.is_file());
-    Ok(program.ok_or("no program; build it (`cargo build --release`) or name it with --program")?)
+    Ok(program.ok_or(
+        "program `fernslip` not found; build it (`cargo build --release`) or give its path with --program",
+    )?)
 }
 
 impl FleetArgs {
-    fn options(&self, fronts: Option<usize>, seed: u64) -> Result<Options, String> {
+    fn run_options(&self, fronts: Option<usize>, seed: u64) -> Result<Options, String> {
         let program = find_program(self.program.as_ref())?;
         Ok(Options {
             programs: Programs::one(program),
@@ -59,7 +61,7 @@
     }
 }
 
-/// Prints a run's figures and breaches on standard error.
+/// Prints the figures, false positives and breaches of a run on standard error.
 fn print_report(report: &RunReport) {
     let awaited: Vec<String> = report
         .awaited
@@ -78,7 +80,10 @@
         report.rule_violations
     );
     for false_positive in report.false_positives.iter().take(5) {
-        eprintln!("  {} was found gone by {}, and ran", false_positive.subject, false_positive.reporter);
+        eprintln!(
+            "  {} was reported gone by {} while it was running",
+            false_positive.subject, false_positive.reporter
+        );
     }
     for breach in &report.breaches {
         eprintln!("  BREACH at {:.0} ms, seed {}: {}", breach.at_ms, report.seed, breach.description);
@@ -87,14 +92,14 @@
 }
 
 fn write_file(file: &Path, text: &str) -> Result<(), String> {
-    std::fs::write(file, text).map_err(|e| format!("{}: {e}", file.display()))
+    std::fs::write(file, text).map_err(|e| format!("can't write {}: {e}", file.display()))
 }
 
 fn create_folder(dir: &Path) -> Result<(), String> {
-    std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))
+    std::fs::create_dir_all(dir).map_err(|e| format!("can't create the folder {}: {e}", dir.display()))
 }
 
-/// Writes JSON to a file, or without one to standard output.
+/// Writes JSON to `file`, or to standard output if there is none.
 fn write_json(file: Option<&Path>, value: &Value) -> Result<(), String> {
     let text = format!("{value:#}\n");
     match file {
@@ -106,13 +111,13 @@
     }
 }
 
-/// `run`: one scenario with one seed.
+/// Executes `run`: runs one scenario with one seed.
 async fn run_command(args: RunArgs) -> Result<Verdict, String> {
-    let options = args.fleet.options(args.fronts, args.seed)?;
+    let options = args.fleet.run_options(args.fronts, args.seed)?;
     let scenario = match std::fs::read_to_string(&args.scenario) {
         Ok(text) => Scenario::parse(&args.scenario, &text),
         Err(_) if !args.scenario.ends_with(".kdl") => suite::bundled(&args.scenario),
-        Err(e) => return Err(format!("{}: {e}", args.scenario)),
+        Err(e) => return Err(format!("can't read the scenario {}: {e}", args.scenario)),
     };
     let scenario = scenario.map_err(|e| e.to_string())?;
     let report = run_scenario(&scenario, &options).await.map_err(|e| e.to_string())?;
@@ -122,59 +127,59 @@
         Some(dir) => {
             create_folder(&dir)?;
             write_json(Some(&dir.join("result.json")), &report.to_json())?;
-            chart::draw(&report, &dir.join("members.svg"))?;
+            chart::draw_run(&report, &dir.join("members.svg"))?;
         }
     }
-    Ok(Verdict::of(report.holds()))
+    Ok(Verdict::from_checks(report.all_checks_passed()))
 }
 
-/// `suite`: several scenarios with several seeds.
+/// Executes `suite`: runs several scenarios, each with several seeds.
 async fn suite_command(args: SuiteArgs) -> Result<Verdict, String> {
     let all: Vec<String> = match args.which.as_str() {
         "view" => suite::bundled_names().into_iter().map(String::from).collect(),
-        "main" => suite::MAIN.map(String::from).to_vec(),
-        other => return Err(format!("`{other}` is no suite; there are: view, main")),
+        "main" => suite::MAIN_SCENARIOS.map(String::from).to_vec(),
+        other => return Err(format!("unknown suite `{other}`; expected `view` or `main`")),
     };
     let names = if args.only.is_empty() { all } else { args.only };
-    let options = args.fleet.options(Some(args.fronts), 0)?;
+    let options = args.fleet.run_options(Some(args.fronts), 0)?;
     if let Some(dir) = &args.pictures {
         create_folder(dir)?;
     }
-    let (mut holds, mut drawn, first_seed) = (true, Ok(()), args.seeds.first().copied());
+    let (mut passed, mut drawn, first_seed) = (true, Ok(()), args.seeds.first().copied());
     let rows = suite::run_suite(&names, &args.seeds, &options, |report| {
         print_report(report);
-        holds &= report.holds();
+        passed &= report.all_checks_passed();
         if let Some(dir) = args.pictures.as_ref().filter(|_| Some(report.seed) == first_seed) {
-            drawn = drawn.clone().and(chart::draw(report, &dir.join(format!("{}.svg", report.name))));
+            drawn = drawn.clone().and(chart::draw_run(report, &dir.join(format!("{}.svg", report.name))));
         }
     })
     .await?;
     drawn?;
     write_json(args.json.as_deref(), &json!({ "rows": rows }))?;
-    Ok(Verdict::of(holds))
+    Ok(Verdict::from_checks(passed))
 }
 
-/// `pairs`: this build and an earlier one in one fleet.
+/// Executes `pairs`: runs this build and an earlier one in the same fleet.
 async fn pairs_command(args: PairsArgs) -> Result<Verdict, String> {
-    let earlier = pairs::build(args.with.as_deref())?;
-    let options = args.fleet.options(Some(args.fronts), 0)?;
-    let mut holds = true;
-    let rows = pairs::run_all(&earlier, &args.seeds, &options, |report| {
+    let earlier = pairs::build_revision(args.with.as_deref())?;
+    let options = args.fleet.run_options(Some(args.fronts), 0)?;
+    let mut passed = true;
+    let rows = pairs::run_pairs(&earlier, &args.seeds, &options, |report| {
         print_report(report);
-        holds &= report.holds();
+        passed &= report.all_checks_passed();
     })
     .await?;
     write_json(args.json.as_deref(), &json!({ "with": earlier.revision, "rows": rows }))?;
-    Ok(Verdict::of(holds))
+    Ok(Verdict::from_checks(passed))
 }
 
-/// `soak`: overlapping faults, a run a seed.
+/// Executes `soak`: runs overlapping faults once for each seed.
 async fn soak_command(args: SoakArgs) -> Result<Verdict, String> {
     if let Some(dir) = &args.logs {
         create_folder(dir)?;
     }
     let program = find_program(args.program.as_ref())?;
-    let (mut runs, mut holds) = (Vec::new(), true);
+    let (mut runs, mut passed) = (Vec::new(), true);
     for seed in args.seeds {
         let options = SoakOptions {
             program: program.clone(),
@@ -187,23 +192,23 @@
         };
         let report = run_soak(&options).await.map_err(|e| e.to_string())?;
         eprintln!(
-            "seed {seed}: {} troubles, broken {:?}, {:?}",
+            "seed {seed}: {} faults injected, rules broken {:?}, counts {:?}",
             report.faults, report.breaches, report.counts
         );
         report.texts.iter().take(12).for_each(|text| eprintln!("  {text}"));
-        holds &= report.breaches.is_empty();
+        passed &= report.breaches.is_empty();
         runs.push(report.to_json());
     }
     write_json(args.json.as_deref(), &json!({ "fronts": args.fronts, "runs": runs }))?;
-    Ok(Verdict::of(holds))
+    Ok(Verdict::from_checks(passed))
 }
 
-/// Runs the sub-command.
+/// Executes the sub-command given on the command line.
 async fn execute(args: Args) -> Result<Verdict, String> {
     match args.command {
         Command::List => {
             suite::bundled_names().iter().for_each(|name| println!("{name}"));
-            Ok(Verdict::Holds)
+            Ok(Verdict::Passed)
         }
         Command::Run(args) => run_command(args).await,
         Command::Suite(args) => suite_command(args).await,
@@ -217,18 +222,18 @@
     let args = Args::parse();
     let (term, int) = (signal(SignalKind::terminate()), signal(SignalKind::interrupt()));
     let (Ok(mut term), Ok(mut int)) = (term, int) else {
-        eprintln!("fernslip-rig: signals can't be caught");
+        eprintln!("fernslip-rig: can't install handlers for SIGTERM and SIGINT");
         return ExitCode::FAILURE;
     };
-    // The run is dropped when a signal wins, which kills the processes that it started.
+    // If a signal arrives first, the run is dropped, which kills the processes that it started.
     let result = tokio::select! {
         result = execute(args) => result,
-        _ = term.recv() => Err("ended by SIGTERM".into()),
-        _ = int.recv() => Err("interrupted".into()),
+        _ = term.recv() => Err("the run was ended by SIGTERM".into()),
+        _ = int.recv() => Err("the run was interrupted by SIGINT".into()),
     };
     match result {
-        Ok(Verdict::Holds) => ExitCode::SUCCESS,
-        Ok(Verdict::Breached) => ExitCode::from(EXIT_BREACH),
+        Ok(Verdict::Passed) => ExitCode::SUCCESS,
+        Ok(Verdict::Failed) => ExitCode::from(EXIT_CHECK_FAILED),
         Err(error) => {
             eprintln!("fernslip-rig: {error}");
             ExitCode::FAILURE
--- a/crates/rig/src/programs.rs
+++ b/crates/rig/src/programs.rs
@@ -1,36 +1,39 @@
-//! The builds of the program that fronts run: the one under test, and optionally another one in the same fleet.
+//! The builds of the program that the fronts run: the build under test and, optionally, another one in the
+//! same fleet.
 
 use std::path::PathBuf;
 
-/// Which build a front runs.
+/// The build that a front runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Build {
     /// The build under test.
     Own,
-    /// The other one.
+    /// The other build of a mixed fleet.
     Other,
 }
 
-/// A build's program file and what it can do.
+/// The executable of a build and the features that it supports.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The executable.
+    /// The path of the executable.
     pub path: PathBuf,
-    /// Whether it accepts `store` in a site document.
+    /// Whether the program accepts `store` in a site document.
     pub supports_store: bool,
 }
 
-/// Which fronts start with the other build. The names, in lower case, stand in the rig's JSON output.
+/// The fronts that start with the other build. The variant names, in lower case, are part of the rig's JSON
+/// output.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BuildMix {
-    /// None.
+    /// No front starts with the other build.
     #[default]
     Own,
-    /// All.
+    /// All fronts start with the other build.
     Other,
-    /// Every second one, from the second on: the first seed of the view runs the own build.
+    /// Every second front, beginning with the second one, so that the first seed front of the view runs the
+    /// own build.
     Odd,
-    /// Every second one, from the first on.
+    /// Every second front, beginning with the first one.
     Even,
 }
 
@@ -50,7 +53,7 @@
     }
 }
 
-/// The programs of a run.
+/// The programs that the fronts of a run execute.
 #[derive(Clone, Debug)]
 pub struct Programs {
     own: Program,
@@ -59,22 +62,22 @@
 }
 
 impl Programs {
-    /// One build for all fronts.
+    /// Runs the build under test in all fronts.
     pub fn one(own: PathBuf) -> Programs {
         Programs { own: Program { path: own, supports_store: true }, other: None, mix: BuildMix::Own }
     }
 
-    /// The same own build beside another one, with which the fronts named by `mix` start.
+    /// Adds another build to the build under test; the fronts selected by `mix` start with it.
     pub fn mixed_with(&self, other: Program, mix: BuildMix) -> Programs {
         Programs { own: self.own.clone(), other: Some(other), mix }
     }
 
-    /// The build that a front starts with.
+    /// Returns the build with which the front at this endpoint starts.
     pub fn initial_build(&self, endpoint: usize) -> Build {
         self.mix.initial_build(endpoint)
     }
 
-    /// The program of a build; the own one where there is no other.
+    /// Returns the program of a build. Without another build, this is always the program under test.
     pub fn program(&self, build: Build) -> &Program {
         match &self.other {
             Some(other) if build == Build::Other => other,
--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -1,9 +1,10 @@
-//! One run: a scenario with one seed. The steps are executed, what must hold is checked, and figures are taken.
+//! Runs a scenario with one seed: executes its steps, checks the goals and request rules, and measures the
+//! fronts.
 //!
-//! - [`report`]: the result of a run.
+//! - [`report`]: holds the result of a run.
 //! - `steps`: executes the scenario's steps.
-//! - `observe`: reads the fronts' reports, checks goals, and measures steady state.
-//! - `garbage`: the step that sends fronts malformed and replayed datagrams.
+//! - `observe`: polls the fronts, checks goals, and measures the cost of steady state.
+//! - `garbage`: sends malformed and replayed datagrams to fronts.
 
 mod garbage;
 mod observe;
@@ -28,31 +29,34 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// All fronts must settle within this time after their start, or the steps are not run.
+/// The time within which all fronts must settle after their start. Otherwise the steps are not executed.
 const INITIAL_SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Clients send requests for this time before the first step.
+/// How long clients send requests before the first step.
 const LOAD_WARM_UP: Duration = Duration::from_secs(1);
-/// Addresses beyond two for each front: for restarts at other addresses and for fronts that join.
+/// The number of addresses beyond two for each front, for restarts at other addresses and for fronts that
+/// join.
 const SPARE_ADDRESSES: usize = 50;
 
-/// How a scenario is run.
+/// The options with which a scenario is run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The programs that fronts run.
+    /// The programs that the fronts run.
     pub programs: Programs,
-    /// How many fronts; without it as many as the scenario says.
+    /// The number of fronts at the start; `None` for the number given in the scenario.
     pub fronts: Option<usize>,
-    /// Decides everything that is random.
+    /// The seed of all random decisions.
     pub seed: u64,
-    /// The folder in which the run makes one for its files. Its path must be short, since sockets are among them.
+    /// The folder in which the run creates a folder for its files. Its path must be short, since the files
+    /// include Unix sockets.
     pub tmp: PathBuf,
-    /// Stand-in cache nodes, the origin among them.
+    /// The number of simulated cache nodes, including the origin.
     pub cache_nodes: usize,
-    /// Whether fronts keep a view of the fleet. Without one only CPU, load and the request rules are measured.
+    /// Whether fronts maintain a membership view. Without one, only CPU, load and the request rules are
+    /// measured.
     pub with_view: bool,
 }
 
-/// Faults that were on the links until some time ago.
+/// Link faults that were replaced at a time in the past.
 struct PastFaults {
     faults: LinkFaults,
     until: Instant,
@@ -66,14 +70,14 @@
     load: Arc<LoadGenerator>,
     rng: ChaCha8Rng,
     started: Instant,
-    /// When the last event happened, from which the time to a goal counts.
+    /// When the last event happened. The time until a goal is reached is measured from it.
     last_event: Instant,
-    /// Faults of the last seconds: reports that they caused may still be spreading.
+    /// The link faults of the last seconds, because reports that they caused may still be spreading.
     past_faults: Vec<PastFaults>,
     report: RunReport,
 }
 
-/// Runs a scenario. What does not hold is no error: it stands in [`RunReport::breaches`].
+/// Runs a scenario. Failed checks are not errors; they are recorded in [`RunReport::breaches`].
 ///
 /// # Errors
 /// An address can't be bound, a file can't be written, or a process can't be started.
@@ -106,20 +110,20 @@
     if run.report.breaches.is_empty() {
         run.run_steps(&scenario.steps).await?;
     }
-    run.finish().await;
+    run.finish_run().await;
     Ok(run.report)
 }
 
 impl Run<'_> {
     async fn start_fronts(&mut self, count: usize) -> io::Result<()> {
         for _ in 0..count {
-            self.fronts.add().await?;
+            self.fronts.start_new_front().await?;
         }
         self.last_event = Instant::now();
         if self.options.with_view {
-            match self.wait_for(Goal::Settled, INITIAL_SETTLE_TIMEOUT).await {
+            match self.wait_for_goal(Goal::Settled, INITIAL_SETTLE_TIMEOUT).await {
                 Some(ms) => self.report.start_ms = ms,
-                None => self.breach("the fronts did not settle at the start".into(), None).await,
+                None => self.record_breach("the fronts did not settle after their start".into(), None).await,
             }
         }
         Ok(())
@@ -137,39 +141,41 @@
         }
     }
 
-    /// Milliseconds since the run began.
+    /// Returns the time since the run began, in milliseconds.
     fn elapsed_ms(&self) -> f64 {
         self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Records that something happened. `begins_fault`: whether a fault lasts from here on.
+    /// Records an event. `begins_fault` is whether a fault lasts from this event on.
     fn record_event(&mut self, name: &str, begins_fault: bool) {
         let at_ms = self.elapsed_ms();
         self.report.events.push(Event { at_ms, name: name.into(), begins_fault });
         self.last_event = Instant::now();
     }
 
-    /// Changes the faults on the links and records that as an event.
+    /// Changes the faults on the links and records the change as an event.
     fn update_link_faults(&mut self, event: &str, begins_fault: bool, update: impl FnOnce(&mut LinkFaults)) {
         self.past_faults.push(PastFaults { faults: self.fronts.links.faults(), until: Instant::now() });
         self.fronts.links.update_faults(update);
         self.record_event(event, begins_fault);
     }
 
-    /// Draws running fronts, by index. One always remains, to report on the others.
+    /// Draws running fronts and returns their indices. At least one front is never drawn, so that it can
+    /// report on the others.
     fn pick_fronts(&mut self, selection: Selection) -> Vec<usize> {
         let running = self.fronts.in_state(ProcessState::Running);
         let count = selection.count_of(running.len()).min(running.len().saturating_sub(1));
         running.choose_multiple(&mut self.rng, count).copied().collect()
     }
 
-    /// Draws running fronts, by the index of their endpoint.
+    /// Draws running fronts and returns the indices of their endpoints.
     fn pick_endpoints(&mut self, selection: Selection) -> Vec<usize> {
         self.pick_fronts(selection).into_iter().map(|i| self.fronts.all[i].endpoint).collect()
     }
 
-    /// Records a breach, with the reports and log lines of the front concerned and of the first one that runs.
-    async fn breach(&mut self, description: String, front: Option<usize>) {
+    /// Records a breach with the summaries and log lines of the front concerned and of the first running
+    /// front.
+    async fn record_breach(&mut self, description: String, front: Option<usize>) {
         let at_ms = self.elapsed_ms();
         let mut evidence = Vec::new();
         let first_running = self.fronts.in_state(ProcessState::Running).first().copied();
@@ -182,8 +188,8 @@
         self.report.breaches.push(Breach { description, at_ms, evidence });
     }
 
-    /// Ends the load and makes the checks that concern the whole run.
-    async fn finish(&mut self) {
+    /// Stops the load and makes the checks that concern the entire run.
+    async fn finish_run(&mut self) {
         self.load.stop();
         self.collect_false_positives();
         if self.options.with_view && self.report.breaches.is_empty() {
@@ -196,24 +202,25 @@
         self.report.rule_violations = violations.count;
         if violations.count > 0 {
             let at_ms = self.elapsed_ms();
-            let description = "rules broken at the boxes".into();
+            let description = "the cache nodes observed violations of the request rules".into();
             self.report.breaches.push(Breach { description, at_ms, evidence: violations.texts });
         }
     }
 
     async fn check_load(&mut self) {
-        // The last requests get some time for their answers.
+        // The last requests get a quarter of the client timeout for their answers.
         sleep(CLIENT_TIMEOUT / 4).await;
         let outcomes = self.load.outcomes();
         self.report.load = outcomes.to_json();
         let not_served = outcomes.errors + outcomes.unanswered + outcomes.unexpected;
         if self.scenario.serves_all && not_served > 0 {
-            let description =
-                format!("{not_served} requests were not served, though only links between fronts were bad");
-            self.breach(description, None).await;
+            let description = format!(
+                "{not_served} requests were not served, although only links between fronts had faults"
+            );
+            self.record_breach(description, None).await;
         }
         if outcomes.served == 0 {
-            self.breach("no request was served: the load is no load".into(), None).await;
+            self.record_breach("no request was served, so the run was not under load".into(), None).await;
         }
     }
 }
--- a/crates/rig/src/run/garbage.rs
+++ b/crates/rig/src/run/garbage.rs
@@ -1,4 +1,5 @@
-//! The step that sends fronts datagrams which no front would send: replayed, random, or well signed but meaningless.
+//! The step that sends fronts datagrams that no front would send: replayed ones, random bytes, and random
+//! messages with a valid signature.
 
 use super::Run;
 use fernslip_gossip::Keyring;
@@ -9,15 +10,15 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// The longest datagram of random bytes.
+/// The upper bound (exclusive) of the length of a datagram of random bytes.
 const MAX_RANDOM_LEN: usize = 1400;
 
 impl Run<'_> {
-    /// Sends garbage from and to any front, `per_second` datagrams for a while.
+    /// Sends `per_second` invalid or replayed datagrams between random fronts until `duration` has passed.
     pub(super) async fn send_garbage(&mut self, per_second: f64, duration: Duration) {
         self.record_event("garbage", true);
         let keys = fernslip_front::keyfile::read(self.fronts.key_file()).ok();
-        let recorded = self.fronts.links.recorded();
+        let recorded = self.fronts.links.recorded_datagrams();
         let end = Instant::now() + duration;
         let endpoints: Vec<usize> = self.fronts.all.iter().map(|f| f.endpoint).collect();
         while Instant::now() < end {
@@ -29,18 +30,18 @@
                 (0, _) if !recorded.is_empty() => {
                     recorded[self.rng.random_range(0..recorded.len())].bytes.clone()
                 }
-                (1, Some(keys)) => signed_nonsense(keys, &mut self.rng),
+                (1, Some(keys)) => signed_random_message(keys, &mut self.rng),
                 _ => (0..self.rng.random_range(0..MAX_RANDOM_LEN)).map(|_| self.rng.random()).collect(),
             };
-            self.fronts.links.deliver(*from, *to, bytes, Duration::ZERO);
+            self.fronts.links.deliver_datagram(*from, *to, bytes, Duration::ZERO);
             sleep(Duration::from_secs_f64(1.0 / per_second)).await;
         }
         self.record_event("garbage over", false);
     }
 }
 
-/// A message with a valid signature and random items.
-fn signed_nonsense(keys: &Keyring, rng: &mut ChaCha8Rng) -> Vec<u8> {
+/// Returns a message with a valid signature and random items.
+fn signed_random_message(keys: &Keyring, rng: &mut ChaCha8Rng) -> Vec<u8> {
     let mut message = Message::new(
         keys.signing_key(),
         Id(rng.random()),
--- a/crates/rig/src/run/observe.rs
+++ b/crates/rig/src/run/observe.rs
@@ -1,4 +1,5 @@
-//! Observes the fronts of a run: their reports over time, whether a goal is reached, false reports, and steady-state cost.
+//! Observes the fronts of a run: polls their summaries, checks goals, collects false reports and measures the
+//! cost of steady state.
 
 use super::{Run, Sample};
 use crate::fronts::ProcessState;
@@ -9,45 +10,46 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Between two polls of all fronts while a goal is awaited.
+/// The interval between two polls of all fronts while the run waits for a goal.
 const GOAL_POLL_INTERVAL: Duration = Duration::from_millis(150);
-/// Between two polls of all fronts while time passes.
+/// The interval between two polls of all fronts during a `wait` step.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
-/// Fronts whose links were cut may report each other gone for so long after the links work again.
-const CUT_REPORT_SPREAD: Duration = Duration::from_secs(8);
+/// How long fronts whose links were cut may still report each other gone after the links work again.
+const CUT_REPORT_SPREAD_TIME: Duration = Duration::from_secs(8);
 
-/// A front's answer to a poll.
+/// The answer of a front to a poll.
 struct FrontSummary {
     front: usize,
-    /// `None` where the front did not answer.
+    /// The summary in JSON; `None` if the front did not answer.
     summary: Option<Value>,
 }
 
 /// The fronts on one side of a partition.
 #[derive(Default)]
-struct Side {
+struct PartitionSide {
     fronts: usize,
-    /// The digest of the first view seen, which all others must equal.
+    /// The view digest of the first front polled on this side, which those of all others must equal.
     digest: Option<String>,
 }
 
 impl Run<'_> {
-    /// Lets time pass, and polls the fronts meanwhile.
-    pub(super) async fn wait(&mut self, duration: Duration) {
+    /// Waits for `duration` and polls the fronts meanwhile.
+    pub(super) async fn wait_and_poll(&mut self, duration: Duration) {
         let end = Instant::now() + duration;
         while Instant::now() < end {
             if self.options.with_view {
-                self.poll().await;
+                self.poll_fronts().await;
             }
             sleep(SAMPLE_INTERVAL.min(end.saturating_duration_since(Instant::now()))).await;
         }
     }
 
-    /// Polls all running fronts and records a sample of each that answers.
-    async fn poll(&mut self) -> Vec<FrontSummary> {
+    /// Polls all running fronts and records a sample for each one that answers.
+    async fn poll_fronts(&mut self) -> Vec<FrontSummary> {
         let running = self.fronts.in_state(ProcessState::Running);
         let mut summaries = Vec::with_capacity(running.len());
-        // One after the other: a poll costs a front little, but all at once would load the machine.
+        // The fronts are polled one after the other: one poll costs little, but all at once would load the
+        // machine.
         for front in running {
             summaries.push(FrontSummary { front, summary: self.fronts.query(front, "summary").await });
         }
@@ -61,11 +63,11 @@
         summaries
     }
 
-    /// The first front that keeps a goal from being reached; `None` where it is reached.
+    /// Returns the first front because of which a goal is not reached, or `None` if it is reached.
     fn deviating_front(&self, goal: Goal, summaries: &[FrontSummary]) -> Option<usize> {
         let faults = self.fronts.links.faults();
-        let side_of = |front: usize| faults.side(self.fronts.all[front].endpoint);
-        let mut sides: BTreeMap<usize, Side> = BTreeMap::new();
+        let side_of = |front: usize| faults.side_of(self.fronts.all[front].endpoint);
+        let mut sides: BTreeMap<usize, PartitionSide> = BTreeMap::new();
         for polled in summaries {
             sides.entry(side_of(polled.front)).or_default().fronts += 1;
         }
@@ -89,12 +91,13 @@
         None
     }
 
-    /// Waits until a goal is reached; milliseconds since the last event, or `None` where it is not reached in time.
-    pub(super) async fn wait_for(&mut self, goal: Goal, within: Duration) -> Option<f64> {
+    /// Waits until a goal is reached and returns the milliseconds since the last event, or `None` if it is
+    /// not reached in time.
+    pub(super) async fn wait_for_goal(&mut self, goal: Goal, within: Duration) -> Option<f64> {
         let since = self.last_event;
         loop {
             let polled_at = Instant::now();
-            let summaries = self.poll().await;
+            let summaries = self.poll_fronts().await;
             if self.deviating_front(goal, &summaries).is_none() {
                 return Some(polled_at.saturating_duration_since(since).as_secs_f64() * 1000.0);
             }
@@ -105,15 +108,15 @@
         }
     }
 
-    /// Polls once more for the front that keeps a goal from being reached.
+    /// Polls the fronts again and returns the first one because of which a goal is not reached.
     pub(super) async fn find_deviating_front(&mut self, goal: Goal) -> Option<usize> {
-        let summaries = self.poll().await;
+        let summaries = self.poll_fronts().await;
         self.deviating_front(goal, &summaries)
     }
 
-    /// Collects reports of live fronts that are gone, unless a fault explains them.
+    /// Collects the reports that a live front is gone, except those that a fault explains.
     pub(super) fn collect_false_positives(&mut self) {
-        self.past_faults.retain(|past| past.until.elapsed() < CUT_REPORT_SPREAD);
+        self.past_faults.retain(|past| past.until.elapsed() < CUT_REPORT_SPREAD_TIME);
         let current = self.fronts.links.faults();
         let is_cut = |reporter: usize, subject: usize| {
             let cuts = |faults: &LinkFaults| {
@@ -127,8 +130,8 @@
         self.report.false_positives.extend(reports);
     }
 
-    /// Measures bytes, CPU and memory of each front while nothing happens and nobody polls.
-    pub(super) async fn measure(&mut self, duration: Duration) {
+    /// Measures gossip bytes, CPU and memory of each front while no event happens and the rig does not poll.
+    pub(super) async fn measure_steady_state(&mut self, duration: Duration) {
         let started = Instant::now();
         let (bytes_before, usage_before) = (self.fronts.links.bytes_sent(), self.fronts.resource_usage());
         sleep(duration).await;
@@ -147,7 +150,7 @@
         }
     }
 
-    /// Counts, over all running fronts, the members of their views that have ended.
+    /// Counts, over the views of all running fronts, the members whose process does not run.
     pub(super) async fn count_stale_members(&mut self) {
         let running = self.fronts.in_state(ProcessState::Running);
         let live: BTreeSet<String> = running.iter().map(|i| self.fronts.all[*i].name.clone()).collect();
--- a/crates/rig/src/run/report.rs
+++ b/crates/rig/src/run/report.rs
@@ -1,98 +1,98 @@
-//! The result of a run.
+//! The result of a run and its form in JSON.
 
 use crate::fronts::FailureReport;
 use crate::scenario::Goal;
 use serde_json::{json, Value};
 
-/// What a front reported at one moment.
+/// The state that a front reported when it was polled.
 #[derive(Clone, Debug)]
 pub struct Sample {
     /// Milliseconds since the run began.
     pub at_ms: f64,
-    /// The front's index.
+    /// The index of the front.
     pub front: usize,
-    /// Fronts that it counts on.
+    /// The number of members in its view that it expects to be alive.
     pub member_count: usize,
-    /// Whether it reports that its view has settled.
+    /// Whether the front reports that its view has settled.
     pub settled: bool,
 }
 
-/// Something that a step did.
+/// An event that a step of the scenario caused.
 #[derive(Clone, Debug)]
 pub struct Event {
     /// Milliseconds since the run began.
     pub at_ms: f64,
-    /// What happened.
+    /// A label of the event, which is shown in the chart.
     pub name: String,
-    /// Whether a fault lasts from here on; the next event without one ends it.
+    /// Whether a fault lasts from this event on. The next event for which this is false ends the fault.
     pub begins_fault: bool,
 }
 
-/// Something that had to hold and did not.
+/// A failed check.
 #[derive(Clone, Debug)]
 pub struct Breach {
-    /// What.
+    /// A description of the failed check.
     pub description: String,
     /// Milliseconds since the run began.
     pub at_ms: f64,
-    /// Reports and log lines of the fronts concerned.
+    /// The summaries and log lines of the fronts concerned.
     pub evidence: Vec<String>,
 }
 
-/// A goal that was reached.
+/// A goal that was reached in time.
 #[derive(Clone, Debug)]
 pub struct Awaited {
-    /// The goal.
+    /// The goal that was reached.
     pub goal: Goal,
-    /// Milliseconds since the event before.
+    /// Milliseconds from the preceding event until the goal was reached.
     pub ms: f64,
 }
 
-/// The result of a run. Figures of fronts are one value a front and measurement.
+/// The result of a run. Lists of figures hold one value for each front and measurement.
 #[derive(Clone, Debug, Default)]
 pub struct RunReport {
-    /// The scenario's name.
+    /// The name of the scenario.
     pub name: String,
-    /// Fronts at the start.
+    /// The number of fronts at the start.
     pub fronts: usize,
-    /// The seed.
+    /// The seed of the run.
     pub seed: u64,
     /// Milliseconds until all fronts had settled after their start.
     pub start_ms: f64,
-    /// How long each awaited goal took.
+    /// The goals that were reached, with the time that each took.
     pub awaited: Vec<Awaited>,
-    /// Reports that a live front is gone, without a fault that explains them.
+    /// The reports that a live front is gone which no fault explains.
     pub false_positives: Vec<FailureReport>,
-    /// Ended fronts that a front still counts on at the end.
+    /// The number of ended fronts that are still live members of a view at the end, summed over all views.
     pub stale_members: usize,
-    /// Gossip bytes a second in steady state.
+    /// The gossip bytes that a front sent per second in steady state.
     pub bytes_per_s: Vec<f64>,
-    /// CPU in steady state, as a fraction of a core.
+    /// The CPU usage in steady state, as a fraction of one core.
     pub cpu: Vec<f64>,
-    /// Resident memory in steady state, in MB.
+    /// The resident memory in steady state, in MB.
     pub memory_mb: Vec<f64>,
-    /// Request rules broken at the cache nodes.
+    /// The number of violations of the request rules that the cache nodes observed.
     pub rule_violations: usize,
-    /// How requests ended, as JSON; null without load.
+    /// The outcomes of requests, as JSON; null without load.
     pub load: Value,
-    /// What did not hold.
+    /// The failed checks.
     pub breaches: Vec<Breach>,
-    /// What each front reported over time.
+    /// The states that the fronts reported over time.
     pub samples: Vec<Sample>,
-    /// What happened when.
+    /// The events in the order in which they happened.
     pub events: Vec<Event>,
 }
 
 impl RunReport {
-    /// Whether everything held.
-    pub fn holds(&self) -> bool {
+    /// Returns whether all checks passed.
+    pub fn all_checks_passed(&self) -> bool {
         self.breaches.is_empty()
             && self.false_positives.is_empty()
             && self.stale_members == 0
             && self.rule_violations == 0
     }
 
-    /// As JSON, without samples and events.
+    /// Returns the report as JSON, without samples and events.
     pub fn to_json(&self) -> Value {
         let awaited =
             |a: &Awaited| json!({ "goal": format!("{:?}", a.goal).to_lowercase(), "ms": a.ms.round() });
@@ -113,15 +113,15 @@
     }
 }
 
-/// The median and the largest of some values, as JSON.
+/// Returns the median and the maximum of the values as JSON.
 pub(crate) fn median_and_max(values: &[f64]) -> Value {
     json!({ "p50": quantile(values, 0.5), "max": quantile(values, 1.0) })
 }
 
-/// A quantile by the nearest rank, rounded to five decimals; 0 of no values.
-fn quantile(values: &[f64], q: f64) -> f64 {
+/// Returns a quantile by nearest rank, rounded to five decimals; 0 if there are no values.
+fn quantile(values: &[f64], level: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
-    let i = (q * (sorted.len().saturating_sub(1)) as f64).round() as usize;
+    let i = (level * (sorted.len().saturating_sub(1)) as f64).round() as usize;
     sorted.get(i).map_or(0.0, |v| (v * 1e5).round() / 1e5)
 }
--- a/crates/rig/src/run/steps.rs
+++ b/crates/rig/src/run/steps.rs
@@ -10,20 +10,20 @@
 use std::io;
 use std::time::Duration;
 
-/// The view settles within this time between two batches of a roll.
+/// The time within which the view must settle between two batches of a roll.
 const ROLL_SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 impl Run<'_> {
-    /// Executes steps in order; after each one, reports of live fronts that are gone are collected.
+    /// Executes steps in order, and after each one collects the reports that live fronts are gone.
     pub(super) async fn run_steps(&mut self, steps: &[Step]) -> io::Result<()> {
         for step in steps {
             match step {
                 Step::Process(step) => self.run_process_step(step).await?,
                 Step::Fault(step) => self.run_fault_step(step),
                 Step::Garbage { per_second, duration } => self.send_garbage(*per_second, *duration).await,
-                Step::Wait(duration) => self.wait(*duration).await,
+                Step::Wait(duration) => self.wait_and_poll(*duration).await,
                 Step::Await { goal, within } => self.await_goal(*goal, *within).await,
-                Step::Measure(duration) => self.measure(*duration).await,
+                Step::Measure(duration) => self.measure_steady_state(*duration).await,
                 Step::Repeat { times, steps } => {
                     for _ in 0..*times {
                         Box::pin(self.run_steps(steps)).await?;
@@ -45,7 +45,7 @@
             }
             ProcessStep::Terminate(selection) => {
                 for i in self.pick_fronts(*selection) {
-                    self.terminate(i).await?;
+                    self.terminate_front(i).await?;
                 }
                 self.record_event("term", false);
             }
@@ -61,7 +61,7 @@
                 }
                 self.record_event("go on", false);
             }
-            ProcessStep::Roll { build, batch } => self.roll(*build, *batch).await?,
+            ProcessStep::Roll { build, batch } => self.roll_to_build(*build, *batch).await?,
             ProcessStep::Restart { new_address, build } => {
                 for i in self.fronts.in_state(ProcessState::Ended) {
                     let front = &mut self.fronts.all[i];
@@ -72,7 +72,7 @@
             }
             ProcessStep::Join(selection) => {
                 for _ in 0..selection.count_of(self.fronts.all.len()) {
-                    self.fronts.add().await?;
+                    self.fronts.start_new_front().await?;
                 }
                 self.record_event("join", false);
             }
@@ -80,21 +80,26 @@
         Ok(())
     }
 
-    /// Ends a front with SIGTERM; one that does not end in time is a breach.
-    async fn terminate(&mut self, i: usize) -> io::Result<()> {
-        if !self.fronts.terminate(i).await? {
-            self.breach(format!("{} did not end", self.fronts.all[i].name), Some(i)).await;
+    /// Ends a front with SIGTERM, and records a breach if it does not end in time.
+    async fn terminate_front(&mut self, index: usize) -> io::Result<()> {
+        if !self.fronts.terminate(index).await? {
+            self.record_breach(
+                format!("front {} did not end in time after SIGTERM", self.fronts.all[index].name),
+                Some(index),
+            )
+            .await;
         }
         Ok(())
     }
 
-    /// Moves all fronts that run another build to this one, batch by batch; the view settles after each.
-    async fn roll(&mut self, build: Build, batch: usize) -> io::Result<()> {
+    /// Restarts all fronts that run another build with this one, in batches, and waits after each batch until
+    /// the view has settled.
+    async fn roll_to_build(&mut self, build: Build, batch: usize) -> io::Result<()> {
         let outdated: Vec<usize> =
             (0..self.fronts.all.len()).filter(|i| self.fronts.all[*i].build != build).collect();
         for fronts in outdated.chunks(batch) {
             for i in fronts {
-                self.terminate(*i).await?;
+                self.terminate_front(*i).await?;
                 self.fronts.all[*i].build = build;
                 self.fronts.restart(*i, false).await?;
             }
@@ -106,8 +111,8 @@
 
     fn run_fault_step(&mut self, step: &FaultStep) {
         match step {
-            FaultStep::Partition(partition) => self.partition(*partition),
-            FaultStep::Heal => self.heal(),
+            FaultStep::Partition(partition) => self.apply_partition(*partition),
+            FaultStep::Heal => self.remove_faults(),
             FaultStep::Loss(loss) => {
                 self.update_link_faults("loss", *loss > 0.0, |faults| faults.loss = *loss);
             }
@@ -142,7 +147,7 @@
         }
     }
 
-    fn partition(&mut self, partition: Partition) {
+    fn apply_partition(&mut self, partition: Partition) {
         let mut fronts: Vec<usize> = self.fronts.all.iter().map(|f| f.endpoint).collect();
         fronts.shuffle(&mut self.rng);
         let side = |position: usize| match partition {
@@ -154,14 +159,14 @@
         self.update_link_faults("partition", true, |faults| faults.sides = sides);
     }
 
-    fn heal(&mut self) {
+    fn remove_faults(&mut self) {
         self.update_link_faults("heal", false, |faults| *faults = LinkFaults::default());
         for front in &self.fronts.all {
             self.fronts.cache_nodes.set_disconnected(front.endpoint, false);
         }
     }
 
-    /// Draws links between two fronts each, sender first; fewer where there are not enough fronts.
+    /// Draws `count` links as pairs of sender and receiver; fewer if there are not enough running fronts.
     fn pick_one_way_links(&mut self, count: usize) -> BTreeSet<(usize, usize)> {
         let mut links = BTreeSet::new();
         while links.len() < count {
@@ -172,13 +177,17 @@
         links
     }
 
-    /// Waits for a goal; one that is not reached in time is a breach.
+    /// Waits for a goal, and records a breach if it is not reached in time.
     async fn await_goal(&mut self, goal: Goal, within: Duration) {
-        match self.wait_for(goal, within).await {
+        match self.wait_for_goal(goal, within).await {
             Some(ms) => self.report.awaited.push(Awaited { goal, ms }),
             None => {
                 let deviating = self.find_deviating_front(goal).await;
-                self.breach(format!("not {goal:?} within {} ms", within.as_millis()), deviating).await;
+                self.record_breach(
+                    format!("the goal {goal:?} was not reached within {} ms", within.as_millis()),
+                    deviating,
+                )
+                .await;
             }
         }
     }
--- a/crates/rig/src/scenario.rs
+++ b/crates/rig/src/scenario.rs
@@ -1,22 +1,22 @@
-//! Scenarios: what is to happen to a fleet, step by step, and what must hold. They are KDL documents; `docs/operate/rig.md`
-//! lists their keys.
+//! Scenarios: the steps that are applied to a fleet and the goals that it must reach. They are written as KDL
+//! documents, whose keys are listed in `docs/operate/rig.md`.
 
 mod parse;
 
 use crate::programs::Build;
 use std::time::Duration;
 
-/// Which fronts a step applies to; the seed decides which ones.
+/// The number of fronts to which a step applies. The seed determines which ones are selected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Selection {
-    /// So many.
+    /// This number of fronts.
     Count(usize),
-    /// That fraction of all that run.
+    /// This fraction of all running fronts.
     Fraction(f64),
 }
 
 impl Selection {
-    /// How many of `all` fronts that is; a fraction selects at least one.
+    /// Returns how many of `all` fronts are selected. A fraction selects at least one.
     pub fn count_of(self, all: usize) -> usize {
         match self {
             Selection::Count(n) => n.min(all),
@@ -25,155 +25,155 @@
     }
 }
 
-/// The state of the fleet that a step waits for. The names stand in the rig's output.
+/// A state of the fleet that a step waits for. The variant names are part of the rig's output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Goal {
-    /// All fronts that run and reach each other hold the same view, of exactly themselves.
+    /// All running fronts that reach each other have the same view, which holds exactly these fronts.
     Even,
-    /// The same, and each reports that its view has settled.
+    /// Like [`Goal::Even`], and each of these fronts reports that its view has settled.
     Settled,
-    /// No front that runs counts on one that has ended.
+    /// No running front has more members in its view than there are running fronts that can reach it.
     Known,
 }
 
-/// A step that starts, ends or pauses processes.
+/// A step that starts, ends, stops or resumes front processes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProcessStep {
-    /// SIGKILL.
+    /// Kills fronts with SIGKILL.
     Kill(Selection),
-    /// SIGTERM, and waits until the process has ended.
+    /// Sends SIGTERM to fronts and waits until their processes have ended.
     Terminate(Selection),
-    /// SIGSTOP.
+    /// Stops fronts with SIGSTOP.
     Stop(Selection),
-    /// SIGCONT to all that are stopped.
+    /// Resumes all stopped fronts with SIGCONT.
     Resume,
-    /// Starts all that have ended.
+    /// Restarts all fronts that have ended.
     Restart {
-        /// At another address than before.
+        /// Whether each front gets another address than before.
         new_address: bool,
-        /// With that build; without one, with the build that each ran before.
+        /// The build to start; `None` for the build that each front ran before.
         build: Option<Build>,
     },
-    /// Ends fronts in batches and starts them with that build, until all run it.
+    /// Ends fronts in batches and starts them with another build, until all fronts run it.
     Roll {
-        /// The build.
+        /// The build that all fronts run in the end.
         build: Build,
-        /// Fronts of a batch.
+        /// The number of fronts in a batch.
         batch: usize,
     },
-    /// Starts new fronts.
+    /// Starts additional fronts.
     Join(Selection),
 }
 
 /// How a partition divides the fronts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Partition {
-    /// So many sides of about the same size.
+    /// Divides the fronts into this number of sides of about the same size.
     Sides(usize),
-    /// So many fronts against all others.
+    /// Separates this number of fronts from all others.
     Isolated(usize),
 }
 
-/// A step that injects faults on links, or removes them.
+/// A step that injects faults on links or removes them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultStep {
-    /// Sides that don't reach each other.
+    /// Divides the fronts into sides that can't reach each other.
     Partition(Partition),
-    /// All links work again.
+    /// Removes all faults from the links between fronts and to cache nodes.
     Heal,
-    /// A fraction of all datagrams is lost.
+    /// Drops a fraction of all datagrams.
     Loss(f64),
-    /// Some fronts lose a fraction of what they send and of what is sent to them.
+    /// Drops a fraction of the datagrams from and to some fronts.
     LossyFronts {
-        /// Which.
+        /// The affected fronts.
         fronts: Selection,
-        /// The fraction.
+        /// The fraction of datagrams that is lost.
         loss: f64,
     },
-    /// All that some fronts send and are sent is delayed.
+    /// Delays all datagrams from and to some fronts.
     Delay {
-        /// Which.
+        /// The affected fronts.
         fronts: Selection,
         /// The constant delay, in milliseconds.
         base_ms: f64,
-        /// The upper bound of a random delay on top, in milliseconds.
+        /// The upper bound of an additional random delay, in milliseconds.
         jitter_ms: f64,
     },
-    /// Datagrams are delivered twice or out of order.
+    /// Delivers datagrams twice or out of order.
     Disorder {
-        /// Fraction delivered twice.
+        /// The fraction of datagrams that is delivered twice.
         duplicated: f64,
-        /// Fraction delivered late, behind later datagrams.
+        /// The fraction of datagrams that is delayed, so that later datagrams overtake them.
         reordered: f64,
     },
-    /// So many links lose everything in one direction.
+    /// Makes this number of links between two fronts lose every datagram in one direction.
     OneWay(usize),
-    /// No datagram reaches some fronts, though what they send arrives.
+    /// Drops all datagrams to some fronts, but none from them.
     BlockInbound(Selection),
-    /// Some fronts lose all connections to their cache nodes and can't make new ones.
+    /// Closes all connections of some fronts to their cache nodes, and prevents new ones.
     DisconnectCacheNodes(Selection),
 }
 
 /// One step of a scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Starts, ends or pauses processes.
+    /// Starts, ends, stops or resumes front processes.
     Process(ProcessStep),
     /// Injects or removes faults on links.
     Fault(FaultStep),
-    /// Sends fronts arbitrary bytes, replayed datagrams and signed nonsense.
+    /// Sends fronts random bytes, replayed datagrams and signed messages with random items.
     Garbage {
-        /// Datagrams a second.
+        /// The number of datagrams per second.
         per_second: f64,
-        /// For how long.
+        /// How long datagrams are sent.
         duration: Duration,
     },
-    /// Time passes.
+    /// Waits for this time.
     Wait(Duration),
-    /// The goal must be reached in time; how long it took is measured.
+    /// Waits until a goal is reached, which must happen in time, and measures how long it takes.
     Await {
-        /// The goal.
+        /// The goal to be reached.
         goal: Goal,
-        /// The time since the last thing that happened.
+        /// The longest accepted time since the last event.
         within: Duration,
     },
-    /// Bytes sent and CPU used in steady state are measured over this time.
+    /// Measures gossip bytes, CPU and memory in steady state over this time.
     Measure(Duration),
-    /// The steps are run several times.
+    /// Executes steps several times.
     Repeat {
-        /// How often.
+        /// The number of times.
         times: usize,
-        /// The steps.
+        /// The steps to repeat, in order.
         steps: Vec<Step>,
     },
 }
 
-/// A scenario.
+/// A scenario, as parsed from its document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Its name.
+    /// The name of the scenario.
     pub name: String,
-    /// How many fronts it runs with unless the command line says otherwise.
+    /// The number of fronts at the start, unless the command line gives another.
     pub fronts: usize,
-    /// Requests a second of all clients together; 0 for no load.
+    /// The requests per second of all clients together; 0 for no load.
     pub load: f64,
-    /// Whether every request must be served, because faults are between fronts alone.
+    /// Whether every request must be served, because only links between fronts have faults.
     pub serves_all: bool,
-    /// The steps, run after all fronts have started and settled.
+    /// The steps, which are executed after all fronts have started and settled.
     pub steps: Vec<Step>,
 }
 
-/// A mistake in a scenario document, and where it is.
+/// An error in a scenario document, with its location.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}:{column}: {message}")]
 pub struct ScenarioError {
-    /// The document's name.
+    /// The file name of the document.
     pub file: String,
-    /// The line, from 1.
+    /// The line, counted from 1.
     pub line: usize,
-    /// The column, from 1.
+    /// The column in characters, counted from 1.
     pub column: usize,
-    /// What is wrong.
+    /// A description of the error.
     pub message: String,
 }
 
--- a/crates/rig/src/scenario/tests.rs
+++ b/crates/rig/src/scenario/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn steps_are_parsed_and_mistakes_are_reported_with_their_location() {
+fn steps_are_parsed_and_errors_are_reported_with_their_location() {
     let text =
         "scenario \"a\" fronts=5 load=50 {\n  kill part=0.3\n  repeat times=2 {\n    partition alone=1\n    \
                 heal\n  }\n  await \"settled\" within-ms=5000\n}\n";
-    let s = Scenario::parse("a.kdl", text).expect("fine");
+    let s = Scenario::parse("a.kdl", text).expect("the document is valid");
     assert_eq!((s.name.as_str(), s.fronts, s.load), ("a", 5, 50.0));
     let inner = vec![Step::Fault(FaultStep::Partition(Partition::Isolated(1))), Step::Fault(FaultStep::Heal)];
     let wanted = [
@@ -15,16 +15,16 @@
     ];
     assert_eq!(s.steps, wanted);
     for (text, location, message) in [
-        ("scenario \"a\" {\n  explode\n}", (2, 3), "no step"),
-        ("scenario \"a\" {\n  kill\n}", (2, 3), "count= or part="),
-        ("scenario \"a\" {\n  kill count=1 part=0.5\n}", (2, 3), "one of them"),
+        ("scenario \"a\" {\n  explode\n}", (2, 3), "not a step"),
+        ("scenario \"a\" {\n  kill\n}", (2, 3), "exactly one of count= and part="),
+        ("scenario \"a\" {\n  kill count=1 part=0.5\n}", (2, 3), "exactly one of count= and part="),
         ("scenario \"a\" {\n  kill count=\"x\"\n}", (2, 8), "must be a number"),
-        ("scenario \"a\" {\n  loss part=1.5\n}", (2, 8), "from 0 to 1"),
+        ("scenario \"a\" {\n  loss part=1.5\n}", (2, 8), "must be from 0 to 1"),
         ("scenario \"a\" {\n  await \"peace\" within-ms=1\n}", (2, 3), "settled"),
         ("scenario \"a\" {\n  wait ms=5 s=1\n}", (2, 13), "no `s`"),
-        ("scenario \"a\" {\n  heal { kill count=1; }\n}", (2, 3), "no steps of its own"),
-        ("scenario \"a\"", (1, 1), "needs steps"),
-        ("box", (1, 1), "one `scenario`"),
+        ("scenario \"a\" {\n  heal { kill count=1; }\n}", (2, 3), "takes no nested steps"),
+        ("scenario \"a\"", (1, 1), "`scenario` needs steps"),
+        ("box", (1, 1), "exactly one `scenario`"),
     ] {
         let e = Scenario::parse("a.kdl", text).expect_err(text);
         assert_eq!((e.line, e.column), location, "{e}");
--- a/crates/rig/src/shim.rs
+++ b/crates/rig/src/shim.rs
@@ -1,16 +1,19 @@
-//! Machine faults under a real process: system calls that fail as Linux documents, and a stepped wall clock.
+//! Machine faults for a real process: system calls that fail with errors documented for Linux, and a stepped
+//! wall clock.
 //!
-//! A small library in C (`shim/faults.c`), built with the system's compiler and preloaded into the process alone, reads its
-//! rates from a file that [`ProcessFaults::set`] changes while the process runs. Nothing outside that process is affected.
+//! A small C library (`shim/faults.c`) is built with the system's compiler and preloaded into that process
+//! only. It reads the fault rates from a file that [`ProcessFaults::set`] changes while the process runs. No
+//! other process is affected.
 
 use std::io;
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-const SOURCE: &str = include_str!("../shim/faults.c");
+/// The source code of the C library.
+const LIBRARY_SOURCE: &str = include_str!("../shim/faults.c");
 
-/// The library, built for this run; dropping it removes its folder.
+/// The fault injection library, built for this run. Dropping it removes its folder.
 pub struct Shim {
     folder: tempfile::TempDir,
 }
@@ -19,11 +22,11 @@
     /// Builds the library with the system's C compiler, which the Rust tool chain needs for linking anyway.
     ///
     /// # Errors
-    /// The folder can't be created, or there is no compiler, or it rejects the source.
+    /// The folder can't be created, there is no C compiler, or the compiler rejects the source.
     pub fn build() -> io::Result<Shim> {
         let folder = tempfile::tempdir()?;
         let source = folder.path().join("faults.c");
-        std::fs::write(&source, SOURCE)?;
+        std::fs::write(&source, LIBRARY_SOURCE)?;
         let library = folder.path().join("libfaults.so");
         let out = Command::new("cc")
             .args(["-O1", "-Wall", "-shared", "-fPIC", "-o"])
@@ -37,31 +40,32 @@
         }
     }
 
-    fn library(&self) -> PathBuf {
+    fn library_path(&self) -> PathBuf {
         self.folder.path().join("libfaults.so")
     }
 
-    /// The faults of one process, all off. `seed` makes them repeatable, as far as threads run in the same order.
+    /// Creates the fault settings of one process, with all faults off. The same `seed` gives the same faults
+    /// as long as threads run in the same order.
     ///
     /// # Errors
-    /// The file can't be written.
+    /// The file of fault values can't be written.
     pub fn faults(&self, name: &str, seed: u64) -> io::Result<ProcessFaults> {
         let path = self.folder.path().join(format!("{name}.faults"));
         let file = std::fs::OpenOptions::new().write(true).create(true).truncate(true).open(&path)?;
-        file.set_len((FIELDS * size_of::<i64>()) as u64)?;
-        Ok(ProcessFaults { file, path, library: self.library(), seed })
+        file.set_len((FAULT_VALUE_COUNT * size_of::<i64>()) as u64)?;
+        Ok(ProcessFaults { file, path, library: self.library_path(), seed })
     }
 }
 
-/// How many values the library reads from the file.
-const FIELDS: usize = 7;
+/// The number of 64-bit values that the library reads from the file.
+const FAULT_VALUE_COUNT: usize = 7;
 
 /// A fault that can be injected; its discriminant is the index of its value in the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineFault {
-    /// The wall clock is off by so many nanoseconds.
+    /// The offset of the wall clock, in nanoseconds.
     WallOffsetNs = 0,
-    /// `accept` fails; this value and all below are rates in a thousand.
+    /// `accept` fails. This value and all that follow are rates in a thousand.
     Accept = 1,
     /// `socket` and `connect` fail.
     Connect = 2,
@@ -71,12 +75,12 @@
     Wait = 4,
     /// `epoll_ctl` fails for lack of memory.
     Register = 5,
-    /// Files can't be opened, written, synced or renamed.
+    /// Opening, writing, syncing and renaming files fail.
     Disk = 6,
 }
 
 impl MachineFault {
-    /// All faults whose value is a rate.
+    /// All faults whose value is a rate in a thousand.
     pub const RATES: [MachineFault; 6] = [
         MachineFault::Accept,
         MachineFault::Connect,
@@ -87,7 +91,7 @@
     ];
 }
 
-/// The faults of one process.
+/// The fault settings of one process.
 pub struct ProcessFaults {
     file: std::fs::File,
     path: PathBuf,
@@ -96,7 +100,7 @@
 }
 
 impl ProcessFaults {
-    /// The environment variables that load the library into the process.
+    /// Returns the environment variables that preload and configure the library in the process.
     pub fn environment(&self) -> [(&'static str, String); 3] {
         let text = |p: &Path| p.display().to_string();
         [
@@ -106,18 +110,19 @@
         ]
     }
 
-    /// Sets a fault's value from now on: its rate in a thousand, or the wall clock's offset in nanoseconds.
+    /// Sets the value of a fault from now on: a rate in a thousand, or the offset of the wall clock in
+    /// nanoseconds.
     ///
     /// # Errors
-    /// The file can't be written.
+    /// The file of fault values can't be written.
     pub fn set(&self, fault: MachineFault, value: i64) -> io::Result<()> {
         self.file.write_all_at(&value.to_ne_bytes(), fault as u64 * size_of::<i64>() as u64)
     }
 
-    /// Sets every rate to 0; the wall clock stays as it is.
+    /// Sets every rate to 0; the offset of the wall clock does not change.
     ///
     /// # Errors
-    /// The file can't be written.
+    /// The file of fault values can't be written.
     pub fn clear_rates(&self) -> io::Result<()> {
         MachineFault::RATES.iter().try_for_each(|f| self.set(*f, 0))
     }
--- a/crates/rig/src/suite.rs
+++ b/crates/rig/src/suite.rs
@@ -1,18 +1,19 @@
-//! The scenarios that come with the rig, and runs over several seeds as rows of figures.
+//! The scenarios that are bundled with the rig, and their runs with several seeds as rows of figures.
 
 use crate::run::report::median_and_max;
 use crate::run::{run_scenario, Options, RunReport};
 use crate::scenario::{Goal, Scenario, ScenarioError};
 use serde_json::{json, Value};
 
-macro_rules! scenarios {
+macro_rules! bundle_scenarios {
     ($($name:literal),* $(,)?) => {
-        /// The documents of `crates/rig/scenarios`: name and text.
-        pub const BUNDLED: &[(&str, &str)] = &[$(($name, include_str!(concat!("../scenarios/", $name, ".kdl")))),*];
+        /// The names and texts of the documents in `crates/rig/scenarios`.
+        pub const BUNDLED_SCENARIOS: &[(&str, &str)] =
+            &[$(($name, include_str!(concat!("../scenarios/", $name, ".kdl")))),*];
     };
 }
 
-scenarios!(
+bundle_scenarios!(
     "steady",
     "join-one",
     "join-third",
@@ -42,31 +43,34 @@
     "pair-dark",
 );
 
-/// The main scenarios, for the largest fleets and for CI with few processes.
-pub const MAIN: [&str; 5] = ["steady", "crash-third", "join-third", "halves-3s", "stop-1s"];
+/// The names of the main scenarios, which are used for the largest fleets and for CI with few processes.
+pub const MAIN_SCENARIOS: [&str; 5] = ["steady", "crash-third", "join-third", "halves-3s", "stop-1s"];
 
-/// A scenario that comes with the rig.
+/// Parses the bundled scenario of this name.
 ///
 /// # Errors
-/// There is none of that name, or its document has a mistake.
+/// There is no bundled scenario of this name, or its document is invalid.
 pub fn bundled(name: &str) -> Result<Scenario, ScenarioError> {
-    let found = BUNDLED.iter().find(|(n, _)| *n == name);
+    let found = BUNDLED_SCENARIOS.iter().find(|(n, _)| *n == name);
     let (name, text) = found.copied().ok_or_else(|| ScenarioError {
         file: name.into(),
         line: 1,
         column: 1,
-        message: format!("no such scenario; there are: {}", bundled_names().join(", ")),
+        message: format!(
+            "there is no bundled scenario of this name; expected one of: {}",
+            bundled_names().join(", ")
+        ),
     })?;
     Scenario::parse(&format!("{name}.kdl"), text)
 }
 
-/// The names of the scenarios that come with the rig.
+/// Returns the names of the bundled scenarios.
 pub fn bundled_names() -> Vec<&'static str> {
-    BUNDLED.iter().map(|(name, _)| *name).collect()
+    BUNDLED_SCENARIOS.iter().map(|(name, _)| *name).collect()
 }
 
-/// One row of figures: a scenario over its seeds.
-pub fn row(runs: &[RunReport]) -> Value {
+/// Summarizes the runs of one scenario with several seeds as a row of figures.
+pub fn summary_row(runs: &[RunReport]) -> Value {
     let awaited = |goal: Goal| -> Vec<f64> {
         let all = runs.iter().flat_map(|r| &r.awaited);
         all.filter(|a| a.goal == goal).map(|a| a.ms.round()).collect()
@@ -101,10 +105,11 @@
     })
 }
 
-/// Runs a scenario that comes with the rig once for each seed. `on_run` is called with the report of each run.
+/// Runs a bundled scenario once for each seed. `on_run` is called with the report of each run.
 ///
 /// # Errors
-/// There is no scenario of that name, or a run's addresses, files or processes can't be had; the text names the scenario.
+/// There is no scenario of that name, or a run can't get its addresses, write its files or start its
+/// processes. The error holds the name of the scenario.
 pub async fn run_seeds(
     name: &str,
     seeds: &[u64],
@@ -115,17 +120,20 @@
     let mut runs = Vec::new();
     for seed in seeds {
         let options = Options { seed: *seed, ..options.clone() };
-        let report = run_scenario(&scenario, &options).await.map_err(|e| format!("{name}: {e}"))?;
+        let report = run_scenario(&scenario, &options)
+            .await
+            .map_err(|e| format!("the scenario `{name}` could not be run: {e}"))?;
         on_run(&report);
         runs.push(report);
     }
     Ok(runs)
 }
 
-/// Runs scenarios with several seeds; one row of figures each. `on_run` is called with the report of each run.
+/// Runs bundled scenarios with several seeds and returns one row of figures for each scenario. `on_run` is
+/// called with the report of each run.
 ///
 /// # Errors
-/// As [`run_seeds`].
+/// The errors of [`run_seeds`].
 pub async fn run_suite(
     names: &[String],
     seeds: &[u64],
@@ -134,7 +142,7 @@
 ) -> Result<Vec<Value>, String> {
     let mut rows = Vec::new();
     for name in names {
-        rows.push(row(&run_seeds(name, seeds, options, &mut on_run).await?));
+        rows.push(summary_row(&run_seeds(name, seeds, options, &mut on_run).await?));
     }
     Ok(rows)
 }
--- a/crates/rig/src/suite/tests.rs
+++ b/crates/rig/src/suite/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 #[test]
-fn every_bundled_scenario_parses_and_an_unknown_name_is_an_error_that_lists_them() {
-    for (name, _) in BUNDLED {
+fn bundled_scenarios_parse_and_the_error_for_an_unknown_name_lists_them() {
+    for (name, _) in BUNDLED_SCENARIOS {
         let s = bundled(name).unwrap_or_else(|e| panic!("{e}"));
         assert_eq!(&s.name, name);
     }
-    assert!(MAIN.iter().all(|m| bundled(m).is_ok()));
-    let why = bundled("peace").expect_err("none").to_string();
+    assert!(MAIN_SCENARIOS.iter().all(|m| bundled(m).is_ok()));
+    let why = bundled("peace").expect_err("an unknown scenario name is an error").to_string();
     assert!(why.contains("crash-third"), "{why}");
 }
--- a/crates/rig/src/sync.rs
+++ b/crates/rig/src/sync.rs
@@ -1,8 +1,8 @@
-//! Locking shared by the rig's modules.
+//! Mutex locking for all modules of the rig.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex. A poisoned one is used as it is: a task that panicked fails its run by other means.
+/// Locks a mutex, also if it is poisoned: the panic of a task is detected by other means and fails the run.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
