--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -59,11 +59,11 @@
     };
     // The handlers are installed before any file is read: the default action of SIGHUP or SIGTERM ends the
     // process.
-    let signals = match Signals::catch() {
+    let signals = match Signals::install_handlers() {
         Ok(signals) => signals,
         Err(error) => return fail(error),
     };
-    let start = match reload::read(options.config, options.site) {
+    let start = match reload::read_with_retries(options.config, options.site) {
         Ok(start) => start,
         Err(error) => return fail(error),
     };
@@ -119,16 +119,16 @@
 /// Creates, rotates or reads a key file, and prints the numbers of the keys that it then holds.
 fn manage_keys(command: &KeysCommand) -> ExitCode {
     let (file, result) = match command {
-        KeysCommand::New { file } => (file, keyfile::create(file)),
+        KeysCommand::New { file } => (file, keyfile::create_key_file(file)),
         KeysCommand::Rotate { file, step } => {
             let step = match step {
                 RotationStep::Add => keyfile::Step::Add,
                 RotationStep::Switch => keyfile::Step::Switch,
                 RotationStep::Drop => keyfile::Step::Drop,
             };
-            (file, keyfile::rotate(file, step))
+            (file, keyfile::rotate_keys(file, step))
         }
-        KeysCommand::Show { file } => (file, keyfile::read(file)),
+        KeysCommand::Show { file } => (file, keyfile::read_key_file(file)),
     };
     match result {
         Ok(ring) => {
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -103,7 +103,7 @@
         if state.refuses_connections.load(Ordering::SeqCst) {
             return stream.shutdown(std::net::Shutdown::Both);
         }
-        while let Ok(Some((len, parts))) = fernslip_front::resp::parts(&buffer) {
+        while let Ok(Some((len, parts))) = fernslip_front::resp::parse_array(&buffer) {
             let texts: Vec<String> = parts.iter().map(|p| String::from_utf8_lossy(p).into_owned()).collect();
             buffer.drain(..len);
             let [command, id, fields, _] = &texts[..] else { continue };
@@ -125,7 +125,8 @@
                 state.in_flight.fetch_sub(1, Ordering::SeqCst);
                 let outcome: &[u8] =
                     if state.answers_with_error.load(Ordering::SeqCst) { b"crashed" } else { b"served" };
-                let bytes = fernslip_front::resp::array(&[id.as_bytes(), outcome, b"tell=fill", b"body"]);
+                let bytes =
+                    fernslip_front::resp::encode_array(&[id.as_bytes(), outcome, b"tell=fill", b"body"]);
                 let mut out = out.lock().expect("the mutex is not poisoned");
                 if state.answers_bytewise.load(Ordering::SeqCst) {
                     for b in bytes {
--- a/crates/cli/tests/common/scripted.rs
+++ b/crates/cli/tests/common/scripted.rs
@@ -145,7 +145,7 @@
 
 /// Parses the first RESP array in `data`; its parts are joined by spaces. `None` if it is not complete.
 pub fn next_resp_array(data: &[u8]) -> Option<(usize, String)> {
-    let (len, parts) = fernslip_front::resp::parts(data).expect("the bytes are valid RESP")?;
+    let (len, parts) = fernslip_front::resp::parse_array(data).expect("the bytes are valid RESP")?;
     let texts: Vec<_> = parts.iter().map(|p| String::from_utf8_lossy(p).into_owned()).collect();
     Some((len, texts.join(" ")))
 }
@@ -399,7 +399,7 @@
                     _ => {
                         let mut parts: Vec<&[u8]> = argument.splitn(4, ' ').map(str::as_bytes).collect();
                         parts.resize(4, b"");
-                        fernslip_front::resp::array(&parts)
+                        fernslip_front::resp::encode_array(&parts)
                     }
                 };
                 server.send(&bytes);
--- a/crates/cli/tests/endings.rs
+++ b/crates/cli/tests/endings.rs
@@ -237,8 +237,13 @@
                 !String::from_utf8_lossy(&got).contains("via=o"),
                 "the request does not name the draining source"
             );
-            s.write_all(&fernslip_front::resp::array(&[b"0000000000000001", b"served", b"-", b"done"]))
-                .expect("the front accepts the answer");
+            s.write_all(&fernslip_front::resp::encode_array(&[
+                b"0000000000000001",
+                b"served",
+                b"-",
+                b"done",
+            ]))
+            .expect("the front accepts the answer");
             assert_eq!(read_answer(&mut client), r#"[1,1,null,["b:done",{}]]"#);
             drop(s);
         }
--- a/crates/front/examples/loopback.rs
+++ b/crates/front/examples/loopback.rs
@@ -16,7 +16,7 @@
 fn serve_front(node: &str, mut stream: TcpStream, cached: &Cached) -> io::Result<()> {
     let mut buffer = Buffer::default();
     while buffer.read_from(&mut stream)? > 0 {
-        while let Ok(Some((len, parts))) = resp::parts(buffer.data()) {
+        while let Ok(Some((len, parts))) = resp::parse_array(buffer.data()) {
             let parts: Vec<String> = parts.iter().map(|p| String::from_utf8_lossy(p).into_owned()).collect();
             buffer.consume(len);
             println!("{node}: {}", parts.join(" "));
@@ -44,7 +44,7 @@
     let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
     let fields = format!("tag={item},minted={now_ms},tell={note}");
     let body = if outcome == "served" { format!("the bytes of {item}\n") } else { String::new() };
-    resp::array(&[id.as_bytes(), outcome.as_bytes(), fields.as_bytes(), body.as_bytes()])
+    resp::encode_array(&[id.as_bytes(), outcome.as_bytes(), fields.as_bytes(), body.as_bytes()])
 }
 
 /// Serves an event bus without new events: it sends the offset of the last event each second, so that the
--- a/crates/front/src/clients/budget.rs
+++ b/crates/front/src/clients/budget.rs
@@ -44,7 +44,7 @@
 
 impl Budget {
     /// Derives the limits from a number of descriptors and a memory size in megabytes.
-    pub fn of(sockets: usize, memory_mb: usize) -> Budget {
+    pub fn from_limits(sockets: usize, memory_mb: usize) -> Budget {
         let memory =
             (memory_mb.saturating_mul(BYTES_PER_MB)).saturating_sub(IDLE_MEMORY).max(MIN_WORKING_MEMORY);
         let third = (sockets / 3).max(1);
--- a/crates/front/src/clients/budget/tests.rs
+++ b/crates/front/src/clients/budget/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn the_budget_fits_into_the_configured_limits() {
     for (sockets, memory_mb) in [(128, 32), (256, 32), (384, 48), (1024, 192), (1024, 32), (256, 192)] {
-        let b = Budget::of(sockets, memory_mb);
+        let b = Budget::from_limits(sockets, memory_mb);
         let bytes = b.open * REQUEST_MEMORY
             + b.upstream * UPSTREAM_CONNECTION_MEMORY
             + b.unread
--- a/crates/front/src/clients/connection.rs
+++ b/crates/front/src/clients/connection.rs
@@ -261,8 +261,9 @@
         spawn(move || {
             // A panic affects only its own request: the call is answered, and the resources that it took are
             // released.
-            let served =
-                catch_unwind(AssertUnwindSafe(|| forward::serve(&front, &queue, request, &fields, &caller)));
+            let served = catch_unwind(AssertUnwindSafe(|| {
+                forward::forward_request(&front, &queue, request, &fields, &caller)
+            }));
             let answer = served.unwrap_or(Answer::Failed);
             front.server.bodies.fetch_sub(bytes, Ordering::Relaxed);
             client.answer(&front, number, &caller, class, answer);
@@ -368,7 +369,7 @@
     pub(super) fn cancel(self, front: &Shared) {
         self.caller.disconnect();
         self.queue.dispatcher.client_disconnected(front.clock.now(), self.id);
-        front.upstream.withdraw(self.id);
+        front.upstream.withdraw_attempt(self.id);
     }
 }
 
--- a/crates/front/src/clients/forward.rs
+++ b/crates/front/src/clients/forward.rs
@@ -49,7 +49,7 @@
 
 /// Processes a request until its final answer, or until its client disconnects or cancels it. Yields while
 /// it waits for a permit and during each attempt.
-pub fn serve(
+pub fn forward_request(
     front: &Shared,
     queue: &Arc<DispatchQueue>,
     request: Request,
@@ -79,7 +79,7 @@
         permit,
         client_deadline,
         retry_after_ms,
-        effect: queue.dispatcher.host().effect(request.class),
+        effect: queue.dispatcher.host().class_effect(request.class),
         class: request.class,
         size_kb: request.size_kb,
         may_have_run: false,
@@ -176,13 +176,15 @@
         let clock = &front.clock;
         self.permit.attempt_sent(&attempt);
         let started = Instant::now();
-        let deadline = self.permit.deadline(&attempt, started, started + clock.until(attempt.until_ms));
-        let begin_by = attempt.begin_by_ms.is_finite().then(|| started + clock.until(attempt.begin_by_ms));
+        let deadline =
+            self.permit.attempt_deadline(&attempt, started, started + clock.time_until(attempt.until_ms));
+        let begin_by =
+            attempt.begin_by_ms.is_finite().then(|| started + clock.time_until(attempt.begin_by_ms));
         let times = AttemptTimes { deadline, begin_by };
         let guard = Arc::new(SendGuard::new(queue, self.caller, call, &attempt, times, self.client_deadline));
         let end = front.upstream.execute(&attempt, &call.trace, call.known_tag.clone(), times, guard.clone());
         if let Some(first_byte_at) = end.first_byte_at {
-            guard.verify(&front.invariants, clock, first_byte_at, front.drain_grace_ms);
+            guard.verify_sent_attempt(&front.invariants, clock, first_byte_at, front.drain_grace_ms);
         }
         self.permit.attempt_ended(&attempt, end.ending);
         self.may_have_run |= !end.ending.never_ran();
--- a/crates/front/src/clients/listen.rs
+++ b/crates/front/src/clients/listen.rs
@@ -102,7 +102,7 @@
 ///
 /// # Errors
 /// The address can't be bound. An inherited descriptor that can't be used is only logged.
-pub fn clients(addr: SocketAddr) -> io::Result<(Listener, Origin)> {
+pub fn open_client_listener(addr: SocketAddr) -> io::Result<(Listener, Origin)> {
     let passed = std::env::var(PASSED_SOCKET_VARIABLE).ok().filter(|v| !v.trim().is_empty());
     let taken = match passed.as_deref().map(|v| parse_descriptor(v).and_then(take_passed_socket)) {
         Some(Ok(l)) => Some(l),
@@ -182,7 +182,7 @@
     let mut pending = Some(stream);
     retry_with_backoff(
         REGISTER_TIMEOUT,
-        |e: &io::Error| Failure::of(e) != Failure::Remote,
+        |e: &io::Error| Failure::classify(e) != Failure::Remote,
         |_| {
             let stream = pending.take().ok_or_else(|| {
                 io::Error::other("accepted connection was already handed to the event queue")
--- a/crates/front/src/clients/metrics.rs
+++ b/crates/front/src/clients/metrics.rs
@@ -75,7 +75,7 @@
 
     /// All metrics as `name=value` lines, with the number of listed cache nodes and how many of these are
     /// avoided.
-    pub fn lines(&self, listed: usize, avoided: usize) -> String {
+    pub fn metric_lines(&self, listed: usize, avoided: usize) -> String {
         let mut out = String::new();
         for (name, c) in self.names.iter().zip(&self.classes) {
             for (what, n) in [
--- a/crates/front/src/clients/metrics/tests.rs
+++ b/crates/front/src/clients/metrics/tests.rs
@@ -9,7 +9,7 @@
     metrics.count_outcome(Some(0), Outcome::Deferred);
     metrics.attempt_sent(1);
     metrics.count_outcome(None, Outcome::Errored);
-    let lines = metrics.lines(7, 2);
+    let lines = metrics.metric_lines(7, 2);
     for want in [
         "relay.transactions.pay.answered=1",
         "relay.transactions.docs.deferred=1",
--- a/crates/front/src/clients/server.rs
+++ b/crates/front/src/clients/server.rs
@@ -50,7 +50,7 @@
     pub(super) closing_idle: AtomicBool,
     /// Latest time at which the process ends, if that is known; calls accepted from now on are to be
     /// answered well before it.
-    pub(super) end_by: Mutex<Option<Instant>>,
+    pub(super) shutdown_deadline: Mutex<Option<Instant>>,
 }
 
 /// Resources in use by clients; all 0 when no client is connected. The `Debug` form is logged when the front
@@ -86,12 +86,12 @@
             closed: AtomicBool::new(false),
             evacuated: Mutex::new(None),
             closing_idle: AtomicBool::new(false),
-            end_by: Mutex::new(None),
+            shutdown_deadline: Mutex::new(None),
         }
     }
 
     /// Resources that clients use at this moment.
-    pub fn held(&self) -> Held {
+    pub fn resources_in_use(&self) -> Held {
         Held {
             connections: self.descriptors.load(Ordering::Relaxed),
             leaving: self.closing.load(Ordering::Relaxed),
@@ -102,21 +102,21 @@
     }
 
     /// Sets the time by which the process ends; calls accepted from now on must be answered before it.
-    pub fn end_by(&self, at: Instant) {
-        *lock(&self.end_by) = Some(at);
+    pub fn set_shutdown_deadline(&self, at: Instant) {
+        *lock(&self.shutdown_deadline) = Some(at);
     }
 
     /// Time until the process ends, in milliseconds; infinite if no end is scheduled. Limits the time of a
     /// call that is accepted now.
     pub(super) fn remaining_ms(&self) -> f64 {
         let remaining = |at: Instant| at.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
-        lock(&self.end_by).map_or(f64::INFINITY, remaining)
+        lock(&self.shutdown_deadline).map_or(f64::INFINITY, remaining)
     }
 
     /// Accepts clients until the front shuts down. An inherited socket is then left to the other process. On
     /// a socket that this process bound, all pending connections are accepted first, so that every connected
     /// client gets an answer.
-    pub fn run(&self, front: &Arc<Shared>, listener: Listener, origin: Origin) {
+    pub fn accept_clients(&self, front: &Arc<Shared>, listener: Listener, origin: Origin) {
         let mut pause = DESCRIPTOR_BACKOFF[0];
         loop {
             // Wait until closing connections have released their descriptors.
@@ -141,7 +141,7 @@
                 // because accept fails at once as long as none is free. Any other error concerns a single
                 // client that disconnected early, so the next one may succeed.
                 Err(e) => {
-                    if Failure::of(&e) == Failure::Descriptors {
+                    if Failure::classify(&e) == Failure::Descriptors {
                         tracing::warn!(held = self.descriptors.load(Ordering::Relaxed), "accept: {e}");
                         self.evict(front);
                         crate::sleep::sleep(pause);
@@ -209,7 +209,7 @@
 
     /// Starts (`true`) or ends (`false`) the evacuation of the front. Meanwhile it reports itself as not
     /// ready, and connections are closed as they become idle.
-    pub fn evacuate(&self, on: bool) {
+    pub fn set_evacuated(&self, on: bool) {
         let mut evacuated = lock(&self.evacuated);
         *evacuated = if on { Some(evacuated.unwrap_or_else(Instant::now)) } else { None };
         if !on {
@@ -228,19 +228,19 @@
     }
 
     /// Stops accepting clients.
-    pub fn close(&self) {
+    pub fn stop_accepting(&self) {
         self.closed.store(true, Ordering::Release);
     }
 
     /// Whether no call is open and every answer has been written.
-    pub fn is_done(&self) -> bool {
+    pub fn has_answered_all(&self) -> bool {
         lock(&self.clients).values().all(|c| lock(&c.open).calls.is_empty() && c.link.is_drained())
     }
 
     /// Answers all open calls with an error and cancels them, because the process ends. The error does not
     /// say whether a call took effect. Without it, calls of clients that wait longer than their class allows
     /// would be lost with the process.
-    pub fn give_up(&self, front: &Shared) {
+    pub fn fail_open_calls(&self, front: &Shared) {
         let all: Vec<Arc<ClientConnection>> = lock(&self.clients).values().cloned().collect();
         for client in all {
             let calls = {
--- a/crates/front/src/clients/server/tests.rs
+++ b/crates/front/src/clients/server/tests.rs
@@ -52,7 +52,7 @@
 /// is closed, not the one that is being answered.
 #[test]
 fn the_client_that_reads_least_is_closed_when_unread_answers_exceed_their_limit() {
-    let budget = Budget::of(1024, 20);
+    let budget = Budget::from_limits(1024, 20);
     let server = Server::new(budget, Vec::new());
     let add = |number: u64, bytes: usize| {
         let client = Arc::new(ClientConnection::new(server.unread.clone()));
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -20,22 +20,22 @@
     }
 
     /// The time since the clock was started.
-    pub fn age(&self) -> Duration {
+    pub fn elapsed(&self) -> Duration {
         self.start.elapsed()
     }
 
     /// The current module time, in milliseconds.
     pub fn now(&self) -> f64 {
-        self.at(Instant::now())
+        self.module_time_at(Instant::now())
     }
 
     /// The module time at `when`, in milliseconds; instants before the start count as the start.
-    pub fn at(&self, when: Instant) -> f64 {
+    pub fn module_time_at(&self, when: Instant) -> f64 {
         START_MS + when.saturating_duration_since(self.start).as_secs_f64() * 1000.0
     }
 
     /// The time from now until `module_ms`: zero if it has passed, and at most one hour.
-    pub fn until(&self, module_ms: f64) -> Duration {
+    pub fn time_until(&self, module_ms: f64) -> Duration {
         Duration::from_secs_f64(((module_ms - self.now()) / 1000.0).clamp(0.0, 3600.0))
     }
 }
--- a/crates/front/src/control/admin.rs
+++ b/crates/front/src/control/admin.rs
@@ -51,7 +51,7 @@
 ///
 /// # Errors
 /// Returns an error if the address cannot be bound or no thread can be started.
-pub fn open(front: Arc<Shared>, at: SocketAddr, max_connections: usize) -> io::Result<SocketAddr> {
+pub fn bind_and_serve(front: Arc<Shared>, at: SocketAddr, max_connections: usize) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(at)?;
     let bound = listener.local_addr()?;
     let connections = Arc::new(AtomicUsize::new(0));
--- a/crates/front/src/control/admin/answer.rs
+++ b/crates/front/src/control/admin/answer.rs
@@ -2,7 +2,7 @@
 
 use super::command::AdminCommand;
 use super::exclusions::{self, ExclusionChange};
-use crate::reason_counts::figure;
+use crate::reason_counts::metric_name;
 use crate::shared::Shared;
 use fernslip::facade::EndpointCounts;
 use std::collections::BTreeMap;
@@ -13,18 +13,18 @@
         AdminCommand::Ready if front.is_ready() => "200 ready\n".into(),
         AdminCommand::Ready => "400 not ready\n".into(),
         AdminCommand::Telemetry => telemetry_lines(front),
-        AdminCommand::Exclude(id) | AdminCommand::Include(id) if front.queues.all().is_empty() => {
+        AdminCommand::Exclude(id) | AdminCommand::Include(id) if front.queues.as_slice().is_empty() => {
             format!("400 unknown {id}\n")
         }
         AdminCommand::Exclude(id) => exclusions::set_manual_exclusion(front, &id, ExclusionChange::Exclude),
         AdminCommand::Include(id) => exclusions::set_manual_exclusion(front, &id, ExclusionChange::Include),
         AdminCommand::Evacuate => {
-            front.server.evacuate(true);
+            front.server.set_evacuated(true);
             tracing::info!("admin: evacuating");
             "200 evacuating\n".into()
         }
         AdminCommand::Activate => {
-            front.server.evacuate(false);
+            front.server.set_evacuated(false);
             tracing::info!("admin: active");
             "200 active\n".into()
         }
@@ -33,12 +33,12 @@
 
 /// Returns the answer to the command `telemetry`: the front's metrics as `name=value` lines.
 fn telemetry_lines(front: &Shared) -> String {
-    let queues = front.queues.all();
+    let queues = front.queues.as_slice();
     let EndpointCounts { listed, avoided } =
         queues.first().map(|queue| queue.dispatcher.endpoint_counts()).unwrap_or_default();
-    let view = front.fleet.as_ref().map_or(String::new(), |f| f.lines());
-    let figures = front.metrics.lines(listed, avoided);
-    let (violations, reasons) = (front.invariants.lines(), front.reason_counts.lines());
+    let view = front.fleet.as_ref().map_or(String::new(), |f| f.telemetry_lines());
+    let figures = front.metrics.metric_lines(listed, avoided);
+    let (violations, reasons) = (front.invariants.metric_lines(), front.reason_counts.metric_lines());
     let given_up = given_up_lines(front);
     format!("200 telemetry\n{figures}{violations}{reasons}{given_up}{view}EOF\n")
 }
@@ -47,8 +47,8 @@
 /// `relay.given_up.REASON=COUNT`.
 fn given_up_lines(front: &Shared) -> String {
     let mut all: BTreeMap<&'static str, u64> = BTreeMap::new();
-    for (reason, n) in front.queues.all().iter().flat_map(|queue| queue.dispatcher.given_up()) {
+    for (reason, n) in front.queues.as_slice().iter().flat_map(|queue| queue.dispatcher.given_up()) {
         *all.entry(reason).or_default() += n;
     }
-    all.iter().map(|(reason, n)| format!("relay.given_up.{}={n}\n", figure(reason))).collect()
+    all.iter().map(|(reason, n)| format!("relay.given_up.{}={n}\n", metric_name(reason))).collect()
 }
--- a/crates/front/src/control/admin/exclusions.rs
+++ b/crates/front/src/control/admin/exclusions.rs
@@ -25,7 +25,7 @@
 /// the command. The new set is stored before it is applied, so that a process that replaces this one has it.
 /// If it cannot be stored, nothing changes and the answer is `400`.
 pub fn set_manual_exclusion(front: &Shared, id: &str, change: ExclusionChange) -> String {
-    let (queues, cache) = (front.queues.all(), CacheId::from(id));
+    let (queues, cache) = (front.queues.as_slice(), CacheId::from(id));
     let _change_guard = front.manual_exclusions.lock_for_change();
     let mut excluded = currently_excluded(front);
     let is_listed = queues.iter().any(|queue| queue.dispatcher.is_listed(&cache));
@@ -56,12 +56,12 @@
 
 /// Returns the cache nodes that are manually excluded in any dispatch queue.
 fn currently_excluded(front: &Shared) -> BTreeSet<CacheId> {
-    front.queues.all().iter().flat_map(|queue| queue.dispatcher.excluded()).collect()
+    front.queues.as_slice().iter().flat_map(|queue| queue.dispatcher.excluded()).collect()
 }
 
 /// Makes `excluded` the set of manually excluded cache nodes in every dispatch queue.
 fn apply_manual_exclusions(front: &Shared, excluded: &BTreeSet<CacheId>) {
-    for queue in front.queues.all() {
+    for queue in front.queues.as_slice() {
         let now = front.clock.now();
         let dispatcher = &queue.dispatcher;
         let before: BTreeSet<CacheId> = dispatcher.excluded().into_iter().collect();
@@ -88,7 +88,7 @@
                 nodes = ids.len(),
                 "admin: restored the manual exclusions that an earlier process stored"
             );
-            for queue in front.queues.all() {
+            for queue in front.queues.as_slice() {
                 queue.dispatcher.restore(ids.iter().cloned());
             }
         }
--- a/crates/front/src/control/config.rs
+++ b/crates/front/src/control/config.rs
@@ -112,7 +112,7 @@
         let (mut settings, names) = json::settings(&document["settings"])?;
         settings.check().map_err(ConfigError::Settings)?;
         let limits = &document["limits"];
-        let budget = Budget::of(
+        let budget = Budget::from_limits(
             json::number(limits, "sockets")? as usize,
             json::number(limits, "memory_mb")? as usize,
         );
--- a/crates/front/src/control/discovery_watch.rs
+++ b/crates/front/src/control/discovery_watch.rs
@@ -48,7 +48,7 @@
 /// Applies an event to the dispatchers and the upstream connections. `since` is the module time in
 /// milliseconds of the last line received before the event, so the event was reported after it; `None` if no
 /// line was received before.
-pub fn apply(front: &Shared, event: WatchEvent, since: Option<f64>) {
+pub fn apply_event(front: &Shared, event: WatchEvent, since: Option<f64>) {
     match event {
         WatchEvent::Unknown => {}
         WatchEvent::Purge { object, group, unix_ms } => apply_purge(front, object, group, unix_ms, since),
@@ -62,8 +62,8 @@
     let now = front.clock.now();
     // Before the first line nothing bounds the time of the purge from below; the current time is the safe
     // choice.
-    let at = front.wall_clock.when(unix_ms, since.unwrap_or(now));
-    for queue in front.queues.all() {
+    let at = front.wall_clock.to_module_time(unix_ms, since.unwrap_or(now));
+    for queue in front.queues.as_slice() {
         queue.dispatcher.purged(now, object, group, now - at);
     }
 }
@@ -75,7 +75,7 @@
         let starts = nodes.iter().map(|ListedNode { entry, .. }| {
             (entry.cache.clone(), Some(entry.started_ms).filter(|_| entry.phase != Phase::Out))
         });
-        gossip.update_nodes(front.queues.all(), full, starts.collect());
+        gossip.update_nodes(front.queues.as_slice(), full, starts.collect());
     }
     let mut entries = Vec::new();
     for ListedNode { mut entry, addr } in nodes {
@@ -95,7 +95,7 @@
         front.upstream.retain_nodes(&ids);
     }
     front.queues.apply_endpoint_list(&front.clock, full, entries);
-    let queues = front.queues.all();
+    let queues = front.queues.as_slice();
     front.bus.starts.drop_unlisted_over_limit(|id| queues.iter().any(|queue| queue.dispatcher.is_listed(id)));
     if full {
         front.endpoints_listed.store(true, Ordering::Release);
@@ -110,7 +110,7 @@
     match history.receive(line, &front.names)? {
         ReceivedLine::NothingNew => {}
         ReceivedLine::Event(offset, event) => {
-            apply(front, event, front.bus.last_line_ms(&front.clock));
+            apply_event(front, event, front.bus.last_line_ms(&front.clock));
             tracing::info!("bus offset={offset}");
         }
         ReceivedLine::Unreadable(offset, e) => {
@@ -155,7 +155,7 @@
 fn connect_to_bus(addr: SocketAddr) -> Result<TcpStream, Reason> {
     TcpStream::connect_timeout(&addr, CONNECT_TIMEOUT).map_err(|e| match e.kind() {
         ErrorKind::TimedOut => Reason::ConnectTimeout,
-        _ => match Failure::of(&e) {
+        _ => match Failure::classify(&e) {
             Failure::Descriptors => Reason::NoDescriptor,
             Failure::Machine | Failure::Again => Reason::NoRoute,
             Failure::Remote => Reason::Refused,
@@ -218,12 +218,12 @@
     /// Returns the module time in milliseconds at which the last line was received. `None` if none was
     /// received yet.
     fn last_line_ms(&self, clock: &Clock) -> Option<f64> {
-        lock(&self.state).last_line.map(|at| clock.at(at))
+        lock(&self.state).last_line.map(|at| clock.module_time_at(at))
     }
 
     /// Closes the bus connection if it has received nothing for longer than its silence timeout; called
     /// periodically.
-    pub fn sweep(&self) {
+    pub fn close_if_silent(&self) {
         let state = lock(&self.state);
         if state.last_received.is_some_and(|at| at.elapsed() > state.silence_timeout) {
             state.link.close(Reason::Silent);
--- a/crates/front/src/control/gossip.rs
+++ b/crates/front/src/control/gossip.rs
@@ -137,7 +137,7 @@
     }
 
     /// Replaces the keys that sign and verify gossip datagrams.
-    pub fn rekey(&self, keys: Keyring) {
+    pub fn set_keys(&self, keys: Keyring) {
         tracing::info!(
             "gossip: keys {:?} are accepted, key {} signs",
             keys.accepted_keys(),
--- a/crates/front/src/control/gossip/plan.rs
+++ b/crates/front/src/control/gossip/plan.rs
@@ -23,7 +23,7 @@
     ///
     /// # Errors
     /// Returns a message for every invalid setting.
-    pub fn of(settings: &fernslip_site::Gossip, name: &str) -> Result<Plan, Vec<String>> {
+    pub fn from_document(settings: &fernslip_site::Gossip, name: &str) -> Result<Plan, Vec<String>> {
         let mut errors = Vec::new();
         let mut address = |text: &String| {
             let parsed = text.parse::<SocketAddr>();
@@ -35,7 +35,7 @@
         let addr = address(&settings.listen);
         let advertise = settings.advertise.as_ref().and_then(&mut address);
         let seeds = settings.seeds.iter().filter_map(&mut address).collect();
-        let keys = keyfile::read(Path::new(&settings.key_file));
+        let keys = keyfile::read_key_file(Path::new(&settings.key_file));
         if let Err(error) = &keys {
             errors.push(format!("gossip: {}: {error}", settings.key_file));
         }
--- a/crates/front/src/control/keyfile.rs
+++ b/crates/front/src/control/keyfile.rs
@@ -73,7 +73,7 @@
 ///
 /// # Errors
 /// Returns [`KeyFileError::Io`] or [`KeyFileError::Key`].
-pub fn read(path: &Path) -> Result<Keyring, KeyFileError> {
+pub fn read_key_file(path: &Path) -> Result<Keyring, KeyFileError> {
     RawKeyFile::read(path)?.parse()
 }
 
@@ -98,20 +98,21 @@
 ///
 /// # Errors
 /// Returns [`KeyFileError::Io`], of kind `AlreadyExists` if the file exists.
-pub fn create(path: &Path) -> Result<Keyring, KeyFileError> {
+pub fn create_key_file(path: &Path) -> Result<Keyring, KeyFileError> {
     let mut file = OpenOptions::new().write(true).create_new(true).mode(0o600).open(path)?;
     writeln!(file, "# fernslip gossip keys: the first signs\n{}", generate_key_line(&[])?)?;
     file.sync_all()?;
-    read(path)
+    read_key_file(path)
 }
 
 /// Performs a step of a key rotation on a key file, which is replaced atomically.
 ///
 /// # Errors
-/// Returns the errors of [`read`], and an error if the number of keys in the file does not allow the step.
-pub fn rotate(path: &Path, step: Step) -> Result<Keyring, KeyFileError> {
+/// Returns the errors of [`read_key_file`], and an error if the number of keys in the file does not allow the
+/// step.
+pub fn rotate_keys(path: &Path, step: Step) -> Result<Keyring, KeyFileError> {
     let mut keys = read_key_lines(path)?;
-    let used_ids = read(path)?.accepted_keys();
+    let used_ids = read_key_file(path)?.accepted_keys();
     match (step, keys.len()) {
         (Step::Add, 1) => keys.push(generate_key_line(&used_ids)?),
         (Step::Add, _) => return Err(KeyFileError::RotationInProgress),
@@ -127,5 +128,5 @@
     writeln!(file, "# fernslip gossip keys: the first signs\n{}", keys.join("\n"))?;
     file.sync_all()?;
     std::fs::rename(&replacement, path)?;
-    read(path)
+    read_key_file(path)
 }
--- a/crates/front/src/control/manual_exclusion.rs
+++ b/crates/front/src/control/manual_exclusion.rs
@@ -93,7 +93,7 @@
 impl ManualExclusions {
     /// Determines the files in `folder` for the front with this name and listen address, in the deployment
     /// with these names of zones, kinds and classes.
-    pub fn of(folder: &Path, name: &str, listen: SocketAddr, names: &Names) -> ManualExclusions {
+    pub fn for_deployment(folder: &Path, name: &str, listen: SocketAddr, names: &Names) -> ManualExclusions {
         let Names { zones, kinds, classes, .. } = names;
         let deployment =
             format!("{:016x}", Id::of(&format!("{:?}", (name, listen, zones, kinds, classes))).0);
--- a/crates/front/src/control/manual_exclusion/tests.rs
+++ b/crates/front/src/control/manual_exclusion/tests.rs
@@ -21,7 +21,7 @@
             classes: vec![class.into()],
             reports: Vec::new(),
         };
-        ManualExclusions::of(&self.0, "n0", ([127, 0, 0, 1], port).into(), &names)
+        ManualExclusions::for_deployment(&self.0, "n0", ([127, 0, 0, 1], port).into(), &names)
     }
 }
 
--- a/crates/front/src/control/node_starts.rs
+++ b/crates/front/src/control/node_starts.rs
@@ -40,7 +40,7 @@
             Some(start) if start.reported_unix_ms == unix_ms => start.module_ms,
             _ => {
                 let earliest = not_before.map_or(f64::MIN, |at| at - MAX_REPORT_DELAY_MS);
-                let module_ms = wall.when(unix_ms, earliest).max(1.0);
+                let module_ms = wall.to_module_time(unix_ms, earliest).max(1.0);
                 starts.insert(id.clone(), NodeStart { reported_unix_ms: unix_ms, module_ms });
                 module_ms
             }
--- a/crates/front/src/control/peers.rs
+++ b/crates/front/src/control/peers.rs
@@ -95,7 +95,7 @@
 
     /// Returns the number of datagrams dropped since the start because no peer sent them or because they were
     /// too long.
-    pub fn foreign(&self) -> u64 {
+    pub fn dropped_datagrams(&self) -> u64 {
         self.dropped_datagrams.load(Ordering::Relaxed)
     }
 }
--- a/crates/front/src/control/plan.rs
+++ b/crates/front/src/control/plan.rs
@@ -27,7 +27,7 @@
     pub kind: Option<usize>,
     /// The bandwidth of the member's link, as the number of answers it can carry at the settings' rate per
     /// stream.
-    pub link: f64,
+    pub link_capacity: f64,
     /// The member's weight, unless a pool sets another one.
     pub weight: f64,
     /// The timeouts that the site document sets for the member.
@@ -50,7 +50,7 @@
 impl AnswerTimeouts {
     /// Returns the maximum duration of an answer from the member `id` in milliseconds. `None` if only the
     /// request's deadline limits it.
-    pub fn of_member_ms(&self, id: &str) -> Option<u64> {
+    pub fn member_timeout_ms(&self, id: &str) -> Option<u64> {
         [self.pool, self.members.get(id).copied()].into_iter().flatten().min()
     }
 
@@ -86,7 +86,7 @@
     /// The routes that lead requests to `pools`.
     pub routes: Routes,
     /// The answer timeouts of each of `pools`, in the same order.
-    pub answers: Vec<AnswerTimeouts>,
+    pub answer_timeouts: Vec<AnswerTimeouts>,
     /// The maximum number of pools that any one cache belongs to; at least 1.
     pub max_pools_per_cache: u32,
 }
@@ -96,7 +96,7 @@
     ///
     /// # Errors
     /// Returns every reason why a front cannot serve from the document.
-    pub fn of(site: &Site, names: &Names, settings: &Settings) -> Result<Plan, Vec<String>> {
+    pub fn from_document(site: &Site, names: &Names, settings: &Settings) -> Result<Plan, Vec<String>> {
         let from_file = site.members_from == Some(MembersFrom::File);
         let mut site = site.effective();
         if from_file && site.pools.is_empty() {
@@ -116,7 +116,7 @@
         Ok(Plan {
             from_file,
             max_pools_per_cache,
-            answers: AnswerTimeouts::by_pool(&site),
+            answer_timeouts: AnswerTimeouts::by_pool(&site),
             pools: Spec::all(&site),
             routes: Routes::of(&site),
             members,
@@ -163,7 +163,7 @@
         addr,
         zone,
         kind,
-        link: link_kb_per_s / settings.stream_kb_per_s,
+        link_capacity: link_kb_per_s / settings.stream_kb_per_s,
         weight: member.weight.unwrap_or(1.0),
         timeouts: Timeouts {
             connect: timeout_from_millis(member.limits.connect_ms),
--- a/crates/front/src/control/plan/tests.rs
+++ b/crates/front/src/control/plan/tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of making a plan from a site document.
 
 use super::*;
-use crate::control::standalone::config;
+use crate::control::standalone::config_from_site;
 
 fn parse_site(text: &str) -> Site {
     Site::parse("site.kdl", text).expect("the site document is valid").site
@@ -18,14 +18,14 @@
         "member \"a\" address=\"10.0.0.1:80\" protocol=\"http\"\nmember \"b\" address=\"b.example:80\"\n\
          member \"c\" address=\"10.0.0.1:80\" kind=\"parent\" zone=\"e\"\npool \"p\" { use \"c\"; use \"b\"; }"
     ));
-    let Ok(c) = config(&site) else { panic!("the site document is a valid configuration") };
-    let errors = Plan::of(&site, &c.names, &c.settings).unwrap_err();
+    let Ok(c) = config_from_site(&site) else { panic!("the site document is a valid configuration") };
+    let errors = Plan::from_document(&site, &c.names, &c.settings).unwrap_err();
     assert_eq!(errors.len(), 3, "one error for each of the three members, got {errors:?}");
     assert!(
         errors[0].contains("\"a\" speaks http") && errors[1].contains("\"b\"") && errors[2].contains("\"c\"")
     );
-    assert_eq!(config(&parse_site("site \"x\"")).err().map(|e| e.len()), Some(1));
-    assert_eq!(config(&parse_site("front \"n\" listen=\"here\"")).err().map(|e| e.len()), Some(3));
+    assert_eq!(config_from_site(&parse_site("site \"x\"")).err().map(|e| e.len()), Some(1));
+    assert_eq!(config_from_site(&parse_site("front \"n\" listen=\"here\"")).err().map(|e| e.len()), Some(3));
 }
 
 #[test]
@@ -35,8 +35,9 @@
         "member \"a\" address=\"10.0.0.1:80\" state=\"draining\" weight=3\n\
          member \"p\" address=\"10.0.0.2:80\" kind=\"parent\"\n"
     ));
-    let Ok(c) = config(&site) else { panic!("the site document is a valid configuration") };
-    let plan = Plan::of(&site, &c.names, &c.settings).expect("a front can serve from the site document");
+    let Ok(c) = config_from_site(&site) else { panic!("the site document is a valid configuration") };
+    let plan =
+        Plan::from_document(&site, &c.names, &c.settings).expect("a front can serve from the site document");
     assert_eq!(plan.pools.len(), 1);
     let members = &plan.pools[0].members;
     assert_eq!(
--- a/crates/front/src/control/reload.rs
+++ b/crates/front/src/control/reload.rs
@@ -21,9 +21,9 @@
 /// Flags set by the signals that control a front. Without handlers, either signal would end the process.
 pub struct Signals {
     /// Set to true when SIGTERM is received.
-    pub term: Arc<AtomicBool>,
+    pub terminate_requested: Arc<AtomicBool>,
     /// Set to true when SIGHUP is received; cleared when the reload begins.
-    pub hup: Arc<AtomicBool>,
+    pub reload_requested: Arc<AtomicBool>,
 }
 
 impl Signals {
@@ -31,10 +31,10 @@
     ///
     /// # Errors
     /// Returns the errors of `sigaction(2)`.
-    pub fn catch() -> std::io::Result<Signals> {
-        let signals = Signals { term: Arc::default(), hup: Arc::default() };
-        signal_hook::flag::register(signal_hook::consts::SIGTERM, signals.term.clone())?;
-        signal_hook::flag::register(signal_hook::consts::SIGHUP, signals.hup.clone())?;
+    pub fn install_handlers() -> std::io::Result<Signals> {
+        let signals = Signals { terminate_requested: Arc::default(), reload_requested: Arc::default() };
+        signal_hook::flag::register(signal_hook::consts::SIGTERM, signals.terminate_requested.clone())?;
+        signal_hook::flag::register(signal_hook::consts::SIGHUP, signals.reload_requested.clone())?;
         Ok(signals)
     }
 }
@@ -44,13 +44,16 @@
 ///
 /// # Errors
 /// Returns the errors of [`LoadedConfig::read`].
-pub fn read(config: Option<PathBuf>, site: Option<PathBuf>) -> Result<LoadedConfig, ConfigError> {
+pub fn read_with_retries(
+    config: Option<PathBuf>,
+    site: Option<PathBuf>,
+) -> Result<LoadedConfig, ConfigError> {
     let unreadable = |e: &ConfigError| matches!(e, ConfigError::Read(e) if e.kind() != ErrorKind::NotFound);
     retry_with_backoff(READ_RETRY_TIME, unreadable, |_| LoadedConfig::read(config.clone(), site.clone()))
 }
 
-/// Reads the files of a running front again. Unlike [`read`], it also retries a missing file, which may be in
-/// the middle of being replaced.
+/// Reads the files of a running front again. Unlike [`read_with_retries`], it also retries a missing file,
+/// which may be in the middle of being replaced.
 fn read_again(config: Option<PathBuf>, site: Option<PathBuf>) -> ReloadResult {
     let unreadable = |e: &ConfigError| matches!(e, ConfigError::Read(_));
     retry_with_backoff(READ_RETRY_TIME, unreadable, |_| LoadedConfig::read(config.clone(), site.clone()))
--- a/crates/front/src/control/standalone.rs
+++ b/crates/front/src/control/standalone.rs
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 /// Returns every reason why the document is not sufficient as a configuration.
-pub fn config(site: &Site) -> Result<Config, Vec<String>> {
+pub fn config_from_site(site: &Site) -> Result<Config, Vec<String>> {
     let site = site.effective();
     let front = site
         .front
@@ -23,7 +23,8 @@
     let listen = validate_listen_address(&site, front)?;
     let zones = zone_names(&site);
     let own_zone = front.zone.as_ref().and_then(|z| zones.iter().position(|n| n == z)).unwrap_or(0);
-    let budget = Budget::of(front.sockets.unwrap_or(0) as usize, front.memory_mb.unwrap_or(0) as usize);
+    let budget =
+        Budget::from_limits(front.sockets.unwrap_or(0) as usize, front.memory_mb.unwrap_or(0) as usize);
     let classes: Vec<Class> = site.classes.iter().map(settings_class).collect();
     let names = Names {
         zones: zones.clone(),
--- a/crates/front/src/control/view.rs
+++ b/crates/front/src/control/view.rs
@@ -137,7 +137,7 @@
         let mut datagram = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let due_ms = lock(&self.view).wake_at();
-            let wait = self.clock.until(due_ms).clamp(Duration::from_millis(1), MAX_DATAGRAM_WAIT);
+            let wait = self.clock.time_until(due_ms).clamp(Duration::from_millis(1), MAX_DATAGRAM_WAIT);
             let _ = self.socket.set_read_timeout(Some(wait));
             match self.socket.recv_from(&mut datagram) {
                 Ok((n, from)) => self.handle_event(Event::Datagram { from, bytes: datagram[..n].to_vec() }),
@@ -153,7 +153,7 @@
     }
 
     /// Returns the view's metrics for the `telemetry` command, one `name=value` line each.
-    pub fn lines(&self) -> String {
+    pub fn telemetry_lines(&self) -> String {
         let now_ms = self.clock.now();
         report::telemetry_lines(&lock(&self.view), now_ms)
     }
--- a/crates/front/src/control/view/plan.rs
+++ b/crates/front/src/control/view/plan.rs
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     /// Returns a message for every invalid setting.
-    pub fn of(
+    pub fn from_document(
         settings: &fernslip_site::FleetView,
         name: &str,
         zone: &str,
@@ -45,7 +45,7 @@
         let listen = address(&settings.listen);
         let advertise = settings.advertise.as_ref().and_then(&mut address);
         let seeds = settings.seeds.iter().filter_map(&mut address).collect();
-        let keys = keyfile::read(Path::new(&settings.key_file));
+        let keys = keyfile::read_key_file(Path::new(&settings.key_file));
         if let Err(e) = &keys {
             errors.push(format!("view: {}: {e}", settings.key_file));
         }
--- a/crates/front/src/control/watch_event.rs
+++ b/crates/front/src/control/watch_event.rs
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 /// Returns an error if a required field is missing or has an invalid value.
-pub fn parse(event: &Value, names: &Names) -> Result<WatchEvent, JsonError> {
+pub fn parse_event(event: &Value, names: &Names) -> Result<WatchEvent, JsonError> {
     let (list, purge) = (&event["topology"], &event["ban"]);
     if list.is_object() {
         let nodes =
--- a/crates/front/src/control/watch_event/tests.rs
+++ b/crates/front/src/control/watch_event/tests.rs
@@ -21,7 +21,7 @@
         node("c", "Gone", "10.0.0.3:80", "edge-1"),
     ];
     let event = json!({ "offset": 4, "topology": { "full": true, "servers": servers } });
-    let Ok(WatchEvent::EndpointList { full: true, nodes }) = parse(&event, &configured_names()) else {
+    let Ok(WatchEvent::EndpointList { full: true, nodes }) = parse_event(&event, &configured_names()) else {
         panic!("a full topology event is parsed as a complete endpoint list")
     };
     let resolved: Vec<_> =
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_purge_names_an_object_or_a_group_and_other_event_kinds_are_unknown() {
-    let purge = |ban: Value| parse(&json!({ "offset": 1, "ban": ban }), &configured_names());
+    let purge = |ban: Value| parse_event(&json!({ "offset": 1, "ban": ban }), &configured_names());
     let of_object = purge(json!({ "url": "ff", "tag": 3, "ts": 9 }));
     assert!(
         matches!(of_object, Ok(WatchEvent::Purge { object: Some(ObjectId(255)), group: 3, unix_ms }) if unix_ms == 9.0)
@@ -44,7 +44,7 @@
     assert!(matches!(of_group, Ok(WatchEvent::Purge { object: None, group: 3, .. })));
     assert!(purge(json!({ "ts": 9 })).is_err(), "a purge without an object and a group is rejected");
     assert!(matches!(
-        parse(&json!({ "offset": 1, "later": {} }), &configured_names()),
+        parse_event(&json!({ "offset": 1, "later": {} }), &configured_names()),
         Ok(WatchEvent::Unknown)
     ));
 }
@@ -52,5 +52,5 @@
 #[test]
 fn a_node_in_an_unknown_state_is_rejected() {
     let servers = [json!({ "id": "a", "state": "Resting" })];
-    assert!(parse(&json!({ "topology": { "servers": servers } }), &configured_names()).is_err());
+    assert!(parse_event(&json!({ "topology": { "servers": servers } }), &configured_names()).is_err());
 }
--- a/crates/front/src/control/watch_history.rs
+++ b/crates/front/src/control/watch_history.rs
@@ -82,7 +82,7 @@
 
     /// Records which nodes an event reports as draining or departed; also called for the events known at
     /// start.
-    pub fn observe(&mut self, event: &WatchEvent) {
+    pub fn record_draining_nodes(&mut self, event: &WatchEvent) {
         let WatchEvent::EndpointList { full, nodes } = event else { return };
         if *full {
             self.draining.clear();
@@ -112,14 +112,14 @@
         if offset <= self.offset {
             return Ok(ReceivedLine::NothingNew);
         }
-        let parsed = watch_event::parse(&value, names);
+        let parsed = watch_event::parse_event(&value, names);
         self.advance_to(offset, &parsed)?;
         let event = match parsed {
             Ok(event) => event,
             Err(e) => return Ok(ReceivedLine::Unreadable(offset, e)),
         };
         let Some(event) = self.collect_replayed_event(event) else { return Ok(ReceivedLine::NothingNew) };
-        self.observe(&event);
+        self.record_draining_nodes(&event);
         Ok(ReceivedLine::Event(offset, event))
     }
 
@@ -177,7 +177,7 @@
             return Ok(ReceivedLine::NothingNew);
         };
         let event = self.endpoint_list_from_replay(collected);
-        self.observe(&event);
+        self.record_draining_nodes(&event);
         Ok(ReceivedLine::Event(self.offset, event))
     }
 
--- a/crates/front/src/dispatch_host.rs
+++ b/crates/front/src/dispatch_host.rs
@@ -37,7 +37,7 @@
     }
 
     /// Whether requests of this class may be repeated; those of an unknown class may not.
-    pub(crate) fn effect(&self, class: usize) -> Effect {
+    pub(crate) fn class_effect(&self, class: usize) -> Effect {
         self.effects.get(class).copied().unwrap_or(Effect::AtMostOnce)
     }
 }
@@ -68,7 +68,7 @@
     }
 
     fn purged(&self, requests: &[RequestId]) {
-        requests.iter().for_each(|id| self.upstream.withdraw(*id));
+        requests.iter().for_each(|id| self.upstream.withdraw_attempt(*id));
     }
 
     fn evidence(&self, cache: &CacheId, sign: Sign, strength: f64) {
--- a/crates/front/src/failure.rs
+++ b/crates/front/src/failure.rs
@@ -38,7 +38,7 @@
 
 impl Failure {
     /// Classifies an error of a system call on a socket.
-    pub fn of(error: &io::Error) -> Failure {
+    pub fn classify(error: &io::Error) -> Failure {
         match error.raw_os_error() {
             Some(EMFILE) => Failure::Descriptors,
             Some(EINTR | EAGAIN) => Failure::Again,
--- a/crates/front/src/failure/tests.rs
+++ b/crates/front/src/failure/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn failures_of_this_machine_are_not_attributed_to_the_other_side() {
-    let of = |n| Failure::of(&io::Error::from_raw_os_error(n));
+    let of = |n| Failure::classify(&io::Error::from_raw_os_error(n));
     let (connection_refused, connection_reset, timed_out, host_unreachable) = (111, 104, 110, 113);
     for n in [connection_refused, connection_reset, timed_out, host_unreachable] {
         assert_eq!(of(n), Failure::Remote, "{n}");
@@ -11,7 +11,7 @@
         assert!(of(n).is_transient(), "{n}");
     }
     assert_eq!(of(EMFILE), Failure::Descriptors);
-    assert_eq!(Failure::of(&io::Error::other("error without a number")), Failure::Remote);
+    assert_eq!(Failure::classify(&io::Error::other("error without a number")), Failure::Remote);
 }
 
 #[test]
--- a/crates/front/src/invariants.rs
+++ b/crates/front/src/invariants.rs
@@ -2,7 +2,7 @@
 //! at run time, where the step happens.
 //!
 //! Each kind of step passes one guard that enforces its rule: sending
-//! [`SendGuard`](crate::upstream::send_guard::SendGuard), retrying `forward::serve`, answering
+//! [`SendGuard`](crate::upstream::send_guard::SendGuard), retrying `forward::forward_request`, answering
 //! `ClientConnection::answer`, closing [`Link::run`](crate::link::Link::run), starting [`Startup`]. The
 //! checks here are independent of the guards: they look at what was done. A violation is counted by name,
 //! logged with the ids concerned and shown in the metrics as `relay.violations.NAME`; it never ends the
@@ -98,7 +98,7 @@
     }
 
     /// The metrics, one line for each invariant: `relay.violations.NAME=COUNT`.
-    pub fn lines(&self) -> String {
+    pub fn metric_lines(&self) -> String {
         ALL_INVARIANTS
             .iter()
             .map(|r| format!("relay.violations.{}={}\n", r.name(), self.violations(*r)))
--- a/crates/front/src/invariants/tests.rs
+++ b/crates/front/src/invariants/tests.rs
@@ -10,7 +10,7 @@
         (invariants.violations(Invariant::OneAttempt), invariants.violations(Invariant::RepeatAllowed)),
         (1, 0)
     );
-    let lines = invariants.lines();
+    let lines = invariants.metric_lines();
     assert_eq!(lines.lines().count(), ALL_INVARIANTS.len());
     assert!(lines.contains("relay.violations.one_attempt=1\n"), "the metrics count the violation: {lines}");
 }
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -241,7 +241,7 @@
                 Ok(n) => remaining -= n,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => socket.stream.wait_io(),
-                Err(e) if Failure::of(&e).is_transient() => sleep::sleep(STARVATION_BACKOFF),
+                Err(e) if Failure::classify(&e).is_transient() => sleep::sleep(STARVATION_BACKOFF),
                 Err(_) => return,
             }
         }
@@ -296,7 +296,7 @@
             }
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
-            Err(e) if Failure::of(&e).is_transient() => sleep::sleep(STARVATION_BACKOFF),
+            Err(e) if Failure::classify(&e).is_transient() => sleep::sleep(STARVATION_BACKOFF),
             Err(_) => return Err(Reason::Reset),
         }
     }
--- a/crates/front/src/link/write_queue.rs
+++ b/crates/front/src/link/write_queue.rs
@@ -150,7 +150,7 @@
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Flush::Blocked,
                 Err(e) => {
                     // If the machine has no buffers, the connection's coroutine tries again.
-                    self.starved = Failure::of(&e).is_transient();
+                    self.starved = Failure::classify(&e).is_transient();
                     self.broken = !self.starved;
                     return Flush::Failed;
                 }
--- a/crates/front/src/loaded_config.rs
+++ b/crates/front/src/loaded_config.rs
@@ -32,16 +32,18 @@
         let config = match (&file, &document) {
             (Some(file), _) => Config::read(file)?,
             (None, Some(document)) => {
-                crate::control::standalone::config(document).map_err(ConfigError::Plan)?
+                crate::control::standalone::config_from_site(document).map_err(ConfigError::Plan)?
             }
             (None, None) => return Err(ConfigError::NoFile),
         };
         let plan = match &document {
-            Some(d) => Some(Plan::of(d, &config.names, &config.settings).map_err(ConfigError::Plan)?),
+            Some(d) => {
+                Some(Plan::from_document(d, &config.names, &config.settings).map_err(ConfigError::Plan)?)
+            }
             None => None,
         };
         let gossip = match document.as_ref().and_then(|d| d.effective().gossip) {
-            Some(g) => Some(gossip::Plan::of(&g, &config.name).map_err(ConfigError::Plan)?),
+            Some(g) => Some(gossip::Plan::from_document(&g, &config.name).map_err(ConfigError::Plan)?),
             None => None,
         };
         let view = match &document {
@@ -71,5 +73,5 @@
     let config_text = file.and_then(|file| std::fs::read_to_string(file).ok());
     let texts = format!("{:?}{:?}", config_text, Some(plan::common_to_all_fronts(document)));
     let hash = fernslip_view::Id::of(&texts).0 as u32;
-    view::Plan::of(&settings, &config.name, &zone, hash).map(Some).map_err(ConfigError::Plan)
+    view::Plan::from_document(&settings, &config.name, &zone, hash).map(Some).map_err(ConfigError::Plan)
 }
--- a/crates/front/src/log.rs
+++ b/crates/front/src/log.rs
@@ -46,7 +46,7 @@
 }
 
 /// Number of lines dropped so far because too many were waiting.
-pub fn dropped() -> usize {
+pub fn dropped_line_count() -> usize {
     DROPPED.get().map_or(0, ErrorCounter::dropped_lines)
 }
 
--- a/crates/front/src/main_loop.rs
+++ b/crates/front/src/main_loop.rs
@@ -67,9 +67,9 @@
                 SWEEP_INTERVAL
             });
             self.report_drops();
-            self.front.wall_clock.observe();
+            self.front.wall_clock.check_for_step();
             self.front.upstream.sweep();
-            self.front.bus.sweep();
+            self.front.bus.close_if_silent();
             match self.reload.poll() {
                 Some(Ok(new)) => reconfigure::apply(&self.front, *new),
                 Some(Err(why)) => tracing::warn!(
@@ -89,7 +89,7 @@
 
     /// Logs how many log lines and peer messages were dropped since the last report.
     fn report_drops(&mut self) {
-        let dropped = log::dropped();
+        let dropped = log::dropped_line_count();
         if dropped > self.reported_log_lines {
             tracing::warn!(
                 dropped = dropped - self.reported_log_lines,
@@ -126,13 +126,13 @@
         front.shutting_down.store(true, Ordering::Release);
         tracing::info!("leaving: SIGTERM");
         if let Some(gossip) = &front.gossip {
-            gossip.leave(front.queues.all());
+            gossip.leave(front.queues.as_slice());
         }
         if let Some(fleet) = &front.fleet {
             fleet.set_state(FrontState::Draining);
         }
         let now = Instant::now();
-        front.server.end_by(now + self.plan.answered_by);
+        front.server.set_shutdown_deadline(now + self.plan.answered_by);
         if self.plan.hands_over {
             self.stop_accepting();
         }
@@ -148,7 +148,7 @@
         let evacuated = front.server.evacuated_for().is_some_and(|t| t >= EVACUATE_GRACE);
         front.server.sweep(front, closing || evacuated);
         let (Some(began), true) = (self.shutdown_began, closing) else { return false };
-        let over = front.server.is_done() || began.elapsed() >= plan.answered_by;
+        let over = front.server.has_answered_all() || began.elapsed() >= plan.answered_by;
         if over {
             self.finish_shutdown(began);
         }
@@ -157,14 +157,14 @@
 
     fn finish_shutdown(&self, began: Instant) {
         let front = &self.front;
-        front.server.give_up(front);
+        front.server.fail_open_calls(front);
         self.close_remaining(began + self.plan.exit_by);
         if let Some(fleet) = &front.fleet {
             fleet.leave();
         }
-        let held = front.server.held();
+        let held = front.server.resources_in_use();
         let open: usize =
-            front.queues.all().iter().map(|q| q.dispatcher.open_requests() + q.queued_requests()).sum();
+            front.queues.as_slice().iter().map(|q| q.dispatcher.open_requests() + q.queued_requests()).sum();
         let settled = held == Held::default() && open == 0 && front.upstream.attempts_in_flight() == 0;
         front.invariants.check(Invariant::EndSettled, settled, || {
             format!("{held:?} attempts={} open={open}", front.upstream.attempts_in_flight())
@@ -191,7 +191,7 @@
     }
 
     fn stop_accepting(&self) {
-        self.front.server.close();
+        self.front.server.stop_accepting();
         self.acceptor.wakeup();
     }
 }
--- a/crates/front/src/reason_counts.rs
+++ b/crates/front/src/reason_counts.rs
@@ -44,14 +44,14 @@
     }
 
     /// One metrics line for each kind and reason that occurred.
-    pub fn lines(&self) -> String {
+    pub fn metric_lines(&self) -> String {
         let all = lock(&self.0);
         all.iter().map(|((kind, reason), n)| format!("relay.{}.{reason}={n}\n", kind.name())).collect()
     }
 }
 
 /// Converts a reason in words to a name in metrics: lower case, with `_` in place of other characters.
-pub fn figure(reason: &str) -> String {
+pub fn metric_name(reason: &str) -> String {
     reason.chars().map(|c| if c.is_ascii_alphanumeric() { c.to_ascii_lowercase() } else { '_' }).collect()
 }
 
--- a/crates/front/src/reconfigure.rs
+++ b/crates/front/src/reconfigure.rs
@@ -11,7 +11,7 @@
         front.bus.set_address(bus);
     }
     if let (Some(gossip), Some(plan)) = (&front.gossip, new.gossip) {
-        gossip.rekey(plan.keys);
+        gossip.set_keys(plan.keys);
     }
     if let (Some(fleet), Some(plan)) = (&front.fleet, new.view) {
         fleet.set_keys(plan.keys);
--- a/crates/front/src/shared.rs
+++ b/crates/front/src/shared.rs
@@ -64,9 +64,9 @@
 impl Shared {
     /// Passes the list of cache nodes to the gossip, if the site document lists them.
     pub(crate) fn announce_members(&self) {
-        if let (Some(gossip), Some(members)) = (&self.gossip, self.queues.members()) {
+        if let (Some(gossip), Some(members)) = (&self.gossip, self.queues.document_member_ids()) {
             gossip.update_nodes(
-                self.queues.all(),
+                self.queues.as_slice(),
                 true,
                 members.into_iter().map(|id| (id, Some(0.0))).collect(),
             );
@@ -75,21 +75,21 @@
 
     /// Passes a message of the peer with the number `slot` to the dispatcher of every pool.
     pub(crate) fn deliver_peer_message(&self, slot: u32, message: &[u8]) {
-        for queue in self.queues.all() {
+        for queue in self.queues.as_slice() {
             queue.dispatcher.peer_message(self.clock.now(), slot, message.to_vec());
         }
     }
 
     /// The number of peer messages dropped so far: from an unknown sender, too long, or malformed.
     pub(crate) fn dropped_peer_messages(&self) -> u64 {
-        let malformed: u64 = self.queues.all().iter().map(|q| q.dispatcher.malformed_messages()).sum();
-        self.peers.as_ref().map_or(0, |p| p.foreign()) + malformed
+        let malformed: u64 = self.queues.as_slice().iter().map(|q| q.dispatcher.malformed_messages()).sum();
+        self.peers.as_ref().map_or(0, |p| p.dropped_datagrams()) + malformed
     }
 
     /// Whether the platform should send new clients to this front: endpoints are listed (or waited for long
     /// enough), and it is neither shutting down nor evacuated.
     pub fn is_ready(&self) -> bool {
-        (self.endpoints_listed.load(Ordering::Acquire) || self.clock.age() >= ENDPOINT_LIST_TIMEOUT)
+        (self.endpoints_listed.load(Ordering::Acquire) || self.clock.elapsed() >= ENDPOINT_LIST_TIMEOUT)
             && !self.shutting_down.load(Ordering::Acquire)
             && !self.server.is_evacuated()
     }
--- a/crates/front/src/sleep.rs
+++ b/crates/front/src/sleep.rs
@@ -28,7 +28,7 @@
 
 /// Parks the coroutine until it is woken or a part of `remaining` has passed. The caller checks its condition
 /// and the time, and calls again.
-pub fn park(blocker: &Blocker, remaining: Duration) {
+pub fn park_step(blocker: &Blocker, remaining: Duration) {
     if blocker.park(Some(step_length(remaining))).is_err() {
         requeue_on_worker();
     }
--- a/crates/front/src/spawn.rs
+++ b/crates/front/src/spawn.rs
@@ -11,7 +11,7 @@
 
 /// Starts a coroutine with a stack that is large enough for parsing JSON. On an ordinary stack a deeply
 /// nested line from the event bus ended the coroutine silently, and the front received no further change.
-pub fn spawn_deep(run: impl FnOnce() + Send + 'static) {
+pub fn spawn_with_deep_stack(run: impl FnOnce() + Send + 'static) {
     // Fails only if memory for the stack cannot be allocated when the front starts.
     let _ = may::go_with!(DEEP_STACK_WORDS, run);
 }
--- a/crates/front/src/startup.rs
+++ b/crates/front/src/startup.rs
@@ -26,7 +26,7 @@
 use crate::shared::Shared;
 use crate::shutdown::ShutdownPlan;
 use crate::snapshot::{RestoredState, Snapshot};
-use crate::spawn::{spawn, spawn_deep};
+use crate::spawn::{spawn, spawn_with_deep_stack};
 use crate::start_error::StartError;
 use crate::upstream::connection_pool::{ConnectionLimits, ConnectionPool};
 use crate::upstream::dispatch_queues::DispatchQueues;
@@ -58,7 +58,7 @@
     let LoadedConfig { mut config, plan, gossip, view, site } = loaded;
     may::config().set_workers(WORKER_THREADS).set_stack_size(COROUTINE_STACK_WORDS);
     let clock = Clock::start();
-    let reload = Reload::new(signals.hup, config.file.take(), site);
+    let reload = Reload::new(signals.reload_requested, config.file.take(), site);
     let mut checks = Startup { signals_caught: true, ..Startup::default() };
     let core = CoreComponents::new(&config, clock);
     let Sockets { peers, clients, origin } = Sockets::open(&config)?;
@@ -85,7 +85,7 @@
     let acceptor = clients.waker();
     spawn_serving(&front, clients, origin);
     let plan = ShutdownPlan::new(serving.longest_deadline_ms, origin);
-    let main_loop = MainLoop::new(front, signals.term, reload, plan, acceptor);
+    let main_loop = MainLoop::new(front, signals.terminate_requested, reload, plan, acceptor);
     let running = may::go!(move || main_loop.run());
     running.join().map_err(|_| StartError::Panic)
 }
@@ -132,7 +132,8 @@
             }
             None => None,
         };
-        let (clients, origin) = bind_with_retry(config.listen, || listen::clients(config.listen))?;
+        let (clients, origin) =
+            bind_with_retry(config.listen, || listen::open_client_listener(config.listen))?;
         Ok(Sockets { peers, clients, origin })
     }
 }
@@ -140,7 +141,7 @@
 /// Binds an address. Retries for `BIND_RETRY_PERIOD` while this machine lacks a resource or an earlier
 /// process still holds the address.
 fn bind_with_retry<T>(at: SocketAddr, bind: impl Fn() -> std::io::Result<T>) -> Result<T, StartError> {
-    let retry = |e: &std::io::Error| Failure::of(e) != Failure::Remote;
+    let retry = |e: &std::io::Error| Failure::classify(e) != Failure::Remote;
     retry_with_backoff(BIND_RETRY_PERIOD, retry, |_| bind()).map_err(|e| StartError::Bind(at, e))
 }
 
@@ -263,7 +264,8 @@
         sources: [config.settings.parent_kind, config.settings.origin_kind],
     };
     let folder = std::env::temp_dir();
-    let manual_exclusions = ManualExclusions::of(&folder, &config.name, config.listen, &config.names);
+    let manual_exclusions =
+        ManualExclusions::for_deployment(&folder, &config.name, config.listen, &config.names);
     let classes = config.settings.classes.clone();
     let class_names = classes.iter().map(|c| c.name.to_string()).collect();
     let queues = DispatchQueues::new(&config.settings, config.seed, plan, registry.clone(), host);
@@ -292,20 +294,20 @@
 /// Registers the endpoints that the site document and the configuration list. Returns the history of bus
 /// events up to the last one in the configuration.
 fn load_known_endpoints(front: &Shared, serving: &ServingConfig) -> History {
-    front.queues.start(&front.clock, &front.upstream);
+    front.queues.apply_initial_members(&front.clock, &front.upstream);
     front.announce_members();
     if front.gossip.is_some() {
-        front.queues.all().iter().for_each(|q| q.dispatcher.enable_evidence());
+        front.queues.as_slice().iter().for_each(|q| q.dispatcher.enable_evidence());
     }
     if front.queues.members_from_file() {
         front.endpoints_listed.store(true, Ordering::Release);
     }
     let mut history = History::new(serving.offset);
     for event in &serving.known_events {
-        match watch_event::parse(event, &front.names) {
+        match watch_event::parse_event(event, &front.names) {
             Ok(event) => {
-                history.observe(&event);
-                discovery_watch::apply(front, event, None);
+                history.record_draining_nodes(&event);
+                discovery_watch::apply_event(front, event, None);
             }
             Err(e) => tracing::warn!("ignoring an event in the configuration's `known` list: {e}"),
         }
@@ -317,16 +319,16 @@
 fn spawn_services(front: &Arc<Shared>, serving: &ServingConfig, history: History) -> Result<(), StartError> {
     if let Some(gossip) = front.gossip.clone() {
         let (listening, f) = (gossip.clone(), front.clone());
-        spawn(move || listening.listen(f.queues.all()));
+        spawn(move || listening.listen(f.queues.as_slice()));
         let (f, from_view) = (front.clone(), serving.gossip_from_view);
-        spawn(move || gossip.run(f.queues.all(), f.fleet.as_deref().filter(|_| from_view)));
+        spawn(move || gossip.run(f.queues.as_slice(), f.fleet.as_deref().filter(|_| from_view)));
     }
     if let Some(fleet) = front.fleet.clone() {
         spawn_thread("view", move || fleet.run())?;
     }
     if serving.has_bus {
         let f = front.clone();
-        spawn_deep(move || f.bus.run(&f, history));
+        spawn_with_deep_stack(move || f.bus.run(&f, history));
     }
     if let Some(peers) = front.peers.clone() {
         let f = front.clone();
@@ -341,7 +343,7 @@
         _ => serving.admin,
     };
     if let Some(at) = address {
-        let bound = bind_with_retry(at, || admin::open(front.clone(), at, serving.admin_callers))?;
+        let bound = bind_with_retry(at, || admin::bind_and_serve(front.clone(), at, serving.admin_callers))?;
         tracing::info!("operators' door at {bound}");
     }
     Ok(())
@@ -350,13 +352,13 @@
 /// Starts the coroutines that accept clients and run the decision crate's timers.
 fn spawn_serving(front: &Arc<Shared>, clients: Listener, origin: Origin) {
     let f = front.clone();
-    spawn(move || f.server.run(&f, clients, origin));
+    spawn(move || f.server.accept_clients(&f, clients, origin));
     let f = front.clone();
     spawn(move || loop {
-        let next = f.queues.all().iter().filter_map(|q| q.tick(&f.clock)).reduce(f64::min);
+        let next = f.queues.as_slice().iter().filter_map(|q| q.tick(&f.clock)).reduce(f64::min);
         // Off the worker is safe here: the dispatchers and their host are guarded by locks.
         let wait = next.map_or(MAX_TIMER_INTERVAL, |at| {
-            f.clock.until(at).clamp(Duration::from_millis(1), MAX_TIMER_INTERVAL)
+            f.clock.time_until(at).clamp(Duration::from_millis(1), MAX_TIMER_INTERVAL)
         });
         sleep::sleep_off_the_worker(wait);
     });
--- a/crates/front/src/upstream/connection_pool.rs
+++ b/crates/front/src/upstream/connection_pool.rs
@@ -155,7 +155,7 @@
     /// Withdraws the request's attempt if it was not sent yet, because no client waits for it any more or
     /// because what it requests was purged after the attempt was chosen. The decision module cancels an
     /// attempt that was sent.
-    pub fn withdraw(&self, id: RequestId) {
+    pub fn withdraw_attempt(&self, id: RequestId) {
         if let Some(attempt) = lock(&self.attempts).get(&id) {
             attempt.withdraw();
         }
@@ -260,7 +260,7 @@
             Ending::TimedOut
         } else {
             let begin = times.begin_by.map_or(remaining, |by| by.saturating_duration_since(now));
-            sleep::park(&in_flight.blocker, remaining.min(begin));
+            sleep::park_step(&in_flight.blocker, remaining.min(begin));
             return;
         };
         if let Some(delay) = connection.cancel(attempt.id, trace, ending) {
--- a/crates/front/src/upstream/dialer.rs
+++ b/crates/front/src/upstream/dialer.rs
@@ -74,7 +74,7 @@
     fn dial(&self) -> io::Result<TcpStream> {
         let retry = |e: &io::Error| {
             let awaited = self.connection.has_waiting_attempts();
-            e.kind() != ErrorKind::TimedOut && Failure::of(e).is_transient() && awaited
+            e.kind() != ErrorKind::TimedOut && Failure::classify(e).is_transient() && awaited
         };
         let (stream, handshake) = retry_with_backoff(self.connect_timeout, retry, |remaining| {
             let started = Instant::now();
@@ -96,7 +96,7 @@
                 unwritten_ending: Ending::ConnectionRefused,
             };
         }
-        match Failure::of(e) {
+        match Failure::classify(e) {
             Failure::Descriptors => {
                 ConnectionEnd { reason: Reason::NoDescriptor, unwritten_ending: Ending::Retracted }
             }
--- a/crates/front/src/upstream/dispatch_queue.rs
+++ b/crates/front/src/upstream/dispatch_queue.rs
@@ -175,7 +175,7 @@
             if let Some(verdict) = verdict {
                 return (verdict == Verdict::Admitted).then_some(permit);
             }
-            sleep::park(&request.blocker, QUEUE_POLL_INTERVAL);
+            sleep::park_step(&request.blocker, QUEUE_POLL_INTERVAL);
         }
     }
 
@@ -237,8 +237,8 @@
 
     /// When an attempt that starts at `now` times out: at `deadline`, or earlier if the pool or the member
     /// has an answer timeout.
-    pub fn deadline(&self, attempt: &Attempt, now: Instant, deadline: Instant) -> Instant {
-        let timeout_ms = self.queue.answer_timeouts.load().of_member_ms(&attempt.cache.0);
+    pub fn attempt_deadline(&self, attempt: &Attempt, now: Instant, deadline: Instant) -> Instant {
+        let timeout_ms = self.queue.answer_timeouts.load().member_timeout_ms(&attempt.cache.0);
         timeout_ms.map_or(deadline, |ms| deadline.min(now + Duration::from_millis(ms)))
     }
 
--- a/crates/front/src/upstream/dispatch_queues.rs
+++ b/crates/front/src/upstream/dispatch_queues.rs
@@ -77,7 +77,7 @@
         let plan = plan.unwrap_or_else(plan_without_pools);
         let pool_count = plan.pools.len();
         let mut queues = Vec::new();
-        for (index, (spec, answer_timeouts)) in plan.pools.into_iter().zip(plan.answers).enumerate() {
+        for (index, (spec, answer_timeouts)) in plan.pools.into_iter().zip(plan.answer_timeouts).enumerate() {
             let settings = queue_settings(base, pool_count, index, plan.max_pools_per_cache);
             let dispatcher = Dispatcher::new(settings, seed ^ index as u64, host())?;
             let make_pool = |spec| match plan.from_file {
@@ -107,12 +107,12 @@
     }
 
     /// All queues, in the order of the plan's pools.
-    pub fn all(&self) -> &[Arc<DispatchQueue>] {
+    pub fn as_slice(&self) -> &[Arc<DispatchQueue>] {
         &self.queues
     }
 
     /// Ids of the site document's members; `None` if the members come from the discovery bus.
-    pub fn members(&self) -> Option<Vec<CacheId>> {
+    pub fn document_member_ids(&self) -> Option<Vec<CacheId>> {
         let members = self.document_members.as_ref()?;
         Some(lock(members).keys().map(|id| CacheId(id.clone())).collect())
     }
@@ -159,7 +159,7 @@
         from_file: false,
         members: BTreeMap::new(),
         pools: Vec::new(),
-        answers: Vec::new(),
+        answer_timeouts: Vec::new(),
         routes: Routes::of(&fernslip_site::Site::default()),
         max_pools_per_cache: 1,
     }
--- a/crates/front/src/upstream/dispatch_queues/endpoint_updates.rs
+++ b/crates/front/src/upstream/dispatch_queues/endpoint_updates.rs
@@ -15,9 +15,9 @@
 use std::sync::Arc;
 
 impl DispatchQueues {
-    /// Starts serving from the site document's members, if the members come from there: the first list of
-    /// each queue is complete. Otherwise queues with a pool start with an empty list.
-    pub fn start(&self, clock: &Clock, upstream: &ConnectionPool) {
+    /// Gives each queue its first endpoint list: the site document's members, if the members come from there;
+    /// that list is complete. Otherwise queues with a pool start with an empty list.
+    pub fn apply_initial_members(&self, clock: &Clock, upstream: &ConnectionPool) {
         let Some(members) = &self.document_members else {
             for queue in self.queues.iter().filter(|queue| queue.has_pool()) {
                 queue.dispatcher.update_endpoints(clock.now(), ListKind::Full, Vec::new());
@@ -41,7 +41,7 @@
     /// Replaces all nodes of the registry with these members.
     pub(super) fn register_members(&self, members: &BTreeMap<Arc<str>, PlannedMember>) {
         let attributes =
-            |m: &PlannedMember| NodeAttributes { zone: m.zone, kind: m.kind, cell: 0, link: m.link };
+            |m: &PlannedMember| NodeAttributes { zone: m.zone, kind: m.kind, cell: 0, link: m.link_capacity };
         self.registry.replace_all(members.iter().map(|(id, m)| (id.clone(), attributes(m))));
     }
 
@@ -114,7 +114,7 @@
 pub(super) fn source_entry(id: &Arc<str>, member: &PlannedMember, started_ms: f64) -> Entry {
     Entry {
         cache: CacheId(id.clone()),
-        weight: member.link,
+        weight: member.link_capacity,
         zone: member.zone,
         kind: member.kind,
         cell: 0,
--- a/crates/front/src/upstream/dispatch_queues/plan_updates.rs
+++ b/crates/front/src/upstream/dispatch_queues/plan_updates.rs
@@ -64,7 +64,9 @@
         let queue_of_pool = self.check_plan(&plan)?;
         let members = self.document_members.as_ref();
         let changes = members.map(|m| self.apply_members(clock, upstream, &lock(m), &plan.members));
-        for ((spec, answer_timeouts), index) in plan.pools.into_iter().zip(plan.answers).zip(&queue_of_pool) {
+        for ((spec, answer_timeouts), index) in
+            plan.pools.into_iter().zip(plan.answer_timeouts).zip(&queue_of_pool)
+        {
             self.queues[*index].reconfigure(clock, spec, answer_timeouts);
         }
         if let Some(members) = members {
--- a/crates/front/src/upstream/resp.rs
+++ b/crates/front/src/upstream/resp.rs
@@ -86,7 +86,7 @@
 ///
 /// # Errors
 /// The bytes are not RESP, or exceed a limit.
-pub fn parts(data: &[u8]) -> Result<Option<ArrayParts<'_>>, RespError> {
+pub fn parse_array(data: &[u8]) -> Result<Option<ArrayParts<'_>>, RespError> {
     let Some((count, mut rest)) = parse_header(data, b'*')? else { return Ok(None) };
     if count > MAX_PARTS {
         return Err(RespError::TooLong);
@@ -114,7 +114,7 @@
 /// # Errors
 /// The bytes are not RESP, exceed a limit, or are not an answer.
 pub fn parse_answer(data: &[u8]) -> Result<Option<(usize, Answer<'_>)>, RespError> {
-    let Some((len, parts)) = parts(data)? else { return Ok(None) };
+    let Some((len, parts)) = parse_array(data)? else { return Ok(None) };
     let text = |part| std::str::from_utf8(part).map_err(|_| RespError::Shape);
     match parts[..] {
         [id, outcome, fields, body] => {
@@ -125,7 +125,7 @@
 }
 
 /// Encodes an array of these parts.
-pub fn array(parts: &[&[u8]]) -> Vec<u8> {
+pub fn encode_array(parts: &[&[u8]]) -> Vec<u8> {
     let mut out = Vec::with_capacity(parts.iter().map(|p| p.len() + 16).sum::<usize>() + 16);
     out.extend_from_slice(format!("*{}\r\n", parts.len()).as_bytes());
     for part in parts {
@@ -138,12 +138,12 @@
 
 /// Encodes a request with this id; `fields` has the form of [`Answer::fields`], and may be empty.
 pub fn encode_request(id: &str, fields: &str, body: &[u8]) -> Vec<u8> {
-    array(&[b"ASK", id.as_bytes(), if fields.is_empty() { b"-" } else { fields.as_bytes() }, body])
+    encode_array(&[b"ASK", id.as_bytes(), if fields.is_empty() { b"-" } else { fields.as_bytes() }, body])
 }
 
 /// Encodes the cancel of the request with this id.
 pub fn encode_cancel(id: &str) -> Vec<u8> {
-    array(&[b"QUIT", id.as_bytes()])
+    encode_array(&[b"QUIT", id.as_bytes()])
 }
 
 #[cfg(test)]
--- a/crates/front/src/upstream/send_guard.rs
+++ b/crates/front/src/upstream/send_guard.rs
@@ -51,7 +51,7 @@
     /// Checks, after the attempt was sent, that at its first byte its client was still waiting, the
     /// client's deadline had not passed, and its node and source were in service. `drain_grace_ms` is how
     /// long after the start of a drain an attempt may still be sent.
-    pub fn verify(
+    pub fn verify_sent_attempt(
         &self,
         invariants: &Invariants,
         clock: &Clock,
@@ -76,7 +76,8 @@
         }
         let nodes = [Some(&self.attempt.cache), self.attempt.source.as_ref()].into_iter().flatten();
         let out_since_ms = nodes.filter_map(|node| self.queue.dispatcher.out_of_service_since(node));
-        let drained_ms = out_since_ms.map(|since_ms| clock.at(first_byte_at) - since_ms).fold(0.0, f64::max);
+        let drained_ms =
+            out_since_ms.map(|since_ms| clock.module_time_at(first_byte_at) - since_ms).fold(0.0, f64::max);
         invariants.check(Invariant::SendToServingNode, drained_ms <= drain_grace_ms, || {
             format!("{} first byte written {drained_ms:.0} ms after its node or source began to drain", id())
         });
--- a/crates/front/src/wall_clock.rs
+++ b/crates/front/src/wall_clock.rs
@@ -54,7 +54,7 @@
 
     /// Checks for a step of the wall clock; to be called periodically. Returns the number of steps since the
     /// start.
-    pub fn observe(&self) -> u64 {
+    pub fn check_for_step(&self) -> u64 {
         self.read_and_compare(unix_ms).1
     }
 
@@ -89,7 +89,7 @@
     /// Converts `unix_ms`, the date of an event that arrives now, to module time. The event is known not to
     /// have happened before `not_before` (module time); an earlier date comes from a clock that differs from
     /// this one and counts as now.
-    pub fn when(&self, unix_ms: f64, not_before: f64) -> f64 {
+    pub fn to_module_time(&self, unix_ms: f64, not_before: f64) -> f64 {
         self.to_module_time_with(unix_ms, not_before, self::unix_ms)
     }
 
--- a/crates/front/src/wall_clock/tests.rs
+++ b/crates/front/src/wall_clock/tests.rs
@@ -11,18 +11,18 @@
     let clock = Clock::start();
     let wall = WallClock::start(clock);
     let now = unix_ms();
-    assert!(within_a_second(wall.when(now - 5_000.0, f64::MIN), clock.now() - 5_000.0));
+    assert!(within_a_second(wall.to_module_time(now - 5_000.0, f64::MIN), clock.now() - 5_000.0));
     assert!(
-        within_a_second(wall.when(now + HOUR_MS, f64::MIN), clock.now()),
+        within_a_second(wall.to_module_time(now + HOUR_MS, f64::MIN), clock.now()),
         "a time in the future counts as now"
     );
     let bound = clock.now() - 2_000.0;
-    assert!(within_a_second(wall.when(now - 1_500.0, bound), clock.now() - 1_500.0));
+    assert!(within_a_second(wall.to_module_time(now - 1_500.0, bound), clock.now() - 1_500.0));
     assert!(
-        within_a_second(wall.when(now - 5_000.0, bound), clock.now()),
+        within_a_second(wall.to_module_time(now - 5_000.0, bound), clock.now()),
         "a time before the lower bound counts as now, because the clocks differ"
     );
-    assert_eq!(wall.observe(), 0);
+    assert_eq!(wall.check_for_step(), 0);
 }
 
 /// Guards against a purge that counts as an hour old after the clock was stepped by an hour: copies older
@@ -65,5 +65,5 @@
         read
     };
     assert_eq!(wall.read_and_compare(read_after_delay).1, 0);
-    assert_eq!(wall.observe(), 0);
+    assert_eq!(wall.check_for_step(), 0);
 }
--- a/crates/front/tests/sleep.rs
+++ b/crates/front/tests/sleep.rs
@@ -1,6 +1,6 @@
 //! Checks on which thread a coroutine resumes after a wait, with one worker thread as in the program.
 
-use fernslip_front::sleep::{park, sleep};
+use fernslip_front::sleep::{park_step, sleep};
 use may::sync::Blocker;
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     let parked = may::go!(move || {
         may::coroutine::yield_now();
         let worker = thread();
-        park(&Blocker::current(), Duration::from_millis(3));
+        park_step(&Blocker::current(), Duration::from_millis(3));
         (worker, thread())
     });
     for (what, ended) in [("sleep", slept.join()), ("park", parked.join())] {
--- a/crates/rig/src/cache_nodes.rs
+++ b/crates/rig/src/cache_nodes.rs
@@ -124,7 +124,7 @@
             }
             buffer.extend_from_slice(&chunk[..n]);
             let mut used = 0;
-            while let Ok(Some((len, parts))) = resp::parts(&buffer[used..]) {
+            while let Ok(Some((len, parts))) = resp::parse_array(&buffer[used..]) {
                 used += len;
                 let arguments: Vec<String> =
                     parts.iter().map(|p| String::from_utf8_lossy(p).into_owned()).collect();
@@ -160,7 +160,7 @@
             if unique {
                 nodes.request_ended(node, &object, class == WRITE_CLASS);
             }
-            let answer = resp::array(&[id.as_bytes(), b"served", b"tell=warm", b"body"]);
+            let answer = resp::encode_array(&[id.as_bytes(), b"served", b"tell=warm", b"body"]);
             let _ = write.lock().await.write_all(&answer).await;
         });
     }
--- a/crates/rig/src/fronts.rs
+++ b/crates/rig/src/fronts.rs
@@ -122,7 +122,7 @@
         with_view: bool,
     ) -> io::Result<Fronts> {
         let key_file = dir.join("keys");
-        fernslip_front::keyfile::create(&key_file).map_err(|e| io::Error::other(e.to_string()))?;
+        fernslip_front::keyfile::create_key_file(&key_file).map_err(|e| io::Error::other(e.to_string()))?;
         Ok(Fronts {
             all: Vec::new(),
             links,
--- a/crates/rig/src/run/garbage.rs
+++ b/crates/rig/src/run/garbage.rs
@@ -16,7 +16,7 @@
     /// Sends garbage from and to any front, `per_second` datagrams for a while.
     pub(super) async fn send_garbage(&mut self, per_second: f64, duration: Duration) {
         self.record_event("garbage", true);
-        let keys = fernslip_front::keyfile::read(self.fronts.key_file()).ok();
+        let keys = fernslip_front::keyfile::read_key_file(self.fronts.key_file()).ok();
         let recorded = self.fronts.links.recorded();
         let end = Instant::now() + duration;
         let endpoints: Vec<usize> = self.fronts.all.iter().map(|f| f.endpoint).collect();
--- a/crates/rig/src/soak/nodes.rs
+++ b/crates/rig/src/soak/nodes.rs
@@ -211,7 +211,7 @@
                         Err(e) => return Err(e),
                     }
                     let mut used = 0;
-                    while let Ok(Some((len, parts))) = resp::parts(&buffer[used..]) {
+                    while let Ok(Some((len, parts))) = resp::parse_array(&buffer[used..]) {
                         let arguments: Vec<String> =
                             parts.iter().map(|p| String::from_utf8_lossy(p).into_owned()).collect();
                         used += len;
@@ -312,7 +312,7 @@
     let id = format!("{trace:016x}");
     let report = format!("tell=fill,tag={object},minted={now_ms}");
     let body = if status == "served" { object_body(object, field("chunk")) } else { Vec::new() };
-    resp::array(&[id.as_bytes(), status.as_bytes(), report.as_bytes(), &body])
+    resp::encode_array(&[id.as_bytes(), status.as_bytes(), report.as_bytes(), &body])
 }
 
 /// The bytes of a part of an object, which a client that requested it must receive: from some hundred bytes to far more
