--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -122,9 +122,9 @@
         KeysCommand::New { file } => (file, keyfile::create_key_file(file)),
         KeysCommand::Rotate { file, step } => {
             let step = match step {
-                RotationStep::Add => keyfile::Step::Add,
-                RotationStep::Switch => keyfile::Step::Switch,
-                RotationStep::Drop => keyfile::Step::Drop,
+                RotationStep::Add => keyfile::RotationStep::Add,
+                RotationStep::Switch => keyfile::RotationStep::Switch,
+                RotationStep::Drop => keyfile::RotationStep::Drop,
             };
             (file, keyfile::rotate_keys(file, step))
         }
--- a/crates/front/src/clients/connection.rs
+++ b/crates/front/src/clients/connection.rs
@@ -8,8 +8,8 @@
 use crate::link::Link;
 use crate::log::Reason;
 use crate::metrics::Outcome;
-use crate::reason_counts::Kind;
-use crate::shared::Shared;
+use crate::reason_counts::EventKind;
+use crate::shared::SharedState;
 use crate::spawn::spawn;
 use crate::sync::lock;
 use crate::upstream::caller::Caller;
@@ -112,7 +112,7 @@
     /// Answers a call, unless the client has cancelled it.
     pub(super) fn answer(
         &self,
-        front: &Shared,
+        front: &SharedState,
         call: u32,
         caller: &Arc<Caller>,
         class: Option<usize>,
@@ -161,7 +161,7 @@
     }
 
     /// Closes the connection gracefully; from now on it does not count towards the client limit.
-    pub(super) fn start_closing(&self, front: &Shared, why: Reason) {
+    pub(super) fn start_closing(&self, front: &SharedState, why: Reason) {
         if !std::mem::replace(&mut lock(&self.open).closing, true) {
             front.server.closing.fetch_add(1, Ordering::Relaxed);
         }
@@ -178,7 +178,7 @@
 
     /// Whether the connection stays open although it was to be closed, because a call or part of one arrived
     /// in the meantime.
-    pub(super) fn stays_open(&self, front: &Shared, why: Reason) -> bool {
+    pub(super) fn stays_open(&self, front: &SharedState, why: Reason) -> bool {
         let mut open = lock(&self.open);
         let shutdown = why == Reason::Shutdown;
         let begun = open
@@ -198,7 +198,7 @@
     /// The client broke the protocol; the connection ends for that reason.
     fn handle_call(
         self: &Arc<Self>,
-        front: &Arc<Shared>,
+        front: &Arc<SharedState>,
         number: u32,
         method: String,
         fields: Fields,
@@ -272,7 +272,7 @@
     }
 
     /// Cancels a call that the client no longer waits for.
-    fn cancel_call(&self, front: &Shared, call: u32) {
+    fn cancel_call(&self, front: &SharedState, call: u32) {
         let cancelled = {
             let mut open = lock(&self.open);
             let cancelled = open.calls.remove(&call);
@@ -292,7 +292,7 @@
     /// The client broke the protocol; the connection ends for that reason.
     pub(super) fn read_messages(
         self: &Arc<Self>,
-        front: &Arc<Shared>,
+        front: &Arc<SharedState>,
         buffer: &mut Buffer,
     ) -> Result<(), Reason> {
         let mut received = false;
@@ -328,7 +328,7 @@
 /// Releases everything that a connection holds when this is dropped, even if a panic unwinds its coroutine:
 /// capacity that is not released would be lost for good.
 pub(super) struct ConnectionCleanup<'a> {
-    pub(super) front: &'a Shared,
+    pub(super) front: &'a SharedState,
     pub(super) number: u64,
     pub(super) client: &'a ClientConnection,
     pub(super) peer: SocketAddr,
@@ -352,7 +352,7 @@
         }
         server.descriptors.fetch_sub(1, Ordering::Relaxed);
         let (unanswered, open_calls) = (unanswered.len(), unanswered);
-        front.reason_counts.add(Kind::ClientClosed, why.code());
+        front.reason_counts.add(EventKind::ClientClosed, why.code());
         front.invariants.check(Invariant::CloseSettled, !why.is_own_choice() || unanswered == 0, || {
             format!("{peer}: connection closed for reason {} while {unanswered} calls were open", why.code())
         });
@@ -366,7 +366,7 @@
 impl OpenCall {
     /// Cancels the call because its client no longer waits: no further attempt begins, wherever the call is
     /// queued.
-    pub(super) fn cancel(self, front: &Shared) {
+    pub(super) fn cancel(self, front: &SharedState) {
         self.caller.disconnect();
         self.queue.dispatcher.client_disconnected(front.clock.now(), self.id);
         front.upstream.withdraw_attempt(self.id);
--- a/crates/front/src/clients/eviction.rs
+++ b/crates/front/src/clients/eviction.rs
@@ -4,7 +4,7 @@
 use super::connection::{ClientConnection, MESSAGE_TIMEOUT, NEW_CONNECTION_GRACE};
 use super::server::Server;
 use crate::log::Reason;
-use crate::shared::Shared;
+use crate::shared::SharedState;
 use crate::sync::lock;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -100,7 +100,7 @@
     /// Ensures that a connection that was just accepted is within the limit, if necessary by evicting
     /// another; returns whether it is. Protects new clients against those that called once and stay
     /// connected.
-    pub(super) fn make_capacity(&self, front: &Shared) -> bool {
+    pub(super) fn make_capacity(&self, front: &SharedState) -> bool {
         let connected =
             self.descriptors.load(Ordering::Relaxed).saturating_sub(self.closing.load(Ordering::Relaxed));
         connected <= self.budget.clients || self.evict(front)
@@ -108,7 +108,7 @@
 
     /// Closes the connection with the highest rank for eviction: one that never sent a message, else one
     /// that was never served, else the one that has been idle for longest. Returns whether there was one.
-    pub(super) fn evict(&self, front: &Shared) -> bool {
+    pub(super) fn evict(&self, front: &SharedState) -> bool {
         let now = Instant::now();
         let evicted = {
             let clients = lock(&self.clients);
--- a/crates/front/src/clients/forward.rs
+++ b/crates/front/src/clients/forward.rs
@@ -3,8 +3,8 @@
 
 use crate::call::CallFields;
 use crate::invariants::Invariant;
-use crate::reason_counts::Kind;
-use crate::shared::Shared;
+use crate::reason_counts::EventKind;
+use crate::shared::SharedState;
 use crate::upstream::caller::Caller;
 use crate::upstream::completed_attempt::Reply;
 use crate::upstream::dispatch_queue::{DispatchQueue, Permit};
@@ -50,13 +50,13 @@
 /// Processes a request until its final answer, or until its client disconnects or cancels it. Yields while
 /// it waits for a permit and during each attempt.
 pub fn forward_request(
-    front: &Shared,
+    front: &SharedState,
     queue: &Arc<DispatchQueue>,
     request: Request,
     call: &Arc<CallFields>,
     caller: &Arc<Caller>,
 ) -> Answer {
-    let Shared { clock, queues, .. } = front;
+    let SharedState { clock, queues, .. } = front;
     let retry_after_ms = queues.retry_after_ms();
     let client_deadline = Instant::now() + Duration::from_secs_f64(request.budget_ms / 1000.0);
     let Some(_reservation) = queues.reserve(request.id) else { return Answer::Rejected(retry_after_ms) };
@@ -92,7 +92,7 @@
 
 /// State of a request that holds a permit of its pool.
 struct Forwarding<'a> {
-    front: &'a Shared,
+    front: &'a SharedState,
     queue: &'a Arc<DispatchQueue>,
     call: &'a Arc<CallFields>,
     caller: &'a Arc<Caller>,
@@ -155,7 +155,7 @@
         // retry, but if it did, the request would fail here instead.
         let allowed = !may_have_run || effect != Effect::AtMostOnce;
         if let Some(ending) = self.last_ending {
-            front.reason_counts.add(Kind::Retried, ending_metric_name(ending));
+            front.reason_counts.add(EventKind::Retried, ending_metric_name(ending));
         }
         let detail = || {
             format!(
--- a/crates/front/src/clients/listen.rs
+++ b/crates/front/src/clients/listen.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// Environment variable that holds the descriptor number of the inherited listening socket.
-pub const PASSED_SOCKET_VARIABLE: &str = "RELAY_PASSED_SOCKET";
+pub const INHERITED_SOCKET_VARIABLE: &str = "RELAY_PASSED_SOCKET";
 /// Lowest descriptor number that can be inherited: 0 to 2 are standard input, output and error.
 const MIN_PASSED_DESCRIPTOR: u32 = 3;
 /// Length of the kernel's queue of connections that wait to be accepted. At peak load thousands of clients
@@ -32,20 +32,20 @@
     /// This process bound the address itself.
     Bound,
     /// Inherited from the platform; other processes may accept connections on it too.
-    Passed,
+    Inherited,
 }
 
 /// Why the descriptor in `$RELAY_PASSED_SOCKET` can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum PassedSocketError {
     /// The value is not a descriptor number of 3 or more.
-    #[error("{PASSED_SOCKET_VARIABLE}={0:?} is not a descriptor number of 3 or more")]
+    #[error("{INHERITED_SOCKET_VARIABLE}={0:?} is not a descriptor number of 3 or more")]
     InvalidNumber(String),
     /// A system call on the descriptor failed.
-    #[error("{PASSED_SOCKET_VARIABLE}: descriptor {0} can't be used as a listening socket: {1}")]
+    #[error("{INHERITED_SOCKET_VARIABLE}: descriptor {0} can't be used as a listening socket: {1}")]
     Io(u32, io::Error),
     /// The descriptor is not a listening TCP socket; the text says what it is instead.
-    #[error("{PASSED_SOCKET_VARIABLE}: descriptor {0} is {1}")]
+    #[error("{INHERITED_SOCKET_VARIABLE}: descriptor {0} is {1}")]
     WrongKind(u32, &'static str),
 }
 
@@ -103,7 +103,7 @@
 /// # Errors
 /// The address can't be bound. An inherited descriptor that can't be used is only logged.
 pub fn open_client_listener(addr: SocketAddr) -> io::Result<(Listener, Origin)> {
-    let passed = std::env::var(PASSED_SOCKET_VARIABLE).ok().filter(|v| !v.trim().is_empty());
+    let passed = std::env::var(INHERITED_SOCKET_VARIABLE).ok().filter(|v| !v.trim().is_empty());
     let taken = match passed.as_deref().map(|v| parse_descriptor(v).and_then(take_passed_socket)) {
         Some(Ok(l)) => Some(l),
         Some(Err(error)) => {
@@ -113,7 +113,7 @@
         None => None,
     };
     let (listener, origin) = match taken {
-        Some(l) => (l, Origin::Passed),
+        Some(l) => (l, Origin::Inherited),
         None => (bind_listener(addr)?, Origin::Bound),
     };
     let co = CoIo::new(listener).map_err(io::Error::from)?;
--- a/crates/front/src/clients/server.rs
+++ b/crates/front/src/clients/server.rs
@@ -8,8 +8,8 @@
 use crate::link::Stream;
 use crate::listen::{Listener, Origin};
 use crate::log::Reason;
-use crate::reason_counts::Kind;
-use crate::shared::Shared;
+use crate::reason_counts::EventKind;
+use crate::shared::SharedState;
 use crate::spawn::spawn;
 use crate::sync::lock;
 use fernslip::Class;
@@ -116,7 +116,7 @@
     /// Accepts clients until the front shuts down. An inherited socket is then left to the other process. On
     /// a socket that this process bound, all pending connections are accepted first, so that every connected
     /// client gets an answer.
-    pub fn accept_clients(&self, front: &Arc<Shared>, listener: Listener, origin: Origin) {
+    pub fn accept_clients(&self, front: &Arc<SharedState>, listener: Listener, origin: Origin) {
         let mut pause = DESCRIPTOR_BACKOFF[0];
         loop {
             // Wait until closing connections have released their descriptors.
@@ -126,7 +126,7 @@
                 crate::sleep::sleep(Duration::from_millis(1));
             }
             let accepted = match (self.closed.load(Ordering::Acquire), origin) {
-                (true, Origin::Passed) => Ok(None),
+                (true, Origin::Inherited) => Ok(None),
                 (true, Origin::Bound) => listener.try_accept(),
                 (false, _) => listener.accept(&self.closed),
             };
@@ -155,12 +155,12 @@
     }
 
     /// Counts an accepted connection and starts its coroutine, or drops it if no capacity can be freed.
-    fn admit(&self, front: &Arc<Shared>, stream: CoIo<TcpStream>, peer: SocketAddr) {
+    fn admit(&self, front: &Arc<SharedState>, stream: CoIo<TcpStream>, peer: SocketAddr) {
         self.descriptors.fetch_add(1, Ordering::Relaxed);
         if !self.make_capacity(front) {
             drop(stream);
             self.descriptors.fetch_sub(1, Ordering::Relaxed);
-            front.reason_counts.add(Kind::ClientClosed, Reason::TooMany.code());
+            front.reason_counts.add(EventKind::ClientClosed, Reason::TooMany.code());
             tracing::info!(kind = %"client", %peer, reason = %Reason::TooMany.code(), "end");
             return;
         }
@@ -175,13 +175,13 @@
     /// Runs one connection until it ends.
     fn serve_connection(
         &self,
-        front: &Arc<Shared>,
+        front: &Arc<SharedState>,
         number: u64,
         client: &Arc<ClientConnection>,
         stream: CoIo<TcpStream>,
         peer: SocketAddr,
     ) {
-        let mut ended = ConnectionCleanup { front, number, client, peer, why: Reason::Defect };
+        let mut ended = ConnectionCleanup { front, number, client, peer, why: Reason::Panicked };
         client.link.attach(Stream::Std(stream));
         ended.why = client
             .link
@@ -190,7 +190,7 @@
 
     /// Closes connections that have timed out, and all idle ones if the front is ending or being evacuated
     /// (`ending`).
-    pub fn sweep(&self, front: &Shared, ending: bool) {
+    pub fn sweep(&self, front: &SharedState, ending: bool) {
         self.closing_idle.store(ending, Ordering::Release);
         let now = Instant::now();
         let all: Vec<Arc<ClientConnection>> = lock(&self.clients).values().cloned().collect();
@@ -240,7 +240,7 @@
     /// Answers all open calls with an error and cancels them, because the process ends. The error does not
     /// say whether a call took effect. Without it, calls of clients that wait longer than their class allows
     /// would be lost with the process.
-    pub fn fail_open_calls(&self, front: &Shared) {
+    pub fn fail_open_calls(&self, front: &SharedState) {
         let all: Vec<Arc<ClientConnection>> = lock(&self.clients).values().cloned().collect();
         for client in all {
             let calls = {
--- a/crates/front/src/control/admin.rs
+++ b/crates/front/src/control/admin.rs
@@ -24,7 +24,7 @@
 pub use command::{parse_command, AdminCommand};
 pub use exclusions::{follow_manual_exclusions, restore_manual_exclusions};
 
-use crate::shared::Shared;
+use crate::shared::SharedState;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -51,7 +51,11 @@
 ///
 /// # Errors
 /// Returns an error if the address cannot be bound or no thread can be started.
-pub fn bind_and_serve(front: Arc<Shared>, at: SocketAddr, max_connections: usize) -> io::Result<SocketAddr> {
+pub fn bind_and_serve(
+    front: Arc<SharedState>,
+    at: SocketAddr,
+    max_connections: usize,
+) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(at)?;
     let bound = listener.local_addr()?;
     let connections = Arc::new(AtomicUsize::new(0));
@@ -117,7 +121,7 @@
 
 /// Serves one connection: reads its command, answers it, and waits for the caller to close. Returns the
 /// reason to log for the end of the connection.
-fn serve_connection(front: &Shared, mut stream: TcpStream) -> &'static str {
+fn serve_connection(front: &SharedState, mut stream: TcpStream) -> &'static str {
     let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
     let answer = match read_command_line(&mut stream) {
         Ok(line) => match parse_command(line.trim_end_matches('\r')) {
--- a/crates/front/src/control/admin/answer.rs
+++ b/crates/front/src/control/admin/answer.rs
@@ -3,12 +3,12 @@
 use super::command::AdminCommand;
 use super::exclusions::{self, ExclusionChange};
 use crate::reason_counts::metric_name;
-use crate::shared::Shared;
+use crate::shared::SharedState;
 use fernslip::facade::EndpointCounts;
 use std::collections::BTreeMap;
 
 /// Executes an admin command and returns the lines of its answer.
-pub fn execute_command(front: &Shared, command: AdminCommand) -> String {
+pub fn execute_command(front: &SharedState, command: AdminCommand) -> String {
     match command {
         AdminCommand::Ready if front.is_ready() => "200 ready\n".into(),
         AdminCommand::Ready => "400 not ready\n".into(),
@@ -32,7 +32,7 @@
 }
 
 /// Returns the answer to the command `telemetry`: the front's metrics as `name=value` lines.
-fn telemetry_lines(front: &Shared) -> String {
+fn telemetry_lines(front: &SharedState) -> String {
     let queues = front.queues.as_slice();
     let EndpointCounts { listed, avoided } =
         queues.first().map(|queue| queue.dispatcher.endpoint_counts()).unwrap_or_default();
@@ -45,7 +45,7 @@
 
 /// Returns the number of requests given up for each reason, summed over the dispatch queues, as lines
 /// `relay.given_up.REASON=COUNT`.
-fn given_up_lines(front: &Shared) -> String {
+fn given_up_lines(front: &SharedState) -> String {
     let mut all: BTreeMap<&'static str, u64> = BTreeMap::new();
     for (reason, n) in front.queues.as_slice().iter().flat_map(|queue| queue.dispatcher.given_up()) {
         *all.entry(reason).or_default() += n;
--- a/crates/front/src/control/admin/exclusions.rs
+++ b/crates/front/src/control/admin/exclusions.rs
@@ -1,7 +1,7 @@
 //! Manual exclusions of cache nodes: changes them by command, restores them at start, and applies changes
 //! that another process of this front makes.
 
-use crate::shared::Shared;
+use crate::shared::SharedState;
 use fernslip::CacheId;
 use std::collections::BTreeSet;
 use std::io;
@@ -24,7 +24,7 @@
 /// Manually excludes a cache node in every dispatch queue, or ends its exclusion, and returns the answer to
 /// the command. The new set is stored before it is applied, so that a process that replaces this one has it.
 /// If it cannot be stored, nothing changes and the answer is `400`.
-pub fn set_manual_exclusion(front: &Shared, id: &str, change: ExclusionChange) -> String {
+pub fn set_manual_exclusion(front: &SharedState, id: &str, change: ExclusionChange) -> String {
     let (queues, cache) = (front.queues.as_slice(), CacheId::from(id));
     let _change_guard = front.manual_exclusions.lock_for_change();
     let mut excluded = currently_excluded(front);
@@ -55,12 +55,12 @@
 }
 
 /// Returns the cache nodes that are manually excluded in any dispatch queue.
-fn currently_excluded(front: &Shared) -> BTreeSet<CacheId> {
+fn currently_excluded(front: &SharedState) -> BTreeSet<CacheId> {
     front.queues.as_slice().iter().flat_map(|queue| queue.dispatcher.excluded()).collect()
 }
 
 /// Makes `excluded` the set of manually excluded cache nodes in every dispatch queue.
-fn apply_manual_exclusions(front: &Shared, excluded: &BTreeSet<CacheId>) {
+fn apply_manual_exclusions(front: &SharedState, excluded: &BTreeSet<CacheId>) {
     for queue in front.queues.as_slice() {
         let now = front.clock.now();
         let dispatcher = &queue.dispatcher;
@@ -79,7 +79,7 @@
 
 /// Applies the manual exclusions that an earlier process stored. A file that cannot be used is logged with
 /// its path and not changed.
-pub fn restore_manual_exclusions(front: &Shared) {
+pub fn restore_manual_exclusions(front: &SharedState) {
     front.manual_exclusions.remove_abandoned_files();
     match front.manual_exclusions.load_at_start() {
         Ok(ids) if ids.is_empty() => {}
@@ -103,7 +103,7 @@
 ///
 /// # Errors
 /// Returns an error if the thread cannot be started.
-pub fn follow_manual_exclusions(front: Arc<Shared>) -> io::Result<()> {
+pub fn follow_manual_exclusions(front: Arc<SharedState>) -> io::Result<()> {
     let follower = std::thread::Builder::new().name("excluded".into());
     follower.spawn(move || loop {
         std::thread::sleep(FILE_CHECK_INTERVAL);
--- a/crates/front/src/control/discovery_watch.rs
+++ b/crates/front/src/control/discovery_watch.rs
@@ -8,10 +8,10 @@
 use crate::failure::Failure;
 use crate::link::Link;
 use crate::log::Reason;
-use crate::reason_counts::Kind;
-use crate::shared::Shared;
+use crate::reason_counts::EventKind;
+use crate::shared::SharedState;
 use crate::sync::lock;
-use crate::watch_history::{History, ReceivedLine};
+use crate::watch_history::{ReceivedLine, WatchHistory};
 use fernslip::{CacheId, ObjectId, Phase};
 use may::net::TcpStream;
 use rand::{Rng, SeedableRng};
@@ -48,7 +48,7 @@
 /// Applies an event to the dispatchers and the upstream connections. `since` is the module time in
 /// milliseconds of the last line received before the event, so the event was reported after it; `None` if no
 /// line was received before.
-pub fn apply_event(front: &Shared, event: WatchEvent, since: Option<f64>) {
+pub fn apply_event(front: &SharedState, event: WatchEvent, since: Option<f64>) {
     match event {
         WatchEvent::Unknown => {}
         WatchEvent::Purge { object, group, unix_ms } => apply_purge(front, object, group, unix_ms, since),
@@ -58,7 +58,7 @@
     }
 }
 
-fn apply_purge(front: &Shared, object: Option<ObjectId>, group: u64, unix_ms: f64, since: Option<f64>) {
+fn apply_purge(front: &SharedState, object: Option<ObjectId>, group: u64, unix_ms: f64, since: Option<f64>) {
     let now = front.clock.now();
     // Before the first line nothing bounds the time of the purge from below; the current time is the safe
     // choice.
@@ -68,7 +68,7 @@
     }
 }
 
-fn apply_endpoint_list(front: &Shared, full: bool, nodes: Vec<ListedNode>, since: Option<f64>) {
+fn apply_endpoint_list(front: &SharedState, full: bool, nodes: Vec<ListedNode>, since: Option<f64>) {
     if let Some(gossip) = &front.gossip {
         // Gossip gets start times in Unix time, because all fronts must identify a node by the same start
         // time.
@@ -105,8 +105,8 @@
 /// Processes one line from the bus and applies the event in it, if any.
 ///
 /// # Errors
-/// Returns the errors of [`History::receive`].
-fn receive_line(front: &Shared, history: &mut History, line: &[u8]) -> Result<(), Reason> {
+/// Returns the errors of [`WatchHistory::receive`].
+fn receive_line(front: &SharedState, history: &mut WatchHistory, line: &[u8]) -> Result<(), Reason> {
     match history.receive(line, &front.names)? {
         ReceivedLine::NothingNew => {}
         ReceivedLine::Event(offset, event) => {
@@ -125,12 +125,12 @@
 /// Returns whether any line proves that the bus is alive; partial and blank lines do not.
 ///
 /// # Errors
-/// Returns the errors of [`History::receive`], and [`Reason::Malformed`] for a line longer than
+/// Returns the errors of [`WatchHistory::receive`], and [`Reason::Malformed`] for a line longer than
 /// [`MAX_LINE_BYTES`].
 fn receive_lines(
-    front: &Shared,
+    front: &SharedState,
     buffer: &mut Buffer,
-    history: &mut History,
+    history: &mut WatchHistory,
     scanned: &mut usize,
 ) -> Result<bool, Reason> {
     let mut proves_liveness = false;
@@ -157,7 +157,7 @@
         ErrorKind::TimedOut => Reason::ConnectTimeout,
         _ => match Failure::classify(&e) {
             Failure::Descriptors => Reason::NoDescriptor,
-            Failure::Machine | Failure::Again => Reason::NoRoute,
+            Failure::Local | Failure::Interrupted => Reason::NoRoute,
             Failure::Remote => Reason::Refused,
         },
     })
@@ -211,7 +211,7 @@
         let mut state = lock(&self.state);
         if state.addr != addr {
             state.addr = addr;
-            state.link.close(Reason::Moved);
+            state.link.close(Reason::AddressChanged);
         }
     }
 
@@ -226,12 +226,17 @@
     pub fn close_if_silent(&self) {
         let state = lock(&self.state);
         if state.last_received.is_some_and(|at| at.elapsed() > state.silence_timeout) {
-            state.link.close(Reason::Silent);
+            state.link.close(Reason::ReceiveTimeout);
         }
     }
 
     /// Connects once and receives events until the connection ends; returns the reason to log for its end.
-    fn watch_one_connection(&self, front: &Shared, addr: SocketAddr, history: &mut History) -> Reason {
+    fn watch_one_connection(
+        &self,
+        front: &SharedState,
+        addr: SocketAddr,
+        history: &mut WatchHistory,
+    ) -> Reason {
         let stream = match connect_to_bus(addr) {
             Ok(stream) => stream,
             Err(reason) => return reason,
@@ -240,7 +245,7 @@
         {
             let mut state = lock(&self.state);
             if state.addr != addr {
-                return Reason::Moved;
+                return Reason::AddressChanged;
             }
             (state.link, state.last_received) = (link.clone(), Some(Instant::now()));
         }
@@ -262,14 +267,14 @@
         state.last_received = None;
         // An overloaded bus may need longer for its first line; a constant timeout could close every
         // connection just before that line arrives.
-        if reason == Reason::Silent && !has_received {
+        if reason == Reason::ReceiveTimeout && !has_received {
             state.silence_timeout = (state.silence_timeout * 2).min(MAX_SILENCE_TIMEOUT);
         }
         reason
     }
 
     /// Watches the bus for as long as the process runs, starting after the last event in `history`.
-    pub fn run(&self, front: &Shared, mut history: History) {
+    pub fn run(&self, front: &SharedState, mut history: WatchHistory) {
         for attempt in 0.. {
             let addr = lock(&self.state).addr;
             // A panic ends only this connection, not the watch; without the watch the front would receive no
@@ -278,14 +283,14 @@
                 catch_unwind(AssertUnwindSafe(|| self.watch_one_connection(front, addr, &mut history)));
             let reason = ended.unwrap_or_else(|_| {
                 lock(&self.state).link.terminate();
-                Reason::Defect
+                Reason::Panicked
             });
             let offset = history.offset();
-            front.reason_counts.add(Kind::BusClosed, reason.code());
+            front.reason_counts.add(EventKind::BusClosed, reason.code());
             let malformed = u64::from(reason == Reason::Malformed);
             let unusable = self.unusable_lines.fetch_add(malformed, Ordering::Relaxed) + malformed;
             tracing::info!(kind = %"bus", %addr, reason = %reason.code(), offset, odd = unusable, "end");
-            if reason != Reason::Moved {
+            if reason != Reason::AddressChanged {
                 crate::sleep::sleep(reconnect_delay(self.seed, attempt));
             }
         }
--- a/crates/front/src/control/gossip.rs
+++ b/crates/front/src/control/gossip.rs
@@ -4,13 +4,13 @@
 mod plan;
 mod status;
 
-pub use plan::Plan;
+pub use plan::GossipPlan;
 
 use crate::clock::Clock;
 use crate::control::evidence::{EvidenceQueue, QueuedEvidence};
 use crate::sync::lock;
 use crate::upstream::dispatch_queue::DispatchQueue;
-use crate::view::Fleet;
+use crate::view::ViewService;
 use fernslip::{CacheId, Sign};
 use fernslip_gossip::{
     Action, CacheNodeKey, Config, Event, Evidence, Gossip, Keyring, Now, Observation, PeerAddress,
@@ -56,7 +56,7 @@
     /// # Errors
     /// Returns an error if the address cannot be bound.
     pub fn bind(
-        plan: &Plan,
+        plan: &GossipPlan,
         clock: &Clock,
         seed: u64,
         evidence: EvidenceQueue,
@@ -172,7 +172,7 @@
 
     /// Handles queued evidence and timers for as long as the process runs. If `fleet` is given, the gossip's
     /// peers are the fronts of that membership view.
-    pub fn run(&self, queues: &[Arc<DispatchQueue>], fleet: Option<&Fleet>) {
+    pub fn run(&self, queues: &[Arc<DispatchQueue>], fleet: Option<&ViewService>) {
         let mut last_digest = None;
         loop {
             if let Some(fleet) = fleet {
--- a/crates/front/src/control/gossip/plan.rs
+++ b/crates/front/src/control/gossip/plan.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 /// The validated gossip settings of a front.
-pub struct Plan {
+pub struct GossipPlan {
     /// The configuration of this front's gossip instance.
     pub config: Config,
     /// The keys that sign and verify gossip datagrams.
@@ -18,12 +18,12 @@
     pub from_view: bool,
 }
 
-impl Plan {
+impl GossipPlan {
     /// Makes the plan for the front with this name from the site document's settings, and reads its key file.
     ///
     /// # Errors
     /// Returns a message for every invalid setting.
-    pub fn from_document(settings: &fernslip_site::Gossip, name: &str) -> Result<Plan, Vec<String>> {
+    pub fn from_document(settings: &fernslip_site::Gossip, name: &str) -> Result<GossipPlan, Vec<String>> {
         let mut errors = Vec::new();
         let mut address = |text: &String| {
             let parsed = text.parse::<SocketAddr>();
@@ -56,6 +56,6 @@
             ..default
         };
         let from_view = settings.peers == Some(fernslip_site::GossipPeers::View);
-        Ok(Plan { config, keys, control: settings.control.as_ref().map(Into::into), from_view })
+        Ok(GossipPlan { config, keys, control: settings.control.as_ref().map(Into::into), from_view })
     }
 }
--- a/crates/front/src/control/keyfile.rs
+++ b/crates/front/src/control/keyfile.rs
@@ -28,7 +28,7 @@
 
 /// A step of a key rotation. Each step is done on every front, followed by SIGHUP, before the next step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum RotationStep {
     /// Adds a new key, which is accepted; the old key still signs.
     Add,
     /// Makes the new key the one that signs; the old key is still accepted.
@@ -110,14 +110,14 @@
 /// # Errors
 /// Returns the errors of [`read_key_file`], and an error if the number of keys in the file does not allow the
 /// step.
-pub fn rotate_keys(path: &Path, step: Step) -> Result<Keyring, KeyFileError> {
+pub fn rotate_keys(path: &Path, step: RotationStep) -> Result<Keyring, KeyFileError> {
     let mut keys = read_key_lines(path)?;
     let used_ids = read_key_file(path)?.accepted_keys();
     match (step, keys.len()) {
-        (Step::Add, 1) => keys.push(generate_key_line(&used_ids)?),
-        (Step::Add, _) => return Err(KeyFileError::RotationInProgress),
-        (Step::Switch, 2) => keys.swap(0, 1),
-        (Step::Drop, 2) => keys.truncate(1),
+        (RotationStep::Add, 1) => keys.push(generate_key_line(&used_ids)?),
+        (RotationStep::Add, _) => return Err(KeyFileError::RotationInProgress),
+        (RotationStep::Switch, 2) => keys.swap(0, 1),
+        (RotationStep::Drop, 2) => keys.truncate(1),
         (_, count) => return Err(KeyError::Count(count).into()),
     }
     let mut name = path.file_name().unwrap_or_default().to_os_string();
--- a/crates/front/src/control/plan.rs
+++ b/crates/front/src/control/plan.rs
@@ -1,7 +1,7 @@
 //! Turns a site document into the plan that a front serves from: resolves addresses, kinds and zones, and
 //! takes over pools and routes. Reports every reason why a front cannot serve from the document.
 
-use crate::upstream::connection_pool::Timeouts;
+use crate::upstream::connection_pool::NodeTimeouts;
 use fernslip::json::Names;
 use fernslip::Settings;
 use fernslip_pool::{Routes, Spec};
@@ -31,7 +31,7 @@
     /// The member's weight, unless a pool sets another one.
     pub weight: f64,
     /// The timeouts that the site document sets for the member.
-    pub timeouts: Timeouts,
+    pub timeouts: NodeTimeouts,
     /// The member's state as operators set it in the site document.
     pub state: State,
     /// Whether the member is a source: a parent or the origin, from which every pool fills.
@@ -165,7 +165,7 @@
         kind,
         link_capacity: link_kb_per_s / settings.stream_kb_per_s,
         weight: member.weight.unwrap_or(1.0),
-        timeouts: Timeouts {
+        timeouts: NodeTimeouts {
             connect: timeout_from_millis(member.limits.connect_ms),
             idle: timeout_from_millis(member.limits.idle_ms),
         },
--- a/crates/front/src/control/snapshot.rs
+++ b/crates/front/src/control/snapshot.rs
@@ -2,7 +2,7 @@
 //! is written on a separate thread, so that the request path never waits for a disk; if the disk fails, the
 //! front logs it and continues to serve.
 
-use crate::view::Fleet;
+use crate::view::ViewService;
 use fernslip_store::layers::Peer;
 use fernslip_store::{Change, Disk, LayerContents, Marks, Store, StoreError};
 use fernslip_view::PeerAddress;
@@ -111,7 +111,7 @@
     /// Writes the peers that changed since the last write. Absent peers are removed only while the present
     /// ones number at least half of those stored: after a power loss none are present, and the stored
     /// addresses are needed to rejoin.
-    fn write_changes(&mut self, fleet: &Fleet) -> Result<(), StoreError> {
+    fn write_changes(&mut self, fleet: &ViewService) -> Result<(), StoreError> {
         let present: BTreeMap<String, Peer> =
             fleet.peers_to_store().into_iter().take(MAX_REMEMBERED_PEERS).collect();
         if present.is_empty() || present == self.stored {
@@ -141,7 +141,7 @@
 
     /// Writes changes of the peers every `PEER_CHECK_INTERVAL` (2 s) until a write fails; called on a
     /// separate thread.
-    pub fn run(mut self, fleet: Arc<Fleet>) {
+    pub fn run(mut self, fleet: Arc<ViewService>) {
         let Marks { boots, commits, .. } = self.store.marks();
         tracing::info!(boots, commits, "store: open");
         loop {
--- a/crates/front/src/control/view.rs
+++ b/crates/front/src/control/view.rs
@@ -5,7 +5,7 @@
 mod plan;
 mod report;
 
-pub use plan::Plan;
+pub use plan::ViewPlan;
 
 use crate::clock::Clock;
 use crate::sync::lock;
@@ -25,7 +25,7 @@
 const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(5);
 
 /// A front's membership view of the fleet, with its socket and clock.
-pub struct Fleet {
+pub struct ViewService {
     view: Mutex<View>,
     socket: UdpSocket,
     clock: Clock,
@@ -37,7 +37,7 @@
     Now { mono_ms: clock.now(), unix_ms: unix.as_secs_f64() * 1000.0 }
 }
 
-impl Fleet {
+impl ViewService {
     /// Binds the view's socket. `seed` must differ from process to process. `gossip` is the address,
     /// announced to the other fronts, on which this front receives gossip. `remembered` has the peers' names
     /// and addresses from the last run.
@@ -45,12 +45,12 @@
     /// # Errors
     /// Returns an error if the address cannot be bound.
     pub fn bind(
-        plan: &Plan,
+        plan: &ViewPlan,
         clock: &Clock,
         seed: u64,
         gossip: Option<SocketAddr>,
         remembered: Vec<PeerAddress>,
-    ) -> std::io::Result<Fleet> {
+    ) -> std::io::Result<ViewService> {
         let socket = UdpSocket::bind(plan.listen)?;
         let mut config = Config { gossip, remembered, ..plan.config.clone() };
         if !plan.is_advertised {
@@ -58,7 +58,7 @@
             config.addr = socket.local_addr()?;
         }
         let view = Mutex::new(View::new(config, plan.keys.clone(), seed, current_time(clock)));
-        Ok(Fleet { view, socket, clock: *clock })
+        Ok(ViewService { view, socket, clock: *clock })
     }
 
     /// Returns the address at which other fronts reach this one.
@@ -162,7 +162,7 @@
     ///
     /// # Errors
     /// Returns an error if the socket cannot be created or another process listens on it.
-    pub fn serve_control_socket(self: &Arc<Fleet>, path: &Path) -> std::io::Result<()> {
+    pub fn serve_control_socket(self: &Arc<ViewService>, path: &Path) -> std::io::Result<()> {
         let fleet = self.clone();
         control_socket::serve_calls(path, move |call| {
             let now_ms = fleet.clock.now();
--- a/crates/front/src/control/view/plan.rs
+++ b/crates/front/src/control/view/plan.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 
 /// The validated settings of a front's membership view.
-pub struct Plan {
+pub struct ViewPlan {
     /// The configuration of the view; its `addr` is the address at which other fronts reach this one.
     pub config: Config,
     /// The address on which the view's datagrams are received.
@@ -22,7 +22,7 @@
     pub store: Option<PathBuf>,
 }
 
-impl Plan {
+impl ViewPlan {
     /// Makes the plan for the front with this name and zone from the site document's `view`, and reads its
     /// key file. `configuration` is a hash of the front's configuration.
     ///
@@ -33,7 +33,7 @@
         name: &str,
         zone: &str,
         configuration: u32,
-    ) -> Result<Plan, Vec<String>> {
+    ) -> Result<ViewPlan, Vec<String>> {
         let mut errors = Vec::new();
         let mut address = |text: &String| {
             let read = text.parse::<SocketAddr>();
@@ -67,6 +67,6 @@
         };
         let control = settings.control.as_ref().map(Into::into);
         let store = settings.store.as_ref().map(Into::into);
-        Ok(Plan { config, listen, is_advertised: advertise.is_some(), keys, control, store })
+        Ok(ViewPlan { config, listen, is_advertised: advertise.is_some(), keys, control, store })
     }
 }
--- a/crates/front/src/control/watch_history.rs
+++ b/crates/front/src/control/watch_history.rs
@@ -52,7 +52,7 @@
 
 /// The state of the event stream: the last offset received, and what is needed to detect gaps and
 /// renumbering.
-pub struct History {
+pub struct WatchHistory {
     offset: u64,
     /// The nodes that are draining or have departed, with their reported start times in Unix milliseconds.
     draining: HashMap<CacheId, f64>,
@@ -63,10 +63,10 @@
     requested_gap: Option<OffsetGap>,
 }
 
-impl History {
+impl WatchHistory {
     /// Creates a history in which all events up to `offset` count as received.
-    pub fn new(offset: u64) -> History {
-        History {
+    pub fn new(offset: u64) -> WatchHistory {
+        WatchHistory {
             offset,
             draining: HashMap::new(),
             replay: Replay::None,
@@ -130,12 +130,12 @@
     /// without them, the event is accepted, or the missing events would be requested forever.
     ///
     /// # Errors
-    /// Returns [`Reason::Gap`] if the missing events must be requested first.
+    /// Returns [`Reason::MissingEvents`] if the missing events must be requested first.
     fn advance_to(&mut self, offset: u64, parsed: &Result<WatchEvent, JsonError>) -> Result<(), Reason> {
         let is_complete = matches!(parsed, Ok(WatchEvent::EndpointList { full: true, .. }));
         let gap = OffsetGap { after: self.offset, before: offset };
         if offset > self.offset + 1 && !is_complete && self.requested_gap.replace(gap) != Some(gap) {
-            return Err(Reason::Gap);
+            return Err(Reason::MissingEvents);
         }
         (self.offset, self.low_offsets, self.requested_gap) = (offset, 0, None);
         Ok(())
@@ -162,7 +162,7 @@
     /// Processes the bus's last offset, which the bus sends each second.
     fn receive_last_offset(&mut self, last: u64) -> Result<ReceivedLine, Reason> {
         if last > self.offset {
-            return Err(Reason::Gap);
+            return Err(Reason::MissingEvents);
         }
         self.low_offsets = if last < self.offset { self.low_offsets + 1 } else { 0 };
         if self.low_offsets >= LOW_OFFSETS_BEFORE_REPLAY {
--- a/crates/front/src/control/watch_history/tests.rs
+++ b/crates/front/src/control/watch_history/tests.rs
@@ -33,7 +33,7 @@
 
 #[test]
 fn events_apply_once_and_in_order_and_a_gap_is_reported() {
-    let (names, mut history) = (configured_names(), History::new(1));
+    let (names, mut history) = (configured_names(), WatchHistory::new(1));
     assert!(matches!(history.receive(b"1", &names), Ok(ReceivedLine::NothingNew)));
     let drain = endpoint_list_line(2, false, &[("a", "Terminating", 0.0)]);
     assert_eq!(listed_phases(history.receive(drain.as_bytes(), &names)), [("a".into(), Phase::Draining)]);
@@ -42,7 +42,7 @@
         "an event that was already received adds nothing"
     );
     assert!(matches!(history.receive(b" \t", &names), Ok(ReceivedLine::NothingNew)));
-    assert!(matches!(history.receive(b"4", &names), Err(Reason::Gap)));
+    assert!(matches!(history.receive(b"4", &names), Err(Reason::MissingEvents)));
     assert!(matches!(
         history.receive(b"{\"offset\":3,\"ban\":{}}", &names),
         Ok(ReceivedLine::Unreadable(3, _))
@@ -60,7 +60,7 @@
 /// every event as already received.
 #[test]
 fn a_renumbered_bus_is_asked_to_replay_everything() {
-    let (names, mut history) = (configured_names(), History::new(0));
+    let (names, mut history) = (configured_names(), WatchHistory::new(0));
     for line in [
         endpoint_list_line(1, true, &[("a", "Ready", 0.0), ("b", "Ready", 0.0), ("c", "Ready", 0.0)]),
         endpoint_list_line(2, false, &[("a", "Terminating", 0.0)]),
@@ -94,7 +94,7 @@
 
 #[test]
 fn a_renumbered_bus_without_a_complete_list_removes_no_node() {
-    let (names, mut history) = (configured_names(), History::new(7));
+    let (names, mut history) = (configured_names(), WatchHistory::new(7));
     assert!(matches!(history.receive(b"0", &names), Ok(ReceivedLine::NothingNew)));
     assert!(matches!(history.receive(b"0", &names), Err(Reason::Renumbered)));
     assert!(matches!(history.receive(b"0", &names), Ok(ReceivedLine::NothingNew)));
@@ -106,14 +106,14 @@
 /// again. A complete list makes the missing events unnecessary.
 #[test]
 fn a_missing_event_is_requested_once() {
-    let (names, mut history) = (configured_names(), History::new(1));
+    let (names, mut history) = (configured_names(), WatchHistory::new(1));
     let late = endpoint_list_line(4, false, &[("a", "Terminating", 0.0)]);
-    assert!(matches!(history.receive(late.as_bytes(), &names), Err(Reason::Gap)));
+    assert!(matches!(history.receive(late.as_bytes(), &names), Err(Reason::MissingEvents)));
     assert_eq!(history.offset(), 1, "the offset stays before the gap, so the missing events are requested");
     let missing = endpoint_list_line(2, false, &[("b", "Terminating", 0.0)]);
     assert_eq!(listed_phases(history.receive(missing.as_bytes(), &names)), [("b".into(), Phase::Draining)]);
     assert!(
-        matches!(history.receive(late.as_bytes(), &names), Err(Reason::Gap)),
+        matches!(history.receive(late.as_bytes(), &names), Err(Reason::MissingEvents)),
         "the second gap is requested too"
     );
     assert_eq!(
--- a/crates/front/src/failure.rs
+++ b/crates/front/src/failure.rs
@@ -12,9 +12,9 @@
     Descriptors,
     /// This machine lacks a resource, perhaps only briefly: system-wide descriptors, ports, buffers, memory
     /// or a network route.
-    Machine,
+    Local,
     /// The call was interrupted or would have blocked, and is to be made again.
-    Again,
+    Interrupted,
     /// The other side or the network path to it failed.
     Remote,
 }
@@ -41,19 +41,19 @@
     pub fn classify(error: &io::Error) -> Failure {
         match error.raw_os_error() {
             Some(EMFILE) => Failure::Descriptors,
-            Some(EINTR | EAGAIN) => Failure::Again,
+            Some(EINTR | EAGAIN) => Failure::Interrupted,
             // `ENOSPC` is the limit on watched descriptors, see `epoll_ctl(2)`.
             Some(
                 ENFILE | ENOMEM | ENOBUFS | ENOSPC | EADDRINUSE | EADDRNOTAVAIL | ENETDOWN | ENETUNREACH
                 | ECONNABORTED,
-            ) => Failure::Machine,
+            ) => Failure::Local,
             _ => Failure::Remote,
         }
     }
 
     /// Whether the call may succeed shortly, whatever the other side does.
     pub fn is_transient(self) -> bool {
-        matches!(self, Failure::Machine | Failure::Again)
+        matches!(self, Failure::Local | Failure::Interrupted)
     }
 }
 
--- a/crates/front/src/failure/tests.rs
+++ b/crates/front/src/failure/tests.rs
@@ -2,15 +2,15 @@
 
 #[test]
 fn failures_of_this_machine_are_not_attributed_to_the_other_side() {
-    let of = |n| Failure::classify(&io::Error::from_raw_os_error(n));
+    let classify = |n| Failure::classify(&io::Error::from_raw_os_error(n));
     let (connection_refused, connection_reset, timed_out, host_unreachable) = (111, 104, 110, 113);
     for n in [connection_refused, connection_reset, timed_out, host_unreachable] {
-        assert_eq!(of(n), Failure::Remote, "{n}");
+        assert_eq!(classify(n), Failure::Remote, "{n}");
     }
     for n in [ENFILE, ENOMEM, ENOBUFS, EADDRNOTAVAIL, ENETUNREACH, ECONNABORTED, EINTR] {
-        assert!(of(n).is_transient(), "{n}");
+        assert!(classify(n).is_transient(), "{n}");
     }
-    assert_eq!(of(EMFILE), Failure::Descriptors);
+    assert_eq!(classify(EMFILE), Failure::Descriptors);
     assert_eq!(Failure::classify(&io::Error::other("error without a number")), Failure::Remote);
 }
 
--- a/crates/front/src/loaded_config.rs
+++ b/crates/front/src/loaded_config.rs
@@ -13,9 +13,9 @@
     /// The pools, routes and members of the site document; `None` without a document.
     pub plan: Option<Plan>,
     /// The gossip settings; `None` if the site document configures no gossip.
-    pub gossip: Option<gossip::Plan>,
+    pub gossip: Option<gossip::GossipPlan>,
     /// The settings of the fleet's membership view; `None` if the site document configures none.
-    pub view: Option<view::Plan>,
+    pub view: Option<view::ViewPlan>,
     /// The path of the site document, which is read again on SIGHUP.
     pub(crate) site: Option<PathBuf>,
 }
@@ -43,7 +43,7 @@
             None => None,
         };
         let gossip = match document.as_ref().and_then(|d| d.effective().gossip) {
-            Some(g) => Some(gossip::Plan::from_document(&g, &config.name).map_err(ConfigError::Plan)?),
+            Some(g) => Some(gossip::GossipPlan::from_document(&g, &config.name).map_err(ConfigError::Plan)?),
             None => None,
         };
         let view = match &document {
@@ -65,7 +65,7 @@
     document: &Site,
     config: &Config,
     file: Option<&PathBuf>,
-) -> Result<Option<view::Plan>, ConfigError> {
+) -> Result<Option<view::ViewPlan>, ConfigError> {
     let Some(settings) = document.effective().view else { return Ok(None) };
     let zone = document.front.as_ref().and_then(|f| f.zone.clone()).unwrap_or_default();
     // The hash leaves out what describes this front alone, so that all fronts of one configuration have the
@@ -73,5 +73,5 @@
     let config_text = file.and_then(|file| std::fs::read_to_string(file).ok());
     let texts = format!("{:?}{:?}", config_text, Some(plan::common_to_all_fronts(document)));
     let hash = fernslip_view::Id::of(&texts).0 as u32;
-    view::Plan::from_document(&settings, &config.name, &zone, hash).map(Some).map_err(ConfigError::Plan)
+    view::ViewPlan::from_document(&settings, &config.name, &zone, hash).map(Some).map_err(ConfigError::Plan)
 }
--- a/crates/front/src/log.rs
+++ b/crates/front/src/log.rs
@@ -76,23 +76,23 @@
     /// Memory for incomplete messages is exhausted.
     MemoryLimit,
     /// The cache node was removed from the endpoint list.
-    Retired,
+    NodeRemoved,
     /// This front shuts down.
     Shutdown,
     /// The cancellation of a request could not be written at once.
-    Stuck,
+    CancelBlocked,
     /// Nothing was received for too long although something was expected.
-    Silent,
+    ReceiveTimeout,
     /// Watch events are missing.
-    Gap,
+    MissingEvents,
     /// The address of the other side has changed.
-    Moved,
+    AddressChanged,
     /// No descriptor was left for the connection.
     NoDescriptor,
     /// The other side restarted the numbering of its events.
     Renumbered,
     /// A panic in this program ended the coroutine of the connection.
-    Defect,
+    Panicked,
     /// This machine had no port, buffer, memory or route for the connection.
     NoRoute,
 }
@@ -121,15 +121,15 @@
             Reason::NoRequest => "no_request",
             Reason::Stalled => "stalled",
             Reason::MemoryLimit => "no_room",
-            Reason::Retired => "retired",
+            Reason::NodeRemoved => "retired",
             Reason::Shutdown => "shutdown",
-            Reason::Stuck => "stuck",
-            Reason::Silent => "silent",
-            Reason::Gap => "gap",
-            Reason::Moved => "moved",
+            Reason::CancelBlocked => "stuck",
+            Reason::ReceiveTimeout => "silent",
+            Reason::MissingEvents => "gap",
+            Reason::AddressChanged => "moved",
             Reason::NoDescriptor => "no_descriptor",
             Reason::Renumbered => "renumbered",
-            Reason::Defect => "defect",
+            Reason::Panicked => "defect",
             Reason::NoRoute => "no_route",
         }
     }
--- a/crates/front/src/main_loop.rs
+++ b/crates/front/src/main_loop.rs
@@ -3,7 +3,7 @@
 use crate::invariants::Invariant;
 use crate::reload::Reload;
 use crate::server::Held;
-use crate::shared::Shared;
+use crate::shared::SharedState;
 use crate::shutdown::ShutdownPlan;
 use crate::{log, reconfigure, sleep};
 use fernslip_view::FrontState;
@@ -22,7 +22,7 @@
 
 /// The state of the main loop, which runs in a coroutine on the worker thread.
 pub(crate) struct MainLoop {
-    front: Arc<Shared>,
+    front: Arc<SharedState>,
     /// Set by the signal handler when SIGTERM is received.
     terminate: Arc<AtomicBool>,
     reload: Reload,
@@ -39,7 +39,7 @@
 
 impl MainLoop {
     pub(crate) fn new(
-        front: Arc<Shared>,
+        front: Arc<SharedState>,
         terminate: Arc<AtomicBool>,
         reload: Reload,
         plan: ShutdownPlan,
--- a/crates/front/src/reason_counts.rs
+++ b/crates/front/src/reason_counts.rs
@@ -7,7 +7,7 @@
 
 /// The kind of event that is counted by reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum EventKind {
     /// A connection of a client ended.
     ClientClosed,
     /// A connection to a cache node ended.
@@ -20,26 +20,26 @@
     Denied,
 }
 
-impl Kind {
+impl EventKind {
     /// The name of the kind in metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::ClientClosed => "client_closed",
-            Kind::UpstreamClosed => "upstream_closed",
-            Kind::BusClosed => "bus_closed",
-            Kind::Retried => "retried",
-            Kind::Denied => "denied",
+            EventKind::ClientClosed => "client_closed",
+            EventKind::UpstreamClosed => "upstream_closed",
+            EventKind::BusClosed => "bus_closed",
+            EventKind::Retried => "retried",
+            EventKind::Denied => "denied",
         }
     }
 }
 
 /// Number of events by kind and reason since the start of the process.
 #[derive(Debug, Default)]
-pub struct ReasonCounts(Mutex<BTreeMap<(Kind, &'static str), u64>>);
+pub struct ReasonCounts(Mutex<BTreeMap<(EventKind, &'static str), u64>>);
 
 impl ReasonCounts {
     /// Counts one event with this reason.
-    pub fn add(&self, kind: Kind, reason: &'static str) {
+    pub fn add(&self, kind: EventKind, reason: &'static str) {
         *lock(&self.0).entry((kind, reason)).or_default() += 1;
     }
 
--- a/crates/front/src/reconfigure.rs
+++ b/crates/front/src/reconfigure.rs
@@ -1,11 +1,11 @@
 //! Applies a reloaded configuration to a running front, as far as that is possible without a restart.
 
 use crate::loaded_config::LoadedConfig;
-use crate::shared::Shared;
+use crate::shared::SharedState;
 
 /// Applies the parts that can change at run time: the bus address, the keys, and the plan of the site
 /// document.
-pub(crate) fn apply(front: &Shared, new: LoadedConfig) {
+pub(crate) fn apply(front: &SharedState, new: LoadedConfig) {
     if let Some(bus) = new.config.bus {
         tracing::info!("reload: bus={bus}; other changes to the configuration require a restart");
         front.bus.set_address(bus);
--- a/crates/front/src/shared.rs
+++ b/crates/front/src/shared.rs
@@ -11,7 +11,7 @@
 use crate::server::Server;
 use crate::upstream::connection_pool::ConnectionPool;
 use crate::upstream::dispatch_queues::DispatchQueues;
-use crate::view::Fleet;
+use crate::view::ViewService;
 use crate::wall_clock::WallClock;
 use fernslip::json::Names;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -24,7 +24,7 @@
 const ENDPOINT_LIST_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// The state that all parts of a running front share.
-pub struct Shared {
+pub struct SharedState {
     /// The monotonic clock, whose time the decision crate is given.
     pub clock: Clock,
     /// The wall clock, for times that come from other machines.
@@ -40,7 +40,7 @@
     /// The gossip with other fronts; `None` if the site document configures none.
     pub gossip: Option<Arc<GossipService>>,
     /// The fleet's membership view; `None` if the site document configures none.
-    pub fleet: Option<Arc<Fleet>>,
+    pub fleet: Option<Arc<ViewService>>,
     /// The datagram socket for messages between fronts; `None` if no peers are configured.
     pub peers: Option<Arc<Peers>>,
     /// The watch on the event bus, which delivers endpoint updates and purges.
@@ -61,7 +61,7 @@
     pub manual_exclusions: ManualExclusions,
 }
 
-impl Shared {
+impl SharedState {
     /// Passes the list of cache nodes to the gossip, if the site document lists them.
     pub(crate) fn announce_members(&self) {
         if let (Some(gossip), Some(members)) = (&self.gossip, self.queues.document_member_ids()) {
--- a/crates/front/src/shutdown.rs
+++ b/crates/front/src/shutdown.rs
@@ -33,18 +33,18 @@
 }
 
 impl ShutdownPlan {
-    /// Computes the plan from the longest deadline of any class, in milliseconds. With a passed socket this
-    /// process accepts nothing after SIGTERM, because the process that replaces it serves the socket.
+    /// Computes the plan from the longest deadline of any class, in milliseconds. With an inherited socket
+    /// this process accepts nothing after SIGTERM, because the process that replaces it serves the socket.
     pub fn new(longest_deadline_ms: f64, origin: Origin) -> ShutdownPlan {
         let kill =
             Duration::from_secs_f64(longest_deadline_ms.max(MIN_LONGEST_DEADLINE_MS) / 1000.0) + KILL_DELAY;
-        let accepting_for = if origin == Origin::Passed { Duration::ZERO } else { ACCEPT_PERIOD };
+        let accepting_for = if origin == Origin::Inherited { Duration::ZERO } else { ACCEPT_PERIOD };
         let exit_by = kill - EXIT_MARGIN;
         ShutdownPlan {
             accepting_for,
             answered_by: exit_by - GRACEFUL_CLOSE_PERIOD,
             exit_by,
-            hands_over: origin == Origin::Passed,
+            hands_over: origin == Origin::Inherited,
         }
     }
 }
--- a/crates/front/src/shutdown/tests.rs
+++ b/crates/front/src/shutdown/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn the_front_exits_before_the_platform_kills_it() {
     for longest_deadline_ms in [200.0, 1_500.0, 3_000.0, 5_000.0, 60_000.0] {
-        for origin in [Origin::Bound, Origin::Passed] {
+        for origin in [Origin::Bound, Origin::Inherited] {
             let plan = ShutdownPlan::new(longest_deadline_ms, origin);
             let kill = Duration::from_secs_f64(f64::max(longest_deadline_ms, 3_000.0) / 1000.0)
                 + Duration::from_millis(700);
--- a/crates/front/src/startup.rs
+++ b/crates/front/src/startup.rs
@@ -23,7 +23,7 @@
 use crate::reason_counts::ReasonCounts;
 use crate::reload::{Reload, Signals};
 use crate::server::Server;
-use crate::shared::Shared;
+use crate::shared::SharedState;
 use crate::shutdown::ShutdownPlan;
 use crate::snapshot::{RestoredState, Snapshot};
 use crate::spawn::{spawn, spawn_with_deep_stack};
@@ -31,9 +31,9 @@
 use crate::upstream::connection_pool::{ConnectionLimits, ConnectionPool};
 use crate::upstream::dispatch_queues::DispatchQueues;
 use crate::upstream::node_registry::NodeRegistry;
-use crate::view::Fleet;
+use crate::view::ViewService;
 use crate::wall_clock::WallClock;
-use crate::watch_history::History;
+use crate::watch_history::WatchHistory;
 use crate::{admin, gossip, listen, sleep, view};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -72,10 +72,10 @@
     checks.exclusions_restored = true;
     let history = load_known_endpoints(&front, &serving);
     spawn_services(&front, &serving, history)?;
-    if origin == Origin::Passed {
+    if origin == Origin::Inherited {
         tracing::info!(
             "clients are accepted on the socket handed over in {}",
-            listen::PASSED_SOCKET_VARIABLE
+            listen::INHERITED_SOCKET_VARIABLE
         );
         admin::follow_manual_exclusions(front.clone()).map_err(StartError::Thread)?;
     }
@@ -146,7 +146,7 @@
 }
 
 fn open_gossip(
-    plan: &gossip::Plan,
+    plan: &gossip::GossipPlan,
     config: &Config,
     core: &CoreComponents,
 ) -> Result<Arc<GossipService>, StartError> {
@@ -163,11 +163,11 @@
 /// Opens the fleet's membership view with the peers restored from its durable store, if it has one, and
 /// starts the store's thread.
 fn open_view(
-    plan: &view::Plan,
+    plan: &view::ViewPlan,
     config: &Config,
     clock: &Clock,
     gossip: Option<&GossipService>,
-) -> Result<Arc<Fleet>, StartError> {
+) -> Result<Arc<ViewService>, StartError> {
     let opened = plan.store.as_deref().and_then(|file| Snapshot::open_with_timeout(file, random_store_id()));
     // Each process gets its own seed: the process id and the order of contacts that are drawn from it must
     // differ between processes with the same configuration.
@@ -175,7 +175,7 @@
     let gossip_addr = gossip.map(super::control::gossip::GossipService::advertised_addr);
     let (snapshot, restored) =
         opened.map_or((None, RestoredState::default()), |(snapshot, restored)| (Some(snapshot), restored));
-    let fleet = Fleet::bind(plan, clock, seed, gossip_addr, restored.peers);
+    let fleet = ViewService::bind(plan, clock, seed, gossip_addr, restored.peers);
     let fleet = Arc::new(fleet.map_err(|e| StartError::Bind(plan.listen, e))?);
     if let Some(snapshot) = snapshot {
         let fleet = fleet.clone();
@@ -241,7 +241,7 @@
 struct PeerServices {
     peers: Option<Arc<Peers>>,
     gossip: Option<Arc<GossipService>>,
-    fleet: Option<Arc<Fleet>>,
+    fleet: Option<Arc<ViewService>>,
 }
 
 /// Builds the shared state of the front.
@@ -250,7 +250,7 @@
     plan: Option<Plan>,
     core: CoreComponents,
     services: PeerServices,
-) -> Result<Arc<Shared>, StartError> {
+) -> Result<Arc<SharedState>, StartError> {
     let CoreComponents { clock, invariants, reason_counts, upstream, evidence } = core;
     let PeerServices { peers, gossip, fleet } = services;
     let registry = Arc::new(NodeRegistry::default());
@@ -270,7 +270,7 @@
     let class_names = classes.iter().map(|c| c.name.to_string()).collect();
     let queues = DispatchQueues::new(&config.settings, config.seed, plan, registry.clone(), host);
     let queues = queues.map_err(StartError::Settings)?;
-    Ok(Arc::new(Shared {
+    Ok(Arc::new(SharedState {
         clock,
         wall_clock: WallClock::start(clock),
         names: config.names,
@@ -293,7 +293,7 @@
 
 /// Registers the endpoints that the site document and the configuration list. Returns the history of bus
 /// events up to the last one in the configuration.
-fn load_known_endpoints(front: &Shared, serving: &ServingConfig) -> History {
+fn load_known_endpoints(front: &SharedState, serving: &ServingConfig) -> WatchHistory {
     front.queues.apply_initial_members(&front.clock, &front.upstream);
     front.announce_members();
     if front.gossip.is_some() {
@@ -302,7 +302,7 @@
     if front.queues.members_from_file() {
         front.endpoints_listed.store(true, Ordering::Release);
     }
-    let mut history = History::new(serving.offset);
+    let mut history = WatchHistory::new(serving.offset);
     for event in &serving.known_events {
         match watch_event::parse_event(event, &front.names) {
             Ok(event) => {
@@ -316,7 +316,11 @@
 }
 
 /// Starts the coroutines and threads that communicate with other fronts and with the event bus.
-fn spawn_services(front: &Arc<Shared>, serving: &ServingConfig, history: History) -> Result<(), StartError> {
+fn spawn_services(
+    front: &Arc<SharedState>,
+    serving: &ServingConfig,
+    history: WatchHistory,
+) -> Result<(), StartError> {
     if let Some(gossip) = front.gossip.clone() {
         let (listening, f) = (gossip.clone(), front.clone());
         spawn(move || listening.listen(f.queues.as_slice()));
@@ -337,7 +341,7 @@
     Ok(())
 }
 
-fn open_admin_interface(front: &Arc<Shared>, serving: &ServingConfig) -> Result<(), StartError> {
+fn open_admin_interface(front: &Arc<SharedState>, serving: &ServingConfig) -> Result<(), StartError> {
     let address = match std::env::var(admin::ADDRESS_VARIABLE) {
         Ok(v) if !v.trim().is_empty() => Some(v.trim().parse().map_err(|_| StartError::AdminAddress(v))?),
         _ => serving.admin,
@@ -350,7 +354,7 @@
 }
 
 /// Starts the coroutines that accept clients and run the decision crate's timers.
-fn spawn_serving(front: &Arc<Shared>, clients: Listener, origin: Origin) {
+fn spawn_serving(front: &Arc<SharedState>, clients: Listener, origin: Origin) {
     let f = front.clone();
     spawn(move || f.server.accept_clients(&f, clients, origin));
     let f = front.clone();
--- a/crates/front/src/upstream/connection.rs
+++ b/crates/front/src/upstream/connection.rs
@@ -140,7 +140,7 @@
         // in flight at the same time.
         if self.link.send(resp::encode_cancel(trace), None).is_some_and(|buffered| buffered > 0) {
             let _ = self.link.shutdown();
-            self.link.close(Reason::Stuck);
+            self.link.close(Reason::CancelBlocked);
         }
         self.complete(id, CompletedAttempt::without_answer(ending));
         let handshake_time = lock(&self.state).handshake_time;
@@ -275,7 +275,7 @@
         let exceeds = |since: Option<Instant>, limit| since.is_some_and(|at| now.duration_since(at) > limit);
         match () {
             () if exceeds(state.partial_answer_at, ANSWER_STALL_TIMEOUT) => Some(Reason::Stalled),
-            () if state.suspect && state.in_flight.is_empty() => Some(Reason::Silent),
+            () if state.suspect && state.in_flight.is_empty() => Some(Reason::ReceiveTimeout),
             () if exceeds(state.idle_since, idle_timeout) => Some(Reason::Idle),
             () => None,
         }
--- a/crates/front/src/upstream/connection/tests.rs
+++ b/crates/front/src/upstream/connection/tests.rs
@@ -27,7 +27,7 @@
     let connection = Connection::default();
     let in_flight = Arc::new(InFlightAttempt::new(&first_attempt(0), None, Arc::new(AlwaysAllowed)));
     assert!(connection.admit(RequestId(1), &in_flight, 32));
-    connection.link.close(Reason::Stuck);
+    connection.link.close(Reason::CancelBlocked);
     assert!(!connection.admit(RequestId(2), &in_flight, 32));
 }
 
--- a/crates/front/src/upstream/connection_pool.rs
+++ b/crates/front/src/upstream/connection_pool.rs
@@ -7,7 +7,7 @@
 
 use crate::invariants::{Invariant, Invariants};
 use crate::log::Reason;
-use crate::reason_counts::{Kind, ReasonCounts};
+use crate::reason_counts::{EventKind, ReasonCounts};
 use crate::sleep;
 use crate::sync::lock;
 use crate::upstream::completed_attempt::CompletedAttempt;
@@ -45,7 +45,7 @@
 
 /// Timeouts of a single node; `None`: the deployment's value applies.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Timeouts {
+pub struct NodeTimeouts {
     /// A connection that is not established within this time counts as refused.
     pub connect: Option<Duration>,
     /// How long a connection may be idle before the node closes it.
@@ -58,7 +58,7 @@
     /// When the node's process started, in milliseconds on the module's clock.
     started_ms: f64,
     connections: Vec<Arc<Connection>>,
-    timeouts: Timeouts,
+    timeouts: NodeTimeouts,
 }
 
 /// All connections to cache nodes, parents and the origin.
@@ -101,7 +101,7 @@
             match nodes.get(&id) {
                 Some(n) if n.addr == addr && n.started_ms == started_ms => None,
                 _ => {
-                    let (connections, timeouts) = (Vec::new(), Timeouts::default());
+                    let (connections, timeouts) = (Vec::new(), NodeTimeouts::default());
                     nodes.insert(id, NodeConnections { addr, started_ms, connections, timeouts })
                 }
             }
@@ -111,7 +111,7 @@
 
     /// Sets a node's own timeouts. The connect timeout applies from the node's next connection on. Does
     /// nothing if the node is not known.
-    pub fn set_timeouts(&self, id: &CacheId, timeouts: Timeouts) {
+    pub fn set_timeouts(&self, id: &CacheId, timeouts: NodeTimeouts) {
         if let Some(node) = lock(&self.nodes).get_mut(id) {
             node.timeouts = timeouts;
         }
@@ -210,7 +210,7 @@
     ) -> CompletedAttempt {
         let now = Instant::now();
         if let Err(denied) = in_flight.pending.check_may_send(now) {
-            self.reason_counts.add(Kind::Denied, denied.name());
+            self.reason_counts.add(EventKind::Denied, denied.name());
             return CompletedAttempt::without_answer(denied.ending());
         }
         let connection = match self.checkout(attempt, in_flight) {
@@ -241,7 +241,7 @@
         times: &mut AttemptTimes,
     ) {
         if let Some(denied) = in_flight.progress().denied {
-            self.reason_counts.add(Kind::Denied, denied.name());
+            self.reason_counts.add(EventKind::Denied, denied.name());
             connection.complete(attempt.id, CompletedAttempt::without_answer(denied.ending()));
             return;
         }
@@ -352,7 +352,7 @@
         lock(&self.retired).retain(|connection| {
             let unused = connection.is_unused();
             if unused {
-                connection.close(Reason::Retired);
+                connection.close(Reason::NodeRemoved);
             }
             !unused
         });
--- a/crates/front/src/upstream/dialer.rs
+++ b/crates/front/src/upstream/dialer.rs
@@ -2,7 +2,7 @@
 
 use crate::failure::{retry_with_backoff, Failure};
 use crate::log::Reason;
-use crate::reason_counts::{Kind, ReasonCounts};
+use crate::reason_counts::{EventKind, ReasonCounts};
 use crate::spawn::spawn;
 use crate::upstream::connection::Connection;
 use fernslip::{CacheId, Ending};
@@ -49,11 +49,11 @@
     /// longer counts as open.
     fn run(&self) {
         let end = catch_unwind(AssertUnwindSafe(|| self.serve()));
-        let defect = ConnectionEnd { reason: Reason::Defect, unwritten_ending: Ending::Retracted };
-        let ConnectionEnd { reason, unwritten_ending } = end.unwrap_or(defect);
+        let panicked = ConnectionEnd { reason: Reason::Panicked, unwritten_ending: Ending::Retracted };
+        let ConnectionEnd { reason, unwritten_ending } = end.unwrap_or(panicked);
         self.connection.terminate(unwritten_ending);
         self.open_connections.fetch_sub(1, Ordering::Relaxed);
-        self.reason_counts.add(Kind::UpstreamClosed, reason.code());
+        self.reason_counts.add(EventKind::UpstreamClosed, reason.code());
         let (node, addr, attempts) = (&self.node.0, self.addr, self.connection.attempts_admitted());
         tracing::info!(kind = %"upstream", %node, %addr, reason = %reason.code(), asked = attempts, "end");
     }
@@ -100,7 +100,7 @@
             Failure::Descriptors => {
                 ConnectionEnd { reason: Reason::NoDescriptor, unwritten_ending: Ending::Retracted }
             }
-            Failure::Machine | Failure::Again => {
+            Failure::Local | Failure::Interrupted => {
                 ConnectionEnd { reason: Reason::NoRoute, unwritten_ending: Ending::Retracted }
             }
             Failure::Remote => {
