--- a/crates/front/src/clients/forward.rs
+++ b/crates/front/src/clients/forward.rs
@@ -3,8 +3,8 @@
 
 use crate::call::CallFields;
 use crate::invariants::Invariant;
-use crate::reason_counts::Kind;
-use crate::shared::Shared;
+use crate::reason_counts::EventKind;
+use crate::shared::SharedState;
 use crate::upstream::caller::Caller;
 use crate::upstream::completed_attempt::Reply;
 use crate::upstream::dispatch_queue::{DispatchQueue, Permit};
@@ -49,14 +49,14 @@
 
 /// Processes a request until its final answer, or until its client disconnects or cancels it. Yields while
 /// it waits for a permit and during each attempt.
-pub fn serve(
-    front: &Shared,
+pub fn forward_request(
+    front: &SharedState,
     queue: &Arc<DispatchQueue>,
     request: Request,
     call: &Arc<CallFields>,
     caller: &Arc<Caller>,
 ) -> Answer {
-    let Shared { clock, queues, .. } = front;
+    let SharedState { clock, queues, .. } = front;
     let retry_after_ms = queues.retry_after_ms();
     let client_deadline = Instant::now() + Duration::from_secs_f64(request.budget_ms / 1000.0);
     let Some(_reservation) = queues.reserve(request.id) else { return Answer::Rejected(retry_after_ms) };
@@ -79,7 +79,7 @@
         permit,
         client_deadline,
         retry_after_ms,
-        effect: queue.dispatcher.host().effect(request.class),
+        effect: queue.dispatcher.host().class_effect(request.class),
         class: request.class,
         size_kb: request.size_kb,
         may_have_run: false,
@@ -92,7 +92,7 @@
 
 /// State of a request that holds a permit of its pool.
 struct Forwarding<'a> {
-    front: &'a Shared,
+    front: &'a SharedState,
     queue: &'a Arc<DispatchQueue>,
     call: &'a Arc<CallFields>,
     caller: &'a Arc<Caller>,
@@ -155,7 +155,7 @@
         // retry, but if it did, the request would fail here instead.
         let allowed = !may_have_run || effect != Effect::AtMostOnce;
         if let Some(ending) = self.last_ending {
-            front.reason_counts.add(Kind::Retried, ending_metric_name(ending));
+            front.reason_counts.add(EventKind::Retried, ending_metric_name(ending));
         }
         let detail = || {
             format!(
@@ -176,13 +176,15 @@
         let clock = &front.clock;
         self.permit.attempt_sent(&attempt);
         let started = Instant::now();
-        let deadline = self.permit.deadline(&attempt, started, started + clock.until(attempt.until_ms));
-        let begin_by = attempt.begin_by_ms.is_finite().then(|| started + clock.until(attempt.begin_by_ms));
+        let deadline =
+            self.permit.attempt_deadline(&attempt, started, started + clock.time_until(attempt.until_ms));
+        let begin_by =
+            attempt.begin_by_ms.is_finite().then(|| started + clock.time_until(attempt.begin_by_ms));
         let times = AttemptTimes { deadline, begin_by };
         let guard = Arc::new(SendGuard::new(queue, self.caller, call, &attempt, times, self.client_deadline));
         let end = front.upstream.execute(&attempt, &call.trace, call.known_tag.clone(), times, guard.clone());
         if let Some(first_byte_at) = end.first_byte_at {
-            guard.verify(&front.invariants, clock, first_byte_at, front.drain_grace_ms);
+            guard.verify_sent_attempt(&front.invariants, clock, first_byte_at, front.drain_grace_ms);
         }
         self.permit.attempt_ended(&attempt, end.ending);
         self.may_have_run |= !end.ending.never_ran();
--- a/crates/front/src/startup.rs
+++ b/crates/front/src/startup.rs
@@ -23,17 +23,17 @@
 use crate::reason_counts::ReasonCounts;
 use crate::reload::{Reload, Signals};
 use crate::server::Server;
-use crate::shared::Shared;
+use crate::shared::SharedState;
 use crate::shutdown::ShutdownPlan;
 use crate::snapshot::{RestoredState, Snapshot};
-use crate::spawn::{spawn, spawn_deep};
+use crate::spawn::{spawn, spawn_with_deep_stack};
 use crate::start_error::StartError;
 use crate::upstream::connection_pool::{ConnectionLimits, ConnectionPool};
 use crate::upstream::dispatch_queues::DispatchQueues;
 use crate::upstream::node_registry::NodeRegistry;
-use crate::view::Fleet;
+use crate::view::ViewService;
 use crate::wall_clock::WallClock;
-use crate::watch_history::History;
+use crate::watch_history::WatchHistory;
 use crate::{admin, gossip, listen, sleep, view};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -58,7 +58,7 @@
     let LoadedConfig { mut config, plan, gossip, view, site } = loaded;
     may::config().set_workers(WORKER_THREADS).set_stack_size(COROUTINE_STACK_WORDS);
     let clock = Clock::start();
-    let reload = Reload::new(signals.hup, config.file.take(), site);
+    let reload = Reload::new(signals.reload_requested, config.file.take(), site);
     let mut checks = Startup { signals_caught: true, ..Startup::default() };
     let core = CoreComponents::new(&config, clock);
     let Sockets { peers, clients, origin } = Sockets::open(&config)?;
@@ -72,10 +72,10 @@
     checks.exclusions_restored = true;
     let history = load_known_endpoints(&front, &serving);
     spawn_services(&front, &serving, history)?;
-    if origin == Origin::Passed {
+    if origin == Origin::Inherited {
         tracing::info!(
             "clients are accepted on the socket handed over in {}",
-            listen::PASSED_SOCKET_VARIABLE
+            listen::INHERITED_SOCKET_VARIABLE
         );
         admin::follow_manual_exclusions(front.clone()).map_err(StartError::Thread)?;
     }
@@ -85,7 +85,7 @@
     let acceptor = clients.waker();
     spawn_serving(&front, clients, origin);
     let plan = ShutdownPlan::new(serving.longest_deadline_ms, origin);
-    let main_loop = MainLoop::new(front, signals.term, reload, plan, acceptor);
+    let main_loop = MainLoop::new(front, signals.terminate_requested, reload, plan, acceptor);
     let running = may::go!(move || main_loop.run());
     running.join().map_err(|_| StartError::Panic)
 }
@@ -132,7 +132,8 @@
             }
             None => None,
         };
-        let (clients, origin) = bind_with_retry(config.listen, || listen::clients(config.listen))?;
+        let (clients, origin) =
+            bind_with_retry(config.listen, || listen::open_client_listener(config.listen))?;
         Ok(Sockets { peers, clients, origin })
     }
 }
@@ -140,12 +141,12 @@
 /// Binds an address. Retries for `BIND_RETRY_PERIOD` while this machine lacks a resource or an earlier
 /// process still holds the address.
 fn bind_with_retry<T>(at: SocketAddr, bind: impl Fn() -> std::io::Result<T>) -> Result<T, StartError> {
-    let retry = |e: &std::io::Error| Failure::of(e) != Failure::Remote;
+    let retry = |e: &std::io::Error| Failure::classify(e) != Failure::Remote;
     retry_with_backoff(BIND_RETRY_PERIOD, retry, |_| bind()).map_err(|e| StartError::Bind(at, e))
 }
 
 fn open_gossip(
-    plan: &gossip::Plan,
+    plan: &gossip::GossipPlan,
     config: &Config,
     core: &CoreComponents,
 ) -> Result<Arc<GossipService>, StartError> {
@@ -162,11 +163,11 @@
 /// Opens the fleet's membership view with the peers restored from its durable store, if it has one, and
 /// starts the store's thread.
 fn open_view(
-    plan: &view::Plan,
+    plan: &view::ViewPlan,
     config: &Config,
     clock: &Clock,
     gossip: Option<&GossipService>,
-) -> Result<Arc<Fleet>, StartError> {
+) -> Result<Arc<ViewService>, StartError> {
     let opened = plan.store.as_deref().and_then(|file| Snapshot::open_with_timeout(file, random_store_id()));
     // Each process gets its own seed: the process id and the order of contacts that are drawn from it must
     // differ between processes with the same configuration.
@@ -174,7 +175,7 @@
     let gossip_addr = gossip.map(super::control::gossip::GossipService::advertised_addr);
     let (snapshot, restored) =
         opened.map_or((None, RestoredState::default()), |(snapshot, restored)| (Some(snapshot), restored));
-    let fleet = Fleet::bind(plan, clock, seed, gossip_addr, restored.peers);
+    let fleet = ViewService::bind(plan, clock, seed, gossip_addr, restored.peers);
     let fleet = Arc::new(fleet.map_err(|e| StartError::Bind(plan.listen, e))?);
     if let Some(snapshot) = snapshot {
         let fleet = fleet.clone();
@@ -240,7 +241,7 @@
 struct PeerServices {
     peers: Option<Arc<Peers>>,
     gossip: Option<Arc<GossipService>>,
-    fleet: Option<Arc<Fleet>>,
+    fleet: Option<Arc<ViewService>>,
 }
 
 /// Builds the shared state of the front.
@@ -249,7 +250,7 @@
     plan: Option<Plan>,
     core: CoreComponents,
     services: PeerServices,
-) -> Result<Arc<Shared>, StartError> {
+) -> Result<Arc<SharedState>, StartError> {
     let CoreComponents { clock, invariants, reason_counts, upstream, evidence } = core;
     let PeerServices { peers, gossip, fleet } = services;
     let registry = Arc::new(NodeRegistry::default());
@@ -263,12 +264,13 @@
         sources: [config.settings.parent_kind, config.settings.origin_kind],
     };
     let folder = std::env::temp_dir();
-    let manual_exclusions = ManualExclusions::of(&folder, &config.name, config.listen, &config.names);
+    let manual_exclusions =
+        ManualExclusions::for_deployment(&folder, &config.name, config.listen, &config.names);
     let classes = config.settings.classes.clone();
     let class_names = classes.iter().map(|c| c.name.to_string()).collect();
     let queues = DispatchQueues::new(&config.settings, config.seed, plan, registry.clone(), host);
     let queues = queues.map_err(StartError::Settings)?;
-    Ok(Arc::new(Shared {
+    Ok(Arc::new(SharedState {
         clock,
         wall_clock: WallClock::start(clock),
         names: config.names,
@@ -291,21 +293,21 @@
 
 /// Registers the endpoints that the site document and the configuration list. Returns the history of bus
 /// events up to the last one in the configuration.
-fn load_known_endpoints(front: &Shared, serving: &ServingConfig) -> History {
-    front.queues.start(&front.clock, &front.upstream);
+fn load_known_endpoints(front: &SharedState, serving: &ServingConfig) -> WatchHistory {
+    front.queues.apply_initial_members(&front.clock, &front.upstream);
     front.announce_members();
     if front.gossip.is_some() {
-        front.queues.all().iter().for_each(|q| q.dispatcher.enable_evidence());
+        front.queues.as_slice().iter().for_each(|q| q.dispatcher.enable_evidence());
     }
     if front.queues.members_from_file() {
         front.endpoints_listed.store(true, Ordering::Release);
     }
-    let mut history = History::new(serving.offset);
+    let mut history = WatchHistory::new(serving.offset);
     for event in &serving.known_events {
-        match watch_event::parse(event, &front.names) {
+        match watch_event::parse_event(event, &front.names) {
             Ok(event) => {
-                history.observe(&event);
-                discovery_watch::apply(front, event, None);
+                history.record_draining_nodes(&event);
+                discovery_watch::apply_event(front, event, None);
             }
             Err(e) => tracing::warn!("ignoring an event in the configuration's `known` list: {e}"),
         }
@@ -314,19 +316,23 @@
 }
 
 /// Starts the coroutines and threads that communicate with other fronts and with the event bus.
-fn spawn_services(front: &Arc<Shared>, serving: &ServingConfig, history: History) -> Result<(), StartError> {
+fn spawn_services(
+    front: &Arc<SharedState>,
+    serving: &ServingConfig,
+    history: WatchHistory,
+) -> Result<(), StartError> {
     if let Some(gossip) = front.gossip.clone() {
         let (listening, f) = (gossip.clone(), front.clone());
-        spawn(move || listening.listen(f.queues.all()));
+        spawn(move || listening.listen(f.queues.as_slice()));
         let (f, from_view) = (front.clone(), serving.gossip_from_view);
-        spawn(move || gossip.run(f.queues.all(), f.fleet.as_deref().filter(|_| from_view)));
+        spawn(move || gossip.run(f.queues.as_slice(), f.fleet.as_deref().filter(|_| from_view)));
     }
     if let Some(fleet) = front.fleet.clone() {
         spawn_thread("view", move || fleet.run())?;
     }
     if serving.has_bus {
         let f = front.clone();
-        spawn_deep(move || f.bus.run(&f, history));
+        spawn_with_deep_stack(move || f.bus.run(&f, history));
     }
     if let Some(peers) = front.peers.clone() {
         let f = front.clone();
@@ -335,28 +341,28 @@
     Ok(())
 }
 
-fn open_admin_interface(front: &Arc<Shared>, serving: &ServingConfig) -> Result<(), StartError> {
+fn open_admin_interface(front: &Arc<SharedState>, serving: &ServingConfig) -> Result<(), StartError> {
     let address = match std::env::var(admin::ADDRESS_VARIABLE) {
         Ok(v) if !v.trim().is_empty() => Some(v.trim().parse().map_err(|_| StartError::AdminAddress(v))?),
         _ => serving.admin,
     };
     if let Some(at) = address {
-        let bound = bind_with_retry(at, || admin::open(front.clone(), at, serving.admin_callers))?;
+        let bound = bind_with_retry(at, || admin::bind_and_serve(front.clone(), at, serving.admin_callers))?;
         tracing::info!("operators' door at {bound}");
     }
     Ok(())
 }
 
 /// Starts the coroutines that accept clients and run the decision crate's timers.
-fn spawn_serving(front: &Arc<Shared>, clients: Listener, origin: Origin) {
+fn spawn_serving(front: &Arc<SharedState>, clients: Listener, origin: Origin) {
     let f = front.clone();
-    spawn(move || f.server.run(&f, clients, origin));
+    spawn(move || f.server.accept_clients(&f, clients, origin));
     let f = front.clone();
     spawn(move || loop {
-        let next = f.queues.all().iter().filter_map(|q| q.tick(&f.clock)).reduce(f64::min);
+        let next = f.queues.as_slice().iter().filter_map(|q| q.tick(&f.clock)).reduce(f64::min);
         // Off the worker is safe here: the dispatchers and their host are guarded by locks.
         let wait = next.map_or(MAX_TIMER_INTERVAL, |at| {
-            f.clock.until(at).clamp(Duration::from_millis(1), MAX_TIMER_INTERVAL)
+            f.clock.time_until(at).clamp(Duration::from_millis(1), MAX_TIMER_INTERVAL)
         });
         sleep::sleep_off_the_worker(wait);
     });
--- a/crates/rig/src/run/garbage.rs
+++ b/crates/rig/src/run/garbage.rs
@@ -17,7 +17,7 @@
     /// Sends `per_second` invalid or replayed datagrams between random fronts until `duration` has passed.
     pub(super) async fn send_garbage(&mut self, per_second: f64, duration: Duration) {
         self.record_event("garbage", true);
-        let keys = fernslip_front::keyfile::read(self.fronts.key_file()).ok();
+        let keys = fernslip_front::keyfile::read_key_file(self.fronts.key_file()).ok();
         let recorded = self.fronts.links.recorded_datagrams();
         let end = Instant::now() + duration;
         let endpoints: Vec<usize> = self.fronts.all.iter().map(|f| f.endpoint).collect();
--- a/crates/rig/src/soak/nodes.rs
+++ b/crates/rig/src/soak/nodes.rs
@@ -213,7 +213,7 @@
                         Err(e) => return Err(e),
                     }
                     let mut used = 0;
-                    while let Ok(Some((len, parts))) = resp::parts(&buffer[used..]) {
+                    while let Ok(Some((len, parts))) = resp::parse_array(&buffer[used..]) {
                         let arguments: Vec<String> =
                             parts.iter().map(|p| String::from_utf8_lossy(p).into_owned()).collect();
                         used += len;
@@ -323,7 +323,7 @@
     let id = format!("{trace:016x}");
     let report = format!("tell=fill,tag={object},minted={now_ms}");
     let body = if status == "served" { object_body(object, field("chunk")) } else { Vec::new() };
-    resp::array(&[id.as_bytes(), status.as_bytes(), report.as_bytes(), &body])
+    resp::encode_array(&[id.as_bytes(), status.as_bytes(), report.as_bytes(), &body])
 }
 
 /// Returns the body of a part of an object, which the client that requested it has to receive. Depending on
