--- a/crates/front/src/control/gossip.rs
+++ b/crates/front/src/control/gossip.rs
@@ -82,7 +82,7 @@
                 // Sent directly on the non-blocking socket. A datagram for which the kernel has no buffer
                 // space is lost, which the protocol tolerates.
                 Action::Send { to, bytes } => drop(self.socket.inner().send_to(&bytes, to)),
-                Action::Hearsay { node, score } => {
+                Action::PeerScore { node, score } => {
                     let id = lock(&self.nodes).by_key.get(&node).cloned();
                     if let Some(id) = id {
                         tracing::debug!(node = %id.0, amount = score, "hearsay");
--- a/crates/front/src/control/gossip/status.rs
+++ b/crates/front/src/control/gossip/status.rs
@@ -23,7 +23,7 @@
             let gossip = lock(&self.gossip);
             let members: Vec<_> = gossip.members().map(|m| (gossip.trust(m.id, at), m)).collect();
             let suspicions: Vec<_> = gossip.suspicions(at).collect();
-            let scores: Vec<(CacheNodeKey, f64)> = gossip.all_hearsay().collect();
+            let scores: Vec<(CacheNodeKey, f64)> = gossip.peer_scores().collect();
             (gossip.config().clone(), gossip.id(), gossip.counters().clone(), members, suspicions, scores)
         };
         let nodes = lock(&self.nodes).by_key.clone();
--- a/crates/front/src/control/keyfile.rs
+++ b/crates/front/src/control/keyfile.rs
@@ -117,7 +117,7 @@
         (Step::Add, _) => return Err(KeyFileError::RotationInProgress),
         (Step::Switch, 2) => keys.swap(0, 1),
         (Step::Drop, 2) => keys.truncate(1),
-        (_, count) => return Err(KeyError::Count(count).into()),
+        (_, count) => return Err(KeyError::KeyCount(count).into()),
     }
     let mut name = path.file_name().unwrap_or_default().to_os_string();
     name.push(".new");
--- a/crates/front/src/control/manual_exclusion.rs
+++ b/crates/front/src/control/manual_exclusion.rs
@@ -96,7 +96,7 @@
     pub fn of(folder: &Path, name: &str, listen: SocketAddr, names: &Names) -> ManualExclusions {
         let Names { zones, kinds, classes, .. } = names;
         let deployment =
-            format!("{:016x}", Id::of(&format!("{:?}", (name, listen, zones, kinds, classes))).0);
+            format!("{:016x}", Id::from_name(&format!("{:?}", (name, listen, zones, kinds, classes))).0);
         let file_name: String =
             name.chars().map(|c| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' }).collect();
         ManualExclusions {
--- a/crates/front/src/control/view.rs
+++ b/crates/front/src/control/view.rs
@@ -98,14 +98,14 @@
             match action {
                 // A datagram that cannot be sent is lost, which the protocol tolerates.
                 Action::Send { to, bytes } => drop(self.socket.send_to(&bytes, to)),
-                Action::Changed { name, before, after, by } => {
+                Action::Changed { name, before, after, reported_by } => {
                     let was = before.map_or("unknown", FrontState::name);
-                    let by = by.as_deref().unwrap_or("itself");
+                    let by = reported_by.as_deref().unwrap_or("itself");
                     tracing::info!(peer = %name, was, is = after.name(), by, "view");
                 }
                 Action::Settled(settled) => tracing::debug!(settled, "view"),
-                Action::DuplicateName { addr, other_is_suspended } => {
-                    let held = if other_is_suspended { "the other" } else { "this one" };
+                Action::DuplicateName { addr, other_is_listed } => {
+                    let held = if other_is_listed { "the other" } else { "this one" };
                     tracing::warn!(other = %addr, held, "view: two processes serve under this front's name");
                 }
             }
--- a/crates/front/src/control/view/report.rs
+++ b/crates/front/src/control/view/report.rs
@@ -16,7 +16,7 @@
     let counters = view.counters();
     format!(
         "view_members={}\nview_settled={settled}\nview_changes={}\nview_sent_bytes={}\n",
-        view.peers().len() + 1,
+        view.live_peer_addrs().len() + 1,
         counters.changes,
         counters.sent_bytes
     )
@@ -69,10 +69,10 @@
         "front": view.config().name,
         "address": view.config().addr,
         "digest": format!("{:016x}", view.digest()),
-        "count": view.peers().len() + 1,
+        "count": view.live_peer_addrs().len() + 1,
         "settled": settled.is_some(),
         "settled_for_ms": settled.map(|since| (now_ms - since).max(0.0) as u64),
-        "missing": if settled.is_some() { Vec::new() } else { view.missing() },
+        "missing": if settled.is_some() { Vec::new() } else { view.unsettled_members() },
         "other_process": view.duplicate_addr(),
         "sent": counters.sent,
         "sent_bytes": counters.sent_bytes,
@@ -90,7 +90,7 @@
     let Some(status) = view.members(now_ms).into_iter().find(|m| m.fact.name == name) else {
         return json!({ "error": format!("no front `{name}` is known") });
     };
-    let entry = |HistoryEntry { at_ms, what, by }| json!({ "ago_ms": (now_ms - at_ms).max(0.0) as u64, "what": what, "by": by });
+    let entry = |HistoryEntry { at_ms, description, reported_by }| json!({ "ago_ms": (now_ms - at_ms).max(0.0) as u64, "what": description, "by": reported_by });
     let history: Vec<Value> = view.history(name).into_iter().map(entry).collect();
     json!({ "member": member_json(&status, now_ms), "story": history })
 }
@@ -98,7 +98,7 @@
 fn open_metrics_text(view: &Mutex<View>, now_ms: f64) -> String {
     let (is_settled, count, counters) = {
         let view = lock(view);
-        (view.settled_since(now_ms).is_some(), view.peers().len() + 1, view.counters().clone())
+        (view.settled_since(now_ms).is_some(), view.live_peer_addrs().len() + 1, view.counters().clone())
     };
     let mut registry = Registry::with_prefix("fernslip_view");
     registry.register("members", "Fronts that are counted on", ConstGauge::new(count as i64));
--- a/crates/front/src/loaded_config.rs
+++ b/crates/front/src/loaded_config.rs
@@ -70,6 +70,6 @@
     // same hash.
     let config_text = file.and_then(|file| std::fs::read_to_string(file).ok());
     let texts = format!("{:?}{:?}", config_text, Some(plan::common_to_all_fronts(document)));
-    let hash = fernslip_view::Id::of(&texts).0 as u32;
+    let hash = fernslip_view::Id::from_name(&texts).0 as u32;
     view::Plan::of(&settings, &config.name, &zone, hash).map(Some).map_err(ConfigError::Plan)
 }
--- a/crates/gossip/src/budget.rs
+++ b/crates/gossip/src/budget.rs
@@ -17,7 +17,7 @@
     }
 
     /// Refills the bucket and returns the number of bytes that may be sent now.
-    pub fn available(&mut self, now_ms: f64) -> usize {
+    pub fn available_bytes(&mut self, now_ms: f64) -> usize {
         let elapsed_ms = (now_ms - self.refilled_ms).max(0.0);
         self.refilled_ms = self.refilled_ms.max(now_ms);
         self.tokens = (self.tokens + elapsed_ms * self.bytes_per_ms).min(self.burst);
@@ -27,7 +27,7 @@
     /// Takes `bytes` from the bucket and returns `true`, or takes nothing and returns `false` if fewer are
     /// available.
     pub fn try_take(&mut self, now_ms: f64, bytes: usize) -> bool {
-        let enough = self.available(now_ms) >= bytes;
+        let enough = self.available_bytes(now_ms) >= bytes;
         if enough {
             self.tokens -= bytes as f64;
         }
--- a/crates/gossip/src/budget/tests.rs
+++ b/crates/gossip/src/budget/tests.rs
@@ -19,6 +19,6 @@
             assert!(sum as f64 <= 300.0 + (to - from) + 1e-6);
         }
     }
-    let before = bucket.available(1e9);
-    assert_eq!((before, bucket.available(0.0)), (300, 300), "a clock that steps back adds no tokens");
+    let before = bucket.available_bytes(1e9);
+    assert_eq!((before, bucket.available_bytes(0.0)), (300, 300), "a clock that steps back adds no tokens");
 }
--- a/crates/gossip/src/engine/dissemination.rs
+++ b/crates/gossip/src/engine/dissemination.rs
@@ -67,7 +67,7 @@
             return;
         }
         for to in self.random_peers(self.config.fanout) {
-            if self.send_budget.available(now.mono_ms) < PROBE_RESERVED_BYTES {
+            if self.send_budget.available_bytes(now.mono_ms) < PROBE_RESERVED_BYTES {
                 return;
             }
             let mut items = Vec::new();
--- a/crates/gossip/src/engine/evidence.rs
+++ b/crates/gossip/src/engine/evidence.rs
@@ -36,7 +36,7 @@
             self.peer_scores.keys().filter(|node| !suspicions.is_known_node(**node)).copied().collect();
         for node in removed {
             self.peer_scores.remove(&node);
-            actions.push(Action::Hearsay { node, score: 0.0 });
+            actions.push(Action::PeerScore { node, score: 0.0 });
         }
     }
 
@@ -122,7 +122,7 @@
             } else {
                 self.peer_scores.insert(node, score);
             }
-            actions.push(Action::Hearsay { node, score });
+            actions.push(Action::PeerScore { node, score });
         }
     }
 
--- a/crates/gossip/src/engine/receive.rs
+++ b/crates/gossip/src/engine/receive.rs
@@ -24,7 +24,7 @@
         actions: &mut Vec<Action>,
     ) -> Result<(), RejectReason> {
         let (header, items) = self.authenticate(now, from, bytes)?;
-        if !self.replay_filter.accept(header.sender, header.epoch_ms, header.sequence, now.mono_ms) {
+        if !self.replay_filter.record_if_new(header.sender, header.epoch_ms, header.sequence, now.mono_ms) {
             return Err(RejectReason::Replayed);
         }
         self.counters.accepted += 1;
--- a/crates/gossip/src/engine/reports.rs
+++ b/crates/gossip/src/engine/reports.rs
@@ -81,7 +81,7 @@
         let summary_len = summary.as_ref().map_or(0, encoded_len);
         let max_reports = (ITEM_CAPACITY - REPORTS_HEADER_BYTES - summary_len) / REPORT_BYTES;
         for (peer, addr) in self.rotated_recipients() {
-            if self.send_budget.available(at) < REPORTS_RESERVED_BYTES {
+            if self.send_budget.available_bytes(at) < REPORTS_RESERVED_BYTES {
                 // The next round starts with the first peer that this round did not reach.
                 self.next_recipient = Some(peer);
                 return;
--- a/crates/gossip/src/engine/status.rs
+++ b/crates/gossip/src/engine/status.rs
@@ -58,7 +58,7 @@
     }
 
     /// Returns all cache nodes with a score other than 0, as last given to the host.
-    pub fn all_hearsay(&self) -> impl Iterator<Item = (CacheNodeKey, f64)> + '_ {
+    pub fn peer_scores(&self) -> impl Iterator<Item = (CacheNodeKey, f64)> + '_ {
         self.peer_scores.iter().map(|(node, score)| (*node, *score))
     }
 
--- a/crates/gossip/src/event.rs
+++ b/crates/gossip/src/event.rs
@@ -55,7 +55,7 @@
         bytes: Vec<u8>,
     },
     /// The score of a cache node, aggregated from the fronts' reports, has changed.
-    Hearsay {
+    PeerScore {
         /// The cache node that the score is for.
         node: CacheNodeKey,
         /// The score from -[`crate::aggregate::MAX_SCORE`] (healthy) to [`crate::aggregate::MAX_SCORE`]
--- a/crates/gossip/src/keys.rs
+++ b/crates/gossip/src/keys.rs
@@ -59,7 +59,7 @@
     MalformedLine(usize),
     /// The file does not hold one or two keys; the value is the number of keys in it.
     #[error("the key file holds {0} keys instead of one, or two during a rotation")]
-    Count(usize),
+    KeyCount(usize),
     /// A line repeats the number of an earlier key; the value is the line's number.
     #[error("line {0} of the key file repeats the number of an earlier key")]
     DuplicateNumber(usize),
@@ -112,7 +112,7 @@
     let mut keys = keys.into_iter();
     match (keys.next(), keys.next(), keys.next()) {
         (Some(signing), accepted, None) => Ok(Keyring { signing, accepted }),
-        _ => Err(KeyError::Count(count)),
+        _ => Err(KeyError::KeyCount(count)),
     }
 }
 
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -15,7 +15,7 @@
 //! - All datagrams together stay within [`Config::bytes_per_s`], enforced by a token bucket of that rate and
 //!   the capacity [`Config::burst_bytes`]. The most useful data is sent first; the remainder waits for the
 //!   next round or is summarised.
-//! - [`Action::Hearsay`] gives the score of a cache node by the fronts' reports, from
+//! - [`Action::PeerScore`] gives the score of a cache node by the fronts' reports, from
 //!   -[`aggregate::MAX_SCORE`] (healthy) to [`aggregate::MAX_SCORE`] (failing). It is advice: the host may
 //!   lower a node's load or retry it sooner, but must not eject the node because of the score.
 //! - A cache node is identified by its id and its start: reports on a node that was replaced or restarted do
--- a/crates/gossip/src/replay.rs
+++ b/crates/gossip/src/replay.rs
@@ -32,7 +32,7 @@
     ///
     /// `epoch_ms` is when the sender started, in Unix milliseconds, or 0 where the sender's key `K` already
     /// identifies its run.
-    pub fn accept(&mut self, sender: K, epoch_ms: u64, sequence: u32, now_ms: f64) -> bool {
+    pub fn record_if_new(&mut self, sender: K, epoch_ms: u64, sequence: u32, now_ms: f64) -> bool {
         if !self.0.contains_key(&sender) && self.0.len() >= MAX_SENDERS {
             let oldest = self.0.iter().min_by(|a, b| a.1.last_seen_ms.total_cmp(&b.1.last_seen_ms));
             oldest.map(|w| *w.0).and_then(|id| self.0.remove(&id));
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -152,7 +152,7 @@
         for action in actions {
             match action {
                 Action::Send { to, bytes } => self.record_sent(index, to, bytes),
-                Action::Hearsay { node, score } => {
+                Action::PeerScore { node, score } => {
                     assert!(score.abs() <= aggregate::MAX_SCORE, "a score is within the cap");
                     self.fronts[index].peer_scores.insert(node, score);
                     self.fronts[index].max_peer_score = self.fronts[index].max_peer_score.max(score);
--- a/crates/rig/src/run/garbage.rs
+++ b/crates/rig/src/run/garbage.rs
@@ -55,7 +55,7 @@
         Item::DifferingBuckets(rng.random()),
         Item::PingRequest(Id(rng.random()), rng.random(), rng.random()),
         Item::Suspicion {
-            of: Id::of(&format!("f{}", rng.random_range(0..100))),
+            of: Id::from_name(&format!("f{}", rng.random_range(0..100))),
             process_id: rng.random(),
             incarnation: rng.random(),
             number: u32::MAX,
--- a/crates/view/src/engine.rs
+++ b/crates/view/src/engine.rs
@@ -190,7 +190,7 @@
     }
 
     /// Returns the fact that this front announces about itself.
-    pub fn own(&self) -> &Fact {
+    pub fn own_fact(&self) -> &Fact {
         &self.own
     }
 
@@ -208,7 +208,7 @@
     }
 
     /// Returns the addresses of the other live members.
-    pub fn peers(&self) -> Vec<SocketAddr> {
+    pub fn live_peer_addrs(&self) -> Vec<SocketAddr> {
         self.live_peers().map(|(_, m)| m.fact.addr).collect()
     }
 
@@ -237,7 +237,7 @@
 
     /// Returns the names of the live members that are not known to hold this view. Before this front is
     /// admitted, returns the names of the fronts that it knew when it last ran.
-    pub fn missing(&self) -> Vec<String> {
+    pub fn unsettled_members(&self) -> Vec<String> {
         if !self.is_admitted {
             return self.config.remembered.iter().map(|r| r.name.clone()).collect();
         }
@@ -252,7 +252,7 @@
 
     /// Returns the latest history entries of the named front, oldest first.
     pub fn history(&self, name: &str) -> Vec<HistoryEntry> {
-        self.history.get(&Id::of(name)).into_iter().flatten().cloned().collect()
+        self.history.get(&Id::from_name(name)).into_iter().flatten().cloned().collect()
     }
 
     /// Returns the time at which the next [`Event::Tick`] is due, by the host's monotonic clock in
--- a/crates/view/src/engine/budget.rs
+++ b/crates/view/src/engine/budget.rs
@@ -58,7 +58,7 @@
     /// Whether more than an eighth of the burst budget is left. Traffic that can wait is sent only then;
     /// pings, answers and suspicions take precedence.
     pub(super) fn has_spare_budget(&mut self, now_ms: f64) -> bool {
-        self.send_budget.available(now_ms) as u64 > self.config.burst_bytes / 8
+        self.send_budget.available_bytes(now_ms) as u64 > self.config.burst_bytes / 8
     }
 
     pub(super) fn next_ping_number(&mut self) -> u32 {
@@ -68,7 +68,7 @@
 
     /// Returns the addresses of up to `count` randomly chosen other live members.
     pub(super) fn random_peers(&mut self, count: usize) -> Vec<SocketAddr> {
-        let all = self.peers();
+        let all = self.live_peer_addrs();
         all.choose_multiple(&mut self.rng, count).copied().collect()
     }
 }
--- a/crates/view/src/engine/duplicate_name.rs
+++ b/crates/view/src/engine/duplicate_name.rs
@@ -60,7 +60,7 @@
         &mut self,
         now_ms: f64,
         addr: SocketAddr,
-        other_is_suspended: bool,
+        other_is_listed: bool,
         actions: &mut Vec<Action>,
     ) {
         match &mut self.duplicate {
@@ -71,7 +71,7 @@
             }
             duplicate => {
                 *duplicate = Some(DuplicateProcess { addr, reported_ms: now_ms, last_seen_ms: now_ms });
-                actions.push(Action::DuplicateName { addr, other_is_suspended });
+                actions.push(Action::DuplicateName { addr, other_is_listed });
             }
         }
     }
--- a/crates/view/src/engine/facts.rs
+++ b/crates/view/src/engine/facts.rs
@@ -4,12 +4,12 @@
 use super::*;
 
 impl View {
-    pub(super) fn record_history(&mut self, id: Id, at_ms: f64, what: String, by: String) {
+    pub(super) fn record_history(&mut self, id: Id, at_ms: f64, description: String, reported_by: String) {
         let entries = self.history.entry(id).or_default();
         if entries.len() >= MAX_HISTORY_ENTRIES {
             entries.pop_front();
         }
-        entries.push_back(HistoryEntry { at_ms, what, by });
+        entries.push_back(HistoryEntry { at_ms, description, reported_by });
     }
 
     /// Handles the result of a merge into the table: schedules the update for gossip, adds it to the history,
@@ -35,7 +35,7 @@
         let mut what =
             format!("{} (generation {}, incarnation {})", after.name(), rank.generation, rank.incarnation);
         if after == FrontState::Failed {
-            what = format!("{what}, detected by {}", self.front_name(rank.detected_by));
+            what = format!("{what}, found by {}", self.front_name(rank.detected_by));
         }
         self.record_history(id, now_ms, what, by.clone().unwrap_or_default());
         if after == FrontState::Failed && !rank.confirmed {
@@ -45,7 +45,7 @@
         // change.
         if before != Some(after) && (before.is_some() || after.is_live()) {
             self.counters.changes += 1;
-            actions.push(Action::Changed { name, before, after, by });
+            actions.push(Action::Changed { name, before, after, reported_by: by });
         }
     }
 
--- a/crates/view/src/engine/failure_detection.rs
+++ b/crates/view/src/engine/failure_detection.rs
@@ -37,7 +37,7 @@
             let merged = self.table.merge_rank(id, rank, now_ms);
             self.handle_merge_outcome(now_ms, id, merged, None, false, actions);
         } else if !self.deferred.contains_key(&id) {
-            let what = format!("no answer to {}; its other watchers are out of reach", names.join(", "));
+            let what = format!("no answer to {}; others who watch it are out of reach", names.join(", "));
             self.record_history(id, now_ms, what, String::new());
             let until_ms = now_ms + self.refutation_wait_ms();
             let deferred = DeferredFailure { rank, from: own, until_ms, sent: 0, notified_ms: now_ms };
--- a/crates/view/src/engine/receive.rs
+++ b/crates/view/src/engine/receive.rs
@@ -40,7 +40,7 @@
             return None;
         };
         if message.process_id == self.own.process_id
-            || !self.replays.accept(message.process_id, 0, message.sequence, now_ms)
+            || !self.replays.record_if_new(message.process_id, 0, message.sequence, now_ms)
         {
             self.counters.replayed += 1;
             return None;
@@ -73,9 +73,9 @@
             }
             _ if message.from != self.own_id() => reply.push(Item::FactRequest(vec![message.from])),
             _ => {
-                let is_suspended =
+                let is_listed =
                     self.table.get(message.from).is_some_and(|k| k.fact.process_id == message.process_id);
-                self.record_duplicate(now_ms, from, is_suspended || !self.is_admitted, actions);
+                self.record_duplicate(now_ms, from, is_listed || !self.is_admitted, actions);
                 reply.push(Item::FullFact(self.own.clone()));
             }
         }
--- a/crates/view/src/engine/rejoin.rs
+++ b/crates/view/src/engine/rejoin.rs
@@ -38,7 +38,7 @@
     /// Joins the fleet again, after an isolation so long that others may have forgotten departures that this
     /// front missed.
     pub(super) fn rejoin(&mut self, now_ms: f64) {
-        let known: Vec<SocketAddr> = self.peers().into_iter().take(MAX_REJOIN_PEERS).collect();
+        let known: Vec<SocketAddr> = self.live_peer_addrs().into_iter().take(MAX_REJOIN_PEERS).collect();
         self.config
             .seeds
             .extend(known.iter().filter(|a| !self.config.seeds.contains(a)).copied().collect::<Vec<_>>());
--- a/crates/view/src/fact.rs
+++ b/crates/view/src/fact.rs
@@ -22,7 +22,7 @@
 
 impl Id {
     /// Returns the id of the front named `name`.
-    pub fn of(name: &str) -> Id {
+    pub fn from_name(name: &str) -> Id {
         Id(hash64(name.as_bytes()))
     }
 }
@@ -132,7 +132,7 @@
 impl Fact {
     /// Returns the id of the front, derived from its name.
     pub fn id(&self) -> Id {
-        Id::of(&self.name)
+        Id::from_name(&self.name)
     }
 
     /// Returns the rank of this fact among the facts about the same front.
--- a/crates/view/src/interface.rs
+++ b/crates/view/src/interface.rs
@@ -56,7 +56,7 @@
         /// The new state of the front.
         after: FrontState,
         /// The name of the front whose datagram reported the change; `None` if this front detected it itself.
-        by: Option<String>,
+        reported_by: Option<String>,
     },
     /// Report that the view became settled (`true`: all live fronts are known to hold it) or is no longer
     /// settled (`false`).
@@ -67,7 +67,7 @@
         /// The address of the other process.
         addr: SocketAddr,
         /// Whether the view lists the other process rather than this one.
-        other_is_suspended: bool,
+        other_is_listed: bool,
     },
 }
 
@@ -111,7 +111,7 @@
     /// The time of the event, by this front's monotonic clock, in milliseconds.
     pub at_ms: f64,
     /// A description of the event in plain text.
-    pub what: String,
+    pub description: String,
     /// The name of the front that reported the event; empty if this front observed it itself.
-    pub by: String,
+    pub reported_by: String,
 }
--- a/crates/view/src/ring/tests.rs
+++ b/crates/view/src/ring/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn members_have_up_to_the_configured_number_of_watchers_and_all_fronts_agree_on_them() {
     for n in [1u64, 2, 3, 4, 9, 100, 301] {
-        let ids: Vec<Id> = (0..n).map(|i| Id::of(&format!("f{i}"))).collect();
+        let ids: Vec<Id> = (0..n).map(|i| Id::from_name(&format!("f{i}"))).collect();
         let max_watchers = 5.min(n as usize - 1);
         let rings: Vec<Rings> = ids.iter().map(|own| Rings::new(&ids, *own, 5)).collect();
         for of in &ids {
--- a/crates/view/tests/faults.rs
+++ b/crates/view/tests/faults.rs
@@ -25,8 +25,8 @@
         format!(
             "{} lists {} live fronts, settled since {since:?} ms, waits for {:?}",
             p.start.name,
-            v.peers().len() + 1,
-            v.missing()
+            v.live_peer_addrs().len() + 1,
+            v.unsettled_members()
         )
     };
     let running = net.hosts.iter().filter(|p| p.process == ProcessState::Running);
@@ -112,7 +112,11 @@
         net.run_for(20_000.0);
         assert_eq!(net.count_listing_as_live("f4"), 1, "only the isolated front lists itself as live");
         let view = &net.hosts[4].front.view;
-        assert_eq!(view.peers().len(), FRONT_COUNT - 1, "the isolated front keeps the view that it had");
+        assert_eq!(
+            view.live_peer_addrs().len(),
+            FRONT_COUNT - 1,
+            "the isolated front keeps the view that it had"
+        );
         assert_eq!(
             view.settled_since(net.now_ms),
             None,
@@ -289,7 +293,7 @@
                     Item::FactRequest(vec![Id(rng.random()); 20]),
                     Item::DifferingBuckets(rng.random()),
                     Item::Suspicion {
-                        of: Id::of("f2"),
+                        of: Id::from_name("f2"),
                         process_id: rng.random(),
                         incarnation: rng.random(),
                         number: u32::MAX,
--- a/crates/view/tests/remembers.rs
+++ b/crates/view/tests/returning_fronts.rs
@@ -40,10 +40,10 @@
             while let Some((i, event)) = pending.pop() {
                 let mut actions = Vec::new();
                 fronts[i].handle(time_at(ms), event, &mut actions);
-                let from = fronts[i].own().addr;
+                let from = fronts[i].own_fact().addr;
                 for a in actions {
                     let Action::Send { to, bytes } = a else { continue };
-                    let to = fronts.iter().position(|f| f.own().addr == to);
+                    let to = fronts.iter().position(|f| f.own_fact().addr == to);
                     pending.extend(to.map(|to| (to, Event::Datagram { from, bytes })));
                 }
             }
@@ -66,7 +66,7 @@
     let mut back = [start_front(0, 0, &[0], &[("f7", 7), ("f8", 8)], 0.0)];
     let ms = run_fronts(&mut back, 0.0, 40_000.0);
     assert_eq!(back[0].settled_since(ms), None);
-    assert_eq!(back[0].missing(), ["f7", "f8"]);
+    assert_eq!(back[0].unsettled_members(), ["f7", "f8"]);
 }
 
 #[test]
@@ -81,11 +81,11 @@
     let mut fronts: Vec<View> = (0..5).map(|n| back(n, 100 + n)).chain([back(5, 5)]).collect();
     let ms = run_fronts(&mut fronts, 0.0, 8_000.0);
     for f in &fronts {
-        assert_eq!(f.peers().len(), 5, "{} lists all five other fronts", f.own().name);
-        assert!(f.settled_since(ms).is_some(), "the view of {} is settled", f.own().name);
+        assert_eq!(f.live_peer_addrs().len(), 5, "{} lists all five other fronts", f.own_fact().name);
+        assert!(f.settled_since(ms).is_some(), "the view of {} is settled", f.own_fact().name);
     }
     // Without remembered addresses, no front finds another and none reports a settled view.
     let mut fronts: Vec<View> = (0..6).map(|n| start_front(n, 100 + n, &[0, 1], &[], 0.0)).collect();
     let ms = run_fronts(&mut fronts, 0.0, 8_000.0);
-    assert!(fronts.iter().all(|f| f.peers().is_empty() && f.settled_since(ms).is_none()));
+    assert!(fronts.iter().all(|f| f.live_peer_addrs().is_empty() && f.settled_since(ms).is_none()));
 }
