--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -110,7 +110,7 @@
 }
 
 fn new_instance(message: &Value) -> Result<Instance, String> {
-    let (settings, names) = json::settings(&message["info"]).map_err(|e| e.to_string())?;
+    let (settings, names) = json::parse_settings(&message["info"]).map_err(|e| e.to_string())?;
     let router = Router::new(settings, wire::parse_seed(message)).map_err(|e| e.to_string())?;
     Ok(Instance { router, names })
 }
--- a/crates/fernslip/benches/allocs.rs
+++ b/crates/fernslip/benches/allocs.rs
@@ -7,12 +7,12 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{sent, settings, wide_fleet, Rig};
+use common::{sent_attempt, settings, wide_fleet, Rig};
 use fernslip::Ending;
 
 /// A router with that many caches in its location.
 fn rig_with_caches(caches: usize) -> Rig {
-    let mut rig = Rig::with(settings());
+    let mut rig = Rig::with_settings(settings());
     rig.update_endpoints(wide_fleet(caches, 0, 0.0));
     rig
 }
@@ -20,9 +20,9 @@
 /// Handles one request and its successful outcome.
 fn serve_request(rig: &mut Rig, object: u64) {
     rig.now += 1.0;
-    let Some(attempt) = sent(&rig.request(object)) else { return };
+    let Some(attempt) = sent_attempt(&rig.request(object)) else { return };
     rig.now += 1.0;
-    std::hint::black_box(rig.end(&attempt, 0, Ending::Completed, 1));
+    std::hint::black_box(rig.end_attempt(&attempt, 0, Ending::Completed, 1));
 }
 
 fn main() {
--- a/crates/fernslip/benches/decide.rs
+++ b/crates/fernslip/benches/decide.rs
@@ -8,7 +8,7 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{entry, sent, settings, wide_fleet, Rig};
+use common::{entry, sent_attempt, settings, wide_fleet, Rig};
 use criterion::{BenchmarkId, Criterion};
 use fernslip::{Ending, Event, ObjectId, Phase};
 use std::hint::black_box;
@@ -18,14 +18,14 @@
 fn rig_with_caches(caches: usize, max_in_flight: u32) -> Rig {
     let mut s = settings();
     s.max_in_flight = max_in_flight;
-    let mut rig = Rig::with(s);
+    let mut rig = Rig::with_settings(s);
     rig.update_endpoints(wide_fleet(caches, 0, 0.0));
     rig
 }
 
 /// As [`rig_with_caches`], with a tenth of the caches (at least one) started a second ago.
 fn slow_start_rig(caches: usize) -> Rig {
-    let mut rig = Rig::with(settings());
+    let mut rig = Rig::with_settings(settings());
     let started_ms = rig.now - 1000.0;
     rig.update_endpoints(wide_fleet(caches, caches.div_ceil(10), started_ms));
     rig
@@ -34,9 +34,9 @@
 /// Handles one request and its successful outcome, which is the usual path through the router.
 fn serve_request(rig: &mut Rig, object: u64) {
     rig.now += 1.0;
-    let Some(attempt) = sent(&rig.request(object)) else { return };
+    let Some(attempt) = sent_attempt(&rig.request(object)) else { return };
     rig.now += 1.0;
-    black_box(rig.end(&attempt, 0, Ending::Completed, 1));
+    black_box(rig.end_attempt(&attempt, 0, Ending::Completed, 1));
 }
 
 /// Handles one request and its successful outcome, where one cache answers slowly. Time advances by `step_ms`
@@ -44,10 +44,10 @@
 /// the whole run.
 fn serve_request_with_slow_cache(rig: &mut Rig, object: u64, step_ms: f64) {
     rig.now += step_ms;
-    let Some(attempt) = sent(&rig.request(object)) else { return };
+    let Some(attempt) = sent_attempt(&rig.request(object)) else { return };
     rig.now += step_ms;
     let elapsed_ms = if attempt.cache == "c0:1" { 900.0 } else { 50.0 };
-    black_box(rig.end_after(&attempt, 0, (Ending::Completed, 1), elapsed_ms));
+    black_box(rig.end_attempt_after(&attempt, 0, (Ending::Completed, 1), elapsed_ms));
 }
 
 /// Numbers of caches to measure.
@@ -104,7 +104,7 @@
                 draining = !draining;
                 let phase = if draining { Phase::Draining } else { Phase::In };
                 rig.now += 1.0;
-                black_box(rig.delta(fernslip::Entry { phase, ..entry("c0:1", 1, 0) }));
+                black_box(rig.update_endpoint(fernslip::Entry { phase, ..entry("c0:1", 1, 0) }));
             });
         });
     }
@@ -115,14 +115,14 @@
         let mut rig = rig_with_caches(caches, 1000);
         // Exceeds the limit on retained purges, where each new purge searches for the oldest one.
         for n in 0..5000 {
-            rig.event(Event::Purged { object: Some(ObjectId(n)), group: 3, age_ms: 0.0 });
+            rig.handle(Event::Purged { object: Some(ObjectId(n)), group: 3, age_ms: 0.0 });
         }
         let mut n = 5000;
         group.bench_with_input(BenchmarkId::new("object", caches), &caches, |b, _| {
             b.iter(|| {
                 n += 1;
                 rig.now += 0.1;
-                black_box(rig.event(Event::Purged { object: Some(ObjectId(n)), group: 3, age_ms: 0.0 }));
+                black_box(rig.handle(Event::Purged { object: Some(ObjectId(n)), group: 3, age_ms: 0.0 }));
             });
         });
     }
@@ -138,7 +138,7 @@
         group.bench_with_input(BenchmarkId::new("timer, by requests sent", open), &open, |b, _| {
             b.iter(|| {
                 rig.now += 0.01;
-                black_box(rig.event(Event::Timer { token: 0 }));
+                black_box(rig.handle(Event::Timer { token: 0 }));
             });
         });
     }
--- a/crates/fernslip/src/api.rs
+++ b/crates/fernslip/src/api.rs
@@ -13,7 +13,7 @@
 pub use endpoints::{Entry, ListKind, Phase};
 pub use errors::SettingsError;
 pub use events::{Ending, Event, Outcome, Request};
-pub use settings::{Class, DedupScope, Effect, Neighbours, NoteLevel, Settings};
+pub use settings::{Class, DedupScope, DetailLevel, Effect, Neighbours, Settings};
 
 use std::sync::Arc;
 
--- a/crates/fernslip/src/api/settings.rs
+++ b/crates/fernslip/src/api/settings.rs
@@ -65,7 +65,7 @@
 
 /// Which outcomes give a [`crate::Outcome::detail`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoteLevel {
+pub enum DetailLevel {
     /// All outcomes, including failures.
     All,
     /// Only served requests: whether the answer was a hit or a fill.
@@ -98,13 +98,13 @@
     /// The request classes, at least one. Events name a class by its index.
     pub classes: Vec<Class>,
     /// Whether requests may be sent directly to a parent or the origin.
-    pub straight: bool,
+    pub direct_to_source: bool,
     /// Whether a request may join a fill in flight (request coalescing).
-    pub joins: bool,
+    pub join_fills: bool,
     /// Which caches may be the source of a fill at another cache.
     pub neighbours: Neighbours,
     /// Which outcomes give a [`crate::Outcome::detail`].
-    pub notes: NoteLevel,
+    pub detail_level: DetailLevel,
     /// Full rate of one transfer, in KB/s. Above 0. The weights of the endpoint list count transfers at this
     /// rate.
     pub stream_kb_per_s: f64,
--- a/crates/fernslip/src/bootstrap.rs
+++ b/crates/fernslip/src/bootstrap.rs
@@ -90,7 +90,7 @@
 
 impl Bootstrap {
     /// Collects the states of the nodes: caches first, then parents, then the origin.
-    pub fn of<'a>(
+    pub fn from_nodes<'a>(
         all: impl Iterator<Item = &'a Node>,
         now: f64,
         known_ms: f64,
@@ -129,7 +129,7 @@
     }
 
     /// Decodes a bootstrap and the zone of its sender. `None`: the message is malformed.
-    pub fn read(data: &[u8]) -> Option<(u8, Bootstrap)> {
+    pub fn decode(data: &[u8]) -> Option<(u8, Bootstrap)> {
         let [VERSION, zone, 1, known, fill_limit, rest @ ..] = data else { return None };
         if rest.len() % NODE_BYTES != 0 {
             return None;
--- a/crates/fernslip/src/facade.rs
+++ b/crates/fernslip/src/facade.rs
@@ -28,7 +28,7 @@
 //!
 //! let config: serde_json::Value =
 //!     serde_json::from_str(&std::fs::read_to_string("../../examples/config.json")?)?;
-//! let (settings, names) = json::settings(&config["settings"])?;
+//! let (settings, names) = json::parse_settings(&config["settings"])?;
 //! let dispatcher = Dispatcher::new(settings, 42, SingleThreadedFront)?;
 //! let entry = |name: &str, zone, kind| Entry {
 //!     cache: name.into(),
@@ -308,7 +308,10 @@
     /// Counts the listed nodes, and those of them that get no new attempts.
     pub fn endpoint_counts(&self) -> EndpointCounts {
         let state = self.lock();
-        EndpointCounts { listed: state.exclusions.listed_count(), avoided: state.exclusions.draining_count() }
+        EndpointCounts {
+            listed: state.exclusions.listed_count(),
+            draining: state.exclusions.draining_count(),
+        }
     }
 
     /// Reports that an object, or with `None` a whole purge group, was purged `age_ms` milliseconds ago.
@@ -351,7 +354,7 @@
     }
 
     /// Number of requests since the start that got no further attempt, by reason.
-    pub fn given_up(&self) -> Vec<(&'static str, u64)> {
+    pub fn rejection_counts(&self) -> Vec<(&'static str, u64)> {
         self.lock().router.rejections.totals().iter().map(|(reason, count)| (*reason, *count)).collect()
     }
 
--- a/crates/fernslip/src/facade/answers.rs
+++ b/crates/fernslip/src/facade/answers.rs
@@ -76,5 +76,5 @@
     /// Nodes that are in service or draining.
     pub listed: usize,
     /// Listed nodes that get no new attempts: excluded manually, or draining in the endpoint list.
-    pub avoided: usize,
+    pub draining: usize,
 }
--- a/crates/fernslip/src/filter.rs
+++ b/crates/fernslip/src/filter.rs
@@ -8,7 +8,7 @@
 pub struct KeyHashes(pub [u32; 4]);
 
 /// KeyHashes a key that consists of several numbers.
-pub fn hash(parts: &[u64]) -> KeyHashes {
+pub fn hash_key(parts: &[u64]) -> KeyHashes {
     let mut digest = Md5::new();
     for part in parts {
         digest.update(part.to_be_bytes());
@@ -83,34 +83,34 @@
 
     /// Whether either generation contains the key; false positives are possible.
     pub fn contains(&self, key: KeyHashes) -> bool {
-        self.count(key) > 0
+        self.estimate_count(key) > 0
     }
 
     /// Estimated count of the key: the larger of the two generations' estimates, at most 15.
-    pub fn count(&self, key: KeyHashes) -> u8 {
+    pub fn estimate_count(&self, key: KeyHashes) -> u8 {
         let positions = self.positions(key);
         Self::min_counter(&self.current, &positions).max(Self::min_counter(&self.previous, &positions))
     }
 
     /// Increments the key's counters in the current generation, even if it contains the key already.
-    pub fn bump(&mut self, key: KeyHashes) {
+    pub fn increment(&mut self, key: KeyHashes) {
         for p in self.positions(key) {
             Self::step_counter(&mut self.current, p, true);
         }
     }
 
     /// Adds the key to the current generation unless it contains it already. Returns the changes made.
-    pub fn add(&mut self, key: KeyHashes) -> Vec<Change> {
+    pub fn add(&mut self, key: KeyHashes) -> Vec<CounterChange> {
         let positions = self.positions(key);
         if Self::min_counter(&self.current, &positions) > 0 {
             return Vec::new();
         }
-        positions.into_iter().map(|at| self.apply_change(Change { at, up: true })).collect()
+        positions.into_iter().map(|at| self.apply_change(CounterChange { at, up: true })).collect()
     }
 
     /// Removes the key from each generation that contains it. Returns the changes made to the current
     /// generation.
-    pub fn remove(&mut self, key: KeyHashes) -> Vec<Change> {
+    pub fn remove(&mut self, key: KeyHashes) -> Vec<CounterChange> {
         let positions = self.positions(key);
         if Self::min_counter(&self.previous, &positions) > 0 {
             positions.iter().for_each(|&p| Self::step_counter(&mut self.previous, p, false));
@@ -118,22 +118,22 @@
         if Self::min_counter(&self.current, &positions) == 0 {
             return Vec::new();
         }
-        positions.into_iter().map(|at| self.apply_change(Change { at, up: false })).collect()
+        positions.into_iter().map(|at| self.apply_change(CounterChange { at, up: false })).collect()
     }
 
     /// Changes that would make an empty filter contain the same keys as this one.
-    pub fn changes_from_empty(&self) -> Vec<Change> {
+    pub fn changes_from_empty(&self) -> Vec<CounterChange> {
         let is_set = |at: &u32| Self::counter(&self.current, *at).max(Self::counter(&self.previous, *at)) > 0;
-        (0..self.counters() as u32).filter(is_set).map(|at| Change { at, up: true }).collect()
+        (0..self.counters() as u32).filter(is_set).map(|at| CounterChange { at, up: true }).collect()
     }
 
-    fn apply_change(&mut self, change: Change) -> Change {
+    fn apply_change(&mut self, change: CounterChange) -> CounterChange {
         Self::step_counter(&mut self.current, change.at, change.up);
         change
     }
 
     /// Applies changes received from a peer, and ignores positions outside the filter.
-    pub fn apply(&mut self, changes: &[Change]) {
+    pub fn apply(&mut self, changes: &[CounterChange]) {
         let counters = self.counters() as u32;
         for &c in changes.iter().filter(|c| c.at < counters) {
             self.apply_change(c);
@@ -155,7 +155,7 @@
 
 /// Increment or decrement of one counter of a filter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Change {
+pub struct CounterChange {
     /// Position of the counter in its generation.
     pub at: u32,
     /// Whether the counter goes up by one; otherwise it goes down by one.
@@ -185,7 +185,7 @@
 
 /// Encodes changes, sorted by position, as the distances between changed counters, in pieces of at most
 /// `limit` bytes. The low bit of a distance tells whether the counter after it goes up.
-pub fn encode(changes: &[Change], limit: usize) -> Vec<Vec<u8>> {
+pub fn encode_changes(changes: &[CounterChange], limit: usize) -> Vec<Vec<u8>> {
     let mut sorted = changes.to_vec();
     sorted.sort_unstable();
     let (mut pieces, mut piece, mut last) = (Vec::new(), Vec::new(), 0);
@@ -208,12 +208,12 @@
 
 /// Decodes one piece for a filter with `counters` counters. A piece that is malformed in any part gives no
 /// changes.
-pub fn decode(mut data: &[u8], counters: usize) -> Vec<Change> {
+pub fn decode_changes(mut data: &[u8], counters: usize) -> Vec<CounterChange> {
     let (mut out, mut last) = (Vec::new(), 0u32);
     while !data.is_empty() {
         let next = read_varint(&mut data).and_then(|v| Some((v, last.checked_add(v >> 1)?)));
         let Some((v, at)) = next.filter(|p| (p.1 as usize) < counters) else { return Vec::new() };
-        out.push(Change { at, up: v & 1 == 1 });
+        out.push(CounterChange { at, up: v & 1 == 1 });
         last = at;
     }
     out
--- a/crates/fernslip/src/json.rs
+++ b/crates/fernslip/src/json.rs
@@ -27,7 +27,7 @@
 }
 
 /// Creates the error for a field with an unknown keyword.
-pub fn unknown(key: &str, value: &str) -> JsonError {
+pub fn unknown_keyword(key: &str, value: &str) -> JsonError {
     JsonError::Unknown { key: key.into(), value: value.into() }
 }
 
@@ -58,7 +58,7 @@
 ///
 /// # Errors
 /// The field is missing, or its value is not a number.
-pub fn number(object: &Value, key: &str) -> JsonResult<f64> {
+pub fn number_field(object: &Value, key: &str) -> JsonResult<f64> {
     require_field(object[key].as_f64(), key, "not a number")
 }
 
@@ -66,18 +66,18 @@
 ///
 /// # Errors
 /// The value is not a number.
-pub fn number_or_zero(object: &Value, key: &str) -> JsonResult<f64> {
+pub fn number_field_or_zero(object: &Value, key: &str) -> JsonResult<f64> {
     if object[key].is_null() {
         return Ok(0.0);
     }
-    number(object, key)
+    number_field(object, key)
 }
 
 /// Reads a string.
 ///
 /// # Errors
 /// The field is missing, or its value is not a string.
-pub fn text<'a>(object: &'a Value, key: &str) -> JsonResult<&'a str> {
+pub fn string_field<'a>(object: &'a Value, key: &str) -> JsonResult<&'a str> {
     require_field(object[key].as_str(), key, "not a string")
 }
 
@@ -85,7 +85,7 @@
 ///
 /// # Errors
 /// The field is missing, or its value is not an array.
-pub fn list<'a>(object: &'a Value, key: &str) -> JsonResult<&'a [Value]> {
+pub fn array_field<'a>(object: &'a Value, key: &str) -> JsonResult<&'a [Value]> {
     require_field(object[key].as_array().map(Vec::as_slice), key, "not an array")
 }
 
@@ -93,12 +93,12 @@
 ///
 /// # Errors
 /// The field is missing, or its value is not a string of hexadecimal digits that fits 64 bits.
-pub fn hex(object: &Value, key: &str) -> JsonResult<u64> {
-    require_field(u64::from_str_radix(text(object, key)?, 16).ok(), key, "not 16 hex digits")
+pub fn hex_field(object: &Value, key: &str) -> JsonResult<u64> {
+    require_field(u64::from_str_radix(string_field(object, key)?, 16).ok(), key, "not 16 hex digits")
 }
 
 fn string_list(object: &Value, key: &str) -> JsonResult<Vec<String>> {
-    list(object, key)?
+    array_field(object, key)?
         .iter()
         .map(|n| require_field(n.as_str().map(String::from), key, "not an array of strings"))
         .collect()
@@ -122,48 +122,48 @@
 ///
 /// # Errors
 /// A field is missing or of the wrong type, or names an unknown zone or effect.
-pub fn settings(info: &Value) -> JsonResult<(Settings, Names)> {
+pub fn parse_settings(info: &Value) -> JsonResult<(Settings, Names)> {
     let (family, permissions, rules) = (&info["family_info"], &info["permissions"], &info["rules"]);
     let zones = string_list(info, "areas")?;
     let kinds = string_list(info, "kinds")?;
     let classes = parse_classes(info, family)?;
     let by_zone =
         |key: &str| -> Vec<f64> { (0..zones.len()).map(|z| number_at_or_zero(family, key, z)).collect() };
-    let zone = text(info, "zone")?;
+    let zone = string_field(info, "zone")?;
     let settings = Settings {
-        zone: zones.iter().position(|z| z == zone).ok_or_else(|| unknown("zone", zone))?,
+        zone: zones.iter().position(|z| z == zone).ok_or_else(|| unknown_keyword("zone", zone))?,
         zone_routers: by_zone("zone_balancers").into_iter().map(|n| n as u32).collect(),
         link_in_kb_per_s: by_zone("link_in_kb_per_s"),
         kinds: kinds.len(),
         parent_kind: optional_index(family, "mid_kind")?,
         origin_kind: optional_index(family, "origin_kind")?,
-        slot: number(info, "slot_no")? as u32,
-        routers: number(info, "group_size")? as u32,
-        straight: flag_or_false(family, "straight"),
-        joins: flag_or_false(family, "collapses"),
+        slot: number_field(info, "slot_no")? as u32,
+        routers: number_field(info, "group_size")? as u32,
+        direct_to_source: flag_or_false(family, "straight"),
+        join_fills: flag_or_false(family, "collapses"),
         neighbours: parse_neighbours(family),
-        notes: parse_note_level(family),
-        stream_kb_per_s: number(family, "stream_kb_per_s")?,
-        max_attempts: number(permissions, "max_attempts")? as u32,
-        max_in_flight: number(permissions, "max_open")? as u32,
+        detail_level: parse_detail_level(family),
+        stream_kb_per_s: number_field(family, "stream_kb_per_s")?,
+        max_attempts: number_field(permissions, "max_attempts")? as u32,
+        max_in_flight: number_field(permissions, "max_open")? as u32,
         parallel: flag_or_false(permissions, "parallel_tries"),
         cancel: flag_or_false(permissions, "cancelling"),
         peers: flag_or_false(permissions, "peers"),
         // Read even if the platform says that its clients ignore the hint: a rejected client is always told
         // when to retry.
-        max_retry_after_ms: number_or_zero(permissions, "max_retry_after_ms")?,
+        max_retry_after_ms: number_field_or_zero(permissions, "max_retry_after_ms")?,
         lists_on_request: info["discovery"].as_str() == Some("on_request"),
-        tick_ms: number_or_zero(info, "tick_ms")?,
-        drain_grace_ms: number(rules, "drain_grace_ms")?,
-        slow_start_from: number(rules, "start_capacity")?,
-        slow_start_ms: number(rules, "warm_up_ms")?,
-        slow_start_multiple: number(rules, "tip_multiple")?,
-        slow_start_window_ms: number(rules, "overload_for_ms")?,
-        parent_slow_start_from: number_or_zero(family, "parent_starts_at")?,
-        parent_slow_start_ms: number_or_zero(family, "upper_cold_ms")?,
-        parent_slow_start_multiple: number_or_zero(family, "parent_breaks_at")?,
-        purge_slack_ms: number_or_zero(family, "purge_slack_ms")?,
-        purge_done_ms: number_or_zero(family, "purge_done_ms")?,
+        tick_ms: number_field_or_zero(info, "tick_ms")?,
+        drain_grace_ms: number_field(rules, "drain_grace_ms")?,
+        slow_start_from: number_field(rules, "start_capacity")?,
+        slow_start_ms: number_field(rules, "warm_up_ms")?,
+        slow_start_multiple: number_field(rules, "tip_multiple")?,
+        slow_start_window_ms: number_field(rules, "overload_for_ms")?,
+        parent_slow_start_from: number_field_or_zero(family, "parent_starts_at")?,
+        parent_slow_start_ms: number_field_or_zero(family, "upper_cold_ms")?,
+        parent_slow_start_multiple: number_field_or_zero(family, "parent_breaks_at")?,
+        purge_slack_ms: number_field_or_zero(family, "purge_slack_ms")?,
+        purge_done_ms: number_field_or_zero(family, "purge_done_ms")?,
         zones: zones.clone(),
         classes,
     };
@@ -174,31 +174,31 @@
 }
 
 fn parse_classes(info: &Value, family: &Value) -> JsonResult<Vec<Class>> {
-    list(info, "classes")?.iter().enumerate().map(|(index, c)| parse_class(c, index, family)).collect()
+    array_field(info, "classes")?.iter().enumerate().map(|(index, c)| parse_class(c, index, family)).collect()
 }
 
 /// Parses the class at `index`. Some of its fields are in arrays of `family_info`, in the order of the
 /// classes.
 fn parse_class(class: &Value, index: usize, family: &Value) -> JsonResult<Class> {
     Ok(Class {
-        name: text(class, "name")?.to_string(),
-        objective_ms: number(class, "objective_ms")?,
-        objective_stretch: number_or_zero(class, "aim_stretch")?,
-        deadline_ms: number(class, "deadline_ms")?,
-        priority_weight: number(class, "importance")?,
-        late_weight: number_or_zero(class, "late_worth")?,
-        effect: match text(class, "semantics")? {
+        name: string_field(class, "name")?.to_string(),
+        objective_ms: number_field(class, "objective_ms")?,
+        objective_stretch: number_field_or_zero(class, "aim_stretch")?,
+        deadline_ms: number_field(class, "deadline_ms")?,
+        priority_weight: number_field(class, "importance")?,
+        late_weight: number_field_or_zero(class, "late_worth")?,
+        effect: match string_field(class, "semantics")? {
             "idempotent" => Effect::Idempotent,
             "deduplicated" => Effect::Deduplicated,
             "at_most_once" => Effect::AtMostOnce,
-            other => return Err(unknown(&format!("classes[{index}].semantics"), other)),
+            other => return Err(unknown_keyword(&format!("classes[{index}].semantics"), other)),
         },
         scope: match class["dedup_scope"].as_str().unwrap_or("cell") {
             "all" => DedupScope::All,
             "zone" => DedupScope::Zone,
             _ => DedupScope::Cell,
         },
-        repeat_window_ms: number_or_zero(class, "repeat_window_ms")?,
+        repeat_window_ms: number_field_or_zero(class, "repeat_window_ms")?,
         write: family["class_write"].get(index).and_then(Value::as_bool).unwrap_or(false),
         fresh_ms: number_at_or_zero(family, "good_for_ms", index),
         grace_ms: number_at_or_zero(family, "grace_for_ms", index),
@@ -213,10 +213,10 @@
     }
 }
 
-fn parse_note_level(family: &Value) -> NoteLevel {
+fn parse_detail_level(family: &Value) -> DetailLevel {
     match family["note_level"].as_str() {
-        Some("all") => NoteLevel::All,
-        Some("hit") => NoteLevel::Hit,
-        _ => NoteLevel::None,
+        Some("all") => DetailLevel::All,
+        Some("hit") => DetailLevel::Hit,
+        _ => DetailLevel::None,
     }
 }
--- a/crates/fernslip/src/lib.rs
+++ b/crates/fernslip/src/lib.rs
@@ -52,10 +52,10 @@
 //!         fresh_ms: 0.0,
 //!         grace_ms: 0.0,
 //!     }],
-//!     straight: false,
-//!     joins: true,
+//!     direct_to_source: false,
+//!     join_fills: true,
 //!     neighbours: Neighbours::Location,
-//!     notes: NoteLevel::All,
+//!     detail_level: DetailLevel::All,
 //!     stream_kb_per_s: 4000.0,
 //!     max_attempts: 4,
 //!     max_in_flight: 1000,
@@ -131,4 +131,4 @@
 mod state;
 
 pub use api::*;
-pub use policy::{Retained, Router};
+pub use policy::{RetainedCounts, Router};
--- a/crates/fernslip/src/policy.rs
+++ b/crates/fernslip/src/policy.rs
@@ -193,7 +193,7 @@
 
 /// Numbers of items that a router retains, for monitoring its memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Retained {
+pub struct RetainedCounts {
     /// Requests in flight, including finished ones whose attempts still have outcomes to come.
     pub requests: usize,
     /// Purges that are retained because older copies may still exist.
@@ -266,7 +266,9 @@
         // Greets all routers at the start, and then once per generation while a router of the location is
         // unknown, to find restarted and late routers. A router that was removed for good costs a few bytes.
         if self.settings.peers && !self.peers.all_known(self.settings.routers_in_location()) {
-            out.push(Action::SendToAllPeers { data: message::greeting(self.settings.zone as u8, true) });
+            out.push(Action::SendToAllPeers {
+                data: message::encode_greeting(self.settings.zone as u8, true),
+            });
         }
         self.nodes.values_mut().for_each(|node| node.filter.rotate());
         self.demand.rotate();
@@ -287,8 +289,8 @@
     }
 
     /// Returns the numbers of items that are retained now.
-    pub fn retained(&self) -> Retained {
-        Retained {
+    pub fn retained(&self) -> RetainedCounts {
+        RetainedCounts {
             requests: self.requests.len(),
             purges: self.purges.len(),
             filter_changes: self.nodes.values().map(|node| node.changes.len()).sum(),
--- a/crates/fernslip/src/policy/filters.rs
+++ b/crates/fernslip/src/policy/filters.rs
@@ -3,13 +3,13 @@
 use super::Router;
 use super::{MAX_PENDING_FILTER_CHANGES, RANK_2_MIN_REQUESTS, RANK_3_MIN_REQUESTS};
 use crate::api::*;
-use crate::filter::{Change, Filter};
+use crate::filter::{CounterChange, Filter};
 use crate::state::PendingRequest;
 
 impl Router {
     /// Applies a change to a node's filter and queues the resulting changes for peers; those beyond
     /// `MAX_PENDING_FILTER_CHANGES` are dropped.
-    pub(super) fn update_filter(&mut self, id: &CacheId, change: impl Fn(&mut Filter) -> Vec<Change>) {
+    pub(super) fn update_filter(&mut self, id: &CacheId, change: impl Fn(&mut Filter) -> Vec<CounterChange>) {
         if let Some(node) = self.nodes.get_mut(id) {
             let capacity = MAX_PENDING_FILTER_CHANGES.saturating_sub(node.changes.len());
             node.changes.extend(change(&mut node.filter).into_iter().take(capacity));
@@ -22,7 +22,7 @@
         if self.settings.classes[req.request.class].write {
             return 0;
         }
-        let recent = self.demand.count(req.key);
+        let recent = self.demand.estimate_count(req.key);
         1 + u8::from(recent >= RANK_2_MIN_REQUESTS) + u8::from(recent >= RANK_3_MIN_REQUESTS)
     }
 }
--- a/crates/fernslip/src/policy/learning.rs
+++ b/crates/fernslip/src/policy/learning.rs
@@ -122,7 +122,7 @@
         out: &mut Vec<Action>,
     ) {
         let sibling = self.source_is_sibling(route);
-        let reason_given = self.settings.notes == NoteLevel::All && outcome.detail != 0;
+        let reason_given = self.settings.detail_level == DetailLevel::All && outcome.detail != 0;
         let blame = self.assign_blame(req, outcome, route);
         for (id, strength) in [(route.target, blame.target), (route.source, blame.source)] {
             if strength > 0.0 {
@@ -159,7 +159,7 @@
         let timed_out = outcome.ending == Ending::TimedOut;
         let explained_otherwise =
             || route.hit_expected || route.target_slow || !answered_nothing_since(route.source);
-        let all_notes = self.settings.notes == NoteLevel::All;
+        let failures_have_detail = self.settings.detail_level == DetailLevel::All;
         match (outcome.ending, outcome.detail) {
             (Ending::Saturated, 0) if outcome.elapsed_ms < MAX_LOCAL_REJECTION_MS => Blame::target_only(1.0),
             (Ending::Saturated, 0) => Blame::NONE,
@@ -170,7 +170,9 @@
             (_, detail) if detail::SOURCE_FAILED.contains(&detail) => Blame::SOURCE_ONLY,
             (Ending::ConnectionRefused, _) => Blame::target_only(1.5),
             (Ending::ConnectionLost, _) => Blame::target_only(1.0),
-            _ if route.source == route.target || route.hit_expected || all_notes => Blame::target_only(1.0),
+            _ if route.source == route.target || route.hit_expected || failures_have_detail => {
+                Blame::target_only(1.0)
+            }
             _ => self.blame_by_history(route),
         }
     }
--- a/crates/fernslip/src/policy/nodes.rs
+++ b/crates/fernslip/src/policy/nodes.rs
@@ -4,7 +4,7 @@
 use super::Router;
 use super::{FILTER_COUNTERS, FILTER_HASHES, INITIAL_FILLS_PER_WEIGHT};
 use crate::api::*;
-use crate::filter::hash;
+use crate::filter::hash_key;
 use crate::rendezvous::key_to_u64;
 use crate::state::{Node, Role};
 use std::collections::BTreeSet;
@@ -61,7 +61,7 @@
         let counters = if role == Role::Edge { FILTER_COUNTERS } else { 0 };
         let node = self.nodes.entry(entry.cache).or_insert_with_key(|id| {
             let name: Vec<u64> = id.0.bytes().map(u64::from).collect();
-            Node::new(key_to_u64(hash(&name)), entry.started_ms, entry.phase, counters, FILTER_HASHES)
+            Node::new(key_to_u64(hash_key(&name)), entry.started_ms, entry.phase, counters, FILTER_HASHES)
         });
         let returned = node.phase == Phase::Out && entry.phase == Phase::In;
         if entry.started_ms > node.started_ms || returned {
--- a/crates/fernslip/src/policy/peers.rs
+++ b/crates/fernslip/src/policy/peers.rs
@@ -12,7 +12,12 @@
     pub(super) fn send_filter_changes(&mut self, out: &mut Vec<Action>) {
         for node in self.nodes.values_mut() {
             let changes = std::mem::take(&mut node.changes);
-            for data in message::changes(self.settings.zone as u8, node.tag, &changes, MAX_MESSAGE_BYTES) {
+            for data in message::encode_change_messages(
+                self.settings.zone as u8,
+                node.tag,
+                &changes,
+                MAX_MESSAGE_BYTES,
+            ) {
                 out.extend(
                     self.peers.known_routers().map(|to| Action::SendToPeer { to, data: data.clone() }),
                 );
@@ -25,12 +30,12 @@
     pub(super) fn handle_peer_message(&mut self, from: u32, data: &[u8], out: &mut Vec<Action>) {
         let own_zone = self.settings.zone as u8;
         let known = self.settings.peers && from != self.settings.slot && from < self.settings.routers;
-        let bootstrap = Bootstrap::read(data).filter(|(zone, _)| known && *zone == own_zone);
+        let bootstrap = Bootstrap::decode(data).filter(|(zone, _)| known && *zone == own_zone);
         if let Some((_, bootstrap)) = bootstrap {
             return self.adopt_bootstrap(&bootstrap);
         }
         // A message that is malformed or whose sender is no other router of the tier is only counted.
-        let Some((zone, message)) = message::read(data, FILTER_COUNTERS).filter(|_| known) else {
+        let Some((zone, message)) = message::decode_message(data, FILTER_COUNTERS).filter(|_| known) else {
             self.malformed += 1;
             return;
         };
@@ -57,19 +62,25 @@
     fn send_bootstrap(&self, to: u32, out: &mut Vec<Action>) {
         let zone = self.settings.zone as u8;
         let known_ms = self.peers.known_ms(self.now_ms);
-        out.push(Action::SendToPeer { to, data: message::greeting(zone, false) });
+        out.push(Action::SendToPeer { to, data: message::encode_greeting(zone, false) });
         if known_ms < MIN_LEARNED_FOR_BOOTSTRAP_MS {
             return;
         }
         let in_service = self.nodes.values().filter(|node| node.phase == Phase::In);
-        let bootstrap = Bootstrap::of(in_service.clone(), self.now_ms, known_ms, self.fill_limiter.limit);
+        let bootstrap =
+            Bootstrap::from_nodes(in_service.clone(), self.now_ms, known_ms, self.fill_limiter.limit);
         out.push(Action::SendToPeer { to, data: bootstrap.encode(zone, MAX_MESSAGE_BYTES) });
         // The keys of the cache nodes are sent by one router only: the starting router's successor by number.
         if !self.peers.is_successor_of(self.settings.slot, to) {
             return;
         }
         for node in in_service.filter(|node| node.role == Role::Edge) {
-            let keys = message::changes(zone, node.tag, &node.filter.changes_from_empty(), MAX_MESSAGE_BYTES);
+            let keys = message::encode_change_messages(
+                zone,
+                node.tag,
+                &node.filter.changes_from_empty(),
+                MAX_MESSAGE_BYTES,
+            );
             let keys = keys.into_iter().take(MAX_BOOTSTRAP_KEY_MESSAGES);
             out.extend(keys.map(|data| Action::SendToPeer { to, data }));
         }
--- a/crates/fernslip/src/policy/request.rs
+++ b/crates/fernslip/src/policy/request.rs
@@ -8,7 +8,7 @@
     SILENCE_CHECK_INTERVAL_MS, SILENCE_TIMEOUT_MS, UNKNOWN_SIZE_OBJECTIVE_FRACTION,
 };
 use crate::api::*;
-use crate::filter::hash;
+use crate::filter::hash_key;
 use crate::state::{Attempt, AttemptKind, PendingRequest, Plan, RejectReason};
 
 impl Router {
@@ -27,7 +27,7 @@
         self.dispatch(req, out);
         let admitted = self.requests.get(&id);
         if let Some(r) = admitted.filter(|r| !self.settings.classes[r.request.class].write) {
-            self.demand.bump(r.key);
+            self.demand.increment(r.key);
         }
         self.requests_since_sync += 1;
         if self.requests_since_sync.saturating_mul(self.settings.routers_in_location()) >= REQUESTS_PER_SYNC {
@@ -40,7 +40,7 @@
     /// the class's mean transfer time.
     fn pending_request(&mut self, request: Request) -> PendingRequest {
         let class = &self.settings.classes[request.class];
-        let key = hash(&[request.object.0, u64::from(request.part)]);
+        let key = hash_key(&[request.object.0, u64::from(request.part)]);
         let mean_ms = &mut self.mean_work_ms[request.class];
         let work_ms = match request.size_kb > 0.0 && request.size_kb.is_finite() {
             true => request.size_kb / self.settings.stream_kb_per_s * 1000.0,
@@ -140,7 +140,7 @@
             begin_by_ms: self.retry_window_end_ms(req),
             rank: self.cache_rank(req),
             age_ms: self.max_copy_age_ms(req, lookup_only),
-            join: self.settings.joins && !class.write,
+            join: self.settings.join_fills && !class.write,
             renew: class.fresh_ms > 0.0,
         }
     }
--- a/crates/fernslip/src/state.rs
+++ b/crates/fernslip/src/state.rs
@@ -3,7 +3,7 @@
 
 use crate::api::*;
 use crate::bandwidth::{DeliveryRate, Link};
-use crate::filter::{Change, Filter, KeyHashes};
+use crate::filter::{CounterChange, Filter, KeyHashes};
 use crate::in_flight::InFlight;
 use std::collections::{BTreeSet, VecDeque};
 
@@ -55,7 +55,7 @@
     /// Keys that the node is known to hold.
     pub filter: Filter,
     /// Filter changes that have not been sent to peers yet.
-    pub changes: Vec<Change>,
+    pub changes: Vec<CounterChange>,
     /// Moving average of the node's failures, from 0 to 1.
     pub failure_rate: f64,
     /// Suspicion from other routers' gossip: below 0 if they find the node healthy, above 0 if failing.
--- a/crates/fernslip/tests/common/deployment.rs
+++ b/crates/fernslip/tests/common/deployment.rs
@@ -90,10 +90,10 @@
             routers: routers + 1,
             link_in_kb_per_s: if links { vec![0.0, link_in * flow, link_in * flow] } else { vec![0.0; 3] },
             classes,
-            straight: d.coin_flip(),
-            joins: d.coin_flip(),
+            direct_to_source: d.coin_flip(),
+            join_fills: d.coin_flip(),
             neighbours: d.choose(&[Neighbours::None, Neighbours::Location]),
-            notes: d.choose(&[NoteLevel::None, NoteLevel::Hit, NoteLevel::All]),
+            detail_level: d.choose(&[DetailLevel::None, DetailLevel::Hit, DetailLevel::All]),
             stream_kb_per_s: flow,
             max_attempts: d.uniform(1.0, 8.99) as u32,
             peers: d.coin_flip(),
@@ -173,8 +173,8 @@
         )?;
         write!(
             f,
-            "notes {:?}, neighbours {:?}, joins: {}, peers: {}, at most {} attempts, ",
-            s.notes, s.neighbours, s.joins, s.peers, s.max_attempts
+            "detail level {:?}, neighbours {:?}, joins: {}, peers: {}, at most {} attempts, ",
+            s.detail_level, s.neighbours, s.join_fills, s.peers, s.max_attempts
         )?;
         write!(
             f,
--- a/crates/fernslip/tests/common/mod.rs
+++ b/crates/fernslip/tests/common/mod.rs
@@ -34,10 +34,10 @@
         slot: 0,
         routers: 2,
         classes: vec![class()],
-        straight: false,
-        joins: true,
+        direct_to_source: false,
+        join_fills: true,
         neighbours: Neighbours::Location,
-        notes: NoteLevel::All,
+        detail_level: DetailLevel::All,
         stream_kb_per_s: 1000.0,
         max_attempts: 6,
         max_in_flight: 1000,
@@ -105,7 +105,7 @@
 }
 
 /// The first attempt that the actions forward, if any.
-pub fn sent(actions: &[Action]) -> Option<SentAttempt> {
+pub fn sent_attempt(actions: &[Action]) -> Option<SentAttempt> {
     actions.iter().find_map(|a| match a {
         Action::Forward { id, cache, source, until_ms, rank, age_ms, join, .. } => Some(SentAttempt {
             id: *id,
@@ -129,7 +129,7 @@
 }
 
 impl Rig {
-    pub fn with(settings: Settings) -> Rig {
+    pub fn with_settings(settings: Settings) -> Rig {
         Rig {
             router: Router::new(settings, 7).expect("the test settings are valid"),
             now: 100_000.0,
@@ -139,13 +139,13 @@
     }
 
     pub fn new() -> Rig {
-        let mut rig = Rig::with(settings());
+        let mut rig = Rig::with_settings(settings());
         rig.update_endpoints(endpoints());
         rig
     }
 
     /// Feeds the router one event and returns its actions.
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.router.handle(self.now, event, &mut out);
         out
@@ -153,19 +153,19 @@
 
     /// Replaces the endpoint list.
     pub fn update_endpoints(&mut self, entries: Vec<Entry>) -> Vec<Action> {
-        self.event(Event::Endpoints { kind: ListKind::Full, entries })
+        self.handle(Event::Endpoints { kind: ListKind::Full, entries })
     }
 
     /// Changes one entry of the endpoint list.
-    pub fn delta(&mut self, entry: Entry) -> Vec<Action> {
-        self.event(Event::Endpoints { kind: ListKind::Delta, entries: vec![entry] })
+    pub fn update_endpoint(&mut self, entry: Entry) -> Vec<Action> {
+        self.handle(Event::Endpoints { kind: ListKind::Delta, entries: vec![entry] })
     }
 
     /// Feeds the router a new request; the client waits for 5 s.
     pub fn request_with(&mut self, object: u64, class: usize, size_kb: f64) -> Vec<Action> {
         let id = RequestId(self.next);
         self.next += 1;
-        self.event(Event::Request(Request {
+        self.handle(Event::Request(Request {
             id,
             object: ObjectId(object),
             part: 0,
@@ -182,14 +182,14 @@
     }
 
     /// Ends an attempt with an ending and a detail, `elapsed_ms` after it was sent. The clock does not move.
-    pub fn end_after(
+    pub fn end_attempt_after(
         &mut self,
         sent: &SentAttempt,
         attempt: u32,
         how: (Ending, u8),
         elapsed_ms: f64,
     ) -> Vec<Action> {
-        self.event(Event::Outcome(Outcome {
+        self.handle(Event::Outcome(Outcome {
             id: sent.id,
             attempt,
             cache: sent.cache.as_str().into(),
@@ -203,25 +203,31 @@
     }
 
     /// Ends an attempt 50 ms after it was sent. The clock does not move.
-    pub fn end(&mut self, sent: &SentAttempt, attempt: u32, ending: Ending, detail: u8) -> Vec<Action> {
-        self.end_after(sent, attempt, (ending, detail), 50.0)
+    pub fn end_attempt(
+        &mut self,
+        sent: &SentAttempt,
+        attempt: u32,
+        ending: Ending,
+        detail: u8,
+    ) -> Vec<Action> {
+        self.end_attempt_after(sent, attempt, (ending, detail), 50.0)
     }
 
     /// Advances the clock until the router cancels an attempt; returns whether it did within three seconds.
     pub fn wait_until_cancelled(&mut self) -> bool {
         (0..60).any(|_| {
             self.now += 50.0;
-            let out = self.event(Event::Timer { token: 0 });
+            let out = self.handle(Event::Timer { token: 0 });
             out.iter().any(|a| matches!(a, Action::Cancel { .. }))
         })
     }
 
     /// Feeds a request and completes its first attempt with that detail 50 ms later; returns the attempt.
     pub fn serve(&mut self, object: u64, detail: u8) -> SentAttempt {
-        let first = sent(&self.request(object)).expect("the request is sent");
+        let first = sent_attempt(&self.request(object)).expect("the request is sent");
         self.now += 50.0;
-        let after = self.end(&first, 0, Ending::Completed, detail);
-        assert!(sent(&after).is_none(), "nothing is forwarded after the final answer");
+        let after = self.end_attempt(&first, 0, Ending::Completed, detail);
+        assert!(sent_attempt(&after).is_none(), "nothing is forwarded after the final answer");
         first
     }
 }
--- a/crates/fernslip/tests/common/simulation.rs
+++ b/crates/fernslip/tests/common/simulation.rs
@@ -309,7 +309,7 @@
         if open > 20.0 + 8.0 * self.bandwidth(c) {
             return self.schedule(self.now + 1.0, Scheduled::Outcome(to, Box::new(soon(Ending::Saturated))));
         }
-        let joins = join && self.d.set.joins;
+        let joins = join && self.d.set.join_fills;
         let under_way =
             |f: &&Flow| f.cache == c && f.links.len() > 1 && self.requests[&f.id].request.object.0 == key.0;
         if let Some(created) = good(self.cached[c].get(&key)).filter(|_| !write) {
@@ -464,16 +464,16 @@
                     self.cached[p].insert(key, f.created);
                 }
             }
-            let detail = match self.d.set.notes {
-                NoteLevel::All => f.detail,
-                NoteLevel::Hit => {
+            let detail = match self.d.set.detail_level {
+                DetailLevel::All => f.detail,
+                DetailLevel::Hit => {
                     if f.detail == 3 {
                         2
                     } else {
                         f.detail
                     }
                 }
-                NoteLevel::None => 0,
+                DetailLevel::None => 0,
             };
             let reported_in_flight =
                 self.d.reports.then(|| self.flows.iter().filter(|o| o.cache == f.cache).count() as f64);
--- a/crates/fernslip/tests/failures.rs
+++ b/crates/fernslip/tests/failures.rs
@@ -9,13 +9,13 @@
     let mut rig = Rig::new();
     let home = rig.serve(1, 1).cache;
     for _ in 0..12 {
-        let slow = sent(&rig.request(1)).unwrap();
+        let slow = sent_attempt(&rig.request(1)).unwrap();
         assert_eq!(slow.cache, home);
         rig.now += 5.0;
         assert_eq!(rig.serve(1, 1).cache, home);
-        let again = rig.end(&slow, 0, Ending::TimedOut, 0);
-        if let Some(s) = sent(&again) {
-            rig.end(&s, 1, Ending::Completed, 1);
+        let again = rig.end_attempt(&slow, 0, Ending::TimedOut, 0);
+        if let Some(s) = sent_attempt(&again) {
+            rig.end_attempt(&s, 1, Ending::Completed, 1);
         }
     }
     assert_eq!(rig.serve(1, 1).cache, home);
@@ -25,16 +25,16 @@
 #[test]
 fn a_silent_cache_is_noticed_and_its_requests_are_cancelled() {
     let mut rig = Rig::new();
-    let s = sent(&rig.request(1)).unwrap();
+    let s = sent_attempt(&rig.request(1)).unwrap();
     let mut off = None;
     while off.is_none() && rig.now < 102_500.0 {
         rig.now += 50.0;
-        off = rig.event(Event::Timer { token: 0 }).into_iter().find(|a| matches!(a, Action::Cancel { .. }));
+        off = rig.handle(Event::Timer { token: 0 }).into_iter().find(|a| matches!(a, Action::Cancel { .. }));
     }
     assert_eq!(off, Some(Action::Cancel { id: s.id, attempt: 0 }));
-    let again = sent(&rig.end(&s, 0, Ending::Cancelled, 0)).unwrap();
+    let again = sent_attempt(&rig.end_attempt(&s, 0, Ending::Cancelled, 0)).unwrap();
     assert_ne!(again.cache, s.cache);
-    assert_ne!(sent(&rig.request(1)).unwrap().cache, s.cache, "no new request is sent to a silent cache");
+    assert_ne!(sent_attempt(&rig.request(1)).unwrap().cache, s.cache, "a silent cache gets no new request");
 }
 
 /// Guards against a slow origin: misses that wait for it must not displace hits, and are rejected at once.
@@ -45,19 +45,19 @@
     let mut waiting = Vec::new();
     let mut misses = 0;
     for o in 1000..1400 {
-        match sent(&rig.request(o)) {
+        match sent_attempt(&rig.request(o)) {
             Some(s) => waiting.push(s),
             None => misses += 1,
         }
     }
     assert!(misses > 300, "most misses are rejected: {misses} of 400");
-    assert!(sent(&rig.request(1)).is_some(), "a hit is still forwarded");
+    assert!(sent_attempt(&rig.request(1)).is_some(), "a hit is still forwarded");
     let many = waiting.len();
     rig.now += 3000.0;
     for s in waiting {
-        rig.end(&s, 0, Ending::TimedOut, 7);
+        rig.end_attempt(&s, 0, Ending::TimedOut, 7);
     }
-    let next = (2000..2400).filter(|&o| sent(&rig.request(o)).is_some()).count();
+    let next = (2000..2400).filter(|&o| sent_attempt(&rig.request(o)).is_some()).count();
     assert!(next < many, "late fills lower the limit: {next} forwarded, {many} before");
 }
 
@@ -66,12 +66,12 @@
 fn a_lost_connection_counts_as_one_failure() {
     let mut rig = Rig::new();
     let home = rig.serve(1, 1).cache;
-    let open: Vec<SentAttempt> = (0..8).map(|_| sent(&rig.request(1)).unwrap()).collect();
+    let open: Vec<SentAttempt> = (0..8).map(|_| sent_attempt(&rig.request(1)).unwrap()).collect();
     rig.now += 5.0;
     for s in &open {
-        if let Some(again) = sent(&rig.end(s, 0, Ending::ConnectionLost, 0)) {
+        if let Some(again) = sent_attempt(&rig.end_attempt(s, 0, Ending::ConnectionLost, 0)) {
             assert_eq!(again.cache, home, "the request is retried at the same cache");
-            rig.end(&again, 1, Ending::Completed, 1);
+            rig.end_attempt(&again, 1, Ending::Completed, 1);
         }
     }
     rig.now += 50.0;
@@ -86,14 +86,14 @@
     let mut attempts_at_home = 0;
     for _ in 0..40 {
         rig.now += 20.0;
-        let s = sent(&rig.request(1)).unwrap();
+        let s = sent_attempt(&rig.request(1)).unwrap();
         if s.cache == home {
             attempts_at_home += 1;
-            if let Some(again) = sent(&rig.end(&s, 0, Ending::Errored, 0)) {
-                rig.end(&again, 1, Ending::Completed, 1);
+            if let Some(again) = sent_attempt(&rig.end_attempt(&s, 0, Ending::Errored, 0)) {
+                rig.end_attempt(&again, 1, Ending::Completed, 1);
             }
         } else {
-            rig.end(&s, 0, Ending::Completed, 1);
+            rig.end_attempt(&s, 0, Ending::Completed, 1);
         }
     }
     assert!(attempts_at_home < 12, "the failing cache got {attempts_at_home} of 40 requests");
@@ -110,14 +110,14 @@
     let mut rig = Rig::new();
     for n in 0..60_000u64 {
         rig.now += 3.0;
-        if let Some(s) = sent(&rig.request(n)) {
-            rig.end(&s, 0, Ending::Completed, 2);
+        if let Some(s) = sent_attempt(&rig.request(n)) {
+            rig.end_attempt(&s, 0, Ending::Completed, 2);
         }
         if n % 3 == 0 {
-            rig.event(Event::Purged { object: Some(ObjectId(n)), group: n, age_ms: 10.0 });
+            rig.handle(Event::Purged { object: Some(ObjectId(n)), group: n, age_ms: 10.0 });
         }
     }
-    let Retained { requests, purges, filter_changes } = rig.router.retained();
+    let RetainedCounts { requests, purges, filter_changes } = rig.router.retained();
     assert_eq!(requests, 0);
     assert!(purges <= 4096 && filter_changes <= 7 * 4096, "{purges} purges, {filter_changes} changes kept");
 }
@@ -130,20 +130,19 @@
     rig.update_endpoints(one);
     rig.serve(1, 1);
     // Thirty hits on a link for ten take three times their work. The objective is 400 ms plus twice the work.
-    let sent_all = (0..30).all(|_| sent(&rig.request_with(1, 0, 50.0)).is_some());
+    let sent_all = (0..30).all(|_| sent_attempt(&rig.request_with(1, 0, 50.0)).is_some());
     assert!(sent_all, "all thirty hits are forwarded");
     assert!(rejected(&rig.request_with(1, 0, 900.0)), "900 ms of work takes 2.7 s; the objective is 2.2 s");
-    assert!(sent(&rig.request_with(1, 0, 100.0)).is_some(), "a small request would still meet its objective");
+    assert!(sent_attempt(&rig.request_with(1, 0, 100.0)).is_some(), "a small request meets its objective");
 }
 
-/// Guards against rejections while caches idle: the fill limit rises fast while it is used and fills are on
-/// time.
+/// Guards against rejections while caches idle: the fill limit rises fast while used and fills are on time.
 #[test]
 fn the_fill_limit_rises_while_it_is_used_and_no_fill_is_late() {
     let capacity = |rig: &mut Rig, base: u64| {
-        let open: Vec<SentAttempt> = (0..400).map_while(|o| sent(&rig.request(base + o))).collect();
+        let open: Vec<SentAttempt> = (0..400).map_while(|o| sent_attempt(&rig.request(base + o))).collect();
         rig.now += 60.0;
-        open.iter().for_each(|s| drop(rig.end(s, 0, Ending::Completed, 3)));
+        open.iter().for_each(|s| drop(rig.end_attempt(s, 0, Ending::Completed, 3)));
         open.len()
     };
     let mut rig = Rig::new();
@@ -160,20 +159,20 @@
 fn a_silent_cache_gets_half_open_probes_only() {
     let mut rig = Rig::new();
     let home = rig.serve(1, 1).cache;
-    let s = sent(&rig.request(1)).unwrap();
+    let s = sent_attempt(&rig.request(1)).unwrap();
     rig.now += 1200.0;
-    rig.event(Event::Timer { token: 0 });
-    let again = sent(&rig.end(&s, 0, Ending::Cancelled, 0)).unwrap();
+    rig.handle(Event::Timer { token: 0 });
+    let again = sent_attempt(&rig.end_attempt(&s, 0, Ending::Cancelled, 0)).unwrap();
     assert_ne!(again.cache, home);
     let (mut probes, mut off) = (0, 0);
     for _ in 0..100 {
         rig.now += 10.0;
-        let s = sent(&rig.request(1)).unwrap();
+        let s = sent_attempt(&rig.request(1)).unwrap();
         match s.cache == home {
             true => probes += 1,
-            false => drop(rig.end(&s, 0, Ending::Completed, 1)),
+            false => drop(rig.end_attempt(&s, 0, Ending::Completed, 1)),
         }
-        let cancels = rig.event(Event::Timer { token: 0 });
+        let cancels = rig.handle(Event::Timer { token: 0 });
         off += cancels.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
     }
     assert!((1..=5).contains(&probes), "{probes} probes in a second, 1 to 5 expected");
@@ -185,12 +184,12 @@
 fn a_purge_evicted_by_a_flood_of_purges_still_bounds_the_age_of_copies() {
     let mut rig = Rig::new();
     for n in 0..5000 {
-        rig.event(Event::Purged { object: Some(ObjectId(n)), group: 900, age_ms: 0.0 });
+        rig.handle(Event::Purged { object: Some(ObjectId(n)), group: 900, age_ms: 0.0 });
     }
     rig.now += 400.0;
     let first = rig.serve(0, 3);
     assert!(first.age_ms > 0.0 && first.age_ms < 400.0, "older copies are excluded: {first:?}");
-    rig.event(Event::Purged { object: Some(ObjectId(9000)), group: 900, age_ms: 5000.0 });
+    rig.handle(Event::Purged { object: Some(ObjectId(9000)), group: 900, age_ms: 5000.0 });
     let still = rig.serve(0, 3);
     assert!(still.age_ms < 460.0, "an older purge does not raise the allowed age: {still:?}");
 }
@@ -198,9 +197,9 @@
 /// Guards against rejections of large requests: one open attempt of one of nine routers was taken for nine.
 #[test]
 fn one_open_attempt_of_one_router_among_many_is_no_congestion() {
-    let mut rig = Rig::with(Settings { zone_routers: vec![0, 9, 1], routers: 10, ..settings() });
+    let mut rig = Rig::with_settings(Settings { zone_routers: vec![0, 9, 1], routers: 10, ..settings() });
     rig.update_endpoints(endpoints().into_iter().map(|e| Entry { weight: 2.0, ..e }).collect());
-    let large = |rig: &mut Rig| sent(&rig.request_with(1, 0, 300.0));
+    let large = |rig: &mut Rig| sent_attempt(&rig.request_with(1, 0, 300.0));
     let home = large(&mut rig).expect("the request is sent").cache;
     assert_eq!(large(&mut rig).expect("the request is sent").cache, home, "the request stays at its home");
     for _ in 0..40 {
@@ -217,7 +216,7 @@
         let s = Settings { zone_routers: vec![0, routers, 1], routers: routers + 1, ..settings() };
         let mut all: Vec<Rig> = (0..routers)
             .map(|slot| {
-                let mut rig = Rig::with(Settings { slot, ..s.clone() });
+                let mut rig = Rig::with_settings(Settings { slot, ..s.clone() });
                 rig.update_endpoints(endpoints());
                 rig
             })
@@ -227,7 +226,7 @@
         for step in 0..1000u64 {
             let rig = &mut all[(step % u64::from(routers)) as usize];
             rig.now = 100_000.0 + 10.0 * step as f64;
-            let goes = usize::from(sent(&rig.request(10_000 + step)).is_some());
+            let goes = usize::from(sent_attempt(&rig.request(10_000 + step)).is_some());
             (sends, late) = (sends + goes, late + if step >= 700 { goes } else { 0 });
         }
         (sends, late)
@@ -243,11 +242,11 @@
 #[test]
 fn a_fill_runs_as_long_as_the_client_waits() {
     let mut rig = Rig::new();
-    let fill = sent(&rig.request(1)).unwrap();
+    let fill = sent_attempt(&rig.request(1)).unwrap();
     assert!(fill.until_ms > rig.now + 4900.0, "a fill may take as long as the client waits: {fill:?}");
-    let again = rig.end(&fill, 0, Ending::Completed, 3);
-    assert!(sent(&again).is_none(), "no attempt follows the completed fill");
-    let hit = sent(&rig.request(1)).unwrap();
+    let again = rig.end_attempt(&fill, 0, Ending::Completed, 3);
+    assert!(sent_attempt(&again).is_none(), "no attempt follows the completed fill");
+    let hit = sent_attempt(&rig.request(1)).unwrap();
     assert!(hit.until_ms < rig.now + 1200.0, "an expected hit times out early enough for a retry: {hit:?}");
 }
 
@@ -259,9 +258,9 @@
         let (mut of_p1, mut all) = (0, 0);
         for o in objects {
             rig.now += 100.0;
-            let Some(s) = sent(&rig.request(o)) else { continue };
+            let Some(s) = sent_attempt(&rig.request(o)) else { continue };
             let took = if s.source == "p1:1" { 150.0 * slow } else { 150.0 };
-            rig.end_after(&s, 0, (Ending::Completed, 3), took);
+            rig.end_attempt_after(&s, 0, (Ending::Completed, 3), took);
             (of_p1, all) = (of_p1 + usize::from(s.source == "p1:1"), all + 1);
         }
         (of_p1, all)
@@ -285,13 +284,13 @@
     let count_at_slow = |rig: &mut Rig| {
         let mut at_slow = 0;
         for o in 0..200 {
-            let s = sent(&rig.request(o)).expect("the request is sent");
+            let s = sent_attempt(&rig.request(o)).expect("the request is sent");
             assert_ne!(s.source, slow, "a slow cache is not used as a source");
             at_slow += u32::from(s.cache == slow);
             let took = if s.cache == slow { 1500.0 } else { 110.0 };
             rig.now += 2.0;
-            let again = rig.end_after(&s, 0, (Ending::Completed, 1), took);
-            assert!(sent(&again).is_none(), "a completed request is not retried");
+            let again = rig.end_attempt_after(&s, 0, (Ending::Completed, 1), took);
+            assert!(sent_attempt(&again).is_none(), "a completed request is not retried");
         }
         at_slow
     };
@@ -299,13 +298,13 @@
     let after = count_at_slow(&mut rig);
     assert!(after * 4 < before.max(40), "the slow cache gets fewer requests: {before}, then {after}");
     for o in 1000..1020 {
-        let s = sent(&rig.request(o)).expect("fills go on, since the links are not slow");
+        let s = sent_attempt(&rig.request(o)).expect("fills go on, since the links are not slow");
         rig.now += 20.0;
-        rig.end(&s, 0, if s.cache == slow { Ending::TimedOut } else { Ending::Completed }, 2);
+        rig.end_attempt(&s, 0, if s.cache == slow { Ending::TimedOut } else { Ending::Completed }, 2);
     }
     rig.now += 60_000.0;
     assert!(
-        (2000..2200).any(|o| sent(&rig.request(o)).is_some_and(|s| s.cache == slow)),
+        (2000..2200).any(|o| sent_attempt(&rig.request(o)).is_some_and(|s| s.cache == slow)),
         "the cache is tried again after a minute"
     );
 }
@@ -317,14 +316,14 @@
     let capacity = |endings: &[Ending]| {
         let mut rig = Rig::new();
         for (n, &ending) in endings.iter().enumerate() {
-            let s = sent(&rig.request(1000 + n as u64)).expect("the request is sent");
+            let s = sent_attempt(&rig.request(1000 + n as u64)).expect("the request is sent");
             rig.now += 20.0;
-            let again = sent(&rig.end(&s, 0, ending, 0)).expect("a retry is sent");
-            rig.end(&again, 1, Ending::Completed, 2);
+            let again = sent_attempt(&rig.end_attempt(&s, 0, ending, 0)).expect("a retry is sent");
+            rig.end_attempt(&again, 1, Ending::Completed, 2);
             // Enough successes for the failure rates of the nodes to fall again.
             (0..20).for_each(|_| drop(rig.serve(1, 1)));
         }
-        (2000..2400).filter(|&o| sent(&rig.request(o)).is_some()).count()
+        (2000..2400).filter(|&o| sent_attempt(&rig.request(o)).is_some()).count()
     };
     let calm = capacity(&[]);
     assert!(capacity(&[Ending::ConnectionLost; 20]) >= calm);
@@ -338,16 +337,16 @@
     let capacity = |late: u64| {
         let mut rig = Rig::new();
         for n in 0..300 {
-            let s = sent(&rig.request(1000 + n)).expect("the request is sent");
+            let s = sent_attempt(&rig.request(1000 + n)).expect("the request is sent");
             rig.now += 20.0;
             let lost = late > 0 && n % late == late - 1;
             let (ending, took) = if lost { (Ending::TimedOut, 1500.0) } else { (Ending::Completed, 50.0) };
-            let again = rig.end_after(&s, 0, (ending, 2), took);
-            if let Some(again) = sent(&again) {
-                rig.end(&again, 1, Ending::Completed, 2);
+            let again = rig.end_attempt_after(&s, 0, (ending, 2), took);
+            if let Some(again) = sent_attempt(&again) {
+                rig.end_attempt(&again, 1, Ending::Completed, 2);
             }
         }
-        (5000..5400).filter(|&o| sent(&rig.request(o)).is_some()).count()
+        (5000..5400).filter(|&o| sent_attempt(&rig.request(o)).is_some()).count()
     };
     assert!(capacity(30) >= capacity(0));
     assert!(capacity(4) < capacity(0), "one late fill in four lowers the fill limit");
@@ -360,47 +359,47 @@
     let mut rig = Rig::new();
     let home = rig.serve(1, 1).cache;
     for n in 0..8 {
-        let s = sent(&rig.request(1)).expect("the request is sent");
+        let s = sent_attempt(&rig.request(1)).expect("the request is sent");
         rig.now += 20.0;
         if s.cache == home {
-            let again = sent(&rig.end_after(&s, 0, (Ending::Saturated, 0), 1.0)).expect("a retry is sent");
+            let again = sent_attempt(&rig.end_attempt_after(&s, 0, (Ending::Saturated, 0), 1.0))
+                .expect("a retry is sent");
             assert_ne!(again.cache, home, "request {n} is retried at another cache");
-            rig.end(&again, 1, Ending::Completed, 1);
+            rig.end_attempt(&again, 1, Ending::Completed, 1);
         } else {
-            rig.end(&s, 0, Ending::Completed, 1);
+            rig.end_attempt(&s, 0, Ending::Completed, 1);
         }
     }
-    assert_ne!(sent(&rig.request(1)).expect("the request is sent").cache, home, "the cache gets probes only");
+    assert_ne!(sent_attempt(&rig.request(1)).expect("a request is sent").cache, home, "home is only probed");
 }
 
-/// Guards against malformed requests: a request that two nodes answer with an error is itself at fault. It
-/// was sent to one node after another until its last attempt.
+/// A request that two nodes answer with an error is itself at fault; it was retried until its last attempt.
 #[test]
 fn a_request_that_fails_on_two_nodes_is_not_retried() {
     let mut rig = Rig::new();
-    let first = sent(&rig.request(1)).expect("the request is sent");
+    let first = sent_attempt(&rig.request(1)).expect("the request is sent");
     rig.now += 5.0;
-    let second = sent(&rig.end(&first, 0, Ending::Errored, 0)).expect("a retry is sent after one error");
+    let second = sent_attempt(&rig.end_attempt(&first, 0, Ending::Errored, 0)).expect("a retry is sent");
     assert_ne!(second.cache, first.cache);
     rig.now += 5.0;
-    let over = rig.end(&second, 1, Ending::Errored, 0);
-    assert!(sent(&over).is_none() && rejected(&over), "a second error rejects the request: {over:?}");
+    let over = rig.end_attempt(&second, 1, Ending::Errored, 0);
+    assert!(sent_attempt(&over).is_none() && rejected(&over), "a second error rejects the request: {over:?}");
 }
 
 /// Guards against retries at a crowded parent: all fronts sent it each rejected request six times at once.
 #[test]
 fn after_a_rejection_by_a_source_a_request_uses_another_source() {
     let mut settings = settings();
-    settings.notes = NoteLevel::Hit;
-    let mut rig = Rig::with(settings);
+    settings.detail_level = DetailLevel::Hit;
+    let mut rig = Rig::with_settings(settings);
     rig.update_endpoints(endpoints());
     let mut sources = Vec::new();
-    let mut next = sent(&rig.request(1));
+    let mut next = sent_attempt(&rig.request(1));
     for n in 0.. {
         let Some(s) = next else { break };
         sources.push(s.source.clone());
         rig.now += 20.0;
-        next = sent(&rig.end_after(&s, n, (Ending::Saturated, 0), 20.0));
+        next = sent_attempt(&rig.end_attempt_after(&s, n, (Ending::Saturated, 0), 20.0));
     }
     let once: std::collections::BTreeSet<_> = sources.iter().collect();
     assert!(sources.len() >= 2, "the request is retried with another source");
@@ -414,13 +413,12 @@
         let mut set = settings();
         set.routers = 20;
         set.zone_routers = vec![0, 10, 10];
-        let mut rig = Rig::with(set);
+        let mut rig = Rig::with_settings(set);
         rig.update_endpoints(endpoints());
         let home = rig.serve(1, 1).cache;
         rig.reported_in_flight = reported_in_flight;
         rig.serve(1, 1);
-        // A large request, which high load makes late.
-        let next = sent(&rig.request_with(1, 0, 500.0));
+        let next = sent_attempt(&rig.request_with(1, 0, 500.0)); // A large request, late at high load.
         (home, next.map(|s| s.cache))
     };
     let (home, alone) = spread(None);
@@ -434,17 +432,16 @@
 fn a_node_that_was_silent_is_not_readmitted_after_one_answer() {
     let mut rig = Rig::new();
     let home = rig.serve(1, 1).cache;
-    let s = sent(&rig.request(1)).unwrap();
+    let s = sent_attempt(&rig.request(1)).unwrap();
     assert!(rig.wait_until_cancelled(), "the attempt at the silent cache is cancelled");
-    let again = sent(&rig.end(&s, 0, Ending::Cancelled, 0)).unwrap();
+    let again = sent_attempt(&rig.end_attempt(&s, 0, Ending::Cancelled, 0)).unwrap();
     rig.now += 50.0;
-    rig.end(&again, 1, Ending::Completed, 1);
-    // A probe, which is answered.
+    rig.end_attempt(&again, 1, Ending::Completed, 1);
     let probe = (0..100).find_map(|_| {
         rig.now += 20.0;
-        let s = sent(&rig.request(1)).unwrap();
+        let s = sent_attempt(&rig.request(1)).unwrap();
         let cache = s.cache.clone();
-        rig.end(&s, 0, Ending::Completed, 1);
+        rig.end_attempt(&s, 0, Ending::Completed, 1);
         (cache == home).then_some(rig.now)
     });
     assert!(probe.is_some(), "the silent cache gets a probe");
@@ -462,13 +459,15 @@
 fn the_retry_budget_is_divided_among_the_routers_of_a_location() {
     let again = |routers: u32| {
         let set = Settings { routers: 2 * routers, zone_routers: vec![0, routers, routers], ..settings() };
-        let mut rig = Rig::with(set);
+        let mut rig = Rig::with_settings(set);
         rig.update_endpoints(endpoints().into_iter().map(|e| Entry { weight: 10_000.0, ..e }).collect());
         // Whatever their homes, all attempts lose their connections at the same time.
-        let open: Vec<SentAttempt> = (0..30).filter_map(|o| sent(&rig.request_with(o, 0, 1.0))).collect();
+        let open: Vec<_> = (0..30).filter_map(|o| sent_attempt(&rig.request_with(o, 0, 1.0))).collect();
         assert!(open.len() > 20, "more than 20 of 30 requests are forwarded: {}", open.len());
         rig.now += 5.0;
-        open.iter().filter(|s| sent(&rig.end(s, 0, Ending::ConnectionLost, 0)).is_some()).count()
+        open.iter()
+            .filter(|s| sent_attempt(&rig.end_attempt(s, 0, Ending::ConnectionLost, 0)).is_some())
+            .count()
     };
     let (alone, of_five, of_many) = (again(1), again(5), again(60));
     assert_eq!((alone, of_five, of_many), (20, 4, 1));
@@ -482,16 +481,15 @@
         let mut rig = Rig::new();
         let (mut from_origin, mut all) = (0, 0);
         for o in 0..400u64 {
-            let Some(s) = sent(&rig.request(10_000 + o)) else { continue };
+            let Some(s) = sent_attempt(&rig.request(10_000 + o)) else { continue };
             let took = if s.source.starts_with('o') { origin_ms } else { parent_ms(o) };
             rig.now += 30.0;
-            rig.end_after(&s, 0, (Ending::Completed, 3), took);
+            rig.end_attempt_after(&s, 0, (Ending::Completed, 3), took);
             (all, from_origin) = (all + 1, from_origin + u32::from(s.source.starts_with('o')));
         }
         (from_origin, all)
     };
-    // The latency objective is 600 ms.
-    let (origin, all) = sources(&|_| 1500.0, 150.0);
+    let (origin, all) = sources(&|_| 1500.0, 150.0); // The latency objective is 600 ms.
     assert!(origin * 2 > all, "{origin} of {all} fills use the fast origin, expected over half");
     let (origin, all) = sources(&|o| if o % 2 == 0 { 110.0 } else { 1500.0 }, 1500.0);
     assert!(origin * 10 < all, "{origin} of {all} fills use the slow origin, expected less than a tenth");
@@ -503,13 +501,13 @@
 #[test]
 fn a_fill_counts_as_late_before_it_ends() {
     let mut rig =
-        Rig::with(Settings { classes: vec![Class { deadline_ms: 60_000.0, ..class() }], ..settings() });
+        Rig::with_settings(Settings { classes: vec![Class { deadline_ms: 6e4, ..class() }], ..settings() });
     rig.update_endpoints(endpoints().into_iter().map(|e| Entry { weight: 1.0, ..e }).collect());
     let mut sends = 0;
     for o in 0..600u64 {
         rig.now += 5.0;
-        sends += u32::from(sent(&rig.request(o)).is_some());
-        rig.event(Event::Timer { token: 0 });
+        sends += u32::from(sent_attempt(&rig.request(o)).is_some());
+        rig.handle(Event::Timer { token: 0 });
     }
     // The objective is 600 ms, so at 200 requests a second about 120 are sent before the first is late.
     assert!((100..250).contains(&sends), "{sends} of 600 requests are sent, 100 to 249 expected");
@@ -519,25 +517,25 @@
 /// counted as late fills, so the fill limit fell to 5 and a healthy parent was ejected.
 #[test]
 fn time_outs_of_impatient_clients_are_no_evidence_on_sources_and_links() {
-    let mut rig = Rig::with(settings());
+    let mut rig = Rig::with_settings(settings());
     rig.update_endpoints(endpoints().into_iter().map(|e| Entry { weight: 1.0, ..e }).collect());
     let capacity = |rig: &mut Rig, base: u64| {
-        let open: Vec<SentAttempt> = (0..30).filter_map(|o| sent(&rig.request(base + o))).collect();
+        let open: Vec<SentAttempt> = (0..30).filter_map(|o| sent_attempt(&rig.request(base + o))).collect();
         rig.now += 150.0;
-        open.iter().for_each(|s| drop(rig.end_after(s, 0, (Ending::Completed, 3), 150.0)));
+        open.iter().for_each(|s| drop(rig.end_attempt_after(s, 0, (Ending::Completed, 3), 150.0)));
         open.len()
     };
     let before = capacity(&mut rig, 10_000);
     for o in 0..300 {
-        let s = sent(&rig.request(20_000 + o)).expect("the request is sent");
+        let s = sent_attempt(&rig.request(20_000 + o)).expect("the request is sent");
         rig.now += 40.0;
-        if let Some(again) = sent(&rig.end_after(&s, 0, (Ending::TimedOut, 0), 40.0)) {
-            rig.end_after(&again, 1, (Ending::Completed, 3), 100.0);
+        if let Some(again) = sent_attempt(&rig.end_attempt_after(&s, 0, (Ending::TimedOut, 0), 40.0)) {
+            rig.end_attempt_after(&again, 1, (Ending::Completed, 3), 100.0);
         }
     }
     assert_eq!(capacity(&mut rig, 30_000), before);
     let sources: std::collections::BTreeSet<String> =
-        (0..60).filter_map(|o| sent(&rig.request(40_000 + o))).map(|s| s.source).collect();
+        (0..60).filter_map(|o| sent_attempt(&rig.request(40_000 + o))).map(|s| s.source).collect();
     assert!(sources.contains("p1:1") && sources.contains("p2:1"), "both parents are still used: {sources:?}");
 }
 
@@ -546,20 +544,20 @@
 #[test]
 fn a_request_that_a_node_reports_as_over_is_not_retried() {
     let mut rig = Rig::new();
-    let s = sent(&rig.request(1)).expect("the request is sent");
-    let actions = rig.end_after(&s, 0, (Ending::Superseded, 0), 1.0);
-    assert!(sent(&actions).is_none(), "a request that is over is not retried: {actions:?}");
+    let s = sent_attempt(&rig.request(1)).expect("the request is sent");
+    let actions = rig.end_attempt_after(&s, 0, (Ending::Superseded, 0), 1.0);
+    assert!(sent_attempt(&actions).is_none(), "a request that is over is not retried: {actions:?}");
     assert!(rejected(&actions), "a request that never ran is rejected: {actions:?}");
     // If an earlier attempt may have run, the request fails instead of being rejected.
-    let mut rig = Rig::with(Settings {
+    let mut rig = Rig::with_settings(Settings {
         classes: vec![Class { effect: Effect::Deduplicated, scope: DedupScope::Zone, ..class() }],
         ..settings()
     });
     rig.update_endpoints(endpoints());
-    let s = sent(&rig.request(1)).expect("the request is sent");
-    let again = sent(&rig.end(&s, 0, Ending::ConnectionLost, 0)).expect("a retry is sent");
-    let actions = rig.end_after(&again, 1, (Ending::Superseded, 0), 1.0);
-    assert!(sent(&actions).is_none() && failed(&actions), "a request that may have run fails: {actions:?}");
+    let s = sent_attempt(&rig.request(1)).expect("the request is sent");
+    let again = sent_attempt(&rig.end_attempt(&s, 0, Ending::ConnectionLost, 0)).expect("a retry is sent");
+    let actions = rig.end_attempt_after(&again, 1, (Ending::Superseded, 0), 1.0);
+    assert!(sent_attempt(&actions).is_none() && failed(&actions), "a request in doubt fails: {actions:?}");
 }
 
 /// A retracted attempt was withdrawn before its first byte, so its retry needs no retry budget.
@@ -567,10 +565,12 @@
 fn a_retracted_attempt_is_retried_without_the_retry_budget() {
     let mut rig = Rig::new();
     for object in 0..200 {
-        let s = sent(&rig.request(object)).expect("the request is sent");
-        let again = sent(&rig.end_after(&s, 0, (Ending::Retracted, 0), 1.0)).expect("a retry is sent");
-        let third = sent(&rig.end_after(&again, 1, (Ending::Retracted, 0), 1.0)).expect("a retry is sent");
-        rig.end(&third, 2, Ending::Completed, 1);
+        let s = sent_attempt(&rig.request(object)).expect("the request is sent");
+        let again = sent_attempt(&rig.end_attempt_after(&s, 0, (Ending::Retracted, 0), 1.0))
+            .expect("a retry is sent");
+        let third = sent_attempt(&rig.end_attempt_after(&again, 1, (Ending::Retracted, 0), 1.0))
+            .expect("a retry is sent");
+        rig.end_attempt(&third, 2, Ending::Completed, 1);
         rig.now += 5.0;
     }
 }
@@ -579,7 +579,7 @@
 #[test]
 fn a_repeat_of_a_deduplicated_request_must_begin_within_its_window() {
     let keyed = Class { effect: Effect::Deduplicated, scope: DedupScope::Zone, ..class() };
-    let mut rig = Rig::with(Settings { classes: vec![keyed.clone()], ..settings() });
+    let mut rig = Rig::with_settings(Settings { classes: vec![keyed.clone()], ..settings() });
     rig.update_endpoints(endpoints());
     let begin_by = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
@@ -589,12 +589,12 @@
     };
     let first = rig.request(1);
     assert_eq!(begin_by(&first), Some(f64::INFINITY));
-    let (s, at) = (sent(&first).expect("the request is sent"), rig.now);
+    let (s, at) = (sent_attempt(&first).expect("the request is sent"), rig.now);
     rig.now += 40.0;
-    let again = rig.end(&s, 0, Ending::ConnectionLost, 0);
+    let again = rig.end_attempt(&s, 0, Ending::ConnectionLost, 0);
     let by = begin_by(&again).expect("a retry is sent");
     assert_eq!(by, at + keyed.repeat_window_ms - 4.0, "a repeat begins two ticks before its window ends");
     rig.now = by;
-    let actions = rig.end(&sent(&again).expect("the request is sent"), 1, Ending::Retracted, 0);
-    assert!(failed(&actions) && sent(&actions).is_none(), "a request past its window fails: {actions:?}");
+    let actions = rig.end_attempt(&sent_attempt(&again).expect("a retry is sent"), 1, Ending::Retracted, 0);
+    assert!(failed(&actions) && sent_attempt(&actions).is_none(), "a late repeat fails: {actions:?}");
 }
--- a/crates/fernslip/tests/fleet.rs
+++ b/crates/fernslip/tests/fleet.rs
@@ -100,7 +100,7 @@
         slot,
         routers: ZONES as u32 * ROUTERS_PER_ZONE,
         classes: vec![small, class()],
-        notes: NoteLevel::Hit,
+        detail_level: DetailLevel::Hit,
         slow_start_from: 0.25,
         slow_start_ms: 12_000.0,
         slow_start_multiple: 2.0,
@@ -536,7 +536,7 @@
 fn a_starting_router_receives_what_its_peers_have_learned() {
     let set = |slot| Settings { slot, peers: true, ..settings() };
     let start = |slot, now| {
-        let mut r = Rig::with(Settings { zone_routers: vec![0, 3, 0], routers: 3, ..set(slot) });
+        let mut r = Rig::with_settings(Settings { zone_routers: vec![0, 3, 0], routers: 3, ..set(slot) });
         r.now = now;
         let greets = r.update_endpoints(endpoints());
         (r, greets)
@@ -548,8 +548,8 @@
     }
     other.now = old.now;
     // The two peers have greeted each other.
-    other.event(Event::PeerMessage { from: 0, data: vec![2, 1, 0] });
-    old.event(Event::PeerMessage { from: 1, data: vec![2, 1, 0] });
+    other.handle(Event::PeerMessage { from: 0, data: vec![2, 1, 0] });
+    old.handle(Event::PeerMessage { from: 1, data: vec![2, 1, 0] });
     let (mut new, greets) = start(2, old.now + 10.0);
     let greeting = greets.iter().find_map(|a| match a {
         Action::SendToAllPeers { data } => Some(data.clone()),
@@ -557,20 +557,21 @@
     });
     let mut bytes = 0;
     for (from, r) in [(0, &mut old), (1, &mut other)] {
-        for a in r.event(Event::PeerMessage {
+        for a in r.handle(Event::PeerMessage {
             from: 2,
             data: greeting.clone().expect("the new router greets its peers"),
         }) {
             if let Action::SendToPeer { to: 2, data } = a {
                 bytes += data.len();
-                new.event(Event::PeerMessage { from, data });
+                new.handle(Event::PeerMessage { from, data });
             }
         }
     }
     assert!(bytes < 4_000, "the peers sent {bytes} bytes, fewer than 4000 expected");
     // A request for a key that the peers reported is sent as a hit: its attempt leaves time for a retry,
     // which the attempt of a fill does not.
-    let is_hit = |r: &mut Rig, o: u64| sent(&r.request(o)).is_some_and(|s| s.until_ms - r.now < 4_000.0);
+    let is_hit =
+        |r: &mut Rig, o: u64| sent_attempt(&r.request(o)).is_some_and(|s| s.until_ms - r.now < 4_000.0);
     let known = (0..60).filter(|o| is_hit(&mut new, *o)).count();
     assert!(!is_hit(&mut new, 10_000), "a key that no peer reported is not taken for a hit");
     assert!(known >= 55, "{known} of 60 keys are taken for hits, at least 55 expected");
--- a/crates/fernslip/tests/isolation.rs
+++ b/crates/fernslip/tests/isolation.rs
@@ -23,7 +23,7 @@
         max_in_flight: 3,
         max_retry_after_ms: 70.0,
         cancel: false,
-        joins: false,
+        join_fills: false,
         neighbours: Neighbours::None,
         slow_start_multiple: 3.0,
         drain_grace_ms: 250.0,
--- a/crates/fernslip/tests/peer_suspicion.rs
+++ b/crates/fernslip/tests/peer_suspicion.rs
@@ -6,7 +6,7 @@
 
 /// Notifies the router that the peers' suspicion of a cache is `amount`.
 fn set_suspicion(rig: &mut Rig, cache: &str, amount: f64) -> Vec<Action> {
-    rig.event(Event::PeerSuspicion { cache: cache.into(), amount })
+    rig.handle(Event::PeerSuspicion { cache: cache.into(), amount })
 }
 
 /// Serves 300 objects and returns how many have their home at each of the location's caches.
@@ -54,16 +54,16 @@
     set_suspicion(&mut rig, "c1:1", suspicion);
     let mut failures = 0;
     for o in 0.. {
-        let s = sent(&rig.request(o)).expect("the request is sent");
+        let s = sent_attempt(&rig.request(o)).expect("the request is sent");
         rig.now += 20.0;
         if s.cache != "c1:1" {
-            rig.end(&s, 0, Ending::Completed, 2);
+            rig.end_attempt(&s, 0, Ending::Completed, 2);
             continue;
         }
         failures += 1;
-        let after = rig.end(&s, 0, Ending::ConnectionRefused, 0);
-        if let Some(again) = sent(&after) {
-            rig.end(&again, 1, Ending::Completed, 2);
+        let after = rig.end_attempt(&s, 0, Ending::ConnectionRefused, 0);
+        if let Some(again) = sent_attempt(&after) {
+            rig.end_attempt(&again, 1, Ending::Completed, 2);
         }
         if after.iter().any(|a| matches!(a, Action::Log(l) if l.contains("trials only"))) {
             return failures;
@@ -87,17 +87,17 @@
         let home = rig.serve(1, 2).cache;
         let mut failures = 0;
         // The cache fails until it is ejected.
-        while sent(&rig.request(1)).expect("the request is sent").cache == home {
-            let s = sent(&rig.request(1)).expect("the request is sent");
+        while sent_attempt(&rig.request(1)).expect("the request is sent").cache == home {
+            let s = sent_attempt(&rig.request(1)).expect("the request is sent");
             rig.now += 20.0;
-            rig.end(&s, 0, Ending::ConnectionRefused, 0);
+            rig.end_attempt(&s, 0, Ending::ConnectionRefused, 0);
             failures += 1;
             assert!(failures < 20, "the cache is ejected after fewer than 20 failures");
         }
         if good_gossip {
             set_suspicion(&mut rig, &home, -0.8);
         }
-        sent(&rig.request(1)).expect("the request is sent").cache == home
+        sent_attempt(&rig.request(1)).expect("the request is sent").cache == home
     };
     assert!(!is_probed(false), "without good gossip no probe is due yet");
     assert!(is_probed(true), "with good gossip a probe is due at once");
@@ -108,7 +108,7 @@
     let mut rig = Rig::new();
     set_suspicion(&mut rig, "c1:1", 0.8);
     let suspected = home_counts(&mut rig, 1000)[0];
-    rig.delta(Entry { started_ms: rig.now - 60_000.0, ..entry("c1:1", 1, 0) });
+    rig.update_endpoint(Entry { started_ms: rig.now - 60_000.0, ..entry("c1:1", 1, 0) });
     assert!(home_counts(&mut rig, 1000)[0] > 2 * suspected);
 }
 
@@ -131,16 +131,16 @@
         let home = rig.serve(1, 2).cache;
         let mut evidence = Vec::new();
         for _ in 0..2 {
-            let s = sent(&rig.request(1)).expect("the request is sent");
+            let s = sent_attempt(&rig.request(1)).expect("the request is sent");
             rig.now += 20.0;
-            let after = rig.end(&s, 0, Ending::ConnectionRefused, 0);
+            let after = rig.end_attempt(&s, 0, Ending::ConnectionRefused, 0);
             evidence.extend(signs_reported(&after));
         }
         set_suspicion(&mut rig, &home, -0.8);
         rig.now += 1000.0;
-        let s = sent(&rig.request(1)).expect("the request is sent");
+        let s = sent_attempt(&rig.request(1)).expect("the request is sent");
         assert_eq!(s.cache, home, "the request is a probe of the ejected cache");
-        evidence.extend(signs_reported(&rig.end(&s, 0, Ending::Completed, 1)));
+        evidence.extend(signs_reported(&rig.end_attempt(&s, 0, Ending::Completed, 1)));
         let expected = [(Sign::Failing, true), (Sign::Failing, true), (Sign::Well, true)];
         assert_eq!(evidence, if enabled { &expected[..] } else { &[] });
     }
@@ -150,11 +150,11 @@
 fn a_silent_cache_is_reported_as_evidence() {
     let mut rig = Rig::new();
     rig.router.enable_evidence();
-    sent(&rig.request(1)).expect("the request is sent");
+    sent_attempt(&rig.request(1)).expect("the request is sent");
     let mut evidence = Vec::new();
     while evidence.is_empty() && rig.now < 110_000.0 {
         rig.now += 50.0;
-        evidence = signs_reported(&rig.event(Event::Timer { token: 0 }));
+        evidence = signs_reported(&rig.handle(Event::Timer { token: 0 }));
     }
     assert_eq!(evidence, [(Sign::Silent, true)]);
 }
--- a/crates/fernslip/tests/rules.rs
+++ b/crates/fernslip/tests/rules.rs
@@ -7,10 +7,10 @@
 #[test]
 fn a_cancelled_request_gets_no_further_attempt_and_no_answer() {
     let mut rig = Rig::new();
-    let s = sent(&rig.request(1)).unwrap();
+    let s = sent_attempt(&rig.request(1)).unwrap();
     rig.now += 10.0;
-    rig.event(Event::Cancelled { id: s.id });
-    let after = rig.end(&s, 0, Ending::Errored, 0);
+    rig.handle(Event::Cancelled { id: s.id });
+    let after = rig.end_attempt(&s, 0, Ending::Errored, 0);
     assert!(
         after.iter().all(|a| !matches!(a, Action::Forward { .. })),
         "no attempt is sent for a cancelled request"
@@ -21,12 +21,12 @@
 #[test]
 fn attempts_end_before_the_deadline_and_a_late_failure_is_answered_at_once() {
     let mut rig = Rig::new();
-    let s = sent(&rig.request(1)).unwrap();
+    let s = sent_attempt(&rig.request(1)).unwrap();
     assert!(s.until_ms <= rig.now + 5000.0);
     rig.now += 4990.0;
-    let after = rig.end(&s, 0, Ending::Errored, 0);
+    let after = rig.end_attempt(&s, 0, Ending::Errored, 0);
     assert!(
-        sent(&after).is_none() && rejected(&after),
+        sent_attempt(&after).is_none() && rejected(&after),
         "a request without time for a retry is rejected at once: {after:?}"
     );
 }
@@ -40,7 +40,7 @@
     }
     for (name, phase) in [("c1:1", Phase::Draining), ("p1:1", Phase::Out)] {
         let kind = usize::from(name.starts_with('p'));
-        rig.delta(Entry { phase, ..entry(name, 1 - kind, kind) });
+        rig.update_endpoint(Entry { phase, ..entry(name, 1 - kind, kind) });
     }
     for &o in &objects {
         let s = rig.serve(o, 2);
@@ -57,7 +57,7 @@
 fn removal_of_a_cache_moves_only_the_objects_homed_there() {
     let mut rig = Rig::new();
     let before: Vec<String> = (0..200).map(|o| rig.serve(o, 2).cache).collect();
-    rig.delta(Entry { phase: Phase::Out, ..entry("c1:1", 1, 0) });
+    rig.update_endpoint(Entry { phase: Phase::Out, ..entry("c1:1", 1, 0) });
     for (o, home) in before.iter().enumerate() {
         let now = rig.serve(o as u64, 2).cache;
         assert!(
@@ -70,25 +70,25 @@
 #[test]
 fn a_cache_in_slow_start_gets_no_more_than_its_budget_in_a_burst() {
     let mut rig = Rig::new();
-    rig.delta(Entry { started_ms: rig.now, ..entry("c1:1", 1, 0) });
+    rig.update_endpoint(Entry { started_ms: rig.now, ..entry("c1:1", 1, 0) });
     // The budget is 0.2 of weight 10, times 4, for 1 s: 8 s of sending. A request takes 0.1 s; attempts stay
     // open.
-    let n = (0..2000).filter_map(|o| sent(&rig.request(o))).filter(|s| s.cache == "c1:1").count();
+    let n = (0..2000).filter_map(|o| sent_attempt(&rig.request(o))).filter(|s| s.cache == "c1:1").count();
     assert!(n as f64 * 0.1 <= 8.0, "{n} attempts are sent to the cache in slow start, at most 80 allowed");
 }
 
 #[test]
 fn rejected_fills_also_use_the_budget_of_a_parent_in_slow_start() {
     let mut rig = Rig::new();
-    rig.delta(Entry { started_ms: rig.now, ..entry("p1:1", 0, 1) });
+    rig.update_endpoint(Entry { started_ms: rig.now, ..entry("p1:1", 0, 1) });
     // The budget is 0.1 of weight 10, times 2, for 1 s, divided between two routers: 1 s of sending, or ten
     // fills.
     let (mut to_warming_up, mut to_other) = (0, 0);
     for o in 0..300 {
-        if let Some(s) = sent(&rig.request(o)) {
+        if let Some(s) = sent_attempt(&rig.request(o)) {
             to_warming_up += usize::from(s.source == "p1:1");
             to_other += usize::from(s.source == "p2:1");
-            rig.end(&s, 0, Ending::Saturated, 6);
+            rig.end_attempt(&s, 0, Ending::Saturated, 6);
         }
     }
     assert!(
@@ -101,13 +101,13 @@
 fn a_purge_bounds_the_age_of_the_copies_that_may_be_served() {
     let mut rig = Rig::new();
     rig.serve(5, 1);
-    rig.event(Event::Purged { object: Some(ObjectId(5)), group: 3, age_ms: 80.0 });
+    rig.handle(Event::Purged { object: Some(ObjectId(5)), group: 3, age_ms: 80.0 });
     rig.now += 500.0;
     let s = rig.serve(5, 3);
     assert!(s.age_ms > 0.0 && s.age_ms < 580.0, "only copies made after the purge will do: {s:?}");
     assert_eq!(rig.serve(6, 2).age_ms, 0.0, "copies of another object may have any age");
-    rig.event(Event::Purged { object: None, group: 3, age_ms: 0.0 });
-    let s = sent(&rig.request(6)).unwrap();
+    rig.handle(Event::Purged { object: None, group: 3, age_ms: 0.0 });
+    let s = sent_attempt(&rig.request(6)).unwrap();
     assert!(s.age_ms > 0.0, "the age is bounded even at the time of the purge: {s:?}");
 }
 
@@ -116,13 +116,13 @@
     for (wait, retried) in [(500.0, true), (3001.0, false)] {
         let mut set = settings();
         set.classes = vec![Class { effect: Effect::Deduplicated, write: true, ..class() }];
-        let mut rig = Rig::with(set);
+        let mut rig = Rig::with_settings(set);
         rig.update_endpoints(endpoints());
-        let s = sent(&rig.request(1)).unwrap();
+        let s = sent_attempt(&rig.request(1)).unwrap();
         assert!(s.rank == 0 && !s.join && (s.source.starts_with('o') || s.source.starts_with('p')));
         rig.now += wait;
-        let after = rig.end(&s, 0, Ending::Errored, 0);
-        assert_eq!(sent(&after).is_some(), retried);
+        let after = rig.end_attempt(&s, 0, Ending::Errored, 0);
+        assert_eq!(sent_attempt(&after).is_some(), retried);
         assert_eq!(rejected(&after), !retried, "a request that all caches deduplicate may be rejected");
     }
 }
@@ -132,23 +132,25 @@
     for (effect, scope) in [(Effect::Deduplicated, DedupScope::Cell), (Effect::AtMostOnce, DedupScope::All)] {
         let mut set = settings();
         set.classes = vec![Class { effect, scope, write: true, ..class() }];
-        let mut rig = Rig::with(set);
+        let mut rig = Rig::with_settings(set);
         let mut list = endpoints();
         list.iter_mut().enumerate().for_each(|(n, e)| e.cell = n as i64);
         rig.update_endpoints(list);
-        let s = sent(&rig.request(1)).unwrap();
-        let after = rig.end(&s, 0, Ending::Errored, 0);
+        let s = sent_attempt(&rig.request(1)).unwrap();
+        let after = rig.end_attempt(&s, 0, Ending::Errored, 0);
         match effect {
-            Effect::AtMostOnce => assert!(sent(&after).is_none() && failed(&after) && !rejected(&after)),
+            Effect::AtMostOnce => {
+                assert!(sent_attempt(&after).is_none() && failed(&after) && !rejected(&after));
+            }
             _ => assert_eq!(
-                sent(&after).unwrap().cache,
+                sent_attempt(&after).unwrap().cache,
                 s.cache,
                 "the write is retried at the same cache, the only one of its cell"
             ),
         }
-        let s = sent(&rig.request(2)).unwrap();
+        let s = sent_attempt(&rig.request(2)).unwrap();
         assert!(
-            sent(&rig.end(&s, 0, Ending::ConnectionRefused, 0)).is_some(),
+            sent_attempt(&rig.end_attempt(&s, 0, Ending::ConnectionRefused, 0)).is_some(),
             "a write that never ran is retried at any cache"
         );
     }
@@ -158,19 +160,19 @@
 fn a_home_fills_from_the_sibling_in_its_filter_and_after_a_failure_from_a_parent() {
     let mut rig = Rig::new();
     let home = rig.serve(1, 2).cache;
-    rig.delta(Entry { phase: Phase::Out, ..entry(&home, 1, 0) });
+    rig.update_endpoint(Entry { phase: Phase::Out, ..entry(&home, 1, 0) });
     let second = rig.serve(1, 2).cache;
-    rig.delta(entry(&home, 1, 0));
-    let s = sent(&rig.request(1)).unwrap();
+    rig.update_endpoint(entry(&home, 1, 0));
+    let s = sent_attempt(&rig.request(1)).unwrap();
     assert_eq!(
         (&s.cache, &s.source),
         (&home, &second),
         "the home returned empty and fills from the sibling that has the object"
     );
-    let after = rig.end(&s, 0, Ending::Saturated, 8);
-    let again = sent(&after).unwrap();
+    let after = rig.end_attempt(&s, 0, Ending::Saturated, 8);
+    let again = sent_attempt(&after).unwrap();
     assert!(again.cache == home && again.source.starts_with('p'), "the retry fills from a parent: {again:?}");
-    rig.end(&again, 1, Ending::Errored, 6);
+    rig.end_attempt(&again, 1, Ending::Errored, 6);
 }
 
 #[test]
@@ -178,7 +180,7 @@
     let mut rig = Rig::new();
     let home = rig.serve(1, 2).cache;
     rig.now += 100.0;
-    rig.delta(Entry { started_ms: rig.now, ..entry(&home, 1, 0) });
+    rig.update_endpoint(Entry { started_ms: rig.now, ..entry(&home, 1, 0) });
     rig.now += 20_000.0;
     let s = rig.serve(1, 1);
     assert!(s.source.starts_with('p'), "an empty cache fills from a parent");
@@ -187,7 +189,7 @@
 #[test]
 fn an_object_is_filled_from_one_parent_and_from_the_second_only_after_a_failure() {
     let mut rig = Rig::new();
-    let mut other = Rig::with(Settings { zone: 2, slot: 1, ..settings() });
+    let mut other = Rig::with_settings(Settings { zone: 2, slot: 1, ..settings() });
     other.update_endpoints(endpoints());
     let mut seen = std::collections::BTreeSet::new();
     for o in 0..40 {
@@ -196,10 +198,10 @@
         seen.insert(a.source);
     }
     assert_eq!(seen.len(), 2, "different objects use both parents");
-    let s = sent(&rig.request(999)).unwrap();
-    let again = sent(&rig.end(&s, 0, Ending::Saturated, 7)).unwrap();
+    let s = sent_attempt(&rig.request(999)).unwrap();
+    let again = sent_attempt(&rig.end_attempt(&s, 0, Ending::Saturated, 7)).unwrap();
     assert!(again.cache == s.cache && again.source != s.source && again.source.starts_with('p'));
-    let last = sent(&rig.end(&again, 1, Ending::Saturated, 7)).unwrap();
+    let last = sent_attempt(&rig.end_attempt(&again, 1, Ending::Saturated, 7)).unwrap();
     assert_eq!(last.source, "o1:1", "the origin is the source after both parents failed");
 }
 
@@ -219,7 +221,7 @@
         for i in to {
             messages.push((i, data.clone()));
             if !lost {
-                let answer = rigs[i as usize].event(Event::PeerMessage { from, data: data.clone() });
+                let answer = rigs[i as usize].handle(Event::PeerMessage { from, data: data.clone() });
                 messages.extend(exchange_messages(rigs, i, answer, false));
             }
         }
@@ -229,7 +231,7 @@
 
 /// A router of a location with two routers, or of one with a single router.
 fn new_rig(slot: u32, zone: usize) -> Rig {
-    Rig::with(Settings { zone, slot, zone_routers: vec![0, 2, 1], routers: 3, ..settings() })
+    Rig::with_settings(Settings { zone, slot, zone_routers: vec![0, 2, 1], routers: 3, ..settings() })
 }
 
 /// Routers 0 and 1 of one location and 2 of another, each with its endpoint list and its greetings sent, or
@@ -248,8 +250,8 @@
     let mut messages = Vec::new();
     for o in objects {
         let mut actions = rigs[0].request(o);
-        let s = sent(&actions).unwrap();
-        actions.extend(rigs[0].end(&s, 0, Ending::Completed, 2));
+        let s = sent_attempt(&actions).unwrap();
+        actions.extend(rigs[0].end_attempt(&s, 0, Ending::Completed, 2));
         messages.extend(exchange_messages(rigs, 0, actions, false));
     }
     messages
@@ -258,9 +260,9 @@
 /// Adds two caches, which become homes of some of the objects; returns how many requests name a sibling cache
 /// as their source.
 fn count_fills_from_siblings(rig: &mut Rig, zone: usize, objects: std::ops::Range<u64>) -> usize {
-    rig.delta(entry("c4:1", zone, 0));
-    rig.delta(entry("c5:1", zone, 0));
-    objects.filter_map(|o| sent(&rig.request(o))).filter(|s| s.source.starts_with('c')).count()
+    rig.update_endpoint(entry("c4:1", zone, 0));
+    rig.update_endpoint(entry("c5:1", zone, 0));
+    objects.filter_map(|o| sent_attempt(&rig.request(o))).filter(|s| s.source.starts_with('c')).count()
 }
 
 #[test]
@@ -287,7 +289,7 @@
         "a router without messages does not know the changes"
     );
     let off = Settings { peers: false, zone_routers: vec![0, 2, 1], routers: 3, ..settings() };
-    let answer = Rig::with(off).event(Event::PeerMessage { from: 1, data: vec![2, 1, 1] });
+    let answer = Rig::with_settings(off).handle(Event::PeerMessage { from: 1, data: vec![2, 1, 1] });
     assert!(answer.is_empty(), "a router that may not send peer messages does not answer one: {answer:?}");
 }
 
@@ -323,19 +325,19 @@
             [d.clone(), d[..d.len() / 2].to_vec(), d[..2].to_vec(), [d.as_slice(), &[255; 40]].concat()]
         {
             for from in [0, 1, 2, 9, u32::MAX] {
-                rig.event(Event::PeerMessage { from, data: data.clone() });
+                rig.handle(Event::PeerMessage { from, data: data.clone() });
             }
         }
     }
     for data in [vec![], vec![99; 40], vec![2], vec![2, 1], vec![2, 200, 1], vec![2; 4000]] {
-        rig.event(Event::PeerMessage { from: 0, data });
+        rig.handle(Event::PeerMessage { from: 0, data });
     }
-    let noise = rig.event(Event::PeerMessage { from: 9, data: vec![2, 1, 1] });
+    let noise = rig.handle(Event::PeerMessage { from: 9, data: vec![2, 1, 1] });
     assert!(noise.is_empty(), "a message from a router number beyond the settings gets no answer: {noise:?}");
     let malformed = rig.router.malformed_messages();
     assert!(malformed > 6, "more than 6 messages are counted as malformed: {malformed}");
-    rig.event(Event::PeerMessage { from: 0, data: vec![99; 40] });
-    rig.event(Event::PeerMessage { from: 99, data: vec![2, 1, 1] });
+    rig.handle(Event::PeerMessage { from: 0, data: vec![99; 40] });
+    rig.handle(Event::PeerMessage { from: 99, data: vec![2, 1, 1] });
     assert_eq!(rig.router.malformed_messages(), malformed + 2);
     for o in 0..50 {
         let s = rig.serve(o, 3);
@@ -346,13 +348,13 @@
 #[test]
 fn entries_of_a_failed_list_are_ignored() {
     let mut rig = Rig::new();
-    rig.event(Event::Endpoints { kind: ListKind::Failed, entries: vec![entry("c9:1", 1, 0)] });
+    rig.handle(Event::Endpoints { kind: ListKind::Failed, entries: vec![entry("c9:1", 1, 0)] });
     assert!((0..60).all(|o| rig.serve(o, 2).cache != "c9:1"));
 }
 
 #[test]
 fn unusual_input_has_a_defined_result() {
-    let mut rig = Rig::with(settings());
+    let mut rig = Rig::with_settings(settings());
     assert!(rejected(&rig.request(1)), "a request before the first endpoint list is rejected");
     rig.update_endpoints(Vec::new());
     assert!(rejected(&rig.request(2)), "a request with an empty endpoint list is rejected");
@@ -367,16 +369,16 @@
     assert_eq!(rig.serve(5, 2).cache, "c1:1", "a weight of zero counts as one");
     let unknown = SentAttempt { id: RequestId(999_999), ..rig.serve(6, 2) };
     assert!(
-        rig.end(&unknown, 0, Ending::Errored, 0).is_empty(),
+        rig.end_attempt(&unknown, 0, Ending::Errored, 0).is_empty(),
         "an outcome of an unknown request gives no action"
     );
     assert!(
-        rig.end(&unknown, 77, Ending::Completed, 1).is_empty(),
+        rig.end_attempt(&unknown, 77, Ending::Completed, 1).is_empty(),
         "an outcome of an unknown attempt gives no action"
     );
     rig.now = f64::NAN;
-    rig.event(Event::Purged { object: None, group: 0, age_ms: f64::INFINITY });
-    rig.event(Event::Endpoints { kind: ListKind::Failed, entries: Vec::new() });
+    rig.handle(Event::Purged { object: None, group: 0, age_ms: f64::INFINITY });
+    rig.handle(Event::Endpoints { kind: ListKind::Failed, entries: Vec::new() });
 }
 
 #[test]
@@ -398,9 +400,9 @@
         for o in 0..500u64 {
             rig.now += 7.0;
             let actions = rig.request(o % 37);
-            if let Some(s) = sent(&actions) {
+            if let Some(s) = sent_attempt(&actions) {
                 let how = if o % 11 == 0 { Ending::Errored } else { Ending::Completed };
-                all.extend(rig.end(&s, 0, how, if o % 11 == 0 { 0 } else { 2 }));
+                all.extend(rig.end_attempt(&s, 0, how, if o % 11 == 0 { 0 } else { 2 }));
             }
             all.extend(actions);
         }
@@ -424,7 +426,7 @@
         let started = 100_000.0;
         let mut all: Vec<Rig> = (0..routers)
             .map(|slot| {
-                let mut rig = Rig::with(Settings { slot, ..set.clone() });
+                let mut rig = Rig::with_settings(Settings { slot, ..set.clone() });
                 let in_slow_start =
                     |e: Entry| if &*e.cache.0 == "p1:1" { Entry { started_ms: started, ..e } } else { e };
                 rig.update_endpoints(endpoints().into_iter().map(in_slow_start).collect());
@@ -437,11 +439,11 @@
             let now = started + step as f64;
             let rig = &mut all[(step.wrapping_mul(7) % u64::from(routers)) as usize];
             rig.now = now;
-            if let Some(s) = sent(&rig.request(step)) {
+            if let Some(s) = sent_attempt(&rig.request(step)) {
                 if s.source == "p1:1" {
                     sends.push(now);
                 }
-                rig.end(&s, 0, Ending::Completed, 3);
+                rig.end_attempt(&s, 0, Ending::Completed, 3);
             }
         }
         // The budget of these 12 s is 888 sends in all.
--- a/crates/fernslip/tests/slow_start.rs
+++ b/crates/fernslip/tests/slow_start.rs
@@ -69,7 +69,7 @@
         slot,
         routers: zones as u32 * per_zone,
         classes: vec![class(), class()],
-        notes: NoteLevel::Hit,
+        detail_level: DetailLevel::Hit,
         slow_start_from: 0.23,
         slow_start_ms: SLOW_START_MS,
         slow_start_multiple: 2.0,
--- a/crates/fernslip/tests/weights.rs
+++ b/crates/fernslip/tests/weights.rs
@@ -13,7 +13,7 @@
 impl SingleCache {
     /// The endpoint list gives every node the weight `listed`; 1: not known.
     fn new(listed: f64, real: f64) -> SingleCache {
-        let mut rig = Rig::with(settings());
+        let mut rig = Rig::with_settings(settings());
         let one = vec![entry("c1:1", 1, 0), entry("p1:1", 0, 1), entry("o1:1", 0, 2)];
         rig.update_endpoints(one.into_iter().map(|e| Entry { weight: listed, ..e }).collect());
         rig.serve(1, 1);
@@ -24,10 +24,10 @@
     /// returns how many were forwarded.
     fn send_burst(&mut self, count: usize) -> usize {
         let open: Vec<SentAttempt> =
-            (0..count).filter_map(|_| sent(&self.rig.request_with(1, 0, 300.0))).collect();
+            (0..count).filter_map(|_| sent_attempt(&self.rig.request_with(1, 0, 300.0))).collect();
         let took = 300.0 * (open.len() as f64 / self.real).max(1.0);
         self.rig.now += took;
-        open.iter().for_each(|s| drop(self.rig.end_after(s, 0, (Ending::Completed, 1), took)));
+        open.iter().for_each(|s| drop(self.rig.end_attempt_after(s, 0, (Ending::Completed, 1), took)));
         self.rig.now += 100.0;
         open.len()
     }
@@ -76,21 +76,23 @@
 /// The budget of a cache in slow start follows the learned capacity of warm caches of the same weight.
 #[test]
 fn a_cache_in_slow_start_is_not_overloaded() {
-    let mut rig = Rig::with(settings());
+    let mut rig = Rig::with_settings(settings());
     let unweighted = |e: Entry| Entry { weight: 1.0, ..e };
     rig.update_endpoints(endpoints().into_iter().map(unweighted).collect());
     for o in 0..40 {
-        let open: Vec<SentAttempt> = (0..60).filter_map(|n| sent(&rig.request(o * 100 + n))).collect();
+        let open: Vec<SentAttempt> =
+            (0..60).filter_map(|n| sent_attempt(&rig.request(o * 100 + n))).collect();
         let at = |c: &str| open.iter().filter(|s| s.cache == c).count() as f64;
         let took: Vec<f64> = open.iter().map(|s| 100.0 * (at(&s.cache) / 10.0).max(1.0)).collect();
         rig.now += took.iter().copied().fold(100.0, f64::max);
-        open.iter().zip(took).for_each(|(s, t)| drop(rig.end_after(s, 0, (Ending::Completed, 1), t)));
+        open.iter().zip(took).for_each(|(s, t)| drop(rig.end_attempt_after(s, 0, (Ending::Completed, 1), t)));
     }
     rig.now += 2_000.0;
-    rig.delta(Entry { weight: 1.0, started_ms: rig.now, ..entry("c1:1", 1, 0) });
+    rig.update_endpoint(Entry { weight: 1.0, started_ms: rig.now, ..entry("c1:1", 1, 0) });
     // Links carry 10 transfers. The budget is a fifth of 10, times 4, for 1 s: 8 s of sending, so 80 requests
     // of 0.1 s. Attempts stay open.
-    let to_warming_up = (0..2000).filter_map(|o| sent(&rig.request(o))).filter(|s| s.cache == "c1:1").count();
+    let to_warming_up =
+        (0..2000).filter_map(|o| sent_attempt(&rig.request(o))).filter(|s| s.cache == "c1:1").count();
     assert!(
         (5..=80).contains(&to_warming_up),
         "{to_warming_up} attempts are sent to the cache in slow start, 5 to 80 expected"
@@ -105,7 +107,7 @@
     (set.slow_start_ms, set.slow_start_multiple, set.slow_start_window_ms) = (16_000.0, 2.0, 2_000.0);
     let (from, slow_start_ms, multiple, window) =
         (set.slow_start_from, set.slow_start_ms, set.slow_start_multiple, set.slow_start_window_ms);
-    let mut rig = Rig::with(set);
+    let mut rig = Rig::with_settings(set);
     let started = rig.now;
     rig.update_endpoints(
         endpoints()
@@ -122,9 +124,10 @@
         rig.now = started + 20.0 * f64::from(step);
         let due: Vec<_> = open.iter().filter(|o| o.0 <= rig.now).cloned().collect();
         open.retain(|o| o.0 > rig.now);
-        due.iter()
-            .for_each(|(at, s)| drop(rig.end_after(s, 0, (Ending::Completed, 1), (rig.now - at).max(work))));
-        if let Some(s) = sent(&rig.request_with(step as u64 % 40, 0, work)) {
+        due.iter().for_each(|(at, s)| {
+            drop(rig.end_attempt_after(s, 0, (Ending::Completed, 1), (rig.now - at).max(work)));
+        });
+        if let Some(s) = sent_attempt(&rig.request_with(step as u64 % 40, 0, work)) {
             let there = 1.0 + open.iter().filter(|o| o.1.cache == s.cache).count() as f64;
             open.push((rig.now + work * (there / current_capacity(rig.now)).max(1.0), s.clone()));
             sends.push((rig.now, s.cache));
--- a/crates/front/src/clients/call/tests.rs
+++ b/crates/front/src/clients/call/tests.rs
@@ -4,7 +4,7 @@
     let text = include_str!("../../../../../examples/config.json");
     let config: serde_json::Value =
         serde_json::from_str(text).expect("the example configuration is valid JSON");
-    fernslip::json::settings(&config["settings"]).expect("the example settings are valid").0.classes
+    fernslip::json::parse_settings(&config["settings"]).expect("the example settings are valid").0.classes
 }
 
 /// Parses a call whose fields are valid except for `change`: field names with a new value, or `None` to omit
--- a/crates/front/src/control/admin/answer.rs
+++ b/crates/front/src/control/admin/answer.rs
@@ -34,10 +34,10 @@
 /// Returns the answer to the command `telemetry`: the front's metrics as `name=value` lines.
 fn telemetry_lines(front: &Shared) -> String {
     let queues = front.queues.all();
-    let EndpointCounts { listed, avoided } =
+    let EndpointCounts { listed, draining } =
         queues.first().map(|queue| queue.dispatcher.endpoint_counts()).unwrap_or_default();
     let view = front.fleet.as_ref().map_or(String::new(), |f| f.lines());
-    let figures = front.metrics.lines(listed, avoided);
+    let figures = front.metrics.lines(listed, draining);
     let (violations, reasons) = (front.invariants.lines(), front.reason_counts.lines());
     let given_up = given_up_lines(front);
     format!("200 telemetry\n{figures}{violations}{reasons}{given_up}{view}EOF\n")
@@ -47,7 +47,7 @@
 /// `relay.given_up.REASON=COUNT`.
 fn given_up_lines(front: &Shared) -> String {
     let mut all: BTreeMap<&'static str, u64> = BTreeMap::new();
-    for (reason, n) in front.queues.all().iter().flat_map(|queue| queue.dispatcher.given_up()) {
+    for (reason, n) in front.queues.all().iter().flat_map(|queue| queue.dispatcher.rejection_counts()) {
         *all.entry(reason).or_default() += n;
     }
     all.iter().map(|(reason, n)| format!("relay.given_up.{}={n}\n", figure(reason))).collect()
--- a/crates/front/src/control/config.rs
+++ b/crates/front/src/control/config.rs
@@ -90,7 +90,7 @@
 
 /// Reads the field `key` of `value` as a duration in milliseconds, clamped to between 1 ms and 1 h.
 fn parse_millis(value: &Value, key: &str) -> Result<Duration, JsonError> {
-    json::number(value, key).map(|ms| Duration::from_secs_f64((ms / 1000.0).clamp(0.001, 3600.0)))
+    json::number_field(value, key).map(|ms| Duration::from_secs_f64((ms / 1000.0).clamp(0.001, 3600.0)))
 }
 
 impl Config {
@@ -109,12 +109,12 @@
     /// # Errors
     /// Returns an error if a field is missing or invalid, or if the settings contradict each other.
     pub fn parse(document: &Value) -> Result<Config, ConfigError> {
-        let (mut settings, names) = json::settings(&document["settings"])?;
+        let (mut settings, names) = json::parse_settings(&document["settings"])?;
         settings.check().map_err(ConfigError::Settings)?;
         let limits = &document["limits"];
         let budget = Budget::of(
-            json::number(limits, "sockets")? as usize,
-            json::number(limits, "memory_mb")? as usize,
+            json::number_field(limits, "sockets")? as usize,
+            json::number_field(limits, "memory_mb")? as usize,
         );
         settings.max_in_flight = settings.max_in_flight.min(budget.open as u32);
         let permissions = &document["settings"]["permissions"];
@@ -124,24 +124,24 @@
         };
         let peers = match &document["peers"] {
             Value::Null => Vec::new(),
-            _ => json::list(document, "peers")?
+            _ => json::array_field(document, "peers")?
                 .iter()
                 .map(|p| parse_address(p, "peers"))
                 .collect::<Result<_, _>>()?,
         };
         Ok(Config {
             file: None,
-            name: json::text(document, "name")?.to_string(),
+            name: json::string_field(document, "name")?.to_string(),
             listen: parse_address(&document["listen"], "listen")?,
-            seed: json::hex(document, "seed")?,
+            seed: json::hex_field(document, "seed")?,
             budget,
             peer_listen: optional("peer_listen")?,
             peers,
             peers_all: optional("peers_all")?,
             bus: Some(parse_address(&document["bus"], "bus")?),
-            known_offset: json::number(&document["known"], "offset")? as u64,
-            known_events: json::list(&document["known"], "batch")?.to_vec(),
-            streams: (json::number(permissions, "streams_per_conn")? as usize).max(1),
+            known_offset: json::number_field(&document["known"], "offset")? as u64,
+            known_events: json::array_field(&document["known"], "batch")?.to_vec(),
+            streams: (json::number_field(permissions, "streams_per_conn")? as usize).max(1),
             connect_timeout: parse_millis(permissions, "connect_timeout_ms")?,
             idle_timeout: parse_millis(permissions, "conn_idle_ms")?,
             admin_listen: optional("ops")?,
--- a/crates/front/src/control/standalone.rs
+++ b/crates/front/src/control/standalone.rs
@@ -3,7 +3,7 @@
 use crate::budget::Budget;
 use crate::config::Config;
 use fernslip::json::Names;
-use fernslip::{Class, DedupScope, Effect, Neighbours, NoteLevel, Settings};
+use fernslip::{Class, DedupScope, DetailLevel, Effect, Neighbours, Settings};
 use fernslip_site::{defaults, Class as SiteClass, Effect as SiteEffect, Front, MembersFrom, Site, Zone};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -141,10 +141,10 @@
         origin_kind: Some(2),
         slot: 0,
         routers: (fronts.iter().sum::<f64>() as u32).max(1),
-        straight: false,
-        joins: true,
+        direct_to_source: false,
+        join_fills: true,
         neighbours: Neighbours::Location,
-        notes: NoteLevel::Hit,
+        detail_level: DetailLevel::Hit,
         stream_kb_per_s: front.stream_kb_per_s.unwrap_or(defaults::STREAM_KB_PER_S),
         max_attempts: 6,
         max_in_flight: budget.open as u32,
--- a/crates/front/src/control/watch_event.rs
+++ b/crates/front/src/control/watch_event.rs
@@ -45,8 +45,10 @@
 pub fn parse(event: &Value, names: &Names) -> Result<WatchEvent, JsonError> {
     let (list, purge) = (&event["topology"], &event["ban"]);
     if list.is_object() {
-        let nodes =
-            json::list(list, "servers")?.iter().map(|n| parse_node(n, names)).collect::<Result<_, _>>()?;
+        let nodes = json::array_field(list, "servers")?
+            .iter()
+            .map(|n| parse_node(n, names))
+            .collect::<Result<_, _>>()?;
         return Ok(WatchEvent::EndpointList { full: list["full"].as_bool().unwrap_or(false), nodes });
     }
     if purge.is_object() {
@@ -58,17 +60,17 @@
 fn parse_node(node: &Value, names: &Names) -> Result<ListedNode, JsonError> {
     let index_of = |all: &[String], name: &Value| name.as_str().and_then(|n| all.iter().position(|x| x == n));
     let entry = Entry {
-        cache: CacheId::from(json::text(node, "id")?),
-        weight: json::number_or_zero(node, "weight")?,
+        cache: CacheId::from(json::string_field(node, "id")?),
+        weight: json::number_field_or_zero(node, "weight")?,
         zone: index_of(&names.zones, &node["zone"]),
         kind: index_of(&names.kinds, &node["kind"]),
         cell: node["cell"].as_i64().unwrap_or(0),
-        started_ms: json::number_or_zero(node, "started_ms")?,
-        phase: match json::text(node, "state")? {
+        started_ms: json::number_field_or_zero(node, "started_ms")?,
+        phase: match json::string_field(node, "state")? {
             "Ready" => Phase::In,
             "Terminating" => Phase::Draining,
             "Gone" => Phase::Out,
-            other => return Err(json::unknown("state", other)),
+            other => return Err(json::unknown_keyword("state", other)),
         },
     };
     Ok(ListedNode { entry, addr: node["addr"].as_str().and_then(|a| a.parse().ok()) })
@@ -77,11 +79,14 @@
 fn parse_purge(purge: &Value) -> Result<WatchEvent, JsonError> {
     let object = match &purge["url"] {
         Value::Null => None,
-        _ => Some(ObjectId(json::hex(purge, "url")?)),
+        _ => Some(ObjectId(json::hex_field(purge, "url")?)),
     };
-    let group =
-        if object.is_some() { json::number_or_zero(purge, "tag")? } else { json::number(purge, "tag")? };
-    Ok(WatchEvent::Purge { object, group: group as u64, unix_ms: json::number(purge, "ts")? })
+    let group = if object.is_some() {
+        json::number_field_or_zero(purge, "tag")?
+    } else {
+        json::number_field(purge, "tag")?
+    };
+    Ok(WatchEvent::Purge { object, group: group as u64, unix_ms: json::number_field(purge, "ts")? })
 }
 
 #[cfg(test)]
--- a/crates/front/src/control/watch_history/tests.rs
+++ b/crates/front/src/control/watch_history/tests.rs
@@ -5,7 +5,9 @@
 fn configured_names() -> Names {
     let text = include_str!("../../../../../examples/config.json");
     let config: Value = serde_json::from_str(text).expect("examples/config.json is valid JSON");
-    fernslip::json::settings(&config["settings"]).expect("the settings in examples/config.json are valid").1
+    fernslip::json::parse_settings(&config["settings"])
+        .expect("the settings in examples/config.json are valid")
+        .1
 }
 
 fn endpoint_list_line(offset: u64, full: bool, servers: &[(&str, &str, f64)]) -> String {
--- a/crates/front/src/upstream/dispatch_queues/tests.rs
+++ b/crates/front/src/upstream/dispatch_queues/tests.rs
@@ -7,7 +7,7 @@
     let text = include_str!("../../../../../examples/config.json");
     let config: serde_json::Value =
         serde_json::from_str(text).expect("the example configuration is valid JSON");
-    fernslip::json::settings(&config["settings"]).expect("the example settings are valid")
+    fernslip::json::parse_settings(&config["settings"]).expect("the example settings are valid")
 }
 
 fn serving_entry(name: &str, zone: usize, kind: Option<usize>, started_ms: f64) -> Entry {
