--- a/crates/front/src/control/admin/answer.rs
+++ b/crates/front/src/control/admin/answer.rs
@@ -34,10 +34,10 @@
 /// Returns the answer to the command `telemetry`: the front's metrics as `name=value` lines.
 fn telemetry_lines(front: &SharedState) -> String {
     let queues = front.queues.as_slice();
-    let EndpointCounts { listed, avoided } =
+    let EndpointCounts { listed, draining } =
         queues.first().map(|queue| queue.dispatcher.endpoint_counts()).unwrap_or_default();
     let view = front.fleet.as_ref().map_or(String::new(), |f| f.telemetry_lines());
-    let figures = front.metrics.metric_lines(listed, avoided);
+    let figures = front.metrics.metric_lines(listed, draining);
     let (violations, reasons) = (front.invariants.metric_lines(), front.reason_counts.metric_lines());
     let given_up = given_up_lines(front);
     format!("200 telemetry\n{figures}{violations}{reasons}{given_up}{view}EOF\n")
@@ -47,7 +47,7 @@
 /// `relay.given_up.REASON=COUNT`.
 fn given_up_lines(front: &SharedState) -> String {
     let mut all: BTreeMap<&'static str, u64> = BTreeMap::new();
-    for (reason, n) in front.queues.as_slice().iter().flat_map(|queue| queue.dispatcher.given_up()) {
+    for (reason, n) in front.queues.as_slice().iter().flat_map(|queue| queue.dispatcher.rejection_counts()) {
         *all.entry(reason).or_default() += n;
     }
     all.iter().map(|(reason, n)| format!("relay.given_up.{}={n}\n", metric_name(reason))).collect()
--- a/crates/front/src/control/keyfile.rs
+++ b/crates/front/src/control/keyfile.rs
@@ -118,7 +118,7 @@
         (RotationStep::Add, _) => return Err(KeyFileError::RotationInProgress),
         (RotationStep::Switch, 2) => keys.swap(0, 1),
         (RotationStep::Drop, 2) => keys.truncate(1),
-        (_, count) => return Err(KeyError::Count(count).into()),
+        (_, count) => return Err(KeyError::KeyCount(count).into()),
     }
     let mut name = path.file_name().unwrap_or_default().to_os_string();
     name.push(".new");
