--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -3,7 +3,7 @@
 
 use fernslip_rig::run::{run_scenario, Options, RunReport};
 use fernslip_rig::scenario::{Scenario, Step};
-use fernslip_rig::suite::bundled;
+use fernslip_rig::suite::bundled_scenario;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::time::{Duration, Instant};
@@ -13,7 +13,9 @@
 
 fn options(fronts: usize, seed: u64) -> Options {
     Options {
-        programs: fernslip_rig::programs::Programs::one(PathBuf::from(env!("CARGO_BIN_EXE_fernslip"))),
+        programs: fernslip_rig::programs::Programs::single_build(PathBuf::from(env!(
+            "CARGO_BIN_EXE_fernslip"
+        ))),
         fronts: Some(fronts),
         seed,
         tmp: std::env::temp_dir(),
@@ -120,7 +122,7 @@
 fn an_aborted_run_leaves_no_process_behind() {
     let dir = std::env::temp_dir().join(format!("rig-off-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("the folder can be created");
-    let s = bundled("steady").expect("the rig has the scenario `steady`");
+    let s = bundled_scenario("steady").expect("the rig has the scenario `steady`");
     let options = Options { tmp: dir.clone(), ..options(4, 6) };
     let rt = start_runtime();
     rt.block_on(async {
--- a/crates/cli/tests/machine.rs
+++ b/crates/cli/tests/machine.rs
@@ -18,9 +18,9 @@
 /// Starts the program with a shim through which the test sets faults; there are none at first.
 fn start_with_faults(name: &str, change: impl Fn(&mut Json)) -> (ScriptedFront, Shim, ProcessFaults) {
     let shim = Shim::build().expect("the shim can be built with a C compiler");
-    let faults = shim.faults(name, 1).expect("the file of faults can be created");
+    let faults = shim.create_fault_settings(name, 1).expect("the file of faults can be created");
     let front = ScriptedFront::start_prepared(name, Vec::new(), change, |command| {
-        command.envs(faults.environment());
+        command.envs(faults.environment_variables());
     });
     (front, shim, faults)
 }
@@ -51,7 +51,7 @@
     ] {
         let (mut front, _shim, faults) = start_with_faults(name, |_| {});
         assert_eq!(front.step("bus", "<", ""), "from 1");
-        faults.set(MachineFault::WallOffsetNs, step_ns).expect("the fault can be set");
+        faults.set_fault(MachineFault::WallOffsetNs, step_ns).expect("the fault can be set");
         // The bus sends its offset, as it does each second.
         front.step("bus", ">", "1");
         std::thread::sleep(Duration::from_millis(300));
@@ -167,7 +167,7 @@
 fn local_connect_failures_do_not_count_as_node_failures() {
     let (mut front, _shim, faults) = start_with_faults("ports", |_| {});
     let mut client = front.connect();
-    faults.set(MachineFault::Connect, 1000).expect("the fault can be set");
+    faults.set_fault(MachineFault::Connect, 1000).expect("the fault can be set");
     client
         .write_all(&encode_call(1, "contribution-change", 1, 15_000, &[]))
         .expect("the front accepts the bytes");
@@ -193,7 +193,7 @@
         (MachineFault::Wait, 200),
         (MachineFault::Register, 100),
     ] {
-        faults.set(fault, rate).expect("the fault can be set");
+        faults.set_fault(fault, rate).expect("the fault can be set");
     }
     let calls = 200;
     for n in 1..=calls {
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -1,12 +1,12 @@
 //! A short soak with four fronts, which checks that the rig's soak works; `fernslip-rig soak` runs dozens of
 //! fronts and many seeds.
 
-use fernslip_rig::soak::options::Options;
+use fernslip_rig::soak::options::SoakOptions;
 use fernslip_rig::soak::run::run_soak;
 use std::time::Duration;
 
 fn run_short_soak(seed: u64, without_faults: bool) {
-    let options = Options {
+    let options = SoakOptions {
         program: env!("CARGO_BIN_EXE_fernslip").into(),
         fronts: 4,
         seed,
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -7,7 +7,7 @@
 use fernslip_rig::programs::Programs;
 use fernslip_rig::run::{run_scenario, Options, RunReport};
 use fernslip_rig::scenario::Scenario;
-use fernslip_rig::soak::options::Options as SoakOptions;
+use fernslip_rig::soak::options::SoakOptions;
 use fernslip_rig::soak::run::run_soak;
 use fernslip_rig::{chart, pairs, suite};
 use serde_json::{json, Value};
@@ -51,7 +51,7 @@
     fn run_options(&self, fronts: Option<usize>, seed: u64) -> Result<Options, String> {
         let program = find_program(self.program.as_ref())?;
         Ok(Options {
-            programs: Programs::one(program),
+            programs: Programs::single_build(program),
             fronts,
             seed,
             tmp: std::env::temp_dir(),
@@ -116,7 +116,7 @@
     let options = args.fleet.run_options(args.fronts, args.seed)?;
     let scenario = match std::fs::read_to_string(&args.scenario) {
         Ok(text) => Scenario::parse(&args.scenario, &text),
-        Err(_) if !args.scenario.ends_with(".kdl") => suite::bundled(&args.scenario),
+        Err(_) if !args.scenario.ends_with(".kdl") => suite::bundled_scenario(&args.scenario),
         Err(e) => return Err(format!("can't read the scenario {}: {e}", args.scenario)),
     };
     let scenario = scenario.map_err(|e| e.to_string())?;
--- a/crates/rig/src/programs.rs
+++ b/crates/rig/src/programs.rs
@@ -63,7 +63,7 @@
 
 impl Programs {
     /// Runs the build under test in all fronts.
-    pub fn one(own: PathBuf) -> Programs {
+    pub fn single_build(own: PathBuf) -> Programs {
         Programs { own: Program { path: own, supports_store: true }, other: None, mix: BuildMix::Own }
     }
 
--- a/crates/rig/src/shim.rs
+++ b/crates/rig/src/shim.rs
@@ -2,8 +2,8 @@
 //! wall clock.
 //!
 //! A small C library (`shim/faults.c`) is built with the system's compiler and preloaded into that process
-//! only. It reads the fault rates from a file that [`ProcessFaults::set`] changes while the process runs. No
-//! other process is affected.
+//! only. It reads the fault rates from a file that [`ProcessFaults::set_fault`] changes while the process
+//! runs. No other process is affected.
 
 use std::io;
 use std::os::unix::fs::FileExt;
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     /// The file of fault values can't be written.
-    pub fn faults(&self, name: &str, seed: u64) -> io::Result<ProcessFaults> {
+    pub fn create_fault_settings(&self, name: &str, seed: u64) -> io::Result<ProcessFaults> {
         let path = self.folder.path().join(format!("{name}.faults"));
         let file = std::fs::OpenOptions::new().write(true).create(true).truncate(true).open(&path)?;
         file.set_len((FAULT_VALUE_COUNT * size_of::<i64>()) as u64)?;
@@ -81,7 +81,7 @@
 
 impl MachineFault {
     /// All faults whose value is a rate in a thousand.
-    pub const RATES: [MachineFault; 6] = [
+    pub const RATE_FAULTS: [MachineFault; 6] = [
         MachineFault::Accept,
         MachineFault::Connect,
         MachineFault::Transfer,
@@ -101,7 +101,7 @@
 
 impl ProcessFaults {
     /// Returns the environment variables that preload and configure the library in the process.
-    pub fn environment(&self) -> [(&'static str, String); 3] {
+    pub fn environment_variables(&self) -> [(&'static str, String); 3] {
         let text = |p: &Path| p.display().to_string();
         [
             ("LD_PRELOAD", text(&self.library)),
@@ -115,7 +115,7 @@
     ///
     /// # Errors
     /// The file of fault values can't be written.
-    pub fn set(&self, fault: MachineFault, value: i64) -> io::Result<()> {
+    pub fn set_fault(&self, fault: MachineFault, value: i64) -> io::Result<()> {
         self.file.write_all_at(&value.to_ne_bytes(), fault as u64 * size_of::<i64>() as u64)
     }
 
@@ -124,6 +124,6 @@
     /// # Errors
     /// The file of fault values can't be written.
     pub fn clear_rates(&self) -> io::Result<()> {
-        MachineFault::RATES.iter().try_for_each(|f| self.set(*f, 0))
+        MachineFault::RATE_FAULTS.iter().try_for_each(|f| self.set_fault(*f, 0))
     }
 }
--- a/crates/rig/src/soak/environment.rs
+++ b/crates/rig/src/soak/environment.rs
@@ -5,7 +5,7 @@
 use super::checker::{ExecutionSemantics, RuleChecker};
 use super::clients::{RequestClass, SoakClients};
 use super::nodes::{NodeRole, SimulatedNode};
-use super::options::Options;
+use super::options::SoakOptions;
 use super::peers::start_gossip_relay;
 use super::process::{FrontProcess, FrontProcessSettings};
 use super::seeded_rng::SeededRng;
@@ -134,7 +134,7 @@
     /// Starts the simulated services and prepares the fronts without starting them. The fronts' files are
     /// written to `folder`.
     pub async fn start_services(
-        options: &Options,
+        options: &SoakOptions,
         settings: &Value,
         checker: Arc<RuleChecker>,
         folder: &Path,
@@ -277,7 +277,7 @@
 
 /// Creates the folder of a front and returns the settings that its process is started with.
 fn process_settings(
-    options: &Options,
+    options: &SoakOptions,
     front: usize,
     addresses: &LoopbackAddresses,
     folder: &Path,
@@ -294,7 +294,7 @@
         admin,
         folder,
         program: options.program.clone(),
-        faults: shim.faults(&format!("n{front}"), options.seed ^ front as u64)?,
+        faults: shim.create_fault_settings(&format!("n{front}"), options.seed ^ front as u64)?,
         log_file: options.logs.as_ref().map(|dir| dir.join(format!("{}-n{front}.log", options.seed))),
         longest_deadline,
     })
--- a/crates/rig/src/soak/inject.rs
+++ b/crates/rig/src/soak/inject.rs
@@ -72,7 +72,7 @@
             }
             FaultKind::StepWallClock { front, by_ms } => {
                 let process = self.fronts[front].lock().await;
-                process.settings.faults.set(MachineFault::WallOffsetNs, by_ms * 1_000_000)?;
+                process.settings.faults.set_fault(MachineFault::WallOffsetNs, by_ms * 1_000_000)?;
             }
             FaultKind::SystemCalls { front, rates } => self.fail_system_calls(front, rates, duration).await?,
             FaultKind::FaultyClients { front, count } => {
@@ -151,7 +151,7 @@
         duration: Duration,
     ) -> io::Result<()> {
         for rate in rates {
-            self.fronts[front].lock().await.settings.faults.set(rate.fault, rate.per_thousand)?;
+            self.fronts[front].lock().await.settings.faults.set_fault(rate.fault, rate.per_thousand)?;
         }
         sleep(duration).await;
         self.fronts[front].lock().await.settings.faults.clear_rates()
--- a/crates/rig/src/soak/options.rs
+++ b/crates/rig/src/soak/options.rs
@@ -5,7 +5,7 @@
 
 /// Options of a soak run.
 #[derive(Clone, Debug)]
-pub struct Options {
+pub struct SoakOptions {
     /// Path of the front program that is tested.
     pub program: PathBuf,
     /// Number of fronts to start.
--- a/crates/rig/src/soak/plan.rs
+++ b/crates/rig/src/soak/plan.rs
@@ -145,7 +145,7 @@
 }
 
 /// Draws all faults of a run from its seed; none starts after `run_duration`.
-pub fn draw_plan(seed: u64, run_duration: Duration, fleet: FleetSize) -> Vec<PlannedFault> {
+pub fn draw_fault_plan(seed: u64, run_duration: Duration, fleet: FleetSize) -> Vec<PlannedFault> {
     let rng = SeededRng::new(seed, 5_000);
     let mut plan = Vec::new();
     let mut after = FIRST_FAULT_DELAY;
@@ -204,7 +204,7 @@
 }
 
 fn draw_system_call_faults(rng: &SeededRng) -> Vec<SystemFaultRate> {
-    let chosen = MachineFault::RATES.into_iter().filter(|_| rng.random_bool(0.5));
+    let chosen = MachineFault::RATE_FAULTS.into_iter().filter(|_| rng.random_bool(0.5));
     chosen.map(|fault| SystemFaultRate { fault, per_thousand: rng.random_range(20..300) as i64 }).collect()
 }
 
--- a/crates/rig/src/soak/process.rs
+++ b/crates/rig/src/soak/process.rs
@@ -126,7 +126,7 @@
             .env("RELAY_CONFIG", &self.config)
             .env("RELAY_OPS", self.settings.admin.to_string())
             .env("TMPDIR", &tmp)
-            .envs(self.settings.faults.environment())
+            .envs(self.settings.faults.environment_variables())
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
--- a/crates/rig/src/soak/run.rs
+++ b/crates/rig/src/soak/run.rs
@@ -3,8 +3,8 @@
 
 use super::checker::{GracePeriods, Rule, RuleChecker, SoakVerdict};
 use super::environment::{SoakEnvironment, BASE_CONFIGURATION, NODE_COUNT, SOURCE_COUNT};
-use super::options::Options;
-use super::plan::{draw_plan, FleetSize, PlannedFault};
+use super::options::SoakOptions;
+use super::plan::{draw_fault_plan, FleetSize, PlannedFault};
 use crate::shim::Shim;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -52,7 +52,7 @@
 }
 
 /// Returns the number of fronts, nodes and sources in a soak run with `fronts` fronts.
-pub fn fleet(fronts: usize) -> FleetSize {
+pub fn soak_fleet_size(fronts: usize) -> FleetSize {
     FleetSize { fronts, nodes: NODE_COUNT, sources: SOURCE_COUNT }
 }
 
@@ -61,7 +61,7 @@
 /// # Errors
 /// Returns an error if an address can't be bound, a file can't be written, a process can't be started, or
 /// the shim can't be compiled.
-pub async fn run_soak(options: &Options) -> io::Result<SoakReport> {
+pub async fn run_soak(options: &SoakOptions) -> io::Result<SoakReport> {
     let configuration: Value = serde_json::from_str(BASE_CONFIGURATION).map_err(io::Error::other)?;
     let settings = &configuration["settings"];
     let checker = Arc::new(RuleChecker::new(grace_periods(settings)));
@@ -78,7 +78,7 @@
     let monitor = tokio::spawn(monitor_run(environment.clone()));
     let plan = match options.without_faults {
         true => Vec::new(),
-        false => draw_plan(options.seed, options.fault_period, fleet(options.fronts)),
+        false => draw_fault_plan(options.seed, options.fault_period, soak_fleet_size(options.fronts)),
     };
     let faults = plan.len();
     inject_plan(&environment, plan, options.fault_period).await?;
--- a/crates/rig/src/suite.rs
+++ b/crates/rig/src/suite.rs
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 /// There is no bundled scenario of this name, or its document is invalid.
-pub fn bundled(name: &str) -> Result<Scenario, ScenarioError> {
+pub fn bundled_scenario(name: &str) -> Result<Scenario, ScenarioError> {
     let found = BUNDLED_SCENARIOS.iter().find(|(n, _)| *n == name);
     let (name, text) = found.copied().ok_or_else(|| ScenarioError {
         file: name.into(),
@@ -116,7 +116,7 @@
     options: &Options,
     on_run: &mut impl FnMut(&RunReport),
 ) -> Result<Vec<RunReport>, String> {
-    let scenario = bundled(name).map_err(|e| e.to_string())?;
+    let scenario = bundled_scenario(name).map_err(|e| e.to_string())?;
     let mut runs = Vec::new();
     for seed in seeds {
         let options = Options { seed: *seed, ..options.clone() };
