--- a/crates/front/src/control/snapshot.rs
+++ b/crates/front/src/control/snapshot.rs
@@ -4,7 +4,7 @@
 
 use crate::view::Fleet;
 use fernslip_store::layers::Peer;
-use fernslip_store::{Change, Disk, LayerContents, Marks, Store, StoreError};
+use fernslip_store::{Change, Disk, DiskMarks, LayerContents, Store, StoreError};
 use fernslip_view::PeerAddress;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -26,7 +26,7 @@
     pub peers: Vec<PeerAddress>,
     /// The store's marks (its counts of starts and commits) at the last commit before this start. `None` if
     /// the store was empty.
-    pub marks: Option<Marks>,
+    pub marks: Option<DiskMarks>,
 }
 
 /// An open snapshot store and the peers last written to it.
@@ -39,7 +39,7 @@
 fn open_store_file(path: &Path) -> Result<impl Disk, StoreError> {
     let opened = std::fs::OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path);
     let opened = opened.map_err(|e| StoreError::Disk(e.to_string()))?;
-    fernslip_store::file(opened)
+    fernslip_store::open_file_as_disk(opened)
 }
 
 /// Renames a damaged file so that it can be inspected later; the new name contains the time. Returns the new
@@ -74,7 +74,7 @@
                 Store::open(open_store_file(path)?, new_disk_id)?
             }
         };
-        let LayerContents { entries, damaged } = store.all::<Peer>()?;
+        let LayerContents { entries, damaged } = store.all_values::<Peer>()?;
         if damaged > 0 {
             tracing::error!(damaged, "store: stored peers that cannot be read are ignored");
         }
@@ -142,7 +142,7 @@
     /// Writes changes of the peers every `PEER_CHECK_INTERVAL` (2 s) until a write fails; called on a
     /// separate thread.
     pub fn run(mut self, fleet: Arc<Fleet>) {
-        let Marks { boots, commits, .. } = self.store.marks();
+        let DiskMarks { boots, commits, .. } = self.store.marks();
         tracing::info!(boots, commits, "store: open");
         loop {
             std::thread::sleep(PEER_CHECK_INTERVAL);
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -11,10 +11,10 @@
 //!   and never returned; a value written by a later version of the program is rejected by its version number
 //!   and stays on the disk.
 //! - After a loss of power the disk holds all that was committed, unless it ignores syncs. The loss on such
-//!   a disk shows as damage or as an earlier valid state, which no checksum reveals. [`Marks`] reveal it:
+//!   a disk shows as damage or as an earlier valid state, which no checksum reveals. [`DiskMarks`] reveal it:
 //!   each start raises a count durably before the contents are trusted, and each commit raises another. A
-//!   front reports its marks to other fronts; [`Marks::assess_trust`] compares what these remember with what
-//!   the disk holds.
+//!   front reports its marks to other fronts; [`DiskMarks::assess_trust`] compares what these remember with
+//!   what the disk holds.
 //!
 //! ```
 //! use fernslip_store::{faulty_disk::FaultyDisk, layers::Position, *};
@@ -27,7 +27,7 @@
 //! drop(store);
 //! let (store, found) = Store::open(faulty_disk.open_handle(), 0xbeef)?;
 //! assert_eq!(store.get::<Position>(&())?.map(|p| p.offset), Some(41));
-//! assert_eq!(Marks::assess_trust(found, Some(reported)), DiskTrust::Current);
+//! assert_eq!(DiskMarks::assess_trust(found, Some(reported)), DiskTrust::Current);
 //! # Ok::<(), StoreError>(())
 //! ```
 
@@ -36,7 +36,7 @@
 mod marks;
 mod ordered;
 
-pub use marks::{DiskTrust, Marks};
+pub use marks::{DiskMarks, DiskTrust};
 
 use layers::Layer;
 use redb::{Database, Durability, StorageBackend, TableDefinition};
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 /// [`StoreError::Locked`] if another process has the file open.
-pub fn file(file: std::fs::File) -> Result<impl Disk, StoreError> {
+pub fn open_file_as_disk(file: std::fs::File) -> Result<impl Disk, StoreError> {
     redb::backends::FileBackend::new(file).map_err(|e| match e {
         redb::DatabaseError::DatabaseAlreadyOpen => StoreError::Locked,
         e => disk_error(e),
@@ -168,7 +168,7 @@
 /// An open store with the layers of one front.
 pub struct Store {
     db: Database,
-    marks: Marks,
+    marks: DiskMarks,
     failed: bool,
 }
 
@@ -184,7 +184,7 @@
     pub fn open(
         backend: impl StorageBackend,
         new_disk_id: u64,
-    ) -> Result<(Store, Option<Marks>), StoreError> {
+    ) -> Result<(Store, Option<DiskMarks>), StoreError> {
         catching_panics(move || {
             let mut db = redb::Builder::new()
                 .set_cache_size(CACHE_BYTES)
@@ -194,18 +194,18 @@
             if !db.check_integrity().map_err(disk_error)? {
                 return Err(disk_error("the checksums of some database pages do not match"));
             }
-            let initial = Marks { disk: new_disk_id, boots: 0, commits: 0 };
+            let initial = DiskMarks { disk: new_disk_id, boots: 0, commits: 0 };
             let mut store = Store { db, marks: initial, failed: false };
-            let found = store.get::<Marks>(&())?;
+            let found = store.get::<DiskMarks>(&())?;
             let before = found.unwrap_or(initial);
-            store.marks = Marks { boots: before.boots + 1, ..before };
+            store.marks = DiskMarks { boots: before.boots + 1, ..before };
             store.commit(&[])?;
             Ok((store, found))
         })
     }
 
     /// The disk's current marks, to be reported to other fronts.
-    pub fn marks(&self) -> Marks {
+    pub fn marks(&self) -> DiskMarks {
         self.marks
     }
 
@@ -219,11 +219,11 @@
     ///
     /// # Errors
     /// The disk failed or is full, in this commit or an earlier one.
-    pub fn commit(&mut self, changes: &[Change]) -> Result<Marks, StoreError> {
+    pub fn commit(&mut self, changes: &[Change]) -> Result<DiskMarks, StoreError> {
         if self.failed {
             return Err(StoreError::Failed);
         }
-        let marks = Marks { commits: self.marks.commits + 1, ..self.marks };
+        let marks = DiskMarks { commits: self.marks.commits + 1, ..self.marks };
         let marks_change = Change::put(&(), &marks)?;
         let db = &self.db;
         let committed = catching_panics(|| {
@@ -274,7 +274,7 @@
     ///
     /// # Errors
     /// The disk fails, or a value is of a later version.
-    pub fn all<L: Layer>(&self) -> Result<LayerContents<L>, StoreError> {
+    pub fn all_values<L: Layer>(&self) -> Result<LayerContents<L>, StoreError> {
         let prefix = layer_prefix::<L>();
         catching_panics(|| {
             let read_only = self.db.begin_read().map_err(disk_error)?;
--- a/crates/store/src/marks.rs
+++ b/crates/store/src/marks.rs
@@ -5,7 +5,7 @@
 
 /// Identity and counters of a disk. A front reports them to other fronts, which remember them for it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Marks {
+pub struct DiskMarks {
     /// Random id drawn when the disk was empty; a disk that was lost and recreated has another id.
     pub disk: u64,
     /// Number of starts of the front on this disk, including the present one.
@@ -14,7 +14,7 @@
     pub commits: u64,
 }
 
-impl Layer for Marks {
+impl Layer for DiskMarks {
     const NAME: &'static str = "marks";
     const VERSION: u16 = 1;
     type Key = ();
@@ -41,16 +41,16 @@
     Unknown,
 }
 
-impl Marks {
+impl DiskMarks {
     /// Compares the marks found on the disk at this start with the latest marks that any other front
     /// remembers of this front. `remembered` is `None` if no front has answered yet; a front that remembers
-    /// nothing answers `Marks::default()`.
-    pub fn assess_trust(found: Option<Marks>, remembered: Option<Marks>) -> DiskTrust {
+    /// nothing answers `DiskMarks::default()`.
+    pub fn assess_trust(found: Option<DiskMarks>, remembered: Option<DiskMarks>) -> DiskTrust {
         match (found, remembered) {
             (_, None) => DiskTrust::Unknown,
-            (None, Some(m)) if m == Marks::default() => DiskTrust::Fresh,
+            (None, Some(m)) if m == DiskMarks::default() => DiskTrust::Fresh,
             (None, Some(_)) => DiskTrust::Other,
-            (Some(_), Some(m)) if m == Marks::default() => DiskTrust::Current,
+            (Some(_), Some(m)) if m == DiskMarks::default() => DiskTrust::Current,
             (Some(f), Some(m)) if f.disk != m.disk => DiskTrust::Other,
             (Some(f), Some(m)) if f.commits < m.commits => DiskTrust::Behind { by: m.commits - f.commits },
             // Two runs on one disk may reach the same commit count, but each start raises the boot count.
@@ -62,12 +62,12 @@
     /// The marks to remember after the front has reported `later`. Reports on one disk may arrive in any
     /// order. For a change of disk the caller passes only reports of a later start of the front, since a
     /// delayed report would bring the old disk back.
-    pub fn merged_with(self, later: Marks) -> Marks {
+    pub fn merged_with(self, later: DiskMarks) -> DiskMarks {
         if self.disk != later.disk {
             return later;
         }
         let (boots, commits) = (self.boots.max(later.boots), self.commits.max(later.commits));
-        Marks { disk: self.disk, boots, commits }
+        DiskMarks { disk: self.disk, boots, commits }
     }
 }
 
--- a/crates/store/src/marks/tests.rs
+++ b/crates/store/src/marks/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-const fn marks(disk: u64, boots: u64, commits: u64) -> Marks {
-    Marks { disk, boots, commits }
+const fn marks(disk: u64, boots: u64, commits: u64) -> DiskMarks {
+    DiskMarks { disk, boots, commits }
 }
 
 #[test]
@@ -11,9 +11,9 @@
     let table = [
         (Some(marks(1, 3, 40)), None, DiskTrust::Unknown),
         (None, None, DiskTrust::Unknown),
-        (None, Some(Marks::default()), DiskTrust::Fresh),
+        (None, Some(DiskMarks::default()), DiskTrust::Fresh),
         (None, Some(marks(1, 3, 40)), DiskTrust::Other),
-        (Some(marks(1, 3, 40)), Some(Marks::default()), DiskTrust::Current),
+        (Some(marks(1, 3, 40)), Some(DiskMarks::default()), DiskTrust::Current),
         (Some(marks(1, 3, 40)), Some(marks(1, 3, 40)), DiskTrust::Current),
         (Some(marks(1, 3, 41)), Some(marks(1, 3, 40)), DiskTrust::Current),
         (Some(marks(1, 3, 30)), Some(marks(1, 3, 40)), DiskTrust::Behind { by: 10 }),
@@ -22,7 +22,7 @@
     ];
     for (found, remembered, expected) in table {
         assert_eq!(
-            Marks::assess_trust(found, remembered),
+            DiskMarks::assess_trust(found, remembered),
             expected,
             "found {found:?}, remembered {remembered:?}"
         );
--- a/crates/store/tests/disks.rs
+++ b/crates/store/tests/disks.rs
@@ -3,12 +3,12 @@
 
 use fernslip_store::faulty_disk::{Faults, FaultyDisk};
 use fernslip_store::layers::{AvoidedNode, Position, Purge, PurgeTarget};
-use fernslip_store::{Change, DiskTrust, LayerContents, Marks, Store, StoreError};
+use fernslip_store::{Change, DiskMarks, DiskTrust, LayerContents, Store, StoreError};
 use proptest::prelude::*;
 
 /// Makes commit `number` of a test: sets the position's offset to it, adds the purge of the object with that
 /// number, and removes the purge of the object three numbers before.
-fn commit_numbered(store: &mut Store, number: u64) -> Result<Marks, StoreError> {
+fn commit_numbered(store: &mut Store, number: u64) -> Result<DiskMarks, StoreError> {
     let position = Position { epoch: 5, offset: number, at_unix_ms: 1000 * number };
     store.commit(&[
         Change::put(&(), &position)?,
@@ -21,7 +21,7 @@
 /// one.
 fn last_commit_in(store: &Store) -> Result<u64, StoreError> {
     let at = store.get::<Position>(&())?.map_or(0, |p| p.offset);
-    let LayerContents { entries: purges, damaged } = store.all::<Purge>()?;
+    let LayerContents { entries: purges, damaged } = store.all_values::<Purge>()?;
     if damaged > 0 {
         return Err(StoreError::Damaged("purge", "at least one value is damaged"));
     }
@@ -39,7 +39,7 @@
 
 /// Opens a store and makes the commits after `from` up to `last` until one fails; returns the number of the
 /// last successful commit and the last marks, `None` if the store can't be opened.
-fn commit_until_failure(faulty_disk: &FaultyDisk, from: u64, last: u64) -> (u64, Option<Marks>) {
+fn commit_until_failure(faulty_disk: &FaultyDisk, from: u64, last: u64) -> (u64, Option<DiskMarks>) {
     let (mut done, mut reported) = (from, None);
     if let Ok((mut store, _)) = Store::open(faulty_disk.open_handle(), 9) {
         reported = Some(store.marks());
@@ -90,7 +90,7 @@
         // All that was reported to other fronts is on the disk, so it must be trusted.
         if let Some(reported) = reported {
             assert_eq!(
-                Marks::assess_trust(found, Some(reported)),
+                DiskMarks::assess_trust(found, Some(reported)),
                 DiskTrust::Current,
                 "the disk must be trusted after power loss at operation {at}, seed {seed}"
             );
@@ -124,7 +124,7 @@
             faulty_disk.restore_copy(old);
         }
         match Store::open(faulty_disk.open_handle(), 77) {
-            Ok((store, found)) => match Marks::assess_trust(found, Some(reported)) {
+            Ok((store, found)) => match DiskMarks::assess_trust(found, Some(reported)) {
                 DiskTrust::Current => {
                     assert_eq!(
                         last_commit_in(&store).expect("the store can be read"),
@@ -186,7 +186,7 @@
         Change::put(&"box-1".to_string(), &Newer("later".into())).expect("the value is not too long");
     store.commit(&[change]).expect("the disk has no faults");
     assert!(matches!(store.get::<AvoidedNode>(&"box-1".into()), Err(StoreError::LaterVersion("avoided", 3))));
-    assert!(matches!(store.all::<AvoidedNode>(), Err(StoreError::LaterVersion("avoided", 3))));
+    assert!(matches!(store.all_values::<AvoidedNode>(), Err(StoreError::LaterVersion("avoided", 3))));
     commit_numbered(&mut store, 1).expect("other layers can still be written");
     assert_eq!(
         store.get::<Newer>(&"box-1".into()).expect("the store can be read").map(|n| n.0).as_deref(),
@@ -212,7 +212,7 @@
     let (mut store, _) =
         Store::open(open().expect("no other store has the file open"), 4).expect("the store can be opened");
     commit_numbered(&mut store, 1).expect("the commit succeeds");
-    let second = fernslip_store::file(
+    let second = fernslip_store::open_file_as_disk(
         std::fs::File::options()
             .read(true)
             .write(true)
--- a/crates/store/tests/stored_data.rs
+++ b/crates/store/tests/stored_data.rs
@@ -18,7 +18,7 @@
 //! file beside this one.
 
 use fernslip_store::layers::{AvoidedNode, InDoubtWrite, Peer, Position, Purge, PurgeTarget, RawBytes};
-use fernslip_store::{file, LayerContents, Marks, Store, StoreError};
+use fernslip_store::{open_file_as_disk, DiskMarks, LayerContents, Store, StoreError};
 use std::path::PathBuf;
 
 /// Disk id that the example gave to the empty file.
@@ -28,24 +28,24 @@
 
 /// Copies the committed file to a temporary directory and opens the copy, so that the committed file is
 /// never written to.
-fn open_copy_of(name: &str) -> Result<(tempfile::TempDir, Store, Option<Marks>), StoreError> {
+fn open_copy_of(name: &str) -> Result<(tempfile::TempDir, Store, Option<DiskMarks>), StoreError> {
     let committed: PathBuf = [env!("CARGO_MANIFEST_DIR"), "tests", "data", name].iter().collect();
     let scratch = tempfile::tempdir().expect("a temporary directory can be created");
     let copy = scratch.path().join(name);
     std::fs::copy(&committed, &copy).expect("the committed store file can be copied");
     let opened =
         std::fs::OpenOptions::new().read(true).write(true).open(&copy).expect("the copy can be opened");
-    let (store, found) = Store::open(file(opened)?, UNUSED_DISK_ID)?;
+    let (store, found) = Store::open(open_file_as_disk(opened)?, UNUSED_DISK_ID)?;
     Ok((scratch, store, found))
 }
 
 #[test]
 fn a_store_written_by_e2efe9d_opens_with_the_marks_of_its_last_commit() -> Result<(), StoreError> {
     let (_scratch, store, found) = open_copy_of("written-by-e2efe9d.redb")?;
-    assert_eq!(found, Some(Marks { disk: DISK_ID, boots: 1, commits: 3 }));
+    assert_eq!(found, Some(DiskMarks { disk: DISK_ID, boots: 1, commits: 3 }));
     assert_eq!(
         store.marks(),
-        Marks { disk: DISK_ID, boots: 2, commits: 4 },
+        DiskMarks { disk: DISK_ID, boots: 2, commits: 4 },
         "this start and its commit must be counted on the existing disk"
     );
     Ok(())
@@ -61,7 +61,7 @@
     );
 
     assert_eq!(
-        store.all::<Purge>()?,
+        store.all_values::<Purge>()?,
         LayerContents {
             entries: vec![
                 (PurgeTarget::Object(17), Purge { at_unix_ms: 1_700_000_001_000 }),
@@ -73,7 +73,7 @@
     );
 
     assert_eq!(
-        store.all::<AvoidedNode>()?,
+        store.all_values::<AvoidedNode>()?,
         LayerContents {
             entries: vec![
                 ("cache-a:7070".to_string(), AvoidedNode { manual: true, since_unix_ms: 1_700_000_003_000 }),
@@ -84,7 +84,7 @@
     );
 
     assert_eq!(
-        store.all::<Peer>()?,
+        store.all_values::<Peer>()?,
         LayerContents {
             entries: vec![
                 (
@@ -102,7 +102,7 @@
     assert_eq!(store.get::<Peer>(&"front-gone".to_string())?, None, "a removed peer must stay removed");
 
     assert_eq!(
-        store.all::<InDoubtWrite>()?,
+        store.all_values::<InDoubtWrite>()?,
         LayerContents {
             entries: vec![
                 (77, InDoubtWrite { until_unix_ms: 1_700_000_005_000 }),
@@ -113,7 +113,7 @@
     );
 
     assert_eq!(
-        store.all::<RawBytes>()?,
+        store.all_values::<RawBytes>()?,
         LayerContents {
             entries: vec![(("view".to_string(), 2), RawBytes(vec![0, 1, 2, 254, 255]))],
             damaged: 0
