--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -15,7 +15,7 @@
 use fernslip_front::keyfile;
 use fernslip_front::log::{install, Format};
 use fernslip_front::reload::{self, Signals};
-use fernslip_import::{Disk, Imported, Options, Verdict};
+use fernslip_import::{DiskFiles, Imported, Options, Verdict};
 use fernslip_site::{ParsedSite, Site};
 use std::io::{self, Read as _};
 use std::os::unix::net::UnixStream;
@@ -82,7 +82,7 @@
 fn show(file: &Path, format: ShowFormat) -> ExitCode {
     match read_document(file) {
         Ok(read) => {
-            let site = read.site.effective();
+            let site = read.site.with_defaults();
             print(&match format {
                 ShowFormat::Kdl => site.to_kdl(),
                 ShowFormat::Json => site.to_json() + "\n",
@@ -185,10 +185,10 @@
 fn import(source: ImportSource) -> ExitCode {
     let (imported, out) = match source {
         ImportSource::Httpd { files, out } => {
-            (fernslip_import::httpd(&Disk, &files, &import_options(&out)), out)
+            (fernslip_import::import_httpd(&DiskFiles, &files, &import_options(&out)), out)
         }
         ImportSource::Modjk { workers, mounts, httpd, out } => {
-            (fernslip_import::modjk(&Disk, &workers, &mounts, &httpd, &import_options(&out)), out)
+            (fernslip_import::import_modjk(&DiskFiles, &workers, &mounts, &httpd, &import_options(&out)), out)
         }
     };
     let Imported { site, report } = match imported {
--- a/crates/front/src/control/plan.rs
+++ b/crates/front/src/control/plan.rs
@@ -4,7 +4,7 @@
 use crate::upstream::connection_pool::Timeouts;
 use fernslip::json::Names;
 use fernslip::Settings;
-use fernslip_pool::{Routes, Spec};
+use fernslip_pool::{PoolSpec, Routes};
 use fernslip_site::{
     Kind, Member, MembersFrom, Pool, PoolLimits, Protocol, Recovery, Retry, Site, State, Use,
 };
@@ -82,7 +82,7 @@
     /// The members by id; empty if the members come from the discovery watch.
     pub members: BTreeMap<Arc<str>, PlannedMember>,
     /// The pools, in the order of the site document.
-    pub pools: Vec<Spec>,
+    pub pools: Vec<PoolSpec>,
     /// The routes that lead requests to `pools`.
     pub routes: Routes,
     /// The answer timeouts of each of `pools`, in the same order.
@@ -98,7 +98,7 @@
     /// Returns every reason why a front cannot serve from the document.
     pub fn of(site: &Site, names: &Names, settings: &Settings) -> Result<Plan, Vec<String>> {
         let from_file = site.members_from == Some(MembersFrom::File);
-        let mut site = site.effective();
+        let mut site = site.with_defaults();
         if from_file && site.pools.is_empty() {
             site.pools.push(default_pool(&site));
         }
@@ -117,8 +117,8 @@
             from_file,
             max_pools_per_cache,
             answers: AnswerTimeouts::by_pool(&site),
-            pools: Spec::all(&site),
-            routes: Routes::of(&site),
+            pools: PoolSpec::for_all_pools(&site),
+            routes: Routes::from_site(&site),
             members,
         })
     }
@@ -158,7 +158,7 @@
         ));
         return None;
     };
-    let link_kb_per_s = member.link_kb_per_s.unwrap_or(fernslip_site::defaults::MEMBER_KB_PER_S);
+    let link_kb_per_s = member.link_kb_per_s.unwrap_or(fernslip_site::defaults::MEMBER_LINK_KB_PER_S);
     Some(PlannedMember {
         addr,
         zone,
@@ -226,7 +226,7 @@
         retry: Retry::default(),
         recovery: Recovery::default(),
     };
-    let filled = Site { pools: vec![pool], ..site.clone() }.effective();
+    let filled = Site { pools: vec![pool], ..site.clone() }.with_defaults();
     filled.pools.into_iter().next().unwrap_or_else(|| unreachable!("the site was given exactly one pool"))
 }
 
--- a/crates/front/src/control/standalone.rs
+++ b/crates/front/src/control/standalone.rs
@@ -15,7 +15,7 @@
 /// # Errors
 /// Returns every reason why the document is not sufficient as a configuration.
 pub fn config(site: &Site) -> Result<Config, Vec<String>> {
-    let site = site.effective();
+    let site = site.with_defaults();
     let front = site
         .front
         .as_ref()
@@ -48,8 +48,8 @@
         settings,
         names,
         streams: 32,
-        connect_timeout: Duration::from_millis(defaults::CONNECT_MS),
-        idle_timeout: Duration::from_millis(defaults::IDLE_MS),
+        connect_timeout: Duration::from_millis(defaults::CONNECT_TIMEOUT_MS),
+        idle_timeout: Duration::from_millis(defaults::IDLE_TIMEOUT_MS),
         admin_listen: None,
     })
 }
--- a/crates/front/src/loaded_config.rs
+++ b/crates/front/src/loaded_config.rs
@@ -40,7 +40,7 @@
             Some(d) => Some(Plan::of(d, &config.names, &config.settings).map_err(ConfigError::Plan)?),
             None => None,
         };
-        let gossip = match document.as_ref().and_then(|d| d.effective().gossip) {
+        let gossip = match document.as_ref().and_then(|d| d.with_defaults().gossip) {
             Some(g) => Some(gossip::Plan::of(&g, &config.name).map_err(ConfigError::Plan)?),
             None => None,
         };
@@ -64,7 +64,7 @@
     config: &Config,
     file: Option<&PathBuf>,
 ) -> Result<Option<view::Plan>, ConfigError> {
-    let Some(settings) = document.effective().view else { return Ok(None) };
+    let Some(settings) = document.with_defaults().view else { return Ok(None) };
     let zone = document.front.as_ref().and_then(|f| f.zone.clone()).unwrap_or_default();
     // The hash leaves out what describes this front alone, so that all fronts of one configuration have the
     // same hash.
--- a/crates/front/src/upstream/dispatch_queue.rs
+++ b/crates/front/src/upstream/dispatch_queue.rs
@@ -10,7 +10,7 @@
 use arc_swap::ArcSwap;
 use fernslip::facade::{Attempt, Dispatcher};
 use fernslip::{Ending, ListKind};
-use fernslip_pool::{Action, AttemptOutcome, Endpoint, Event, Phase, Pool, Spec};
+use fernslip_pool::{Action, AttemptOutcome, Endpoint, Event, Phase, Pool, PoolSpec};
 use may::sync::Blocker;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -60,8 +60,8 @@
 impl DispatchQueue {
     /// Creates the queue of the pool that `make_pool` creates from this specification.
     pub(super) fn with_pool(
-        spec: Spec,
-        make_pool: impl FnOnce(Spec) -> Pool,
+        spec: PoolSpec,
+        make_pool: impl FnOnce(PoolSpec) -> Pool,
         answer_timeouts: AnswerTimeouts,
         dispatcher: Dispatcher<DispatchHost>,
     ) -> DispatchQueue {
@@ -127,7 +127,7 @@
     }
 
     /// Applies a changed specification of the pool and its answer timeouts.
-    pub(super) fn reconfigure(&self, clock: &Clock, spec: Spec, answer_timeouts: AnswerTimeouts) {
+    pub(super) fn reconfigure(&self, clock: &Clock, spec: PoolSpec, answer_timeouts: AnswerTimeouts) {
         self.answer_timeouts.store(Arc::new(answer_timeouts));
         let Some(state) = &self.state else { return };
         let mean_weight = mean_weight(&spec);
@@ -188,11 +188,11 @@
     /// milliseconds on the module's clock; `None` if there is none.
     pub fn tick(&self, clock: &Clock) -> Option<f64> {
         let pool_wake_ms = self.state.as_ref().and_then(|state| {
-            let due = lock(state).pool.wake_at();
+            let due = lock(state).pool.next_tick_ms();
             if due.is_some_and(|at| at <= clock.now()) {
                 self.handle_event(clock, Event::Tick);
             }
-            lock(state).pool.wake_at()
+            lock(state).pool.next_tick_ms()
         });
         [self.dispatcher.tick(clock.now()), pool_wake_ms].into_iter().flatten().reduce(f64::min)
     }
@@ -209,7 +209,7 @@
 }
 
 /// Mean weight of a pool's members; 0 if it has none.
-fn mean_weight(spec: &Spec) -> f64 {
+fn mean_weight(spec: &PoolSpec) -> f64 {
     let n = spec.members.len().max(1) as f64;
     spec.members.iter().map(|m| m.weight).sum::<f64>() / n
 }
--- a/crates/front/src/upstream/dispatch_queues.rs
+++ b/crates/front/src/upstream/dispatch_queues.rs
@@ -15,7 +15,7 @@
 use arc_swap::ArcSwap;
 use fernslip::facade::Dispatcher;
 use fernslip::{CacheId, Entry, RequestId, Settings, SettingsError};
-use fernslip_pool::{Pool, Routed, Routes};
+use fernslip_pool::{Pool, RouteDecision, Routes};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -135,8 +135,10 @@
             return self.queues.first();
         }
         match routing.routes.route("", &format!("/{class}/{object}")) {
-            Routed::Pool(pool) => routing.queue_of_pool.get(pool).and_then(|index| self.queues.get(*index)),
-            Routed::Excluded | Routed::Unrouted => None,
+            RouteDecision::Pool(pool) => {
+                routing.queue_of_pool.get(pool).and_then(|index| self.queues.get(*index))
+            }
+            RouteDecision::Excluded | RouteDecision::Unrouted => None,
         }
     }
 
@@ -160,7 +162,7 @@
         members: BTreeMap::new(),
         pools: Vec::new(),
         answers: Vec::new(),
-        routes: Routes::of(&fernslip_site::Site::default()),
+        routes: Routes::from_site(&fernslip_site::Site::default()),
         max_pools_per_cache: 1,
     }
 }
--- a/crates/front/src/upstream/dispatch_queues/endpoint_updates.rs
+++ b/crates/front/src/upstream/dispatch_queues/endpoint_updates.rs
@@ -9,7 +9,7 @@
 use crate::upstream::connection_pool::ConnectionPool;
 use crate::upstream::node_registry::NodeAttributes;
 use fernslip::{CacheId, Entry, ListKind, Phase};
-use fernslip_pool::{Event, Notified};
+use fernslip_pool::{Event, ListedState};
 use fernslip_site::State;
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
@@ -98,12 +98,12 @@
             }
             for entry in entries.iter().filter(|e| !host.is_source(e.kind)) {
                 let state = match entry.phase {
-                    Phase::In => Notified::Up,
-                    Phase::Draining => Notified::Draining,
-                    Phase::Out => Notified::Removed,
+                    Phase::In => ListedState::Up,
+                    Phase::Draining => ListedState::Draining,
+                    Phase::Out => ListedState::Removed,
                 };
                 let (id, started_ms) = (entry.cache.0.clone(), entry.started_ms);
-                queue.handle_event(clock, Event::Notified { id, state, started_ms });
+                queue.handle_event(clock, Event::EndpointReported { id, state, started_ms });
             }
         }
     }
--- a/crates/front/src/upstream/dispatch_queues/plan_updates.rs
+++ b/crates/front/src/upstream/dispatch_queues/plan_updates.rs
@@ -7,7 +7,7 @@
 use crate::sync::lock;
 use crate::upstream::connection_pool::ConnectionPool;
 use fernslip::{CacheId, Entry, ListKind, Phase};
-use fernslip_pool::{Event, Notified};
+use fernslip_pool::{Event, ListedState};
 use fernslip_site::State;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -150,7 +150,10 @@
     /// Notifies every pool that a member started at `started_ms`.
     fn notify_restart(&self, clock: &Clock, id: &Arc<str>, started_ms: f64) {
         for queue in &self.queues {
-            queue.handle_event(clock, Event::Notified { id: id.clone(), state: Notified::Up, started_ms });
+            queue.handle_event(
+                clock,
+                Event::EndpointReported { id: id.clone(), state: ListedState::Up, started_ms },
+            );
         }
     }
 }
--- a/crates/import/benches/import.rs
+++ b/crates/import/benches/import.rs
@@ -2,7 +2,7 @@
 //! and the time of parsing the resulting document. Each figure is also given per member, which should not
 //! grow with their number.
 
-use fernslip_import::{httpd, modjk, Imported, MemoryFiles, Options};
+use fernslip_import::{import_httpd, import_modjk, Imported, MemoryFiles, Options};
 use fernslip_site::Site;
 use std::time::{Duration, Instant};
 
@@ -58,10 +58,10 @@
     let files = if format == "httpd" { httpd_files(members) } else { modjk_files(members) };
     let import = || -> Imported {
         let imported = match format {
-            "httpd" => httpd(&files, &["httpd.conf".into()], &Options::default()),
+            "httpd" => import_httpd(&files, &["httpd.conf".into()], &Options::default()),
             _ => {
                 let [w, m] = ["workers.properties", "uriworkermap.properties"].map(Into::into);
-                modjk(&files, &[w], &[m], &[], &Options::default())
+                import_modjk(&files, &[w], &[m], &[], &Options::default())
             }
         };
         imported.unwrap_or_else(|e| panic!("the import of the generated {format} files failed: {e}"))
--- a/crates/import/src/endpoint.rs
+++ b/crates/import/src/endpoint.rs
@@ -1,6 +1,6 @@
 //! Network addresses of backend servers.
 
-use fernslip_site::{host_port, Protocol};
+use fernslip_site::{split_host_port, Protocol};
 
 /// The protocol, address and path at which a backend server is reached.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -46,7 +46,7 @@
         let host = host.to_ascii_lowercase();
         let has_port = host.rsplit_once(':').is_some_and(|(h, _)| !h.starts_with('[') || h.ends_with(']'));
         let address = if has_port { host } else { format!("{host}:{port}") };
-        if host_port(&address).is_none() {
+        if split_host_port(&address).is_none() {
             return Err(format!("`{address}` is not a valid host and port"));
         }
         let path = Some(path.trim_end_matches('/')).filter(|p| !p.is_empty()).map(String::from);
--- a/crates/import/src/files.rs
+++ b/crates/import/src/files.rs
@@ -34,7 +34,7 @@
 
 /// Reads input files from the file system.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Disk;
+pub struct DiskFiles;
 
 /// The greatest depth at which directories below an included directory are listed. It bounds the recursion if
 /// symbolic links form a cycle.
@@ -54,7 +54,7 @@
     }
 }
 
-impl Files for Disk {
+impl Files for DiskFiles {
     fn read(&self, path: &Path) -> io::Result<Vec<u8>> {
         let file = std::fs::File::open(path)?;
         if !file.metadata()?.is_file() {
--- a/crates/import/src/httpd/balancer.rs
+++ b/crates/import/src/httpd/balancer.rs
@@ -6,7 +6,7 @@
 use crate::coverage::{self, BALANCER_PARAMS, PROXY_PASS_KEYWORDS};
 use crate::ledger::Ledger;
 use crate::params::{parse_flag, parse_time_ms, Param};
-use fernslip_site::{status_code, Pool, State, Use};
+use fernslip_site::{parse_status_code, Pool, State, Use};
 use std::collections::HashMap;
 
 /// Adds the pool of a balancer to the site, and returns the pool's name.
@@ -166,7 +166,8 @@
             );
         }
         "failonstatus" => {
-            let codes: Option<Vec<u16>> = value.split(',').map(|code| status_code(code.trim())).collect();
+            let codes: Option<Vec<u16>> =
+                value.split(',').map(|code| parse_status_code(code.trim())).collect();
             ledger.report_mapped_if(
                 codes.is_some(),
                 item,
--- a/crates/import/src/import.rs
+++ b/crates/import/src/import.rs
@@ -41,7 +41,11 @@
 /// # Errors
 /// Returns an [`ImportError`] with the location of the cause, for unreadable files, include cycles, unclosed
 /// sections and exceeded limits.
-pub fn httpd(files: &dyn Files, inputs: &[PathBuf], options: &Options) -> Result<Imported, ImportError> {
+pub fn import_httpd(
+    files: &dyn Files,
+    inputs: &[PathBuf],
+    options: &Options,
+) -> Result<Imported, ImportError> {
     let mut reader = HttpdReader::new(files, options.root.clone(), &options.defines);
     for path in inputs {
         reader.read_file(path)?;
@@ -53,8 +57,8 @@
 /// directives.
 ///
 /// # Errors
-/// The same as for [`httpd`].
-pub fn modjk(
+/// The same as for [`import_httpd`].
+pub fn import_modjk(
     files: &dyn Files,
     workers: &[PathBuf],
     mounts: &[PathBuf],
--- a/crates/import/src/lib.rs
+++ b/crates/import/src/lib.rs
@@ -10,7 +10,7 @@
 //! report; the `builder` collects members, pools and routes.
 //!
 //! ```
-//! use fernslip_import::{httpd, MemoryFiles, Options, Verdict};
+//! use fernslip_import::{import_httpd, MemoryFiles, Options, Verdict};
 //!
 //! let conf = b"\
 //! <Proxy balancer://docs>
@@ -21,7 +21,7 @@
 //! ProxyPass /docs balancer://docs
 //! ";
 //! let files = MemoryFiles::from_files([("httpd.conf", &conf[..])]);
-//! let imported = httpd(&files, &["httpd.conf".into()], &Options::default())?;
+//! let imported = import_httpd(&files, &["httpd.conf".into()], &Options::default())?;
 //! assert_eq!(imported.site.to_kdl(), r#"site "imported" members-from="file"
 //! member "10.0.0.1:8080" address="10.0.0.1:8080" protocol="http"
 //! member "10.0.0.2:8080" address="10.0.0.2:8080" protocol="http"
@@ -54,8 +54,8 @@
 mod text;
 
 pub use error::ImportError;
-pub use files::{Disk, Files, MemoryFiles, MAX_FILE_BYTES};
-pub use import::{httpd, modjk, Imported, Options};
+pub use files::{DiskFiles, Files, MemoryFiles, MAX_FILE_BYTES};
+pub use import::{import_httpd, import_modjk, Imported, Options};
 pub use location::Location;
 pub use report::{Entry, Report, Verdict};
 pub use text::MAX_LINE_BYTES;
--- a/crates/import/src/modjk/members.rs
+++ b/crates/import/src/modjk/members.rs
@@ -8,7 +8,7 @@
 use crate::endpoint::Endpoint;
 use crate::ledger::Ledger;
 use crate::params::{parse_flag, parse_time_ms, Param};
-use fernslip_site::{host_port, MemberLimits, Protocol, State, Use};
+use fernslip_site::{split_host_port, MemberLimits, Protocol, State, Use};
 
 /// The greatest weight that a site document accepts.
 const MAX_WEIGHT: f64 = 1e6;
@@ -104,7 +104,7 @@
     };
     let host = worker.value("host").unwrap_or("localhost");
     let address = format!("{host}:{}", worker.value("port").unwrap_or(default_port));
-    if host_port(&address).is_none() {
+    if split_host_port(&address).is_none() {
         return Err(format!("`{name}` has no valid address: `{address}` is not a host and port"));
     }
     Ok(Endpoint { protocol, address, path: None })
--- a/crates/import/src/modjk/syntax.rs
+++ b/crates/import/src/modjk/syntax.rs
@@ -4,7 +4,7 @@
 use crate::ledger::{Item, Ledger};
 use crate::location::Location;
 use crate::text::{expand_variables, read_lines, Continuations, Expanded, Line, MAX_LINE_BYTES};
-use fernslip_site::{status_code, State};
+use fernslip_site::{parse_status_code, State};
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -34,7 +34,7 @@
     pub fn parse(value: &str) -> StatusCodes {
         let mut parsed = StatusCodes { codes: Vec::new(), unsupported: Vec::new() };
         for value in split_list(value) {
-            match status_code(&value) {
+            match parse_status_code(&value) {
                 Some(code) => parsed.codes.push(code),
                 None => parsed.unsupported.push(value),
             }
--- a/crates/import/tests/hostile_input.rs
+++ b/crates/import/tests/hostile_input.rs
@@ -5,13 +5,13 @@
 use proptest::prelude::*;
 use std::path::PathBuf;
 
-fn import_httpd(files: &[(&str, &str)]) -> Result<Imported, ImportError> {
+fn parse_httpd_files(files: &[(&str, &str)]) -> Result<Imported, ImportError> {
     let files = MemoryFiles::from_files(files.iter().map(|(n, t)| (*n, t.as_bytes())));
-    httpd(&files, &["a.conf".into()], &Options::default())
+    import_httpd(&files, &["a.conf".into()], &Options::default())
 }
 
 fn error_of(files: &[(&str, &str)]) -> String {
-    import_httpd(files).map(|_| String::new()).unwrap_err().to_string()
+    parse_httpd_files(files).map(|_| String::new()).unwrap_err().to_string()
 }
 
 #[test]
@@ -46,7 +46,7 @@
         error_of(&[("a.conf", "Include x/*.conf")]),
         "a.conf:1:1: no file matches `x/*.conf`; use IncludeOptional if there may be none"
     );
-    assert!(import_httpd(&[("a.conf", "IncludeOptional x/*.conf")]).is_ok());
+    assert!(parse_httpd_files(&[("a.conf", "IncludeOptional x/*.conf")]).is_ok());
     assert!(error_of(&[("b.conf", "")]).starts_with("a.conf: cannot be read: "));
     assert!(error_of(&[("a.conf", "JkWorkersFile w.properties")])
         .starts_with("a.conf:1:1: `w.properties` cannot be read: "));
@@ -79,14 +79,15 @@
 /// ends the import with an error at the line that exceeds the limit.
 #[test]
 fn variables_cannot_grow_without_bound() {
-    let site = import_httpd(&[("a.conf", "Define A ${A}\nDefine B ${A}x\nProxyPass / http://h:1/${B}\n")]);
+    let site =
+        parse_httpd_files(&[("a.conf", "Define A ${A}\nDefine B ${A}x\nProxyPass / http://h:1/${B}\n")]);
     assert_eq!(site.expect("the input is valid").site.members[0].path.as_deref(), Some("/${A}x"));
     let doubling = format!("Define A xxxxxxxxxxxxxxxx\n{}", "Define A ${A}${A}\n".repeat(40));
     let e = error_of(&[("a.conf", &doubling)]);
     assert!(e.contains("after variable expansion") && e.starts_with("a.conf:17:1: "), "{e}");
     let jk = format!("a=xxxxxxxxxxxxxxxx\n{}", "a=$(a)$(a)\n".repeat(40));
     let files = MemoryFiles::from_files([("w", jk.as_bytes())]);
-    let e = modjk(&files, &["w".into()], &[], &[], &Options::default()).unwrap_err().to_string();
+    let e = import_modjk(&files, &["w".into()], &[], &[], &Options::default()).unwrap_err().to_string();
     assert!(e.contains("after variable expansion"), "{e}");
 }
 
@@ -98,9 +99,11 @@
     let out = std::fs::File::create(&file).expect("the input file can be created");
     // The file is sparse: it reads as zeros without a newline.
     out.set_len(100 << 20).expect("the file can be extended to 100 MiB");
-    let e = httpd(&Disk, std::slice::from_ref(&file), &Options::default()).unwrap_err().to_string();
+    let e =
+        import_httpd(&DiskFiles, std::slice::from_ref(&file), &Options::default()).unwrap_err().to_string();
     out.set_len(60 << 20).expect("the file can be truncated to 60 MiB");
-    let shorter = httpd(&Disk, std::slice::from_ref(&file), &Options::default()).unwrap_err().to_string();
+    let shorter =
+        import_httpd(&DiskFiles, std::slice::from_ref(&file), &Options::default()).unwrap_err().to_string();
     let _ = std::fs::remove_dir_all(&directory);
     assert!(e.contains("longer than 67108864 bytes"), "{e}");
     assert!(shorter.contains("the line is longer than 1048576 bytes"), "{shorter}");
@@ -117,7 +120,7 @@
         ),
     ]);
     let inputs: [PathBuf; 2] = ["1".into(), "2".into()];
-    let imported = httpd(&files, &inputs, &Options::default()).expect("the input is valid");
+    let imported = import_httpd(&files, &inputs, &Options::default()).expect("the input is valid");
     assert_eq!(imported.site.pools[0].members.len(), 1);
     assert_eq!(imported.site.pools[0].members[0].weight, Some(7.0));
     let first = imported.report.entries.iter().find(|e| e.file == "1" && e.directive.contains("loadfactor"));
@@ -130,7 +133,7 @@
 /// A path without a usable pool must not be matched by the next route.
 #[test]
 fn a_route_without_a_usable_pool_excludes_its_path() {
-    let site = import_httpd(&[("a.conf", "ProxyPass /x balancer://none\nProxyPass / http://h:1/")])
+    let site = parse_httpd_files(&[("a.conf", "ProxyPass /x balancer://none\nProxyPass / http://h:1/")])
         .expect("the input is valid")
         .site;
     assert_eq!(site.routes[0].rules[0].target, fernslip_site::Target::Exclude(None));
@@ -139,7 +142,7 @@
 #[test]
 fn secrets_appear_in_no_output() {
     let text = "ProxyPass / ajp://h:1/ secret=sesame\n";
-    let imported = import_httpd(&[("a.conf", text)]).expect("the input is valid");
+    let imported = parse_httpd_files(&[("a.conf", text)]).expect("the input is valid");
     let out = imported.site.to_kdl() + &imported.report.to_json() + &imported.report.to_table();
     assert!(out.contains("secret") && !out.contains("sesame"));
 }
@@ -265,11 +268,11 @@
     #[test]
     fn any_bytes_are_imported_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let files = MemoryFiles::from_files([("a.conf", &bytes[..])]);
-        if let Ok(imported) = httpd(&files, &["a.conf".into()], &Options::default()) {
+        if let Ok(imported) = import_httpd(&files, &["a.conf".into()], &Options::default()) {
             check_document_and_report(&imported)?;
         }
         if let Ok(imported) =
-            modjk(&files, &["a.conf".into()], &["a.conf".into()], &[], &Options::default())
+            import_modjk(&files, &["a.conf".into()], &["a.conf".into()], &[], &Options::default())
         {
             check_document_and_report(&imported)?;
         }
@@ -277,7 +280,7 @@
 
     #[test]
     fn any_sequence_of_httpd_tokens_is_imported_or_rejected(text in token_sequence(HTTPD_TOKENS)) {
-        if let Ok(imported) = import_httpd(&[("a.conf", &text)]) {
+        if let Ok(imported) = parse_httpd_files(&[("a.conf", &text)]) {
             check_document_and_report(&imported)?;
         }
     }
@@ -288,7 +291,7 @@
         mounts in token_sequence(MODJK_TOKENS),
     ) {
         let files = MemoryFiles::from_files([("w", workers.as_bytes()), ("m", mounts.as_bytes())]);
-        if let Ok(imported) = modjk(&files, &["w".into()], &["m".into()], &[], &Options::default()) {
+        if let Ok(imported) = import_modjk(&files, &["w".into()], &["m".into()], &[], &Options::default()) {
             check_document_and_report(&imported)?;
         }
     }
--- a/crates/import/tests/samples.rs
+++ b/crates/import/tests/samples.rs
@@ -1,7 +1,7 @@
 //! Imports every sample in `examples/import/`, and checks that the document and report equal the recorded
 //! snapshots, that the document parses, and that the report lists every directive and parameter exactly once.
 
-use fernslip_import::{httpd, modjk, Imported, MemoryFiles, Options, Verdict};
+use fernslip_import::{import_httpd, import_modjk, Imported, MemoryFiles, Options, Verdict};
 use fernslip_site::{Site, State};
 use std::collections::{BTreeMap, HashSet};
 use std::path::{Path, PathBuf};
@@ -45,10 +45,10 @@
     collect_files(sample, sample, &mut files);
     let options = Options::default();
     let imported = if sample.join("httpd.conf").exists() {
-        httpd(&files, &["httpd.conf".into()], &options)
+        import_httpd(&files, &["httpd.conf".into()], &options)
     } else {
         let [workers, mounts] = ["workers.properties", "uriworkermap.properties"].map(PathBuf::from);
-        modjk(&files, &[workers], &[mounts], &[], &options)
+        import_modjk(&files, &[workers], &[mounts], &[], &options)
     };
     imported.unwrap_or_else(|e| panic!("the import of the sample {} failed: {e}", sample.display()))
 }
@@ -160,7 +160,7 @@
             "<Proxy balancer://b>\nBalancerMember http://h:1 {member}\n</Proxy>\nProxyPass / balancer://b\n"
         );
         let files = MemoryFiles::from_files([("c", text.as_bytes())]);
-        httpd(&files, &["c".into()], &Options::default()).expect("the configuration is valid").site
+        import_httpd(&files, &["c".into()], &Options::default()).expect("the configuration is valid").site
     };
     for (flags, state) in [
         ("D", State::Draining),
@@ -183,10 +183,10 @@
     let jk = |lines: &str| {
         let text = format!("worker.list=l\nworker.l.type=lb\nworker.l.balance_workers=w\n{lines}\n");
         let files = MemoryFiles::from_files([("w", text.as_bytes())]);
-        let site = modjk(&files, &["w".into()], &[], &[], &Options::default())
+        let site = import_modjk(&files, &["w".into()], &[], &[], &Options::default())
             .expect("the configuration is valid")
             .site;
-        site.effective().pools[0].members[0].state
+        site.with_defaults().pools[0].members[0].state
     };
     for (lines, state) in [
         ("worker.w.activation=d", State::Draining),
--- a/crates/pool/benches/request.rs
+++ b/crates/pool/benches/request.rs
@@ -2,7 +2,7 @@
 //! and the ejection and recovery of a member.
 
 use criterion::Criterion;
-use fernslip_pool::{Action, AttemptOutcome, Event, Pool, Routes, Spec};
+use fernslip_pool::{Action, AttemptOutcome, Event, Pool, PoolSpec, Routes};
 use fernslip_site::Site;
 use std::sync::Arc;
 
@@ -27,7 +27,7 @@
 fn bench_pool_and_routes(criterion: &mut Criterion) {
     for members in [10, 100, 1000] {
         let site = site_with_members(members, "limits in-flight=1000");
-        let mut pool = Pool::new(Spec::all(&site).remove(0), 1);
+        let mut pool = Pool::new(PoolSpec::for_all_pools(&site).remove(0), 1);
         let ids: Vec<Arc<str>> = pool.spec().members.iter().map(|p| p.id.clone()).collect();
         let mut actions: Vec<Action> = Vec::new();
         let mut request = 0;
@@ -46,7 +46,7 @@
                 actions.clear();
             });
         });
-        let routes = Routes::of(&site);
+        let routes = Routes::from_site(&site);
         criterion.bench_function(&format!("route/{members}"), |b| {
             b.iter(|| routes.route("", "/class-7/7f3a9c21e0b4d655"));
         });
--- a/crates/pool/src/health.rs
+++ b/crates/pool/src/health.rs
@@ -1,7 +1,7 @@
 //! The health of a member as its attempts show it: healthy, ejected, or half-open while one request at a time
 //! probes it.
 
-use crate::spec::Spec;
+use crate::spec::PoolSpec;
 
 /// How an attempt ended, as far as its member's health is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -103,7 +103,7 @@
         now_ms: f64,
         request: u64,
         outcome: AttemptOutcome,
-        spec: &Spec,
+        spec: &PoolSpec,
         jitter: f64,
     ) -> Option<Recovery> {
         let ejected = |backoff_ms: f64, connection_refused| Health::Ejected {
--- a/crates/pool/src/health/tests.rs
+++ b/crates/pool/src/health/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn ejecting_spec() -> Spec {
-    Spec {
+fn ejecting_spec() -> PoolSpec {
+    PoolSpec {
         name: "p".into(),
         members: Vec::new(),
         in_flight: None,
@@ -59,7 +59,7 @@
 
 #[test]
 fn an_endpoint_ejected_after_a_refused_connection_recovers_as_just_started() {
-    let (spec, mut health) = (Spec { eject_after_failures: 1, ..ejecting_spec() }, Health::HEALTHY);
+    let (spec, mut health) = (PoolSpec { eject_after_failures: 1, ..ejecting_spec() }, Health::HEALTHY);
     health.on_attempt_ended(0.0, 1, AttemptOutcome::ConnectionRefused, &spec, 1.25);
     assert_eq!(health.probe_due_ms(), Some(125.0));
     health.half_open_if_due(125.0);
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -20,10 +20,10 @@
 //! - An endpoint whose administrative state is draining or stopped is not published as [`Phase::Serving`]
 //!   once the event that sets this state was handled: not after recovery, not as a replacement and not for a
 //!   half-open probe.
-//! - [`Pool::wake_at`] returns when the next [`Event::Tick`] is due; an earlier one is harmless.
+//! - [`Pool::next_tick_ms`] returns when the next [`Event::Tick`] is due; an earlier one is harmless.
 //!
 //! ```
-//! use fernslip_pool::{Action, AttemptOutcome, Event, Phase, Pool, Spec};
+//! use fernslip_pool::{Action, AttemptOutcome, Event, Phase, Pool, PoolSpec};
 //! use fernslip_site::Site;
 //!
 //! let text = r#"
@@ -32,7 +32,7 @@
 //! pool "docs" { use "a"; use "b"; limits in-flight=1 wait-ms=50; }
 //! "#;
 //! let site = Site::parse("site.kdl", text)?.site;
-//! let mut pool = Pool::new(Spec::for_pool(&site, &site.pools[0]), 7);
+//! let mut pool = Pool::new(PoolSpec::for_pool(&site, &site.pools[0]), 7);
 //! let mut actions = Vec::new();
 //! pool.handle(0.0, Event::Tick, &mut actions);
 //! let Action::Endpoints(endpoints) = &actions[0] else { panic!("the first event publishes all members") };
@@ -57,7 +57,7 @@
 mod spec;
 
 pub use health::AttemptOutcome;
-pub use message::{Action, Counts, Endpoint, Event, Notified, Phase, RejectReason};
+pub use message::{Action, Endpoint, Event, ListedState, Phase, PoolCounts, RejectReason};
 pub use pool::{Occupancy, Pool};
-pub use route::{Routed, Routes};
-pub use spec::{MemberSpec, Spec};
+pub use route::{RouteDecision, Routes};
+pub use spec::{MemberSpec, PoolSpec};
--- a/crates/pool/src/message.rs
+++ b/crates/pool/src/message.rs
@@ -2,7 +2,7 @@
 //! the endpoints and counters that these carry.
 
 use crate::health::AttemptOutcome;
-use crate::spec::Spec;
+use crate::spec::PoolSpec;
 use std::sync::Arc;
 
 /// Whether the decision module may send requests to a member.
@@ -19,7 +19,7 @@
 
 /// The state of a member according to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Notified {
+pub enum ListedState {
     /// The member is running.
     Up,
     /// The member is draining.
@@ -54,13 +54,13 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The pool's specification was replaced by this one.
-    Reconfigured(Spec),
+    Reconfigured(PoolSpec),
     /// The endpoint list reports the state of a member.
-    Notified {
+    EndpointReported {
         /// The member's id.
         id: Arc<str>,
         /// The member's state according to the endpoint list.
-        state: Notified,
+        state: ListedState,
         /// When the member last started, in milliseconds on the caller's clock; 0 means long ago.
         started_ms: f64,
     },
@@ -133,7 +133,7 @@
 
 /// Counters of a pool since it was created, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct PoolCounts {
     /// Requests admitted, at once or from the queue.
     pub admitted: u64,
     /// Requests that were put into the queue.
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -7,9 +7,9 @@
 mod requests;
 
 use crate::health::Health;
-use crate::message::{Action, Counts, Endpoint, Event, Notified};
+use crate::message::{Action, Endpoint, Event, ListedState, PoolCounts};
 use crate::queue::Queue;
-use crate::spec::Spec;
+use crate::spec::PoolSpec;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 struct MemberState {
     health: Health,
     /// The member's state in the last report of the endpoint list.
-    notified: Notified,
+    listed_state: ListedState,
     /// When the member last started, in milliseconds on the caller's clock; 0 means long ago.
     started_ms: f64,
     /// The number of attempts sent to the member that have not ended.
@@ -48,11 +48,11 @@
 /// The state of one pool.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    spec: Spec,
+    spec: PoolSpec,
     /// Differs from front to front, so that the fronts probe one member at different times.
     seed: u64,
-    /// The assumed state of a member that no notification was received for.
-    default_notified: Notified,
+    /// The assumed state of a member that the endpoint list has not reported yet.
+    default_listed_state: ListedState,
     /// The time of the latest event, in milliseconds on the caller's clock.
     now_ms: f64,
     by_id: HashMap<Arc<str>, usize>,
@@ -74,7 +74,7 @@
     serving_capacity: Option<u64>,
     /// The number of admitted requests whose first attempt has not been sent; each will take capacity.
     admitted_unsent: u64,
-    counts: Counts,
+    counts: PoolCounts,
     /// Whether an event was handled: members added after the first event join a pool that is in service.
     in_service: bool,
     /// Whether the endpoints may differ from the published ones.
@@ -87,24 +87,24 @@
 }
 
 impl Pool {
-    /// Creates a pool whose members are assumed to run until a notification says otherwise. `seed` differs
-    /// from front to front, so that they probe one member at different times. The first event publishes all
-    /// members.
-    pub fn new(spec: Spec, seed: u64) -> Pool {
-        Pool::with_default_notified(spec, seed, Notified::Up)
+    /// Creates a pool whose members are assumed to run until the endpoint list reports otherwise. `seed`
+    /// differs from front to front, so that they probe one member at different times. The first event
+    /// publishes all members.
+    pub fn new(spec: PoolSpec, seed: u64) -> Pool {
+        Pool::with_default_listed_state(spec, seed, ListedState::Up)
     }
 
-    /// Creates a pool whose members are out of service until [`Event::Notified`] reports them.
-    pub fn awaiting_endpoint_list(spec: Spec, seed: u64) -> Pool {
-        Pool::with_default_notified(spec, seed, Notified::Removed)
+    /// Creates a pool whose members are out of service until [`Event::EndpointReported`] reports them.
+    pub fn awaiting_endpoint_list(spec: PoolSpec, seed: u64) -> Pool {
+        Pool::with_default_listed_state(spec, seed, ListedState::Removed)
     }
 
-    fn with_default_notified(spec: Spec, seed: u64, default_notified: Notified) -> Pool {
+    fn with_default_listed_state(spec: PoolSpec, seed: u64, default_listed_state: ListedState) -> Pool {
         let retry_tokens = spec.retry_burst;
         let mut pool = Pool {
-            spec: Spec { members: Vec::new(), ..spec.clone() },
+            spec: PoolSpec { members: Vec::new(), ..spec.clone() },
             seed,
-            default_notified,
+            default_listed_state,
             now_ms: 0.0,
             by_id: HashMap::new(),
             members: Vec::new(),
@@ -116,7 +116,7 @@
             serving_count: 0,
             serving_capacity: None,
             admitted_unsent: 0,
-            counts: Counts::default(),
+            counts: PoolCounts::default(),
             in_service: false,
             endpoints_changed: true,
         };
@@ -125,12 +125,12 @@
     }
 
     /// The pool's current specification.
-    pub fn spec(&self) -> &Spec {
+    pub fn spec(&self) -> &PoolSpec {
         &self.spec
     }
 
     /// The pool's counters since it was created.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> PoolCounts {
         self.counts
     }
 
@@ -140,7 +140,7 @@
     }
 
     /// When the next [`Event::Tick`] is due, in milliseconds on the caller's clock; `None` if none is needed.
-    pub fn wake_at(&self) -> Option<f64> {
+    pub fn next_tick_ms(&self) -> Option<f64> {
         let probe = self.probes_due.first().map(|(due_us, _)| *due_us as f64 / 1000.0 + 0.001);
         [probe, self.queue.next_deadline_ms()].into_iter().flatten().reduce(f64::min)
     }
@@ -154,7 +154,9 @@
         self.half_open_due_members();
         match event {
             Event::Reconfigured(spec) => self.apply_spec(spec, actions),
-            Event::Notified { id, state, started_ms } => self.on_notified(&id, state, started_ms),
+            Event::EndpointReported { id, state, started_ms } => {
+                self.on_endpoint_reported(&id, state, started_ms);
+            }
             Event::Arrived { request, wait_until_ms } => {
                 self.publish_endpoints(actions);
                 self.on_arrived(request, wait_until_ms, actions);
--- a/crates/pool/src/pool/members.rs
+++ b/crates/pool/src/pool/members.rs
@@ -2,9 +2,9 @@
 
 use super::{to_micros, MemberState, Pool};
 use crate::health::{AttemptOutcome, Health, Recovery};
-use crate::message::{Action, Endpoint, Notified, Phase};
+use crate::message::{Action, Endpoint, ListedState, Phase};
 use crate::select::{select_endpoints, MemberStatus};
-use crate::spec::{MemberSpec, Spec};
+use crate::spec::{MemberSpec, PoolSpec};
 use fernslip_site::State;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 
 impl Pool {
     /// Replaces the specification; members that stay in the pool retain their health, counts and start time.
-    pub(super) fn apply_spec(&mut self, spec: Spec, actions: &mut Vec<Action>) {
+    pub(super) fn apply_spec(&mut self, spec: PoolSpec, actions: &mut Vec<Action>) {
         let old_members = std::mem::take(&mut self.spec.members);
         let mut old: HashMap<Arc<str>, (State, MemberState)> = old_members
             .into_iter()
@@ -64,10 +64,10 @@
     fn new_member(&self, in_flight: u64) -> MemberState {
         // A member that joins a pool in service may have been started for that purpose. Where there is an
         // endpoint list, it reports the start time instead.
-        let just_started = self.in_service && self.default_notified == Notified::Up;
+        let just_started = self.in_service && self.default_listed_state == ListedState::Up;
         MemberState {
             health: Health::HEALTHY,
-            notified: self.default_notified,
+            listed_state: self.default_listed_state,
             started_ms: if just_started { self.now_ms } else { 0.0 },
             in_flight,
             at_capacity: false,
@@ -98,15 +98,17 @@
     }
 
     /// Handles a report of the endpoint list about a member.
-    pub(super) fn on_notified(&mut self, id: &str, notified: Notified, started_ms: f64) {
+    pub(super) fn on_endpoint_reported(&mut self, id: &str, listed_state: ListedState, started_ms: f64) {
         let Some(&i) = self.by_id.get(id) else { return };
         let m = &mut self.members[i];
-        if notified == Notified::Up && (started_ms > m.started_ms || m.notified == Notified::Removed) {
+        if listed_state == ListedState::Up
+            && (started_ms > m.started_ms || m.listed_state == ListedState::Removed)
+        {
             m.started_ms = m.started_ms.max(started_ms);
             m.health = Health::HEALTHY;
             self.probes_due.retain(|d| d.1 != i);
         }
-        self.members[i].notified = notified;
+        self.members[i].listed_state = listed_state;
         self.endpoints_changed = true;
     }
 
@@ -239,7 +241,7 @@
 impl MemberState {
     fn selection_status(&self) -> MemberStatus {
         MemberStatus {
-            listed: self.notified == Notified::Up,
+            listed: self.listed_state == ListedState::Up,
             healthy: self.health.is_healthy(),
             probe_due: !self.health.is_healthy() && self.health.accepts_requests(),
         }
@@ -247,8 +249,8 @@
 
     /// The phase to publish for the member, given whether it was selected.
     fn phase(&self, spec: &MemberSpec, selected: bool) -> Phase {
-        match (spec.state, self.notified) {
-            (State::Stopped, _) | (_, Notified::Removed) => Phase::OutOfService,
+        match (spec.state, self.listed_state) {
+            (State::Stopped, _) | (_, ListedState::Removed) => Phase::OutOfService,
             _ if selected && !self.at_capacity => Phase::Serving,
             _ => Phase::Draining,
         }
--- a/crates/pool/src/pool/requests.rs
+++ b/crates/pool/src/pool/requests.rs
@@ -1,7 +1,7 @@
 //! The requests of a pool: admission, the wait in the queue, and the retry budget.
 
 use super::{AdmittedRequest, Pool};
-use crate::message::{Action, Notified, RejectReason};
+use crate::message::{Action, ListedState, RejectReason};
 
 impl Pool {
     /// Whether one more request may go to the decision module: the pool is below its limit, and the serving
@@ -13,7 +13,7 @@
             return false;
         }
         match self.serving_count {
-            0 => !self.members.iter().any(|m| m.at_capacity && m.notified == Notified::Up),
+            0 => !self.members.iter().any(|m| m.at_capacity && m.listed_state == ListedState::Up),
             _ => self.serving_capacity.is_none_or(|capacity| self.admitted_unsent < capacity),
         }
     }
--- a/crates/pool/src/route.rs
+++ b/crates/pool/src/route.rs
@@ -6,7 +6,7 @@
 
 /// The result of routing a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Routed {
+pub enum RouteDecision {
     /// The request goes to the pool of this index among the site's pools.
     Pool(usize),
     /// A rule excludes the request from routing.
@@ -70,11 +70,11 @@
         rules.into_iter().flatten().for_each(|rule| self.add_rule(*rule));
     }
 
-    fn decide_route(&self) -> Routed {
+    fn decide_route(&self) -> RouteDecision {
         match self.first.map(|first| first.target) {
-            None => Routed::Unrouted,
-            Some(RuleTarget::Pool(pool)) if !self.excluded_pools.contains(&pool) => Routed::Pool(pool),
-            Some(_) => Routed::Excluded,
+            None => RouteDecision::Unrouted,
+            Some(RuleTarget::Pool(pool)) if !self.excluded_pools.contains(&pool) => RouteDecision::Pool(pool),
+            Some(_) => RouteDecision::Excluded,
         }
     }
 }
@@ -172,7 +172,7 @@
     }
 
     /// Routes a normalized path by the rules of this set.
-    fn route(&self, path: &str) -> Routed {
+    fn route(&self, path: &str) -> RouteDecision {
         let mut matched = MatchedRules::default();
         matched.add_rules(self.exact.get(path));
         if !self.prefix.is_empty() {
@@ -225,7 +225,7 @@
 
 impl Routes {
     /// Builds the routing tables from a site that was parsed and checked.
-    pub fn of(site: &Site) -> Routes {
+    pub fn from_site(site: &Site) -> Routes {
         let pools: HashMap<&str, usize> =
             site.pools.iter().enumerate().map(|(i, p)| (p.name.as_str(), i)).collect();
         let mut routes = Routes {
@@ -258,7 +258,7 @@
 
     /// Routes a request by its host, in any case and with or without a port, and its path. The rule set of
     /// the host applies, else that of the longest matching wildcard host, else the one without hosts.
-    pub fn route(&self, host: &str, path: &str) -> Routed {
+    pub fn route(&self, host: &str, path: &str) -> RouteDecision {
         let path = normalize_path(path);
         let host = host
             .rsplit_once(':')
@@ -268,10 +268,10 @@
         let domains = host.match_indices('.').map(|(i, _)| &host[i + 1..]);
         let wildcard = || domains.filter_map(|d| self.wildcard_hosts.get(d)).next();
         let own_set = self.hosts.get(&host).or_else(wildcard).map(|index| &self.sets[*index]);
-        let routed = own_set.map_or(Routed::Unrouted, |set| set.route(&path));
+        let routed = own_set.map_or(RouteDecision::Unrouted, |set| set.route(&path));
         let inherits = own_set.is_none_or(|set| set.inherit);
         match (routed, self.default_set.filter(|_| inherits)) {
-            (Routed::Unrouted, Some(default_set)) => self.sets[default_set].route(&path),
+            (RouteDecision::Unrouted, Some(default_set)) => self.sets[default_set].route(&path),
             (routed, _) => routed,
         }
     }
--- a/crates/pool/src/spec.rs
+++ b/crates/pool/src/spec.rs
@@ -28,7 +28,7 @@
 
 /// A pool's specification, in the units that [`crate::Pool`] uses (milliseconds, counts).
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spec {
+pub struct PoolSpec {
     /// The name of the pool.
     pub name: String,
     /// The members in the order of the document; each id occurs once.
@@ -55,22 +55,22 @@
     pub max_backoff_ms: f64,
 }
 
-impl Spec {
+impl PoolSpec {
     /// The specification of one pool of a parsed and checked site. Members that the site does not define are
     /// skipped.
-    pub fn for_pool(site: &Site, pool: &Pool) -> Spec {
+    pub fn for_pool(site: &Site, pool: &Pool) -> PoolSpec {
         let one = Site { pools: vec![pool.clone()], routes: Vec::new(), ..site.clone() };
-        Spec::all(&one).remove(0)
+        PoolSpec::for_all_pools(&one).remove(0)
     }
 
     /// The specifications of all pools of a site, in the order of the document.
-    pub fn all(site: &Site) -> Vec<Spec> {
-        let site = site.effective();
+    pub fn for_all_pools(site: &Site) -> Vec<PoolSpec> {
+        let site = site.with_defaults();
         let members: HashMap<&str, &fernslip_site::Member> =
             site.members.iter().map(|m| (m.id.as_str(), m)).collect();
         site.pools
             .iter()
-            .map(|p| Spec {
+            .map(|p| PoolSpec {
                 name: p.name.clone(),
                 members: p
                     .members
--- a/crates/pool/tests/invariants.rs
+++ b/crates/pool/tests/invariants.rs
@@ -28,7 +28,7 @@
     Remove(usize),
     /// The specification contains this member again.
     Add(usize),
-    /// The endpoint list reports a member with the state of this index in `NOTIFICATIONS`.
+    /// The endpoint list reports a member with the state of this index in `LISTED_STATES`.
     Notify(usize, u8),
 }
 
@@ -48,7 +48,7 @@
 }
 
 const STATES: [State; 5] = [State::Ready, State::Draining, State::Stopped, State::Standby, State::Spare];
-const NOTIFICATIONS: [Notified; 3] = [Notified::Up, Notified::Draining, Notified::Removed];
+const LISTED_STATES: [ListedState; 3] = [ListedState::Up, ListedState::Draining, ListedState::Removed];
 const OUTCOMES: [AttemptOutcome; 4] = [
     AttemptOutcome::Success,
     AttemptOutcome::ConnectionRefused,
@@ -75,11 +75,11 @@
 /// A caller that follows the contract and knows only the actions that the pool returns.
 struct Caller {
     pool: Pool,
-    spec: Spec,
+    spec: PoolSpec,
     now_ms: f64,
     last_request: u64,
     endpoints: BTreeMap<Arc<str>, Endpoint>,
-    notified: HashMap<Arc<str>, Notified>,
+    listed_states: HashMap<Arc<str>, ListedState>,
     /// The deadline of each queued request, in milliseconds.
     queued: BTreeMap<u64, f64>,
     /// The member at which each admitted request has an attempt in flight, if any.
@@ -94,15 +94,15 @@
 }
 
 impl Caller {
-    fn new(spec: Spec) -> Caller {
-        let notified = spec.members.iter().map(|p| (p.id.clone(), Notified::Up)).collect();
+    fn new(spec: PoolSpec) -> Caller {
+        let listed_states = spec.members.iter().map(|p| (p.id.clone(), ListedState::Up)).collect();
         let mut caller = Caller {
             pool: Pool::new(spec.clone(), 5),
             spec,
             now_ms: 0.0,
             last_request: 0,
             endpoints: BTreeMap::new(),
-            notified,
+            listed_states,
             queued: BTreeMap::new(),
             admitted: BTreeMap::new(),
             attempts: HashMap::new(),
@@ -179,14 +179,14 @@
                     self.log
                 );
                 assert_eq!(
-                    self.notified[&p.id],
-                    Notified::Up,
+                    self.listed_states[&p.id],
+                    ListedState::Up,
                     "member {} is serving, so the endpoint list must have it as up",
                     p.id
                 );
             }
             assert_eq!(
-                p.state == State::Stopped || self.notified[&p.id] == Notified::Removed,
+                p.state == State::Stopped || self.listed_states[&p.id] == ListedState::Removed,
                 m.phase == Phase::OutOfService
             );
             if let Some(limit) = p.in_flight {
@@ -218,7 +218,7 @@
 
     fn pass_time(&mut self, ms: f64) {
         let end = self.now_ms + ms;
-        while let Some(at) = self.pool.wake_at().filter(|at| *at <= end) {
+        while let Some(at) = self.pool.next_tick_ms().filter(|at| *at <= end) {
             assert!(at >= self.now_ms - 0.01, "the time of the next tick must not be in the past");
             self.now_ms = self.now_ms.max(at);
             self.handle(Event::Tick);
@@ -305,23 +305,23 @@
                     self.spec
                         .members
                         .push(member_spec(m, self.spec.members.first().and_then(|p| p.in_flight)));
-                    self.notified.insert(member_id(m), Notified::Up);
+                    self.listed_states.insert(member_id(m), ListedState::Up);
                 }
                 self.handle(Event::Reconfigured(self.spec.clone()));
             }
             Step::Notify(m, t) => {
                 if self.spec.members.iter().any(|p| p.id == member_id(m)) {
-                    let notified = NOTIFICATIONS[usize::from(t)];
-                    self.notified.insert(member_id(m), notified);
-                    self.handle(Event::Notified { id: member_id(m), state: notified, started_ms: 0.0 });
+                    let state = LISTED_STATES[usize::from(t)];
+                    self.listed_states.insert(member_id(m), state);
+                    self.handle(Event::EndpointReported { id: member_id(m), state, started_ms: 0.0 });
                 }
             }
         }
     }
 }
 
-fn pool_spec(member_limit: Option<u64>, in_flight: Option<u64>) -> Spec {
-    Spec {
+fn pool_spec(member_limit: Option<u64>, in_flight: Option<u64>) -> PoolSpec {
+    PoolSpec {
         name: "p".into(),
         members: (0..6).map(|index| member_spec(index, member_limit)).collect(),
         in_flight,
@@ -372,7 +372,7 @@
 /// tried: a probe, a standby and a replacement.
 #[test]
 fn a_draining_member_is_never_published_as_serving() {
-    let mut caller = Caller::new(Spec {
+    let mut caller = Caller::new(PoolSpec {
         members: (0..3).map(|n| member_spec(n, None)).collect(),
         ..pool_spec(None, None)
     });
@@ -426,7 +426,7 @@
         (1000.0, Phase::Serving)
     );
     caller.spec.members.push(MemberSpec { id: "new".into(), ..member_spec(0, None) });
-    caller.notified.insert("new".into(), Notified::Up);
+    caller.listed_states.insert("new".into(), ListedState::Up);
     caller.handle(Event::Reconfigured(caller.spec.clone()));
     assert_eq!(
         caller.endpoints["new"].started_ms, 1000.0,
@@ -436,7 +436,7 @@
 
 #[test]
 fn the_queue_is_bounded_and_admits_requests_in_order_of_arrival() {
-    let mut caller = Caller::new(Spec { in_flight: Some(1), max_queued: 2, ..pool_spec(None, None) });
+    let mut caller = Caller::new(PoolSpec { in_flight: Some(1), max_queued: 2, ..pool_spec(None, None) });
     (0..5).for_each(|_| caller.apply_step(Step::Arrive));
     assert_eq!((caller.admitted.len(), caller.queued.len(), caller.pool.counts().queue_full), (1, 2, 2));
     caller.pass_time(60.0);
--- a/crates/pool/tests/routes.rs
+++ b/crates/pool/tests/routes.rs
@@ -1,7 +1,7 @@
 //! Tests of routing: random rule sets against a simple reference implementation, and examples of both rule
 //! orders.
 
-use fernslip_pool::{Routed, Routes};
+use fernslip_pool::{RouteDecision, Routes};
 use fernslip_site::{Match, Order, Pool, Recovery, Retry, Route, RouteSet, Site, Target};
 use proptest::prelude::*;
 
@@ -43,7 +43,7 @@
 /// The reference implementation. Among the rules that match, the first one decides, or in longest order the
 /// longest one, with an exact rule before a wildcard of the same length. In longest order any matching rule
 /// that excludes everything wins; in both orders a rule can exclude what would go to one pool.
-fn reference_route(set: &RouteSet, path: &str) -> Routed {
+fn reference_route(set: &RouteSet, path: &str) -> RouteDecision {
     let mut matching: Vec<&Route> = set.rules.iter().filter(|r| rule_matches(r, path)).collect();
     let excluded_pools: Vec<usize> = matching
         .iter()
@@ -52,7 +52,7 @@
     matching.retain(|r| !matches!(r.target, Target::Exclude(Some(_))));
     if set.order == Some(Order::Longest) {
         if matching.iter().any(|r| r.target == Target::Exclude(None)) {
-            return Routed::Excluded;
+            return RouteDecision::Excluded;
         }
         let rank = |r: &&Route| (r.pattern.chars().count(), r.matching == Some(Match::Exact));
         // Reversed around the stable sort, so that among equal rules the first one stays first.
@@ -61,9 +61,11 @@
         matching.reverse();
     }
     match matching.first().map(|r| &r.target) {
-        None => Routed::Unrouted,
-        Some(Target::Pool(p)) if !excluded_pools.contains(&pool_index(p)) => Routed::Pool(pool_index(p)),
-        Some(_) => Routed::Excluded,
+        None => RouteDecision::Unrouted,
+        Some(Target::Pool(p)) if !excluded_pools.contains(&pool_index(p)) => {
+            RouteDecision::Pool(pool_index(p))
+        }
+        Some(_) => RouteDecision::Excluded,
     }
 }
 
@@ -99,14 +101,14 @@
         let order = Some(if longest { Order::Longest } else { Order::First });
         let set = RouteSet { hosts: Vec::new(), order, inherit: None, rules };
         let path = format!("/{}{}", parts.join("/"), if end && !parts.is_empty() { "/" } else { "" });
-        let routes = Routes::of(&site_with_routes(vec![set.clone()]));
+        let routes = Routes::from_site(&site_with_routes(vec![set.clone()]));
         prop_assert_eq!(routes.route("any", &path), reference_route(&set, &path), "{}", path);
     }
 }
 
 fn parse_routes(text: &str) -> Routes {
     let pools = "pool \"p0\"\npool \"p1\"\npool \"p2\"\n";
-    Routes::of(
+    Routes::from_site(
         &Site::parse("site.kdl", &format!("{pools}{text}")).expect("the test's site document is valid").site,
     )
 }
@@ -122,15 +124,15 @@
     let first = parse_routes(&format!("routes order=\"first\" {{ {rules}"));
     let longest = parse_routes(&format!("routes order=\"longest\" {{ {rules}"));
     for (path, by_first, by_longest) in [
-        ("/docs", Routed::Pool(0), Routed::Pool(0)),
-        ("/docsx", Routed::Unrouted, Routed::Unrouted),
-        ("/docs/old/y", Routed::Pool(0), Routed::Pool(1)),
-        ("/docs/old/x", Routed::Pool(0), Routed::Pool(2)),
-        ("/docs/img/1", Routed::Excluded, Routed::Excluded),
+        ("/docs", RouteDecision::Pool(0), RouteDecision::Pool(0)),
+        ("/docsx", RouteDecision::Unrouted, RouteDecision::Unrouted),
+        ("/docs/old/y", RouteDecision::Pool(0), RouteDecision::Pool(1)),
+        ("/docs/old/x", RouteDecision::Pool(0), RouteDecision::Pool(2)),
+        ("/docs/img/1", RouteDecision::Excluded, RouteDecision::Excluded),
         // Empty and dot segments must not bypass a rule.
-        ("//docs/./img//1", Routed::Excluded, Routed::Excluded),
-        ("/docs/x/../img/1", Routed::Excluded, Routed::Excluded),
-        ("/../docs", Routed::Pool(0), Routed::Pool(0)),
+        ("//docs/./img//1", RouteDecision::Excluded, RouteDecision::Excluded),
+        ("/docs/x/../img/1", RouteDecision::Excluded, RouteDecision::Excluded),
+        ("/../docs", RouteDecision::Pool(0), RouteDecision::Pool(0)),
     ] {
         assert_eq!((first.route("h", path), longest.route("h", path)), (by_first, by_longest), "{path}");
     }
@@ -146,15 +148,15 @@
         "#,
     );
     for (host, path, expected) in [
-        ("a.example", "/x", Routed::Pool(1)),
-        ("A.Example:8080", "/x/y", Routed::Pool(1)),
-        ("a.example", "/other", Routed::Pool(0)),
-        ("x.b.example", "/x", Routed::Pool(1)),
-        ("b.example", "/x", Routed::Pool(0)),
-        ("deep.b.example", "/y", Routed::Pool(2)),
-        ("deep.b.example", "/other", Routed::Unrouted),
-        ("1.c.b.example", "/x", Routed::Pool(2)),
-        ("", "/x", Routed::Pool(0)),
+        ("a.example", "/x", RouteDecision::Pool(1)),
+        ("A.Example:8080", "/x/y", RouteDecision::Pool(1)),
+        ("a.example", "/other", RouteDecision::Pool(0)),
+        ("x.b.example", "/x", RouteDecision::Pool(1)),
+        ("b.example", "/x", RouteDecision::Pool(0)),
+        ("deep.b.example", "/y", RouteDecision::Pool(2)),
+        ("deep.b.example", "/other", RouteDecision::Unrouted),
+        ("1.c.b.example", "/x", RouteDecision::Pool(2)),
+        ("", "/x", RouteDecision::Pool(0)),
     ] {
         assert_eq!(routes.route(host, path), expected, "{host}{path}");
     }
@@ -166,5 +168,5 @@
 fn a_pattern_with_many_stars_is_matched_in_polynomial_time() {
     let text = format!("routes {{ route \"/{}b\" match=\"wildcard\" pool=\"p0\"; }}", "a*".repeat(40));
     let routes = parse_routes(&text);
-    assert_eq!(routes.route("", &format!("/{}", "a".repeat(5000))), Routed::Unrouted);
+    assert_eq!(routes.route("", &format!("/{}", "a".repeat(5000))), RouteDecision::Unrouted);
 }
--- a/crates/site/src/check.rs
+++ b/crates/site/src/check.rs
@@ -13,7 +13,7 @@
 /// Splits a valid `host:port` into the host, without brackets, and the port (1 to 65535); `None` if it is
 /// invalid. The host is a name of letters, digits, `.`, `-` and `_`, an IPv4 address, or an IPv6 address in
 /// brackets; it is not resolved.
-pub fn host_port(address: &str) -> Option<(&str, u16)> {
+pub fn split_host_port(address: &str) -> Option<(&str, u16)> {
     let (host, port) = address.rsplit_once(':')?;
     let port: u16 = port.parse().ok().filter(|p| *p > 0)?;
     let bare = match host.strip_prefix('[') {
@@ -72,7 +72,7 @@
 
 fn check_addresses(site: &Site, spans: &SourceSpans, problems: &mut Problems<'_>) {
     for (m, span) in site.members.iter().zip(&spans.addresses) {
-        if !m.address.is_empty() && host_port(&m.address).is_none() {
+        if !m.address.is_empty() && split_host_port(&m.address).is_none() {
             let hint = Some(
                 "write host:port with a port from 1 to 65535; put an IPv6 address in brackets".to_string(),
             );
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -6,7 +6,7 @@
 //! model. The crate performs no I/O: it takes a text and returns a value or a [`SiteError`].
 //!
 //! A setting that the document does not contain is `None` in the model, so that printing adds nothing.
-//! [`Site::effective`] fills in the defaults.
+//! [`Site::with_defaults`] fills in the defaults.
 //!
 //! A text passes through these modules in turn: `parse` (size limits and KDL syntax), `read` (nodes to the
 //! model, with `fields` for a single node) and `check` (checks that need the complete document). `print`
@@ -50,7 +50,7 @@
 mod read;
 mod spans;
 
-pub use check::{host_port, MAX_REGEX_BYTES};
+pub use check::{split_host_port, MAX_REGEX_BYTES};
 pub use error::{Problem, SiteError};
 pub use model::*;
 pub use parse::{ParsedSite, MAX_DOCUMENT_BYTES};
--- a/crates/site/src/model/defaults.rs
+++ b/crates/site/src/model/defaults.rs
@@ -1,5 +1,5 @@
-//! The defaults that [`Site::effective`](crate::Site::effective) fills in for settings that the document does
-//! not contain.
+//! The defaults that [`Site::with_defaults`](crate::Site::with_defaults) fills in for settings that
+//! the document does not contain.
 
 /// The default of `front memory-mb`, in MB.
 pub const MEMORY_MB: u64 = 192;
@@ -11,11 +11,11 @@
 /// The default of `member link-kb-per-s`: enough for about twelve responses at [`STREAM_KB_PER_S`], as with a
 /// small cache node of the first deployment. With too low a value fronts reject requests that could be
 /// served; with too high a value they overload the node, which its response times show.
-pub const MEMBER_KB_PER_S: f64 = 40_000.0;
+pub const MEMBER_LINK_KB_PER_S: f64 = 40_000.0;
 /// The default of `limits connect-ms`, the connect time-out.
-pub const CONNECT_MS: u64 = 400;
+pub const CONNECT_TIMEOUT_MS: u64 = 400;
 /// The default of `limits idle-ms`, after which an idle connection is closed.
-pub const IDLE_MS: u64 = 15_000;
+pub const IDLE_TIMEOUT_MS: u64 = 15_000;
 /// The default of `retry attempts`, with the first attempt included.
 pub const MAX_ATTEMPTS: u64 = 6;
 /// The default of `retry budget`: a quarter of a retry for each request, as in the decision module.
--- a/crates/site/src/model/effective.rs
+++ b/crates/site/src/model/effective.rs
@@ -10,7 +10,7 @@
 impl Site {
     /// Returns the site with every default filled in. Settings without a default stay `None`: an absent limit
     /// means no limit.
-    pub fn effective(&self) -> Site {
+    pub fn with_defaults(&self) -> Site {
         let mut site = self.clone();
         site.members_from.get_or_insert(MembersFrom::Bus);
         site.front.iter_mut().for_each(fill_front_defaults);
@@ -67,9 +67,9 @@
     member.protocol.get_or_insert(Protocol::Resp);
     member.kind.get_or_insert(Kind::Cache);
     member.weight.get_or_insert(1.0);
-    member.link_kb_per_s.get_or_insert(MEMBER_KB_PER_S);
-    member.limits.connect_ms.get_or_insert(CONNECT_MS);
-    member.limits.idle_ms.get_or_insert(IDLE_MS);
+    member.link_kb_per_s.get_or_insert(MEMBER_LINK_KB_PER_S);
+    member.limits.connect_ms.get_or_insert(CONNECT_TIMEOUT_MS);
+    member.limits.idle_ms.get_or_insert(IDLE_TIMEOUT_MS);
 }
 
 fn fill_pool_defaults(pool: &mut Pool, members: &HashMap<&str, &Member>) {
--- a/crates/site/src/model/pool.rs
+++ b/crates/site/src/model/pool.rs
@@ -93,6 +93,6 @@
 }
 
 /// Parses an HTTP status code; `None` if the text is not a number from 100 to 599.
-pub fn status_code(text: &str) -> Option<u16> {
+pub fn parse_status_code(text: &str) -> Option<u16> {
     text.parse().ok().filter(|code| (100..=599).contains(code))
 }
--- a/crates/site/src/read/pool.rs
+++ b/crates/site/src/read/pool.rs
@@ -2,7 +2,7 @@
 
 use super::name::{unique_name, MAX_WEIGHT};
 use crate::fields::{NodeReader, SpannedText};
-use crate::model::{status_code, Pool, PoolLimits, Recovery, Retry, Site, Use};
+use crate::model::{parse_status_code, Pool, PoolLimits, Recovery, Retry, Site, Use};
 use crate::spans::{SourceSpans, UseSpans};
 
 pub(super) fn read_pool(mut reader: NodeReader<'_, '_, '_>, site: &mut Site, spans: &mut SourceSpans) {
@@ -80,7 +80,7 @@
 /// Reads the status codes of `fail-on`, such as `"500,503"`; none if the property is absent or invalid.
 fn read_status_codes(reader: &mut NodeReader<'_, '_, '_>) -> Vec<u16> {
     let Some(SpannedText { text, span }) = reader.text_property("fail-on") else { return Vec::new() };
-    let codes: Option<Vec<u16>> = text.split(',').map(|code| status_code(code.trim())).collect();
+    let codes: Option<Vec<u16>> = text.split(',').map(|code| parse_status_code(code.trim())).collect();
     if codes.is_none() {
         let hint = "write status codes from 100 to 599, separated by commas: \"500,503\"".to_string();
         reader.problems.add_error(span, format!("`fail-on` does not accept the value `{text}`"), Some(hint));
--- a/crates/site/tests/properties.rs
+++ b/crates/site/tests/properties.rs
@@ -194,10 +194,14 @@
         let text = site.to_kdl();
         let parsed = Site::parse("site.kdl", &text).map_err(|e| TestCaseError::fail(format!("{e}\n{text}")))?;
         prop_assert_eq!(&parsed.site, &site, "{}", text);
-        let effective = site.effective();
+        let effective = site.with_defaults();
         let again = Site::parse("e", &effective.to_kdl()).map_err(|e| TestCaseError::fail(e.to_string()))?;
         prop_assert_eq!(&again.site, &effective, "the effective site must parse to itself when printed");
-        prop_assert_eq!(effective.effective(), effective, "filling in defaults twice must change nothing");
+        prop_assert_eq!(
+            effective.with_defaults(),
+            effective,
+            "filling in defaults twice must change nothing"
+        );
     }
 
     #[test]
