--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -170,8 +170,8 @@
             json!({"cmd": "TELL", "i": instance, "whom": "all", "raw": STANDARD.encode(data)})
         }
         Action::Subscribe => json!({"cmd": "STREAM_CHANGES", "i": instance, "enable": true}),
-        // Only fronts that gossip enable evidence. The simulator's fronts have no gossip, so evidence is only
-        // logged.
+        // The simulator's routers exchange no gossip, so evidence is only logged. It is enabled only by
+        // fronts that gossip.
         Action::Evidence { cache, sign, .. } => {
             json!({"cmd": "SAY_LOG", "i": instance, "words": format!("{}: {sign:?}", cache.0)})
         }
--- a/crates/benchlink/tests/wire.rs
+++ b/crates/benchlink/tests/wire.rs
@@ -27,12 +27,12 @@
 "size_kb":100,"time_budget_ms":5000.0,"purge_group":1,"realm":null,
 "content_id":"91f03b7c55d20a64","retry":false}"#;
 
-/// Joins messages that are broken into several lines above, so that each is on one line.
+/// Joins messages that the constants of this file break into several lines, so that each is on one line.
 fn join_broken_lines(text: &str) -> String {
     text.replace(",\n", ",").replace("[\n", "[") + "\n"
 }
 
-/// Runs the adapter on `input`; its standard output, its standard error, and whether it succeeded.
+/// Runs the adapter on `input` and returns its standard output, its standard error, and whether it succeeded.
 fn run_adapter(input: &str) -> (String, String, bool) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_fernslip-benchlink"))
         .stdin(Stdio::piped())
@@ -45,7 +45,7 @@
     (String::from_utf8(out.stdout).unwrap(), String::from_utf8(out.stderr).unwrap(), out.status.success())
 }
 
-/// The messages of `body` as one batch at the time 1000 ms.
+/// Encloses the messages of `body` in a batch at the time 1000 ms.
 fn batch_of(body: &str) -> String {
     format!(
         "{{\"cmd\":\"BEGIN_BATCH\",\"wall_ms\":1000.0}}\n{}{{\"cmd\":\"COMMIT\"}}\n",
--- a/crates/fernslip/benches/allocs.rs
+++ b/crates/fernslip/benches/allocs.rs
@@ -10,7 +10,7 @@
 use common::{sent_attempt, settings, wide_fleet, Rig};
 use fernslip::Ending;
 
-/// A router with that many caches in its location.
+/// A router with `caches` cache nodes in its location.
 fn rig_with_caches(caches: usize) -> Rig {
     let mut rig = Rig::with_settings(settings());
     rig.update_endpoints(wide_fleet(caches, 0, 0.0));
--- a/crates/fernslip/benches/decide.rs
+++ b/crates/fernslip/benches/decide.rs
@@ -14,7 +14,7 @@
 use std::hint::black_box;
 use std::time::Duration;
 
-/// A router with that many caches in its location, and two parents and an origin at the hub.
+/// A router with `caches` cache nodes in its location, and two parents and an origin at the hub.
 fn rig_with_caches(caches: usize, max_in_flight: u32) -> Rig {
     let mut s = settings();
     s.max_in_flight = max_in_flight;
@@ -23,8 +23,9 @@
     rig
 }
 
-/// As [`rig_with_caches`], with a tenth of the caches (at least one) started a second ago.
-fn slow_start_rig(caches: usize) -> Rig {
+/// A router like that of [`rig_with_caches`], where a tenth of the caches (at least one) started a second
+/// ago.
+fn rig_with_slow_start(caches: usize) -> Rig {
     let mut rig = Rig::with_settings(settings());
     let started_ms = rig.now - 1000.0;
     rig.update_endpoints(wide_fleet(caches, caches.div_ceil(10), started_ms));
@@ -40,8 +41,8 @@
 }
 
 /// Handles one request and its successful outcome, where one cache answers slowly. Time advances by `step_ms`
-/// before each event; in the slow-start case it is so small that the started caches stay in slow start for
-/// the whole run.
+/// before each event; in the slow-start case it is so small that the caches that have just started stay in
+/// slow start for the whole run.
 fn serve_request_with_slow_cache(rig: &mut Rig, object: u64, step_ms: f64) {
     rig.now += step_ms;
     let Some(attempt) = sent_attempt(&rig.request(object)) else { return };
@@ -65,7 +66,7 @@
         let mut rig = rig_with_caches(caches, 1000);
         (0..200).for_each(|n| serve_request(&mut rig, n % 500));
         let mut n = 0;
-        group.bench_with_input(BenchmarkId::new("calm", caches), &caches, |b, _| {
+        group.bench_with_input(BenchmarkId::new("no failures", caches), &caches, |b, _| {
             b.iter(|| {
                 n += 1;
                 serve_request(&mut rig, n % 500);
@@ -76,7 +77,7 @@
         let mut rig = rig_with_caches(caches, 1000);
         (0..200).for_each(|n| serve_request_with_slow_cache(&mut rig, n % 500, 1.0));
         let mut n = 0;
-        group.bench_with_input(BenchmarkId::new("one slow", caches), &caches, |b, _| {
+        group.bench_with_input(BenchmarkId::new("one slow cache", caches), &caches, |b, _| {
             b.iter(|| {
                 n += 1;
                 serve_request_with_slow_cache(&mut rig, n % 500, 1.0);
@@ -84,9 +85,9 @@
         });
     }
     for caches in cache_counts() {
-        let mut rig = slow_start_rig(caches);
+        let mut rig = rig_with_slow_start(caches);
         let mut n = 0;
-        group.bench_with_input(BenchmarkId::new("a tenth in slow start", caches), &caches, |b, _| {
+        group.bench_with_input(BenchmarkId::new("10% of caches in slow start", caches), &caches, |b, _| {
             b.iter(|| {
                 n += 1;
                 serve_request_with_slow_cache(&mut rig, n % 500, 0.001);
@@ -128,14 +129,14 @@
     }
     group.finish();
 
-    let mut group = criterion.benchmark_group("watch");
+    let mut group = criterion.benchmark_group("silence check");
     for open in [10, 1000, 100_000] {
         let mut rig = rig_with_caches(20, 200_000);
         (0..open).for_each(|n| drop(rig.request(n)));
         // The router may retain fewer requests than were sent, because it rejects those above its own limits.
         let retained = rig.router.retained().requests;
-        eprintln!("watch: {open} requests sent, {retained} retained as open");
-        group.bench_with_input(BenchmarkId::new("timer, by requests sent", open), &open, |b, _| {
+        eprintln!("silence check: of {open} requests sent, the router retains {retained} as open");
+        group.bench_with_input(BenchmarkId::new("timer event, by requests sent", open), &open, |b, _| {
             b.iter(|| {
                 rig.now += 0.01;
                 black_box(rig.handle(Event::Timer { token: 0 }));
--- a/crates/fernslip/src/api/actions.rs
+++ b/crates/fernslip/src/api/actions.rs
@@ -2,7 +2,7 @@
 
 use super::{CacheId, RequestId};
 
-/// A node's condition, as the answers that this router received from it show.
+/// A node's condition, judged by the attempts that this router made at it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sign {
     /// The node refuses connections, loses them or answers with errors.
@@ -18,7 +18,7 @@
 /// An instruction to the caller. The actions of one event are executed in the order returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Makes an attempt: sends the request to a cache node, which fills a miss from `source`.
+    /// Sends an attempt of the request to a cache node, which fills a miss from `source`.
     Forward {
         /// Id of the request.
         id: RequestId,
--- a/crates/fernslip/src/api/endpoints.rs
+++ b/crates/fernslip/src/api/endpoints.rs
@@ -35,7 +35,7 @@
     pub phase: Phase,
 }
 
-/// What the entries of an endpoint event are.
+/// Kind of an endpoint event: whether its entries are a complete list or only changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the entries that changed.
--- a/crates/fernslip/src/api/events.rs
+++ b/crates/fernslip/src/api/events.rs
@@ -104,8 +104,8 @@
     pub detail: u8,
     /// Time until the source's first byte or failure, in milliseconds; 0: not given.
     pub fill_wait_ms: f64,
-    /// Load report of the cache node: requests of all routers in flight there when it answered, so late and
-    /// not exact. `None`: its answer gave no report.
+    /// Load report of the cache node: the number of requests of all routers in flight at the node when it
+    /// answered. It is out of date on arrival. `None`: its answer gave no report.
     pub reported_in_flight: Option<f64>,
 }
 
--- a/crates/fernslip/src/api/settings.rs
+++ b/crates/fernslip/src/api/settings.rs
@@ -18,7 +18,7 @@
     All,
     /// The caches of one zone.
     Zone,
-    /// The caches of one cell ([`crate::Entry::cell`]).
+    /// The caches of one cell, which is a group of nodes given by [`crate::Entry::cell`].
     Cell,
 }
 
@@ -41,8 +41,8 @@
     pub effect: Effect,
     /// Group of caches that drops repeats, for [`Effect::Deduplicated`].
     pub scope: DedupScope,
-    /// How long that group drops repeats, in milliseconds from the send of the first attempt that may have
-    /// run.
+    /// How long the caches of the `scope` drop repeats, in milliseconds from the send of the first attempt
+    /// that may have run.
     pub repeat_window_ms: f64,
     /// Whether requests are writes, which run at the origin and are never cached.
     pub write: bool,
@@ -132,13 +132,15 @@
     pub slow_start_ms: f64,
     /// Slow start: load that a cache that is warming up can bear, as a multiple of its present capacity.
     pub slow_start_multiple: f64,
-    /// Slow start: how long a cache or a parent can bear that load, in milliseconds.
+    /// Slow start: how long a cache or a parent can bear the load given by its slow-start multiple, in
+    /// milliseconds.
     pub slow_start_window_ms: f64,
-    /// Slow start of parents: as [`Settings::slow_start_from`].
+    /// Slow start of parents: lowest fraction of its full capacity that a parent has when it starts.
     pub parent_slow_start_from: f64,
-    /// Slow start of parents: as [`Settings::slow_start_ms`].
+    /// Slow start of parents: time after which a parent has its full capacity, in milliseconds.
     pub parent_slow_start_ms: f64,
-    /// Slow start of parents: as [`Settings::slow_start_multiple`].
+    /// Slow start of parents: load that a parent that is warming up can bear, as a multiple of its present
+    /// capacity.
     pub parent_slow_start_multiple: f64,
     /// Time after a purge in which copies from before it may still be served, in milliseconds.
     pub purge_slack_ms: f64,
--- a/crates/fernslip/src/bandwidth.rs
+++ b/crates/fernslip/src/bandwidth.rs
@@ -2,13 +2,13 @@
 //! duration of its answers.
 //!
 //! A link that divides its bandwidth evenly among more transfers than fit slows each of them in proportion.
-//! If an answer took `stretch` times its transfer time while `open` transfers were in flight on average, the
-//! link carries `open / stretch` of them. This is exact if the link was full and a lower bound otherwise. The
-//! method is that of BBR (delivery rate, with sender-limited samples marked), applied to transfers.
+//! If an answer took `slowdown` times its transfer time while `open` transfers were in flight on average, the
+//! link carries `open / slowdown` of them. This is exact if the link was full and a lower bound otherwise.
+//! The method is that of BBR (delivery rate, with sender-limited samples marked), applied to transfers.
 
-/// An answer that took at least this multiple of its transfer time is taken to show a full link; small
-/// answers vary by less.
-const SATURATED_STRETCH: f64 = 1.25;
+/// An answer that took more than this multiple of its transfer time shows that the link was full; the
+/// durations of small answers vary by less.
+const SATURATED_SLOWDOWN: f64 = 1.25;
 /// Maximum weight of one answer in the estimate, approached by answers with a long transfer time.
 const ANSWER_WEIGHT: f64 = 0.1;
 /// Transfer time in milliseconds at which an answer counts with half of `ANSWER_WEIGHT`; longer answers count
@@ -57,18 +57,18 @@
         if !(work_ms > 0.0 && took_ms.is_finite() && open.is_finite()) {
             return;
         }
-        let stretch = ((took_ms - overhead_ms) / work_ms).max(1.0);
-        let shown = open.max(1.0) / stretch;
+        let slowdown = ((took_ms - overhead_ms) / work_ms).max(1.0);
+        let measured = open.max(1.0) / slowdown;
         let weight = ANSWER_WEIGHT * work_ms / (work_ms + HALF_WEIGHT_WORK_MS);
-        let crowded = stretch > SATURATED_STRETCH;
+        let link_full = slowdown > SATURATED_SLOWDOWN;
         if self.capacity == 0.0 {
-            self.capacity = shown;
-        } else if crowded || shown > self.capacity {
-            self.capacity += weight * (shown - self.capacity);
+            self.capacity = measured;
+        } else if link_full || measured > self.capacity {
+            self.capacity += weight * (measured - self.capacity);
         } else if open >= USED_CAPACITY_FRACTION * self.capacity {
             self.capacity *= 1.0 + CAPACITY_RISE * weight / ANSWER_WEIGHT;
         }
-        self.saturated |= crowded;
+        self.saturated |= link_full;
     }
 }
 
@@ -126,8 +126,8 @@
     pub fn record_answer(&mut self, now: f64, answer: AnswerSample, routers: f64) {
         let AnswerSample { work_ms, took_ms, overhead_ms, open } = answer;
         self.bandwidth.record_answer(work_ms, took_ms, overhead_ms, open);
-        let stretch = ((took_ms - overhead_ms) / work_ms).max(1.0);
-        let sent = self.delivery.rate(now) * routers * stretch;
+        let slowdown = ((took_ms - overhead_ms) / work_ms).max(1.0);
+        let sent = self.delivery.rate(now) * routers * slowdown;
         self.proven.record_answer(work_ms, took_ms, overhead_ms, open.min(sent));
     }
 }
--- a/crates/fernslip/src/bootstrap.rs
+++ b/crates/fernslip/src/bootstrap.rs
@@ -2,7 +2,7 @@
 //! has learned of the nodes. It is one message of limited size with rounded values. The keys that caches have
 //! follow as ordinary filter changes.
 //!
-//! A router that starts knows no bandwidth, pace or failure rate of any node. Without a bootstrap it
+//! A router that starts knows no bandwidth, slowdown or failure rate of any node. Without a bootstrap it
 //! estimates its location's bandwidth from the known links, sends requests to nodes that other routers know
 //! to be failing, and fills without a limit until its own fills are late.
 
@@ -24,10 +24,10 @@
     pub bandwidth: Bandwidth,
     /// The bandwidth that the node was seen to deliver, as in [`crate::bandwidth::Link`].
     pub proven: Bandwidth,
-    /// Moving average of how many times its time at full rate an answer of the node takes.
-    pub pace: f64,
-    /// The same average for the node's quicker answers.
-    pub quick_pace: f64,
+    /// Moving average of the duration of the node's answers divided by their duration at the full rate.
+    pub slowdown: f64,
+    /// Slowdown of the node's fastest answers, as in [`crate::state::Node`].
+    pub low_slowdown: f64,
     /// Moving average of the fraction of the node's attempts that failed, from 0 to 1.
     pub failure_rate: f64,
 }
@@ -40,21 +40,21 @@
             tag: [tag[0], tag[1], tag[2]],
             bandwidth: node.link.bandwidth,
             proven: node.link.proven,
-            pace: node.pace_at(now),
-            quick_pace: node.quick_pace_at(now),
+            slowdown: node.slowdown_at(now),
+            low_slowdown: node.low_slowdown_at(now),
             failure_rate: node.failure_rate,
         }
     }
 
-    /// Sets the node's values as if this router had measured them. It does not eject a failing node: that
-    /// takes a failure of this router's own attempts, and one is then enough.
+    /// Sets the node's values as if this router had measured them. It does not eject a failing node: an
+    /// ejection needs a failure of this router's own attempts, and one failure is then enough.
     pub fn apply(&self, node: &mut Node, now: f64) {
         node.link.bandwidth = self.bandwidth;
         node.link.proven = self.proven;
         node.failure_rate = self.failure_rate;
-        node.pace = self.pace;
-        node.quick_pace = self.quick_pace;
-        node.pace_updated = now;
+        node.slowdown = self.slowdown;
+        node.low_slowdown = self.low_slowdown;
+        node.slowdown_updated_ms = now;
     }
 }
 
@@ -105,8 +105,9 @@
         }
     }
 
-    /// Applies the states to nodes that were running when the sender learned them. A node that started after
-    /// both that and `first_event_ms` is skipped, because its state is that of its earlier run.
+    /// Applies the states to the nodes that started before the sender began to learn or before
+    /// `first_event_ms`. Other nodes are skipped, because their states may be those of their earlier
+    /// processes.
     pub fn apply<'a>(&self, all: impl Iterator<Item = &'a mut Node>, now: f64, first_event_ms: f64) {
         for node in all.filter(|node| node.started_ms <= (now - self.known_ms).max(first_event_ms)) {
             if let Some(state) = self.nodes.iter().find(|m| node.tag.to_be_bytes().starts_with(&m.tag)) {
@@ -122,7 +123,8 @@
             out.extend(m.tag);
             out.push(u8::from(m.bandwidth.saturated) | u8::from(m.proven.saturated) << 1);
             out.extend(
-                [m.bandwidth.capacity, m.proven.capacity, m.pace, m.quick_pace, m.failure_rate].map(quantize),
+                [m.bandwidth.capacity, m.proven.capacity, m.slowdown, m.low_slowdown, m.failure_rate]
+                    .map(quantize),
             );
         }
         out
@@ -138,8 +140,8 @@
             tag: [b[0], b[1], b[2]],
             bandwidth: Bandwidth { capacity: dequantize(b[4]), saturated: b[3] & 1 > 0 },
             proven: Bandwidth { capacity: dequantize(b[5]), saturated: b[3] & 2 > 0 },
-            pace: dequantize(b[6]),
-            quick_pace: dequantize(b[7]),
+            slowdown: dequantize(b[6]),
+            low_slowdown: dequantize(b[7]),
             failure_rate: dequantize(b[8]).min(1.0),
         };
         let fill_limit = if *fill_limit == 0 { f64::INFINITY } else { dequantize(*fill_limit) };
--- a/crates/fernslip/src/bootstrap/tests.rs
+++ b/crates/fernslip/src/bootstrap/tests.rs
@@ -5,7 +5,7 @@
     let bandwidth = Bandwidth { capacity: 7.3, saturated: true };
     let proven = Bandwidth { capacity: 0.0, saturated: false };
     let state =
-        NodeState { tag: [1, 2, 3], bandwidth, proven, pace: 1.4, quick_pace: 0.9, failure_rate: 0.02 };
+        NodeState { tag: [1, 2, 3], bandwidth, proven, slowdown: 1.4, low_slowdown: 0.9, failure_rate: 0.02 };
     let bootstrap = Bootstrap { known_ms: 12_000.0, fill_limit: f64::INFINITY, nodes: vec![state; 40] };
     let data = bootstrap.encode(4, 256);
     assert!(data.len() <= 256);
@@ -15,8 +15,8 @@
     assert_eq!((r.tag, r.bandwidth.saturated, r.proven), ([1, 2, 3], true, proven));
     for (is, was) in [
         (r.bandwidth.capacity, 7.3),
-        (r.pace, 1.4),
-        (r.quick_pace, 0.9),
+        (r.slowdown, 1.4),
+        (r.low_slowdown, 0.9),
         (r.failure_rate, 0.02),
         (decoded.known_ms, 12e3),
     ] {
--- a/crates/fernslip/src/facade.rs
+++ b/crates/fernslip/src/facade.rs
@@ -120,8 +120,8 @@
         let id = request.id;
         let calls = {
             let mut state = self.lock();
-            // The id of an open request cannot name a second one, because the two could not be distinguished.
-            // If a client reuses an id, the first request would otherwise lose its answer.
+            // A second request with the id of an open one is rejected. The two could not be distinguished,
+            // and the first request would lose its answer.
             if state.open.contains_key(&id) {
                 return Decision::Reject { retry_after_ms: 0.0 };
             }
@@ -333,12 +333,12 @@
         }
     }
 
-    /// Reports how suspect a node is by other fronts' gossip, from -1 (healthy) to 1 (failing).
+    /// Sets the suspicion that other fronts' gossip raises against a node, from -1 (healthy) to 1 (failing).
     pub fn peer_suspicion(&self, now_ms: f64, cache: CacheId, amount: f64) {
         self.handle_event(now_ms, Event::PeerSuspicion { cache, amount });
     }
 
-    /// Enables calls of [`Host::evidence`], which are off at first.
+    /// Enables calls of [`Host::report_evidence`], which are off at first.
     pub fn enable_evidence(&self) {
         self.lock().router.enable_evidence();
     }
@@ -377,7 +377,9 @@
                 HostCall::SendToPeer { to, data } => self.host.send_to_peer(to, &data),
                 HostCall::SendToAllPeers { data } => self.host.send_to_all_peers(&data),
                 HostCall::Log(line) => self.host.log(&line),
-                HostCall::Evidence { cache, sign, strength } => self.host.evidence(&cache, sign, strength),
+                HostCall::Evidence { cache, sign, strength } => {
+                    self.host.report_evidence(&cache, sign, strength);
+                }
             }
         }
     }
--- a/crates/fernslip/src/facade/host.rs
+++ b/crates/fernslip/src/facade/host.rs
@@ -20,17 +20,17 @@
     fn log(&self, line: &str);
     /// Announces that caches now drain or are removed. The front withdraws each attempt at one of them, or
     /// with one as its source, whose first byte was not sent, and reports it as [`Ending::Retracted`]. A
-    /// drain forbids attempts that have not sent a byte, and a connection may be established long after the
-    /// decision on its attempt.
+    /// draining cache accepts no attempt whose first byte was not sent yet, and the connection for an attempt
+    /// may be established long after the decision.
     fn draining(&self, _caches: &[CacheId]) {}
     /// Announces that the objects of these open requests were purged. The front withdraws each of their
     /// attempts whose first byte was not sent and reports it as [`Ending::Retracted`], upon which the
-    /// dispatcher decides again. The attempt's maximum age of a copy dates from before the purge, and a
-    /// purge, too, applies until the first byte.
+    /// dispatcher decides again. The maximum age of a copy in these attempts was computed before the
+    /// purge, which applies to every attempt whose first byte was not sent.
     fn purged(&self, _requests: &[RequestId]) {}
     /// Passes evidence on a node, from this front's own attempts, for other fronts; `strength` is the
     /// confidence, from 0 to 1. Called only after [`Dispatcher::enable_evidence`].
-    fn evidence(&self, _cache: &CacheId, _sign: Sign, _strength: f64) {}
+    fn report_evidence(&self, _cache: &CacheId, _sign: Sign, _strength: f64) {}
 }
 
 /// A one-shot wait, implemented for the kind of threads that the front uses.
--- a/crates/fernslip/src/facade/state.rs
+++ b/crates/fernslip/src/facade/state.rs
@@ -22,7 +22,7 @@
     pub(super) outdated: bool,
     /// The latest decision, until the caller that waits for it takes it.
     pub(super) decided: Option<Decision>,
-    /// What the caller waits on, if it waits for a decision.
+    /// Object on which the caller waits for a decision; `None` if no caller waits.
     pub(super) waiter: Option<Arc<dyn Waiter>>,
     /// The [`Attempt::cancelled`] flag of the attempt in flight.
     pub(super) cancelled: Option<Arc<AtomicBool>>,
@@ -119,8 +119,8 @@
     }
 
     /// Passes an event to the router, and returns the calls to make after the lock is released. The caller
-    /// still holds the lock under which it updated the state, so that no other change comes before the
-    /// router's decision.
+    /// must hold the lock from its update of the state until this call, so that no other change comes before
+    /// the router's decision.
     pub(super) fn handle(&mut self, now_ms: f64, event: Event) -> Vec<HostCall> {
         let (mut actions, mut calls) = (Vec::new(), Vec::new());
         self.router.handle(now_ms, event, &mut actions);
--- a/crates/fernslip/src/fill_limiter.rs
+++ b/crates/fernslip/src/fill_limiter.rs
@@ -3,7 +3,7 @@
 
 use crate::in_flight::LocalCount;
 
-/// Minimum fill limit. Some fills must continue so that the end of a congestion is noticed.
+/// Minimum fill limit. Some fills must continue, or the end of congestion would not be noticed.
 const MIN_FILL_LIMIT: f64 = 2.0;
 /// Time without a decrease of the limit, in milliseconds, after which each fill that arrives in time raises
 /// the limit by one.
@@ -43,7 +43,7 @@
 }
 
 impl FillLimiter {
-    /// Sets the initial limit if the estimate is above 0 and there is no limit yet.
+    /// Sets the initial limit, unless there is a limit already or `limit` is not above 0.
     pub fn set_initial(&mut self, limit: f64) {
         if self.limit == f64::INFINITY && limit > 0.0 {
             self.limit = limit;
@@ -59,7 +59,8 @@
     pub fn record_late_fill(&mut self, now: f64, routers: f64) {
         self.late_fraction += (1.0 - self.late_fraction) * LATE_FRACTION_SMOOTHING;
         if self.late_fraction > MAX_LATE_FRACTION {
-            // Without a limit so far, the number in flight is taken as the number that is too high.
+            // If there is no limit yet, it is derived from the estimated number of fills in flight, which is
+            // evidently too high.
             let all = self.in_flight.estimate_all_routers(now, routers) / USED_LIMIT_FRACTION;
             let reached = if self.limit.is_finite() { self.limit } else { all };
             self.limit = (reached * FILL_LIMIT_DECREASE).max(MIN_FILL_LIMIT);
@@ -67,20 +68,20 @@
         }
     }
 
-    /// Records the end of a fill, which was late or failed (`crowded`), came `in_time`, or was neither if it
-    /// says nothing about the links. `routers` is the number of routers in the location.
-    pub fn record_fill_end(&mut self, now: f64, routers: f64, crowded: bool, in_time: bool) {
-        // Only a limit that is in use may rise, so that quiet periods do not raise it without evidence.
+    /// Records the end of a fill. `late_or_failed` and `in_time` are both false if the fill says nothing
+    /// about the links. `routers` is the number of routers in the location.
+    pub fn record_fill_end(&mut self, now: f64, routers: f64, late_or_failed: bool, in_time: bool) {
+        // Only a limit that is in use may rise; periods of low load give no evidence for a higher one.
         let used = self.in_flight.estimate_all_routers(now, routers) >= USED_LIMIT_FRACTION * self.limit;
-        if crowded {
+        if late_or_failed {
             self.record_late_fill(now, routers);
         } else {
             self.late_fraction -= self.late_fraction * LATE_FRACTION_SMOOTHING;
         }
         self.in_flight.adjust(now, -1.0);
         if in_time && used {
-            let calm = now - self.decreased_ms > FAST_GROWTH_DELAY_MS;
-            self.limit += if calm { 1.0 } else { 1.0 / self.limit.max(1.0) };
+            let no_recent_decrease = now - self.decreased_ms > FAST_GROWTH_DELAY_MS;
+            self.limit += if no_recent_decrease { 1.0 } else { 1.0 / self.limit.max(1.0) };
         }
     }
 }
--- a/crates/fernslip/src/filter.rs
+++ b/crates/fernslip/src/filter.rs
@@ -3,11 +3,11 @@
 
 use md5::{Digest, Md5};
 
-/// KeyHashes of one key: the four 32-bit words of its MD5 digest.
+/// Hashes of one key: the four 32-bit words of its MD5 digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyHashes(pub [u32; 4]);
 
-/// KeyHashes a key that consists of several numbers.
+/// Hashes a key that consists of several numbers.
 pub fn hash_key(parts: &[u64]) -> KeyHashes {
     let mut digest = Md5::new();
     for part in parts {
@@ -67,7 +67,7 @@
     fn step_counter(generation: &mut [u8], at: u32, up: bool) {
         let (byte, shift) = (&mut generation[at as usize / 2], at % 2 * 4);
         let v = (*byte >> shift) & MAX_COUNTER;
-        // A counter at its maximum no longer has an exact count, so that it keeps its value until its
+        // A counter at its maximum no longer has an exact count, so it stays at the maximum until its
         // generation is dropped.
         let new = match (v, up) {
             (MAX_COUNTER, _) | (0, false) => v,
--- a/crates/fernslip/src/in_flight.rs
+++ b/crates/fernslip/src/in_flight.rs
@@ -10,7 +10,8 @@
     }
 }
 
-/// Time constant of a router's mean count, which stands for each of the other routers, in milliseconds.
+/// Time constant of the moving average of a router's own count, in milliseconds. The average is taken as the
+/// count of each of the other routers.
 const LOCAL_MEAN_DECAY_MS: f64 = 3_000.0;
 
 /// Number of this router's attempts at a node, or of its fills, in flight now and on recent average.
@@ -46,7 +47,8 @@
     }
 }
 
-/// Half-life of a load report, in milliseconds. It must expire because a silent node sends no new one.
+/// Half-life of a load report's weight, in milliseconds. A report must expire because a silent node sends no
+/// new one.
 const REPORT_HALF_LIFE_MS: f64 = 300.0;
 
 /// Load report of a node.
@@ -98,12 +100,12 @@
     /// which arrives late, is used for the other routers' part only, with more weight the more routers there
     /// are.
     pub fn estimate_all_routers(&self, now: f64, routers: f64) -> f64 {
-        let guess = (routers - 1.0) * self.local.recent_mean(now);
-        let Some(report) = self.report else { return self.local.current + guess };
-        let others = (report.in_flight - report.local).max(0.0);
+        let estimated_others = (routers - 1.0) * self.local.recent_mean(now);
+        let Some(report) = self.report else { return self.local.current + estimated_others };
+        let reported_others = (report.in_flight - report.local).max(0.0);
         let weight =
             (-(now - report.received_ms) / REPORT_HALF_LIFE_MS).exp2() * (1.0 - 1.0 / routers.max(1.0));
-        self.local.current + guess + (others - guess) * weight
+        self.local.current + estimated_others + (reported_others - estimated_others) * weight
     }
 }
 
--- a/crates/fernslip/src/json.rs
+++ b/crates/fernslip/src/json.rs
@@ -149,8 +149,8 @@
         parallel: flag_or_false(permissions, "parallel_tries"),
         cancel: flag_or_false(permissions, "cancelling"),
         peers: flag_or_false(permissions, "peers"),
-        // Read even if the platform says that its clients ignore the hint: a rejected client is always told
-        // when to retry.
+        // The value applies even if the platform says that its clients ignore the hint: a rejected client is
+        // always told when to retry.
         max_retry_after_ms: number_field_or_zero(permissions, "max_retry_after_ms")?,
         lists_on_request: info["discovery"].as_str() == Some("on_request"),
         tick_ms: number_field_or_zero(info, "tick_ms")?,
--- a/crates/fernslip/src/lib.rs
+++ b/crates/fernslip/src/lib.rs
@@ -20,8 +20,8 @@
 //!   cancellation of an attempt.
 //! - The caller answers each [`Action::Timer`] with one [`Event::Timer`]. Messages of [`Action::SendToPeer`]
 //!   and [`Action::SendToAllPeers`] may be lost.
-//! - The router never returns an attempt at a cache of another location, or at one that is draining or
-//!   removed, and, where [`Settings::parallel`] is false, never a second attempt while one is in flight.
+//! - The router never returns an attempt at a cache that is in another location, draining or removed. If
+//!   [`Settings::parallel`] is false, it never returns a second attempt for a request while one is in flight.
 //!
 //! # Example
 //!
--- a/crates/fernslip/src/manual_exclusion.rs
+++ b/crates/fernslip/src/manual_exclusion.rs
@@ -1,15 +1,16 @@
 //! Manual exclusion of cache nodes: from an operator's `exclude` to the next `include`, a node counts as
 //! draining for this router, whatever the endpoint list says.
 //!
-//! Every endpoint list passes through [`ManualExclusions::apply_to_list`] before the router sees it. That
-//! stores the latest entry of each node and changes `In` to `Draining` for excluded nodes. Exclusions are not
-//! counted: one `include` ends any number of `exclude` calls. The code is deterministic and does no I/O; the
-//! host persists the set across restarts.
+//! Every endpoint list passes through [`ManualExclusions::apply_to_list`] before the router sees it. The
+//! method stores the latest entry of each node and changes `In` to `Draining` for excluded nodes. Exclusions
+//! are not counted: one `include` ends any number of `exclude` calls. The code is deterministic and does no
+//! I/O; the host persists the set across restarts.
 
 use crate::api::{CacheId, Entry, ListKind, Phase};
 use std::collections::{BTreeSet, HashMap};
 
-/// How long it is retained when a node left service, in milliseconds. Longer than any attempt lasts.
+/// How long the time at which a node left service is retained, in milliseconds. Longer than any attempt
+/// lasts.
 const OUT_OF_SERVICE_RETENTION_MS: f64 = 3_600_000.0;
 
 /// The manually excluded nodes, and the latest endpoint-list entry of each node.
--- a/crates/fernslip/src/peers.rs
+++ b/crates/fernslip/src/peers.rs
@@ -12,7 +12,7 @@
     known: BTreeSet<u32>,
     /// Time of this router's first event.
     pub first_event_ms: Option<f64>,
-    /// Time by which adopted state is older than this router's own, in milliseconds.
+    /// Time by which state adopted from a peer is older than this router's first event, in milliseconds.
     adopted_ms: f64,
 }
 
@@ -62,8 +62,8 @@
         self.first_event_ms.map_or(0.0, |first| now - first) + self.adopted_ms
     }
 
-    /// Adopts the age `known_ms` of a peer's state if it exceeds the age of this router's own. Returns
-    /// whether it does.
+    /// Adopts `known_ms`, the learning time of a peer's state, if it exceeds this router's own learning time.
+    /// Returns whether it does.
     pub fn adopt_learning_time(&mut self, now: f64, known_ms: f64) -> bool {
         let more = known_ms - self.known_ms(now);
         self.adopted_ms += more.max(0.0);
--- a/crates/fernslip/src/policy.rs
+++ b/crates/fernslip/src/policy.rs
@@ -43,8 +43,8 @@
 
 // Messages between routers.
 /// Number of requests to the location, over all its routers, after which a router sends its filter changes.
-/// The published figure of 400 requests per router is not used: one of many routers receives a few requests
-/// per second, so that 400 would take longer than the filter generations last.
+/// The published value of 400 requests per router (see `docs/design/constants.md`) is not used: one of many
+/// routers receives only a few requests per second, so 400 would take longer than a filter generation lasts.
 const REQUESTS_PER_SYNC: u32 = 100;
 /// Maximum length of a message between routers, in bytes.
 const MAX_MESSAGE_BYTES: usize = 256;
@@ -101,18 +101,18 @@
 /// Factor by which a node's load is expected to rise while an answer is being sent.
 const LOAD_GROWTH_FACTOR: f64 = 1.6;
 
-// Pace of a node: the duration of its fills (for a cache node: of its hits) divided by their duration at the
-// full stream rate. It is a moving average that decays to 1.
-/// Half-life of the weight that a cache node's pace has in its load estimate during slow start, in
+// Slowdown of a node: the duration of its fills (for a cache node: of its hits) divided by their duration at
+// the full stream rate. It is a moving average that decays to 1.
+/// Half-life of the weight that a cache node's slowdown has in its load estimate during slow start, in
 /// milliseconds.
-const SLOW_START_PACE_HALVING_MS: f64 = 1_000.0;
+const SLOW_START_SLOWDOWN_HALF_LIFE_MS: f64 = 1_000.0;
 /// Duration of a fill besides its transfer time, in milliseconds.
 const FILL_OVERHEAD_MS: f64 = 100.0;
 /// Duration of a hit besides its transfer time, in milliseconds.
 const HIT_OVERHEAD_MS: f64 = 10.0;
-/// A node counts as slow and receives less traffic if its pace, the relative duration of its answers, exceeds
-/// its peers' mean by this factor.
-const SLOW_PACE_FACTOR: f64 = 1.5;
+/// A node whose slowdown exceeds this multiple of its peers' mean slowdown receives less traffic. The same
+/// factor decides whether a slow fill is explained by the cache node's own link.
+const SLOWDOWN_OUTLIER_FACTOR: f64 = 1.5;
 /// A node whose speed factor (see `Router::speed_factor`) is below this bound is considered the sole cause of
 /// its late fills.
 const SLOW_NODE_SPEED_FACTOR: f64 = 0.5;
@@ -122,8 +122,8 @@
 /// Fraction of the slow-start capacity that is used, because weights are rough and the traffic of other
 /// routers is an estimate.
 const SLOW_START_UTILIZATION: f64 = 0.7;
-/// Fraction of the slow-start capacity that is used where a router's part is less than one request, because
-/// the tokens of two adjacent windows may be spent together.
+/// Fraction of the slow-start capacity that is used if a router's part of it is less than one request. It is
+/// lower because the tokens of two adjacent windows may be spent together.
 const SLOW_START_TOKEN_UTILIZATION: f64 = 0.5;
 
 // Timeouts of attempts at nodes that are expected to hold the object. They are long, because cutting a slow
@@ -155,7 +155,7 @@
 /// latency objective.
 const UNKNOWN_SIZE_OBJECTIVE_FRACTION: f64 = 0.1;
 
-/// State of one router, whose methods make its decisions.
+/// A request router, which decides where each request is sent.
 pub struct Router {
     settings: Settings,
     /// Time of the latest event on the caller's clock, in milliseconds; it never decreases.
@@ -169,8 +169,8 @@
     /// Counts of recent requests per key.
     demand: Filter,
     next_generation_ms: f64,
-    /// Whether the timer for the next check for silent nodes is set.
-    watch_timer_set: bool,
+    /// Whether the timer for the next check of the open attempts for silent nodes is set.
+    silence_timer_set: bool,
     /// By role, the mean of the nodes' proven capacities, in concurrent transfers at the full stream rate; 0
     /// if none has been measured.
     typical_bandwidth: [f64; 3],
@@ -219,7 +219,7 @@
             purges: Purges::default(),
             demand: Filter::new(FILTER_COUNTERS, FILTER_HASHES),
             next_generation_ms: 0.0,
-            watch_timer_set: false,
+            silence_timer_set: false,
             typical_bandwidth: [0.0; 3],
             expected_bandwidth: [0.0; 3],
             fill_limiter: FillLimiter::default(),
@@ -255,7 +255,7 @@
     }
 
     /// Logs rejection counts when a line is due. Once per filter generation it also rotates the filters,
-    /// greets unknown routers, and drops removed nodes and expired purges.
+    /// sends greetings while a router of the location is unknown, and drops removed nodes and expired purges.
     fn run_periodic_work(&mut self, out: &mut Vec<Action>) {
         let line = self.rejections.due_log_line(self.now_ms);
         out.extend(line.map(|l| Action::Log(format!("{l}; fills: {:.1}", self.fill_limiter.limit))));
@@ -263,8 +263,9 @@
             return;
         }
         self.next_generation_ms = self.now_ms + FILTER_GENERATION_MS;
-        // Greets all routers at the start, and then once per generation while a router of the location is
-        // unknown, to find restarted and late routers. A router that was removed for good costs a few bytes.
+        // A greeting goes to all routers at the start, and then once per generation while a router of the
+        // location is unknown, to find routers that restarted or started late. After a permanent removal of a
+        // router the greetings continue, at a cost of a few bytes each.
         if self.settings.peers && !self.peers.all_known(self.settings.routers_in_location()) {
             out.push(Action::SendToAllPeers {
                 data: message::encode_greeting(self.settings.zone as u8, true),
@@ -283,7 +284,8 @@
         self.evidence_enabled = true;
     }
 
-    /// Number of messages so far that were malformed, or whose sender is not another router of this tier.
+    /// Number of peer messages since the start that were malformed, or whose sender is not another router of
+    /// this deployment.
     pub fn malformed_messages(&self) -> u64 {
         self.malformed
     }
--- a/crates/fernslip/src/policy/admission.rs
+++ b/crates/fernslip/src/policy/admission.rs
@@ -35,8 +35,8 @@
         let spent_ms = node.work_sent_within(self.now_ms, window_ms);
         let ramp_quota_ms = ramp.rate * ramp.capacity_fraction(age_ms) * window_ms / f64::from(routers);
         // A node can deliver at least the rate that this router recently received from it, and tolerates the
-        // slow-start multiple of that. With several routers this measure is used only where no bandwidth is
-        // known, because the allowances of the two measures would add up.
+        // slow-start multiple of that rate. With several routers the delivery rate is used only if no
+        // bandwidth is known, because the quotas from both measures would add up.
         let no_other_measure = routers == 1
             || !node.link.bandwidth.saturated && self.typical_bandwidth[node.role as usize] == 0.0;
         let proven_rate = if no_other_measure { node.link.delivery.rate(self.now_ms) } else { 0.0 };
@@ -46,7 +46,7 @@
         if quota_ms >= token_ms {
             return spent_ms + cost_ms <= quota_ms;
         }
-        // The quota is less than one request per router, so that requests are admitted by tokens. A token is
+        // The quota is less than one request per router, so requests are admitted by tokens. A token is
         // valid for one window; the tokens of two adjacent windows may be spent together.
         let ramp =
             SlowStart { rate: ramp.rate * SLOW_START_TOKEN_UTILIZATION / SLOW_START_UTILIZATION, ..ramp };
--- a/crates/fernslip/src/policy/capacity.rs
+++ b/crates/fernslip/src/policy/capacity.rs
@@ -1,30 +1,33 @@
-//! Capacity of nodes, from their measured bandwidth and pace, and the load on them.
+//! Capacity of nodes, from their measured bandwidth and slowdown, and the load on them.
 
 use super::Router;
-use super::{SLOW_NODE_SPEED_FACTOR, SLOW_PACE_FACTOR, SLOW_START_PACE_HALVING_MS};
+use super::{SLOWDOWN_OUTLIER_FACTOR, SLOW_NODE_SPEED_FACTOR, SLOW_START_SLOWDOWN_HALF_LIFE_MS};
 use crate::api::*;
 use crate::bandwidth::{AnswerSample, Bandwidth};
 use crate::state::{mean_proven_capacity, Node};
 
 impl Router {
-    /// Fraction of its weight that a node keeps if it is slower than its peers, up to 1. It relieves parents
-    /// that are slow, stalled or crowded, and very slow cache nodes. The cost is that objects cached on a
-    /// node that is merely busy are fetched again elsewhere.
+    /// Factor by which a node's weight is reduced for being slower than its peers; 1 if it is not. It
+    /// relieves parents that are slow, stalled or overloaded, and very slow cache nodes. The cost is that
+    /// objects cached on a node that is merely busy are fetched again elsewhere.
     pub(super) fn speed_factor(&self, node: &Node) -> f64 {
         let count = self.peers_of(node).count().max(1) as f64;
-        let mean_pace = self.peers_of(node).map(|peer| peer.pace_at(self.now_ms)).sum::<f64>() / count;
-        if mean_pace > 0.0 {
-            (SLOW_PACE_FACTOR * mean_pace / node.pace_at(self.now_ms).max(0.01)).powi(2).min(1.0)
+        let mean_slowdown =
+            self.peers_of(node).map(|peer| peer.slowdown_at(self.now_ms)).sum::<f64>() / count;
+        if mean_slowdown > 0.0 {
+            (SLOWDOWN_OUTLIER_FACTOR * mean_slowdown / node.slowdown_at(self.now_ms).max(0.01))
+                .powi(2)
+                .min(1.0)
         } else {
             1.0
         }
     }
 
-    /// Whether a slow fill is explained by the cache node's own link: its hits are slow, and the fill with
-    /// its `pace` was not much slower than they are.
-    pub(super) fn has_congested_link(&self, node: &Node, pace: f64) -> bool {
-        let own_pace = node.pace_at(self.now_ms);
-        own_pace > SLOW_PACE_FACTOR && pace < SLOW_PACE_FACTOR * own_pace
+    /// Whether a slow fill is explained by the cache node's own link: the node's hits are slow, and the
+    /// fill's `slowdown` is not much larger than theirs.
+    pub(super) fn has_congested_link(&self, node: &Node, slowdown: f64) -> bool {
+        let own_slowdown = node.slowdown_at(self.now_ms);
+        own_slowdown > SLOWDOWN_OUTLIER_FACTOR && slowdown < SLOWDOWN_OUTLIER_FACTOR * own_slowdown
     }
 
     /// Whether the node is so much slower than its peers that it is the sole cause of late fills.
@@ -87,10 +90,10 @@
         if self.capacity_fraction(node) >= 1.0 {
             return counted;
         }
-        // The ramp is only a lower bound on the node's capacity, and the traffic of other routers is an
-        // estimate. The duration of its recent hits is better evidence of the load.
-        let fading = (-(self.now_ms - node.pace_updated) / SLOW_START_PACE_HALVING_MS).exp2();
+        // The slow-start ramp is only a lower bound on the node's capacity, and the traffic of other routers
+        // is an estimate. The duration of the node's recent hits is better evidence of the load.
+        let fading = (-(self.now_ms - node.slowdown_updated_ms) / SLOW_START_SLOWDOWN_HALF_LIFE_MS).exp2();
         let trust = fading * (1.0 - 1.0 / routers);
-        counted + (counted.min(node.pace) - counted) * trust
+        counted + (counted.min(node.slowdown) - counted) * trust
     }
 }
--- a/crates/fernslip/src/policy/filters.rs
+++ b/crates/fernslip/src/policy/filters.rs
@@ -7,8 +7,8 @@
 use crate::state::PendingRequest;
 
 impl Router {
-    /// Applies a change to a node's filter and queues the resulting changes for peers; those beyond
-    /// `MAX_PENDING_FILTER_CHANGES` are dropped.
+    /// Applies a change to a node's filter and queues the resulting counter changes for peers. Counter
+    /// changes beyond `MAX_PENDING_FILTER_CHANGES` are not queued.
     pub(super) fn update_filter(&mut self, id: &CacheId, change: impl Fn(&mut Filter) -> Vec<CounterChange>) {
         if let Some(node) = self.nodes.get_mut(id) {
             let capacity = MAX_PENDING_FILTER_CHANGES.saturating_sub(node.changes.len());
--- a/crates/fernslip/src/policy/health.rs
+++ b/crates/fernslip/src/policy/health.rs
@@ -10,7 +10,7 @@
 use crate::rendezvous::jitter_factor;
 use crate::state::{Node, Role};
 
-/// Health of the other nodes in service that have the same role.
+/// Health of a node's peers: the other nodes in service that have the same role.
 struct PeerHealth {
     count: f64,
     ejected: f64,
@@ -30,16 +30,16 @@
         }
     }
 
-    /// Reports evidence on a node to other routers, if that is enabled and `strength` is above 0; it is
-    /// limited to 1.
+    /// Reports evidence on a node to other routers, if evidence is enabled and `strength` is above 0. A
+    /// strength above 1 is reported as 1.
     pub(super) fn report_evidence(&self, cache: &CacheId, sign: Sign, strength: f64, out: &mut Vec<Action>) {
         if self.evidence_enabled && strength > 0.0 {
             out.push(Action::Evidence { cache: cache.clone(), sign, strength: strength.min(1.0) });
         }
     }
 
-    /// Records evidence on a node: `blame` 0 for a success, 1 for a failure of its own, and values between if
-    /// the failure may have another cause.
+    /// Records evidence on a node. `blame` is 0 for a success, 1 for a failure of its own, between 0 and 1
+    /// for a failure that may have another cause, and above 1 for a failure that weighs more than one.
     pub(super) fn record_evidence(&mut self, id: &CacheId, blame: f64, out: &mut Vec<Action>) {
         let Some(node) = self.nodes.get(id) else { return };
         let peers = self.peer_health(node);
--- a/crates/fernslip/src/policy/learning.rs
+++ b/crates/fernslip/src/policy/learning.rs
@@ -1,18 +1,18 @@
-//! Lessons from the end of an attempt: the keys in the filters of its target and source, the evidence on
-//! their health, and which of the two its request must not use again.
+//! Learning from the end of an attempt: updates the filters of its target and source, records evidence on
+//! their health, and excludes those at fault from further attempts of the request.
 
 use super::Router;
 use super::{MAX_LOCAL_REJECTION_MS, SILENCE_BLAME};
 use crate::api::*;
 use crate::state::{AttemptKind, PendingRequest, Role};
 
-/// Values of [`Outcome::detail`], which tells how an attempt was answered or why it failed.
+/// Values of [`Outcome::detail`], the code that tells how an attempt was answered or why it failed.
 mod detail {
-    /// The object was filled from the source, or the request joined such a fill.
+    /// Detail codes of answers that were filled from the source (2) or joined such a fill (3).
     pub const FILLED: std::ops::RangeInclusive<u8> = 2..=3;
-    /// The source failed or could not be reached.
+    /// Detail codes of attempts whose source failed or could not be reached.
     pub const SOURCE_FAILED: std::ops::RangeInclusive<u8> = 6..=7;
-    /// The attempt met a limit, for which no node is to blame.
+    /// Detail codes of attempts that met a limit, for which no node is to blame.
     pub const NO_FAULT: std::ops::RangeInclusive<u8> = 8..=10;
 }
 
@@ -72,8 +72,8 @@
                     req.excluded.insert(source.clone());
                 }
             }
-            // The blame is so large that a single answer does not readmit a node that answers only
-            // occasionally.
+            // The blame for silence is large enough that a node which answers only occasionally is not
+            // readmitted after a single answer.
             Ending::Cancelled if cancelled_for_silence => self.record_evidence(&target, SILENCE_BLAME, out),
             Ending::Superseded | Ending::Retracted | Ending::Cancelled => {}
             _ => self.learn_from_failure(req, outcome, &route, out),
@@ -96,7 +96,7 @@
         let now = self.now_ms;
         let said_filled = detail::FILLED.contains(&outcome.detail);
         self.record_evidence(route.target, 0.0, out);
-        // A request that joined a fill received its data over the source's link with that fill.
+        // The data of a fill came over the source's link too, even for a request that joined the fill.
         let filled_from = Some(route.source).filter(|_| said_filled);
         for id in [Some(route.target), filled_from].into_iter().flatten() {
             let node = self.nodes.get_mut(id).filter(|node| route.sent_ms >= node.started_ms);
@@ -132,8 +132,8 @@
         if sibling {
             self.update_filter(route.source, |f| f.remove(req.key));
         }
-        // The source would reject a repeat too, as it rejects the fills of all fronts; another source is
-        // used.
+        // A source that rejected a fill is not used again for this request: it rejects the fills of all
+        // fronts and would reject a repeat too.
         let rejected = outcome.ending == Ending::Saturated && !reason_given && blame.target == 0.0;
         let source_at_fault = match reason_given {
             true => blame.target == 0.0,
@@ -142,18 +142,18 @@
         if sibling || rejected || source_at_fault {
             req.excluded.insert(route.source.clone());
         }
-        // After a lost connection the same cache node is tried once more: if its process has died, that
-        // connection is refused.
+        // After a lost connection the first retry may go to the same cache node: if its process has died, the
+        // new connection is refused.
         let target_at_fault = blame.target > 0.0 && blame.target >= blame.source;
         if target_at_fault && (outcome.ending != Ending::ConnectionLost || req.attempts.len() > 1) {
             req.excluded.insert(route.target.clone());
         }
     }
 
-    /// Divides the blame for a failed attempt between its target and its source.
+    /// Splits the blame for a failed attempt between its target and its source.
     fn assign_blame(&self, req: &PendingRequest, outcome: &Outcome, route: &Route) -> Blame {
         // A timeout counts only against a node that has answered nothing since the attempt was sent. A slow
-        // node is usually crowded, and ejecting it would crowd the others and move its homes.
+        // node is usually overloaded, and ejecting it would overload the others and move its keys to them.
         let answered_nothing_since =
             |id: &CacheId| self.nodes.get(id).is_some_and(|node| node.last_seen < route.sent_ms);
         let timed_out = outcome.ending == Ending::TimedOut;
@@ -177,10 +177,11 @@
         }
     }
 
-    /// Divides the blame by the nodes' failure rates, where the outcome gives no reason.
+    /// Splits the blame in proportion to the nodes' failure rates, for an outcome that gives no reason.
     fn blame_by_history(&self, route: &Route) -> Blame {
-        let suspicion = |id: &CacheId| self.nodes.get(id).map_or(0.0, |node| node.failure_rate) + 0.05;
-        let target = suspicion(route.target) / (suspicion(route.target) + suspicion(route.source));
+        let failure_weight = |id: &CacheId| self.nodes.get(id).map_or(0.0, |node| node.failure_rate) + 0.05;
+        let target =
+            failure_weight(route.target) / (failure_weight(route.target) + failure_weight(route.source));
         Blame { target, source: 1.0 - target }
     }
 }
--- a/crates/fernslip/src/policy/nodes.rs
+++ b/crates/fernslip/src/policy/nodes.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 
 impl Router {
-    /// Applies an endpoint list, or a change to it.
+    /// Applies an endpoint list or a change of it, and updates the estimates that depend on the listed nodes.
     pub(super) fn update_endpoints(&mut self, kind: ListKind, entries: Vec<Entry>, out: &mut Vec<Action>) {
         if kind == ListKind::Failed || (kind == ListKind::Cached && self.settings.lists_on_request) {
             out.push(Action::Subscribe);
@@ -29,14 +29,15 @@
         // least one location.
         let listed = edges().filter(|node| node.phase != Phase::Out).count();
         let expected_bandwidth = self.settings.expected_bandwidth(listed);
-        // Where the list gives weights, the cache nodes need fills for a fraction of what they can send.
+        // If the list gives weights, the initial fill limit is a fraction of the cache nodes' total weight,
+        // because they need fills for only a part of what they can send.
         let weighted = edges().filter(|node| node.listed_weight != 1.0);
         let total_weight = weighted.map(|node| node.listed_weight).sum::<f64>();
         self.expected_bandwidth = expected_bandwidth;
         self.fill_limiter.set_initial(total_weight * INITIAL_FILLS_PER_WEIGHT);
     }
 
-    /// Takes nodes out of service that a complete list does not name.
+    /// Takes nodes out of service that are missing from a complete list.
     fn remove_unlisted(&mut self, entries: &[Entry], out: &mut Vec<Action>) {
         let listed: BTreeSet<&CacheId> = entries.iter().map(|entry| &entry.cache).collect();
         for (id, node) in &mut self.nodes {
@@ -53,8 +54,8 @@
             Some(kind) if Some(kind) == self.settings.origin_kind => Role::Origin,
             _ => Role::Edge,
         };
-        // Cache nodes of other locations are neither targets nor sources, so that CPU and memory grow with
-        // the location only.
+        // Cache nodes of other locations are ignored, because they are neither targets nor sources. CPU time
+        // and memory therefore grow only with the size of this location.
         if role == Role::Edge && entry.zone != Some(self.settings.zone) {
             return;
         }
--- a/crates/fernslip/src/policy/outcome.rs
+++ b/crates/fernslip/src/policy/outcome.rs
@@ -1,4 +1,5 @@
-//! End of an attempt: the pace, bandwidth and limits learned from it, and whether its request is retried.
+//! End of an attempt: updates the nodes' slowdown and bandwidth and the fill limits, and retries or rejects
+//! the request.
 
 use super::Router;
 use super::{FILL_OVERHEAD_MS, HIT_OVERHEAD_MS, MAX_LOCAL_REJECTION_MS, UNRESPONSIVE_EVIDENCE_STRENGTH};
@@ -42,9 +43,9 @@
         attempt.open = false;
         attempt.ending = Some(outcome.ending);
         let ended = self.summarize_attempt(&req, &outcome);
-        let crawling = if ended.target_slow { UNRESPONSIVE_EVIDENCE_STRENGTH } else { 0.0 };
-        self.report_evidence(&ended.target, Sign::Crawling, crawling, out);
-        self.learn_pace(&req, &outcome, &ended);
+        let slow_evidence = if ended.target_slow { UNRESPONSIVE_EVIDENCE_STRENGTH } else { 0.0 };
+        self.report_evidence(&ended.target, Sign::Crawling, slow_evidence, out);
+        self.learn_slowdown_and_bandwidth(&req, &outcome, &ended);
         self.learn_fill_limits(&outcome, &ended);
         self.adjust_in_flight(&ended.target, -1.0);
         if ended.kind == AttemptKind::Fill {
@@ -64,8 +65,8 @@
         // links.
         let target = self.nodes.get(&attempt.cache);
         let target_slow = target.is_some_and(|node| self.is_slow(node));
-        let fill_pace = outcome.elapsed_ms / (req.work_ms + FILL_OVERHEAD_MS);
-        let target_congested = target.is_some_and(|node| self.has_congested_link(node, fill_pace));
+        let fill_slowdown = outcome.elapsed_ms / (req.work_ms + FILL_OVERHEAD_MS);
+        let target_congested = target.is_some_and(|node| self.has_congested_link(node, fill_slowdown));
         let source_slow = || self.nodes.get(&attempt.source).is_some_and(|node| self.is_slow(node));
         let hit_expected = matches!(kind, AttemptKind::ExpectedHit | AttemptKind::LookupOnly);
         let said_hit = outcome.detail == 1 || outcome.detail == 0 && hit_expected;
@@ -84,8 +85,14 @@
         }
     }
 
-    /// Updates the pace and the link of the target after a hit, and of the source after a fill.
-    fn learn_pace(&mut self, req: &PendingRequest, outcome: &Outcome, ended: &EndedAttempt) {
+    /// Updates the slowdown and the bandwidth estimates of the target after a hit, and of the source after a
+    /// fill.
+    fn learn_slowdown_and_bandwidth(
+        &mut self,
+        req: &PendingRequest,
+        outcome: &Outcome,
+        ended: &EndedAttempt,
+    ) {
         let hit = ended.hit;
         let completed = outcome.ending == Ending::Completed;
         let fill = ended.kind == AttemptKind::Fill && (completed || ended.timed_out_late);
@@ -94,12 +101,12 @@
         }
         let (id, overhead_ms) =
             if hit { (&ended.target, HIT_OVERHEAD_MS) } else { (&ended.source, FILL_OVERHEAD_MS) };
-        let pace = outcome.elapsed_ms / (req.work_ms + overhead_ms);
-        let telling = hit || !ended.target_slow && !ended.target_congested;
+        let slowdown = outcome.elapsed_ms / (req.work_ms + overhead_ms);
+        let conclusive = hit || !ended.target_slow && !ended.target_congested;
         let now = self.now_ms;
-        let node = self.nodes.get_mut(id).filter(|node| hit == (node.role == Role::Edge) && telling);
+        let node = self.nodes.get_mut(id).filter(|node| hit == (node.role == Role::Edge) && conclusive);
         if let Some(node) = node {
-            node.record_pace(now, pace);
+            node.record_slowdown(now, slowdown);
             let integral_when_sent = ended.in_flight_integrals[usize::from(!hit)];
             self.record_link_answer(id, req.work_ms, outcome.elapsed_ms, overhead_ms, integral_when_sent);
         }
@@ -125,12 +132,13 @@
         };
         if ended.kind == AttemptKind::Fill {
             let routers = f64::from(self.settings.routers_in_location());
-            let crowded = late_or_rejected && !ended.was_late;
-            self.fill_limiter.record_fill_end(now, routers, crowded, completed && !late_or_rejected);
+            let newly_late = late_or_rejected && !ended.was_late;
+            self.fill_limiter.record_fill_end(now, routers, newly_late, completed && !late_or_rejected);
         }
     }
 
-    /// Records the target's load report, and that the target answered if it did.
+    /// Records the target's load report if there is one, and that the target is not silent if the ending
+    /// shows that it answered.
     fn learn_liveness(&mut self, outcome: &Outcome, target: &CacheId) {
         let now = self.now_ms;
         let silent = outcome.ending.never_sent()
@@ -161,8 +169,8 @@
         let cost = f64::from(u8::from(!free));
         let errors = req.attempts.iter().filter(|a| a.ending == Some(Ending::Errored)).count();
         let reason = match outcome.ending {
-            // The node learned first that the client has disconnected or the request has expired; the next
-            // node would learn it too.
+            // The node knows that the client has disconnected or the request has expired, so another node
+            // would refuse the request too.
             Ending::Superseded => Some(RejectReason::Superseded),
             _ if self.retry_budget < cost => Some(RejectReason::RetryBudget),
             // After errors from two nodes the request itself is at fault, and the next node would fail too.
--- a/crates/fernslip/src/policy/peers.rs
+++ b/crates/fernslip/src/policy/peers.rs
@@ -34,7 +34,8 @@
         if let Some((_, bootstrap)) = bootstrap {
             return self.adopt_bootstrap(&bootstrap);
         }
-        // A message that is malformed or whose sender is no other router of the tier is only counted.
+        // A message that is malformed, or whose sender is not another router of the deployment, is only
+        // counted.
         let Some((zone, message)) = message::decode_message(data, FILTER_COUNTERS).filter(|_| known) else {
             self.malformed += 1;
             return;
@@ -56,9 +57,9 @@
         }
     }
 
-    /// Sends a starting router the state that it cannot know. This covers a restart of some of the routers:
-    /// each would otherwise fill without a limit, and use nodes that the other routers know to be slow or
-    /// failing.
+    /// Replies to a starting router with a greeting and the state that this router has learned. Without that
+    /// state, a restarted router would fill without a limit, and use nodes that the other routers know to be
+    /// slow or failing.
     fn send_bootstrap(&self, to: u32, out: &mut Vec<Action>) {
         let zone = self.settings.zone as u8;
         let known_ms = self.peers.known_ms(self.now_ms);
--- a/crates/fernslip/src/policy/placement.rs
+++ b/crates/fernslip/src/policy/placement.rs
@@ -35,7 +35,7 @@
     }
 
     /// Cache nodes of the location that are in service, in the key's hash order. The weight of a node in slow
-    /// start grows with its capacity, so that it receives only its part of the keys.
+    /// start grows with its capacity, so it receives only its part of the keys.
     fn ranked_caches(&self, req: &PendingRequest) -> Vec<Candidate<'_>> {
         let key = key_to_u64(req.key);
         let weight = |node: &Node| self.effective_weight(node) * (1.0 - node.peer_suspicion.max(0.0));
@@ -51,10 +51,10 @@
     /// late, the next that would be in time.
     ///
     /// Links are divided evenly, so the expected duration is the transfer time multiplied by the load. If no
-    /// node would be in time, the request is rejected at once; large requests are rejected first. This covers
-    /// hot objects, bursts and lost cache nodes, and costs second copies as well as the value of late
-    /// answers. No node is faster than the transfer time, and a transfer that cannot finish while the client
-    /// waits would only fill the links.
+    /// node would be in time, the request is rejected at once, because a transfer that cannot finish while
+    /// the client waits would only fill the links; large requests are rejected first. This handles hot
+    /// objects, bursts and lost cache nodes, at the cost of second copies and of the value of late answers.
+    /// No node is faster than the transfer time.
     fn choose_home<'a>(
         &self,
         req: &PendingRequest,
@@ -69,15 +69,16 @@
         }
         let &first = candidates.first().ok_or(RejectReason::NoTarget)?;
         let objective_ms = req.objective_ms.min(remaining_ms);
-        let pace_alone = |node: &Node| match self.speed_factor(node) < 1.0 {
-            true => node.pace_at(self.now_ms),
+        let measured_slowdown = |node: &Node| match self.speed_factor(node) < 1.0 {
+            true => node.slowdown_at(self.now_ms),
             false => 1.0,
         };
-        let pace_loaded = |node: &Node| match node.link.bandwidth.saturated {
+        let slowdown_by_load = |node: &Node| match node.link.bandwidth.saturated {
             true => self.load(node) * LOAD_GROWTH_FACTOR,
             false => 0.0,
         };
-        let in_time = |node: &Node| req.work_ms * pace_loaded(node).max(pace_alone(node)) <= objective_ms;
+        let in_time =
+            |node: &Node| req.work_ms * slowdown_by_load(node).max(measured_slowdown(node)) <= objective_ms;
         if in_time(first.1) {
             return Ok(first);
         }
@@ -88,8 +89,8 @@
         spill.copied().ok_or(RejectReason::CachesCrowded)
     }
 
-    /// Plans a write, which runs at the origin. The first retry goes through a parent, the next to the origin
-    /// again, and so on alternately.
+    /// Plans a write, which runs at the origin. Its attempts go to the origin directly and through a parent
+    /// in turn, starting with the origin.
     fn plan_write(
         req: &PendingRequest,
         home: &CacheId,
@@ -125,8 +126,9 @@
     /// Plans a fill for a home that lacks the key: from a sibling that has it, otherwise from a parent or the
     /// origin.
     ///
-    /// Without capacity for another fill, a miss is rejected at once, because it would occupy a slot at the
-    /// cache node that hits need. This covers a slow origin, crowded links, cache flushes and scans.
+    /// If there is no capacity for another fill, a miss is rejected at once, because it would occupy a slot
+    /// at the cache node that hits need. This handles a slow origin, congested links, cache flushes and
+    /// scans.
     fn plan_fill(
         &self,
         req: &PendingRequest,
--- a/crates/fernslip/src/policy/purges.rs
+++ b/crates/fernslip/src/policy/purges.rs
@@ -13,7 +13,7 @@
     }
 
     /// Maximum age of a copy that may be served or of a fill that may be joined, in milliseconds; 0 means
-    /// that the fresh time of the class applies. With `stale_allowed`, copies within the class's grace are
+    /// that the `fresh_ms` of the class applies. With `stale_allowed`, copies within the class's grace are
     /// accepted too.
     pub(super) fn max_copy_age_ms(&self, req: &PendingRequest, stale_allowed: bool) -> f64 {
         let class = &self.settings.classes[req.request.class];
--- a/crates/fernslip/src/policy/request.rs
+++ b/crates/fernslip/src/policy/request.rs
@@ -1,5 +1,5 @@
-//! Life of a request until its attempts end: it is admitted, dispatched to an attempt, rejected or cancelled.
-//! The end of an attempt is handled in `outcome.rs`.
+//! Handling of requests: admission, the start of attempts, rejection and cancellation. The end of an attempt
+//! is handled in `outcome.rs`.
 
 use super::Router;
 use super::{
@@ -47,8 +47,8 @@
             false if *mean_ms > 0.0 => *mean_ms,
             false => class.objective_ms * UNKNOWN_SIZE_OBJECTIVE_FRACTION,
         };
-        // The client states the size, so a single request moves the mean by no more than the class's deadline
-        // allows.
+        // The client states the size, which may be wrong, so the transfer time is capped at the class's
+        // deadline before it enters the mean.
         let step = if *mean_ms == 0.0 { 1.0 } else { MEAN_WORK_SMOOTHING };
         *mean_ms += (work_ms.min(class.deadline_ms) - *mean_ms) * step;
         let budget_ms = match request.budget_ms.is_finite() {
@@ -105,8 +105,8 @@
         if let Some(node) = self.nodes.get_mut(&target) {
             node.silent_after.get_or_insert(now + (SILENCE_TIMEOUT_MS + 2.0 * req.work_ms));
         }
-        if !self.watch_timer_set && self.settings.cancel {
-            self.watch_timer_set = true;
+        if !self.silence_timer_set && self.settings.cancel {
+            self.silence_timer_set = true;
             out.push(Action::Timer { delay_ms: SILENCE_CHECK_INTERVAL_MS, token: 0 });
         }
         if kind == AttemptKind::Fill {
@@ -123,8 +123,8 @@
         let remaining_ms = self.remaining_ms(req);
         let may_retry = req.attempts.len() + 1 < self.settings.max_attempts as usize;
         let expected_there = lookup_only || plan.kind == AttemptKind::ExpectedHit;
-        // A fill may use all the time that the client waits, because an abandoned fill leaves no copy and
-        // would be requested again.
+        // The timeout of a fill is all of the client's remaining time, because an abandoned fill leaves no
+        // copy and would be requested again.
         let time_ms = if may_retry && expected_there {
             (req.objective_ms * ATTEMPT_TIMEOUT_OBJECTIVES)
                 .min(remaining_ms * ATTEMPT_TIMEOUT_FRACTION)
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Time left for attempts, in milliseconds, so that a final answer is still in time; negative if it is
-    /// too late.
+    /// Time left for the request's attempts, in milliseconds, with a margin for the final answer; negative if
+    /// it is too late for one.
     pub(super) fn remaining_ms(&self, req: &PendingRequest) -> f64 {
         req.deadline - self.now_ms - 2.0 * self.settings.tick_ms
     }
--- a/crates/fernslip/src/policy/retry.rs
+++ b/crates/fernslip/src/policy/retry.rs
@@ -33,7 +33,8 @@
     }
 
     /// Time by which a repeat must begin, in milliseconds on the caller's clock, because nodes recognise
-    /// repeats only within their window. Infinite if the class has no such window or no attempt may have run.
+    /// repeats only within the class's `repeat_window_ms`. Infinite if nodes do not deduplicate the class's
+    /// requests or no attempt may have run.
     pub(super) fn retry_window_end_ms(&self, req: &PendingRequest) -> f64 {
         let class = &self.settings.classes[req.request.class];
         let first_run = req.attempts.iter().find(|a| a.may_have_run());
--- a/crates/fernslip/src/policy/sources.rs
+++ b/crates/fernslip/src/policy/sources.rs
@@ -1,4 +1,4 @@
-//! Choice of the parent or origin that fills a miss, and whether its fills would be late.
+//! Choice of the parent or origin that fills a miss, and a check whether its fill would be late.
 
 use super::Router;
 use super::FILL_OVERHEAD_MS;
@@ -21,12 +21,13 @@
             .map(|(_, id)| id)
     }
 
-    /// Whether a fill from the node would exceed the request's latency objective at the node's current pace.
+    /// Whether a fill from the node would exceed the request's latency objective at the node's current
+    /// slowdown.
     pub(super) fn would_fill_late(&self, node: &Node, req: &PendingRequest) -> bool {
-        let pace = match node.role {
-            Role::Origin => node.pace_at(self.now_ms),
-            Role::Edge | Role::Parent => node.quick_pace_at(self.now_ms),
+        let slowdown = match node.role {
+            Role::Origin => node.slowdown_at(self.now_ms),
+            Role::Edge | Role::Parent => node.low_slowdown_at(self.now_ms),
         };
-        (req.work_ms + FILL_OVERHEAD_MS) * pace > req.objective_ms
+        (req.work_ms + FILL_OVERHEAD_MS) * slowdown > req.objective_ms
     }
 }
--- a/crates/fernslip/src/purges.rs
+++ b/crates/fernslip/src/purges.rs
@@ -41,7 +41,8 @@
         keys.iter().filter_map(|k| self.last.get(k)).copied().chain(self.latest_evicted).reduce(f64::max)
     }
 
-    /// Drops purges up to the given time, of which no older copy can exist any more.
+    /// Drops purges up to the given time. The caller passes a time so long ago that no
+    /// copy older than these purges can still exist.
     pub fn drop_before(&mut self, time: f64) {
         self.last.retain(|_, at| *at > time);
     }
--- a/crates/fernslip/src/rejection_counts.rs
+++ b/crates/fernslip/src/rejection_counts.rs
@@ -2,9 +2,10 @@
 
 use std::collections::BTreeMap;
 
-/// Requests that got no further attempt since the last log line, by reason.
+/// Counts of requests that got no further attempt, by reason.
 #[derive(Default)]
 pub struct RejectionCounts {
+    /// Counts by reason since the last log line.
     counts: BTreeMap<&'static str, u32>,
     /// Counts by reason since the start of the router.
     totals: BTreeMap<&'static str, u64>,
--- a/crates/fernslip/src/slow_start.rs
+++ b/crates/fernslip/src/slow_start.rs
@@ -3,7 +3,7 @@
 //! All routers know when the node started and how its capacity rises, so they all compute the same total of
 //! work that it may have been sent up to a given time. The total is divided into tokens of one request each,
 //! and token `j` belongs to router `j % routers`. A router's part may therefore be far less than one request
-//! per window of the node's limit, without being rounded up.
+//! per window, without being rounded up.
 
 impl crate::api::Settings {
     /// Slow-start settings of a parent, or of any other node if `parent` is false. The returned rate is 0,
--- a/crates/fernslip/src/state.rs
+++ b/crates/fernslip/src/state.rs
@@ -1,5 +1,5 @@
-//! State that a router keeps for each node and each request in flight, with the queries that need one of them
-//! only.
+//! State that a router keeps for each node and each request in flight, and queries on a single node or
+//! request.
 
 use crate::api::*;
 use crate::bandwidth::{DeliveryRate, Link};
@@ -7,15 +7,15 @@
 use crate::in_flight::InFlight;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Time constant with which a node's measured pace decays, in milliseconds.
-const PACE_DECAY_MS: f64 = 10_000.0;
+/// Time constant with which a node's slowdown decays to 1, in milliseconds.
+const SLOWDOWN_DECAY_MS: f64 = 10_000.0;
 
-/// Weight of one answer in a node's pace. It is large because one of many routers receives few fills from
-/// each node.
-const PACE_SMOOTHING: f64 = 0.4;
-/// Weight of a slow answer in a node's quick pace. Faster answers count with `PACE_SMOOTHING`, so that about
-/// a fifth of all answers are faster than the quick pace.
-const QUICK_PACE_RISE_SMOOTHING: f64 = 0.2;
+/// Weight of one answer in the moving average of a node's slowdown. It is large because one of many routers
+/// receives few fills from each node.
+const SLOWDOWN_SMOOTHING: f64 = 0.4;
+/// Weight of an answer that raises a node's low slowdown. An answer that lowers it has the larger weight
+/// `SLOWDOWN_SMOOTHING`, so about a fifth of all answers are faster than the low slowdown.
+const LOW_SLOWDOWN_RISE_SMOOTHING: f64 = 0.2;
 
 /// Role of a node. The discriminants index arrays that hold one value per role.
 #[derive(Clone, Copy, PartialEq, Default)]
@@ -64,12 +64,13 @@
     /// Earliest time of the next probe while the node is ejected or silent.
     pub next_probe_ms: f64,
     pub in_flight: InFlight,
-    /// Moving average, at time `pace_updated`, of the answers' duration divided by their duration at the full
-    /// stream rate.
-    pub pace: f64,
-    /// Like `pace`, but following the node's faster answers.
-    pub quick_pace: f64,
-    pub pace_updated: f64,
+    /// Slowdown of the node: moving average, at time `slowdown_updated_ms`, of the duration of its answers
+    /// divided by their duration at the full stream rate.
+    pub slowdown: f64,
+    /// Slowdown of the node's fastest answers: about a fifth of its answers are faster.
+    pub low_slowdown: f64,
+    /// Time of the last update of `slowdown` and `low_slowdown`, in milliseconds.
+    pub slowdown_updated_ms: f64,
     /// Time after which the node counts as silent unless it answers. The first attempt after an answer sets
     /// this time.
     pub silent_after: Option<f64>,
@@ -125,8 +126,8 @@
     Fill,
     /// The request is a write, which runs at the origin.
     Write,
-    /// The target may answer only from a copy that it has, even one past its fresh time, because there is no
-    /// capacity for a fill.
+    /// The target may answer only from a copy that it has, even one past its fresh time, because sources have
+    /// no capacity for a fill.
     LookupOnly,
 }
 
@@ -153,7 +154,7 @@
     NoSource,
     /// The location has as many fills in flight as its fill limit allows.
     FillLimit,
-    /// Sources reject fills, so that this router throttles its own.
+    /// Sources reject fills, so this router throttles its own.
     SourcesReject,
     /// A node reported that the request is over.
     Superseded,
@@ -183,8 +184,8 @@
 /// Mean proven capacity of a role's nodes, in concurrent transfers at the full stream rate; 0 if none has
 /// been measured.
 pub fn mean_proven_capacity<'a>(all: impl Iterator<Item = &'a Node>, role: usize) -> f64 {
-    let like = all.filter(|c| c.role as usize == role && c.link.proven.capacity > 0.0);
-    let (n, sum) = like.fold((0.0, 0.0), |(n, sum), c| (n + 1.0, sum + c.link.proven.capacity));
+    let measured = all.filter(|c| c.role as usize == role && c.link.proven.capacity > 0.0);
+    let (n, sum) = measured.fold((0.0, 0.0), |(n, sum), c| (n + 1.0, sum + c.link.proven.capacity));
     if n > 0.0 {
         sum / n
     } else {
@@ -220,7 +221,7 @@
 impl Node {
     pub fn new(tag: u64, started_ms: f64, phase: Phase, counters: usize, hashes: usize) -> Node {
         let filter = Filter::new(counters, hashes);
-        Node { started_ms, tag, phase, pace: 1.0, quick_pace: 1.0, filter, ..Node::default() }
+        Node { started_ms, tag, phase, slowdown: 1.0, low_slowdown: 1.0, filter, ..Node::default() }
     }
 
     /// Records `work_ms` of transfer time sent to the node at time `now`, and drops entries older than
@@ -246,30 +247,31 @@
         self.peer_suspicion = 0.0;
         self.ejected = false;
         self.silent_after = None;
-        self.pace = 1.0;
-        self.quick_pace = 1.0;
+        self.slowdown = 1.0;
+        self.low_slowdown = 1.0;
         self.link.delivery = DeliveryRate::default();
     }
 
-    /// Pace of the node at time `now`, decayed towards the full-rate value of 1.
-    pub fn pace_at(&self, now: f64) -> f64 {
-        1.0 + (self.pace - 1.0) * (-(now - self.pace_updated) / PACE_DECAY_MS).exp()
+    /// Slowdown of the node at time `now`, decayed towards 1, the value at the full stream rate.
+    pub fn slowdown_at(&self, now: f64) -> f64 {
+        1.0 + (self.slowdown - 1.0) * (-(now - self.slowdown_updated_ms) / SLOWDOWN_DECAY_MS).exp()
     }
 
-    /// Quick pace at time `now`. For a parent it shows the parent's own speed, without that of the origin
-    /// behind it.
-    pub fn quick_pace_at(&self, now: f64) -> f64 {
-        1.0 + (self.quick_pace - 1.0) * (-(now - self.pace_updated) / PACE_DECAY_MS).exp()
+    /// Slowdown of the node's fastest answers at time `now`, decayed towards 1. For a parent it shows the
+    /// parent's own speed, without waits for the origin behind it.
+    pub fn low_slowdown_at(&self, now: f64) -> f64 {
+        1.0 + (self.low_slowdown - 1.0) * (-(now - self.slowdown_updated_ms) / SLOWDOWN_DECAY_MS).exp()
     }
 
-    /// Records that an answer, finished or still open, takes `pace` times its duration at the full stream
-    /// rate.
-    pub fn record_pace(&mut self, now: f64, pace: f64) {
-        let (mean, quick) = (self.pace_at(now), self.quick_pace_at(now));
-        self.pace = mean + PACE_SMOOTHING * (pace - mean);
-        self.quick_pace =
-            quick + (pace - quick) * if pace < quick { PACE_SMOOTHING } else { QUICK_PACE_RISE_SMOOTHING };
-        self.pace_updated = now;
+    /// Records an answer, finished or still open, whose duration is `slowdown` times its duration at the full
+    /// stream rate.
+    pub fn record_slowdown(&mut self, now: f64, slowdown: f64) {
+        let (mean, low) = (self.slowdown_at(now), self.low_slowdown_at(now));
+        self.slowdown = mean + SLOWDOWN_SMOOTHING * (slowdown - mean);
+        self.low_slowdown = low
+            + (slowdown - low)
+                * if slowdown < low { SLOWDOWN_SMOOTHING } else { LOW_SLOWDOWN_RISE_SMOOTHING };
+        self.slowdown_updated_ms = now;
     }
 
     /// Whether the node has sent nothing although an answer is due.
--- a/crates/front/src/dispatch_host.rs
+++ b/crates/front/src/dispatch_host.rs
@@ -71,7 +71,7 @@
         requests.iter().for_each(|id| self.upstream.withdraw_attempt(*id));
     }
 
-    fn evidence(&self, cache: &CacheId, sign: Sign, strength: f64) {
+    fn report_evidence(&self, cache: &CacheId, sign: Sign, strength: f64) {
         self.evidence.push(cache, sign, strength);
     }
 
