--- a/crates/fernslip/benches/allocs.rs
+++ b/crates/fernslip/benches/allocs.rs
@@ -7,7 +7,7 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{sent_attempt, settings, wide_fleet, Rig};
+use common::{first_sent_attempt, settings, wide_fleet, Rig};
 use fernslip::Ending;
 
 /// A router with that many caches in its location.
@@ -20,7 +20,7 @@
 /// Handles one request and its successful outcome.
 fn serve_request(rig: &mut Rig, object: u64) {
     rig.now += 1.0;
-    let Some(attempt) = sent_attempt(&rig.request(object)) else { return };
+    let Some(attempt) = first_sent_attempt(&rig.request(object)) else { return };
     rig.now += 1.0;
     std::hint::black_box(rig.end_attempt(&attempt, 0, Ending::Completed, 1));
 }
--- a/crates/fernslip/benches/decide.rs
+++ b/crates/fernslip/benches/decide.rs
@@ -8,7 +8,7 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{entry, sent_attempt, settings, wide_fleet, Rig};
+use common::{entry, first_sent_attempt, settings, wide_fleet, Rig};
 use criterion::{BenchmarkId, Criterion};
 use fernslip::{Ending, Event, ObjectId, Phase};
 use std::hint::black_box;
@@ -34,7 +34,7 @@
 /// Handles one request and its successful outcome, which is the usual path through the router.
 fn serve_request(rig: &mut Rig, object: u64) {
     rig.now += 1.0;
-    let Some(attempt) = sent_attempt(&rig.request(object)) else { return };
+    let Some(attempt) = first_sent_attempt(&rig.request(object)) else { return };
     rig.now += 1.0;
     black_box(rig.end_attempt(&attempt, 0, Ending::Completed, 1));
 }
@@ -44,7 +44,7 @@
 /// the whole run.
 fn serve_request_with_slow_cache(rig: &mut Rig, object: u64, step_ms: f64) {
     rig.now += step_ms;
-    let Some(attempt) = sent_attempt(&rig.request(object)) else { return };
+    let Some(attempt) = first_sent_attempt(&rig.request(object)) else { return };
     rig.now += step_ms;
     let elapsed_ms = if attempt.cache == "c0:1" { 900.0 } else { 50.0 };
     black_box(rig.end_attempt_after(&attempt, 0, (Ending::Completed, 1), elapsed_ms));
--- a/crates/fernslip/tests/common/deployment.rs
+++ b/crates/fernslip/tests/common/deployment.rs
@@ -1,8 +1,8 @@
-//! Deployments drawn by seed, over wider ranges of settings than real deployments have, and the report of a
-//! run.
+//! Random deployments, each determined by a seed, over wider ranges of settings than real deployments have,
+//! and the report of a simulated run.
 use super::*;
 
-/// Pseudo-random numbers by seed (splitmix64).
+/// A pseudo-random number generator (splitmix64); the number is its state, at first the seed.
 #[derive(Clone)]
 pub struct SplitMix64(pub u64);
 
@@ -39,19 +39,19 @@
     }
 }
 
-/// One location's caches, routers, parents, origin and load, all drawn by the seed.
+/// One location's caches, routers, parents, origin and load, all chosen at random by the seed.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     pub seed: u64,
     pub set: Settings,
-    /// By cache: how many transfers at full pace its link carries.
+    /// By cache: the number of concurrent transfers that its link carries at full speed.
     pub bandwidths: Vec<f64>,
     pub parents: usize,
-    /// As `bandwidths`, for each parent.
+    /// Like `bandwidths`, but for each parent.
     pub parent_bandwidth: f64,
-    /// As `bandwidths`, for the origin.
+    /// Like `bandwidths`, but for the origin.
     pub origin_bandwidth: f64,
-    /// As `bandwidths`, for the location's link for fills.
+    /// Like `bandwidths`, but for the location's fill link.
     pub link_in: f64,
     /// Whether the endpoint list gives roughly the bandwidths as weights; otherwise every weight is 1.
     pub weights: bool,
@@ -64,7 +64,7 @@
 }
 
 impl Deployment {
-    pub fn draw(seed: u64) -> Deployment {
+    pub fn from_seed(seed: u64) -> Deployment {
         let mut d = SplitMix64(seed);
         let caches = d.log_uniform(2.0, 40.9) as usize;
         // The total is limited to about 80 transfers, to bound the run time of a test.
@@ -81,7 +81,7 @@
             (classes[1].fresh_ms, classes[1].grace_ms) = (8_000.0, 20_000.0);
         }
         classes.push(Class { effect: Effect::AtMostOnce, write: true, ..read(600.0, 3.0) });
-        // One and a half times what the fills of objects requested once and of copies not kept need.
+        // One and a half times the bandwidth that fills need, for objects requested once and copies not kept.
         let link_in = (total * d.uniform(0.45, 0.8)).max(2.0);
         let links = d.coin_flip();
         let grace = d.log_uniform(100.0, 2_000.0);
@@ -128,8 +128,8 @@
 /// What happens in a run besides requests.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RunKind {
-    /// Only requests.
-    Calm,
+    /// Nothing besides requests.
+    RequestsOnly,
     /// A cache drains, another stops and restarts with no copies, and objects are purged.
     Faults,
 }
@@ -165,7 +165,7 @@
         )?;
         write!(
             f,
-            "link for fills {:.1} (in settings: {}), weights listed: {}, load reports: {}, ",
+            "fill link {:.1} (in settings: {}), weights listed: {}, load reports: {}, ",
             self.link_in,
             s.link_in_kb_per_s[1] > 0.0,
             self.weights,
--- a/crates/fernslip/tests/common/mod.rs
+++ b/crates/fernslip/tests/common/mod.rs
@@ -105,7 +105,7 @@
 }
 
 /// The first attempt that the actions forward, if any.
-pub fn sent_attempt(actions: &[Action]) -> Option<SentAttempt> {
+pub fn first_sent_attempt(actions: &[Action]) -> Option<SentAttempt> {
     actions.iter().find_map(|a| match a {
         Action::Forward { id, cache, source, until_ms, rank, age_ms, join, .. } => Some(SentAttempt {
             id: *id,
@@ -120,11 +120,11 @@
     })
 }
 
-pub fn rejected(actions: &[Action]) -> bool {
+pub fn contains_rejection(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
+pub fn contains_failure(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
@@ -181,7 +181,8 @@
         self.request_with(object, 0, 100.0)
     }
 
-    /// Ends an attempt with an ending and a detail, `elapsed_ms` after it was sent. The clock does not move.
+    /// Ends an attempt with an ending and a detail, as if `elapsed_ms` had passed since it was sent, without
+    /// advancing the clock.
     pub fn end_attempt_after(
         &mut self,
         sent: &SentAttempt,
@@ -202,7 +203,7 @@
         }))
     }
 
-    /// Ends an attempt 50 ms after it was sent. The clock does not move.
+    /// Ends an attempt as if 50 ms had passed since it was sent, without advancing the clock.
     pub fn end_attempt(
         &mut self,
         sent: &SentAttempt,
@@ -213,7 +214,8 @@
         self.end_attempt_after(sent, attempt, (ending, detail), 50.0)
     }
 
-    /// Advances the clock until the router cancels an attempt; returns whether it did within three seconds.
+    /// Advances the clock until the router cancels an attempt; returns whether a cancellation came within
+    /// three seconds.
     pub fn wait_until_cancelled(&mut self) -> bool {
         (0..60).any(|_| {
             self.now += 50.0;
@@ -222,12 +224,13 @@
         })
     }
 
-    /// Feeds a request and completes its first attempt with that detail 50 ms later; returns the attempt.
+    /// Feeds a request and completes its first attempt with the given detail 50 ms later; returns the
+    /// attempt.
     pub fn serve(&mut self, object: u64, detail: u8) -> SentAttempt {
-        let first = sent_attempt(&self.request(object)).expect("the request is sent");
+        let first = first_sent_attempt(&self.request(object)).expect("the request is sent");
         self.now += 50.0;
         let after = self.end_attempt(&first, 0, Ending::Completed, detail);
-        assert!(sent_attempt(&after).is_none(), "nothing is forwarded after the final answer");
+        assert!(first_sent_attempt(&after).is_none(), "nothing is forwarded after the final answer");
         first
     }
 }
--- a/crates/fernslip/tests/common/simulation.rs
+++ b/crates/fernslip/tests/common/simulation.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const STEP_MS: f64 = 4.0;
-/// Time before a run is measured, in which caches fill and routers learn, in milliseconds.
+/// Length of the warm-up before a run is measured, in milliseconds: caches fill and routers learn.
 pub const WARM_UP_MS: f64 = 6_000.0;
 
 /// An answer in transfer.
@@ -14,7 +14,7 @@
     id: RequestId,
     attempt: u32,
     cache: usize,
-    /// Numbers of the links that it occupies; see [`Simulation::bandwidth`].
+    /// Indices of the links that the transfer occupies; see [`Simulation::bandwidth`].
     links: Vec<usize>,
     starts: f64,
     remaining: f64,
@@ -22,7 +22,7 @@
     sent: f64,
     until: f64,
     detail: u8,
-    /// When the copy that it carries was fetched from the origin.
+    /// When the copy in transfer was fetched from the origin.
     created: f64,
     cacheable: bool,
     parent: Option<usize>,
@@ -49,7 +49,7 @@
     Outcome(u32, Box<Outcome>),
     Stop(usize),
     Restart(usize),
-    /// All nodes drop their copies of the object that were created before the time given.
+    /// All nodes drop their copies of the object that were created before the given time.
     DropCopies(u64, f64),
 }
 
@@ -69,7 +69,7 @@
     requests: BTreeMap<RequestId, TrackedRequest>,
     due: BTreeMap<(u64, u64), Scheduled>,
     serial: u64,
-    /// By node: when it last restarted; 0: it has not.
+    /// By node: when it last restarted; 0 if it has not restarted.
     started: Vec<f64>,
     down: BTreeSet<usize>,
     /// By router and node: when the router was notified that the node drains or is removed.
@@ -143,7 +143,8 @@
         self.report.violations.push(format!("{:.0} ms: {violation}", self.now - self.start));
     }
 
-    /// Current capacity in transfers of a node's link, or of the location's link for fills, which comes last.
+    /// Current capacity in transfers of a node's link, or of the location's fill link, which has the last
+    /// index.
     fn bandwidth(&self, link: usize) -> f64 {
         let (caches, n) = (self.d.bandwidths.len(), self.names.len());
         let full = match link {
@@ -255,7 +256,7 @@
         }
         for m in [c, s] {
             if self.notified_out.get(&(to, m)).is_some_and(|t| self.now > t + self.d.set.drain_grace_ms) {
-                self.record_violation(format!("{} is used after the drain grace", self.names[m].0));
+                self.record_violation(format!("{} is used after the drain grace period", self.names[m].0));
             }
         }
         self.sends[c].push((self.now, work));
@@ -359,7 +360,8 @@
             if dice < self.d.once { 1_000_000 + self.ids } else { self.draw.log_uniform(1.0, 600.0) as u64 };
         let write = self.draw.unit_interval() < 0.02;
         let class = if write { 2 } else { (object % 2) as usize };
-        // An object's size is an eighth to three times a base; that of class 1 is a third of that of class 0.
+        // An object's size is an eighth to three times a base size; the sizes of class 1 are a third of those
+        // of class 0.
         let size = SplitMix64(object ^ self.d.seed).log_uniform(0.125, 3.0) * 0.9 * [1.5, 0.5, 0.2][class];
         let size_kb = size * self.d.work_ms / 1000.0 * self.d.set.stream_kb_per_s;
         let budget_ms = self.d.set.classes[class].deadline_ms;
@@ -586,7 +588,8 @@
                     * self.d.bandwidths[c]
                     * capacity_fraction(s.0 + set.slow_start_window_ms)
                     * set.slow_start_window_ms;
-                // Four mean requests are always allowed: one large request in a window is chance.
+                // The work of four mean requests is always allowed: a large request may fall into a window by
+                // chance.
                 if work > budget.max(4.0 * self.d.work_ms) {
                     let name = &self.names[c].0;
                     self.report
--- a/crates/fernslip/tests/facade.rs
+++ b/crates/fernslip/tests/facade.rs
@@ -152,7 +152,7 @@
 }
 
 /// An attempt not begun yet must not begin after its node drains or is excluded manually, its object is
-/// purged or its client disconnects. The next attempt is decided with all of that known.
+/// purged or its client disconnects. The next attempt is decided with these changes known.
 #[test]
 fn an_attempt_outdated_by_a_purge_or_drain_is_not_begun() {
     let may_begin = |d: &Dispatcher<RecordingHost>, a: &Attempt| d.is_in_service(a) && d.is_wanted(a);
--- a/crates/fernslip/tests/fleet.rs
+++ b/crates/fernslip/tests/fleet.rs
@@ -16,12 +16,12 @@
 const SIZES_KB: [f64; 2] = [40.0, 360.0];
 /// Length of the slow-start window, in milliseconds.
 const WINDOW_MS: f64 = 1_500.0;
-/// How many answers at full pace a cache sends at once.
+/// Number of concurrent answers that a cache sends at full speed.
 const CACHE_WEIGHT: f64 = 4.0;
-/// As `CACHE_WEIGHT`, of a parent.
+/// Like `CACHE_WEIGHT`, but for a parent.
 const PARENT_WEIGHT: f64 = 20.0;
 /// How long after the notification caches may still be sent requests while they drain, in milliseconds: less
-/// than the settings' grace, since all routers are notified at once.
+/// than the settings' grace period, since all routers are notified at once.
 const DRAIN_GRACE_MS: f64 = 500.0;
 
 /// A 64-bit hash, in place of random numbers.
@@ -81,7 +81,7 @@
     rejected: usize,
     /// Time, sender and length of each peer message.
     messages: Vec<(f64, u32, usize)>,
-    /// By cache: attempts in flight now and at most so far.
+    /// By cache: the number of attempts in flight now, and the highest number so far.
     in_flight: BTreeMap<String, (usize, usize)>,
     end_of_requests: f64,
 }
@@ -438,7 +438,7 @@
             let last = simulation.sends[&*cache_entry(z, b).cache.0].iter().map(|s| s.0).fold(0.0, f64::max);
             assert!(
                 last <= 106_000.0 + DRAIN_GRACE_MS,
-                "a draining cache was sent a request at {last}, after its grace"
+                "a draining cache was sent a request at {last}, after its grace period"
             );
         }
     }
@@ -454,7 +454,7 @@
 }
 
 /// Without peer messages a router does not know its position among the routers that share a cache's budget;
-/// together they still keep to it.
+/// the routers together still keep to the budget.
 #[test]
 fn without_messages_caches_in_slow_start_keep_to_their_budgets() {
     let mut simulation = Simulation::with_peers(false);
@@ -530,8 +530,8 @@
     assert_eq!(run(), run());
 }
 
-/// Guards a router that restarts while its peers run: it knew neither the fill limit, nor link capacities,
-/// nor keys, and filled from parents and the origin what its location's caches already have.
+/// Regression test: a router that restarted while its peers ran used to know neither the fill limit, nor link
+/// capacities, nor keys, so it filled from parents and the origin what its location's caches already had.
 #[test]
 fn a_starting_router_receives_what_its_peers_have_learned() {
     let set = |slot| Settings { slot, peers: true, ..settings() };
@@ -571,7 +571,7 @@
     // A request for a key that the peers reported is sent as a hit: its attempt leaves time for a retry,
     // which the attempt of a fill does not.
     let is_hit =
-        |r: &mut Rig, o: u64| sent_attempt(&r.request(o)).is_some_and(|s| s.until_ms - r.now < 4_000.0);
+        |r: &mut Rig, o: u64| first_sent_attempt(&r.request(o)).is_some_and(|s| s.until_ms - r.now < 4_000.0);
     let known = (0..60).filter(|o| is_hit(&mut new, *o)).count();
     assert!(!is_hit(&mut new, 10_000), "a key that no peer reported is not taken for a hit");
     assert!(known >= 55, "{known} of 60 keys are taken for hits, at least 55 expected");
--- a/crates/fernslip/tests/isolation.rs
+++ b/crates/fernslip/tests/isolation.rs
@@ -1,5 +1,5 @@
-//! Routers of two customers in one process: each acts as it does alone, whatever the other's settings and
-//! events are.
+//! Routers of two customers in one process: each acts as it would alone in the process, whatever the other's
+//! settings and events are.
 mod common;
 use common::*;
 use fernslip::*;
--- a/crates/fernslip/tests/rules.rs
+++ b/crates/fernslip/tests/rules.rs
@@ -7,7 +7,7 @@
 #[test]
 fn a_cancelled_request_gets_no_further_attempt_and_no_answer() {
     let mut rig = Rig::new();
-    let s = sent_attempt(&rig.request(1)).unwrap();
+    let s = first_sent_attempt(&rig.request(1)).unwrap();
     rig.now += 10.0;
     rig.handle(Event::Cancelled { id: s.id });
     let after = rig.end_attempt(&s, 0, Ending::Errored, 0);
@@ -15,18 +15,18 @@
         after.iter().all(|a| !matches!(a, Action::Forward { .. })),
         "no attempt is sent for a cancelled request"
     );
-    assert!(!rejected(&after) && !failed(&after), "a cancelled request gets no answer");
+    assert!(!contains_rejection(&after) && !contains_failure(&after), "a cancelled request gets no answer");
 }
 
 #[test]
 fn attempts_end_before_the_deadline_and_a_late_failure_is_answered_at_once() {
     let mut rig = Rig::new();
-    let s = sent_attempt(&rig.request(1)).unwrap();
+    let s = first_sent_attempt(&rig.request(1)).unwrap();
     assert!(s.until_ms <= rig.now + 5000.0);
     rig.now += 4990.0;
     let after = rig.end_attempt(&s, 0, Ending::Errored, 0);
     assert!(
-        sent_attempt(&after).is_none() && rejected(&after),
+        first_sent_attempt(&after).is_none() && contains_rejection(&after),
         "a request without time for a retry is rejected at once: {after:?}"
     );
 }
@@ -71,9 +71,10 @@
 fn a_cache_in_slow_start_gets_no_more_than_its_budget_in_a_burst() {
     let mut rig = Rig::new();
     rig.update_endpoint(Entry { started_ms: rig.now, ..entry("c1:1", 1, 0) });
-    // The budget is 0.2 of weight 10, times 4, for 1 s: 8 s of sending. A request takes 0.1 s; attempts stay
-    // open.
-    let n = (0..2000).filter_map(|o| sent_attempt(&rig.request(o))).filter(|s| s.cache == "c1:1").count();
+    // The budget is the initial fraction 0.2 of the weight 10, times the slow-start multiple 4, for the
+    // window of 1 s: 8 s of sending. A request takes 0.1 s; attempts stay open.
+    let n =
+        (0..2000).filter_map(|o| first_sent_attempt(&rig.request(o))).filter(|s| s.cache == "c1:1").count();
     assert!(n as f64 * 0.1 <= 8.0, "{n} attempts are sent to the cache in slow start, at most 80 allowed");
 }
 
@@ -81,11 +82,11 @@
 fn rejected_fills_also_use_the_budget_of_a_parent_in_slow_start() {
     let mut rig = Rig::new();
     rig.update_endpoint(Entry { started_ms: rig.now, ..entry("p1:1", 0, 1) });
-    // The budget is 0.1 of weight 10, times 2, for 1 s, divided between two routers: 1 s of sending, or ten
-    // fills.
+    // The budget is the initial fraction 0.1 of the weight 10, times the slow-start multiple 2, for the
+    // window of 1 s, divided between two routers: 1 s of sending, or ten fills of 0.1 s.
     let (mut to_warming_up, mut to_other) = (0, 0);
     for o in 0..300 {
-        if let Some(s) = sent_attempt(&rig.request(o)) {
+        if let Some(s) = first_sent_attempt(&rig.request(o)) {
             to_warming_up += usize::from(s.source == "p1:1");
             to_other += usize::from(s.source == "p2:1");
             rig.end_attempt(&s, 0, Ending::Saturated, 6);
@@ -104,10 +105,10 @@
     rig.handle(Event::Purged { object: Some(ObjectId(5)), group: 3, age_ms: 80.0 });
     rig.now += 500.0;
     let s = rig.serve(5, 3);
-    assert!(s.age_ms > 0.0 && s.age_ms < 580.0, "only copies made after the purge will do: {s:?}");
+    assert!(s.age_ms > 0.0 && s.age_ms < 580.0, "only copies made after the purge may be served: {s:?}");
     assert_eq!(rig.serve(6, 2).age_ms, 0.0, "copies of another object may have any age");
     rig.handle(Event::Purged { object: None, group: 3, age_ms: 0.0 });
-    let s = sent_attempt(&rig.request(6)).unwrap();
+    let s = first_sent_attempt(&rig.request(6)).unwrap();
     assert!(s.age_ms > 0.0, "the age is bounded even at the time of the purge: {s:?}");
 }
 
@@ -118,12 +119,16 @@
         set.classes = vec![Class { effect: Effect::Deduplicated, write: true, ..class() }];
         let mut rig = Rig::with_settings(set);
         rig.update_endpoints(endpoints());
-        let s = sent_attempt(&rig.request(1)).unwrap();
+        let s = first_sent_attempt(&rig.request(1)).unwrap();
         assert!(s.rank == 0 && !s.join && (s.source.starts_with('o') || s.source.starts_with('p')));
         rig.now += wait;
         let after = rig.end_attempt(&s, 0, Ending::Errored, 0);
-        assert_eq!(sent_attempt(&after).is_some(), retried);
-        assert_eq!(rejected(&after), !retried, "a request that all caches deduplicate may be rejected");
+        assert_eq!(first_sent_attempt(&after).is_some(), retried);
+        assert_eq!(
+            contains_rejection(&after),
+            !retried,
+            "a request that all caches deduplicate may be rejected"
+        );
     }
 }
 
@@ -136,21 +141,25 @@
         let mut list = endpoints();
         list.iter_mut().enumerate().for_each(|(n, e)| e.cell = n as i64);
         rig.update_endpoints(list);
-        let s = sent_attempt(&rig.request(1)).unwrap();
+        let s = first_sent_attempt(&rig.request(1)).unwrap();
         let after = rig.end_attempt(&s, 0, Ending::Errored, 0);
         match effect {
             Effect::AtMostOnce => {
-                assert!(sent_attempt(&after).is_none() && failed(&after) && !rejected(&after));
+                assert!(
+                    first_sent_attempt(&after).is_none()
+                        && contains_failure(&after)
+                        && !contains_rejection(&after)
+                );
             }
             _ => assert_eq!(
-                sent_attempt(&after).unwrap().cache,
+                first_sent_attempt(&after).unwrap().cache,
                 s.cache,
                 "the write is retried at the same cache, the only one of its cell"
             ),
         }
-        let s = sent_attempt(&rig.request(2)).unwrap();
+        let s = first_sent_attempt(&rig.request(2)).unwrap();
         assert!(
-            sent_attempt(&rig.end_attempt(&s, 0, Ending::ConnectionRefused, 0)).is_some(),
+            first_sent_attempt(&rig.end_attempt(&s, 0, Ending::ConnectionRefused, 0)).is_some(),
             "a write that never ran is retried at any cache"
         );
     }
@@ -163,14 +172,14 @@
     rig.update_endpoint(Entry { phase: Phase::Out, ..entry(&home, 1, 0) });
     let second = rig.serve(1, 2).cache;
     rig.update_endpoint(entry(&home, 1, 0));
-    let s = sent_attempt(&rig.request(1)).unwrap();
+    let s = first_sent_attempt(&rig.request(1)).unwrap();
     assert_eq!(
         (&s.cache, &s.source),
         (&home, &second),
-        "the home returned empty and fills from the sibling that has the object"
+        "the home cache came back without copies and fills from the sibling that has the object"
     );
     let after = rig.end_attempt(&s, 0, Ending::Saturated, 8);
-    let again = sent_attempt(&after).unwrap();
+    let again = first_sent_attempt(&after).unwrap();
     assert!(again.cache == home && again.source.starts_with('p'), "the retry fills from a parent: {again:?}");
     rig.end_attempt(&again, 1, Ending::Errored, 6);
 }
@@ -198,15 +207,15 @@
         seen.insert(a.source);
     }
     assert_eq!(seen.len(), 2, "different objects use both parents");
-    let s = sent_attempt(&rig.request(999)).unwrap();
-    let again = sent_attempt(&rig.end_attempt(&s, 0, Ending::Saturated, 7)).unwrap();
+    let s = first_sent_attempt(&rig.request(999)).unwrap();
+    let again = first_sent_attempt(&rig.end_attempt(&s, 0, Ending::Saturated, 7)).unwrap();
     assert!(again.cache == s.cache && again.source != s.source && again.source.starts_with('p'));
-    let last = sent_attempt(&rig.end_attempt(&again, 1, Ending::Saturated, 7)).unwrap();
+    let last = first_sent_attempt(&rig.end_attempt(&again, 1, Ending::Saturated, 7)).unwrap();
     assert_eq!(last.source, "o1:1", "the origin is the source after both parents failed");
 }
 
-/// Delivers the peer messages in the actions of router `from`, and those sent in answer, unless they are
-/// lost; returns the receiver and the bytes of each.
+/// Delivers the peer messages in the actions of router `from`, and the answers to them, unless `lost` is
+/// true; returns the receiver and the bytes of each message.
 fn exchange_messages(rigs: &mut [Rig], from: u32, actions: Vec<Action>, lost: bool) -> Vec<(u32, Vec<u8>)> {
     let mut messages = Vec::new();
     for a in actions {
@@ -229,13 +238,13 @@
     messages
 }
 
-/// A router of a location with two routers, or of one with a single router.
+/// Creates a router without an endpoint list. Location 1 has two routers, location 2 has one.
 fn new_rig(slot: u32, zone: usize) -> Rig {
     Rig::with_settings(Settings { zone, slot, zone_routers: vec![0, 2, 1], routers: 3, ..settings() })
 }
 
-/// Routers 0 and 1 of one location and 2 of another, each with its endpoint list and its greetings sent, or
-/// lost.
+/// Creates routers 0 and 1 at one location and router 2 at another, each with its endpoint list; if `lost` is
+/// true, their greetings are lost.
 fn three_routers(lost: bool) -> Vec<Rig> {
     let mut rigs = vec![new_rig(0, 1), new_rig(1, 1), new_rig(2, 2)];
     for i in 0..rigs.len() {
@@ -245,12 +254,12 @@
     rigs
 }
 
-/// Serves new objects at router 0; returns the peer messages that follow.
+/// Serves the objects at router 0; returns all peer messages that follow, answers included.
 fn serve_at_first_router(rigs: &mut [Rig], objects: std::ops::Range<u64>) -> Vec<(u32, Vec<u8>)> {
     let mut messages = Vec::new();
     for o in objects {
         let mut actions = rigs[0].request(o);
-        let s = sent_attempt(&actions).unwrap();
+        let s = first_sent_attempt(&actions).unwrap();
         actions.extend(rigs[0].end_attempt(&s, 0, Ending::Completed, 2));
         messages.extend(exchange_messages(rigs, 0, actions, false));
     }
@@ -262,7 +271,7 @@
 fn count_fills_from_siblings(rig: &mut Rig, zone: usize, objects: std::ops::Range<u64>) -> usize {
     rig.update_endpoint(entry("c4:1", zone, 0));
     rig.update_endpoint(entry("c5:1", zone, 0));
-    objects.filter_map(|o| sent_attempt(&rig.request(o))).filter(|s| s.source.starts_with('c')).count()
+    objects.filter_map(|o| first_sent_attempt(&rig.request(o))).filter(|s| s.source.starts_with('c')).count()
 }
 
 #[test]
@@ -355,11 +364,11 @@
 #[test]
 fn unusual_input_has_a_defined_result() {
     let mut rig = Rig::with_settings(settings());
-    assert!(rejected(&rig.request(1)), "a request before the first endpoint list is rejected");
+    assert!(contains_rejection(&rig.request(1)), "a request before the first endpoint list is rejected");
     rig.update_endpoints(Vec::new());
-    assert!(rejected(&rig.request(2)), "a request with an empty endpoint list is rejected");
+    assert!(contains_rejection(&rig.request(2)), "a request with an empty endpoint list is rejected");
     rig.update_endpoints(vec![entry("p1:1", 0, 1), entry("o1:1", 0, 2)]);
-    assert!(rejected(&rig.request(3)), "a request at a location without caches is rejected");
+    assert!(contains_rejection(&rig.request(3)), "a request at a location without caches is rejected");
     rig.update_endpoints(vec![entry("c1:1", 1, 0), entry("o1:1", 0, 2)]);
     assert_eq!(rig.serve(4, 3).source, "o1:1", "without parents the origin is the source");
     rig.update_endpoints(vec![
@@ -400,7 +409,7 @@
         for o in 0..500u64 {
             rig.now += 7.0;
             let actions = rig.request(o % 37);
-            if let Some(s) = sent_attempt(&actions) {
+            if let Some(s) = first_sent_attempt(&actions) {
                 let how = if o % 11 == 0 { Ending::Errored } else { Ending::Completed };
                 all.extend(rig.end_attempt(&s, 0, how, if o % 11 == 0 { 0 } else { 2 }));
             }
@@ -433,20 +442,21 @@
                 rig
             })
             .collect();
-        // Requests of 100 ms of work each, for far more than the parent may be sent.
+        // Requests of 100 ms of sending time each, far more of them than the parent may be sent.
         let mut sends: Vec<f64> = Vec::new();
         for step in 0..12_000u64 {
             let now = started + step as f64;
             let rig = &mut all[(step.wrapping_mul(7) % u64::from(routers)) as usize];
             rig.now = now;
-            if let Some(s) = sent_attempt(&rig.request(step)) {
+            if let Some(s) = first_sent_attempt(&rig.request(step)) {
                 if s.source == "p1:1" {
                     sends.push(now);
                 }
                 rig.end_attempt(&s, 0, Ending::Completed, 3);
             }
         }
-        // The budget of these 12 s is 888 sends in all.
+        // The mean capacity fraction of the first 12 of 20 s is 0.37. Times the weight 10 and the slow-start
+        // multiple 2, for 12 s, this gives 88.8 s of sending, or 888 sends of 0.1 s.
         assert!(
             sends.len() >= 220,
             "{routers} routers make only {} sends in 12 s, at least 220 expected",
@@ -454,7 +464,7 @@
         );
         for (i, &from) in sends.iter().enumerate() {
             let work = 100.0 * sends[i..].iter().filter(|&&t| t < from + 3000.0).count() as f64;
-            // The mean over the window: the capacity grows linearly.
+            // The mean capacity over the window; the capacity grows linearly.
             let capacity_fraction = 0.1 + 0.9 * (from + 1500.0 - started) / 20_000.0;
             let budget = 2.0 * 10.0 * capacity_fraction * 3000.0;
             assert!(
--- a/crates/fernslip/tests/slow_start.rs
+++ b/crates/fernslip/tests/slow_start.rs
@@ -1,10 +1,11 @@
-//! What all routers together send to a node that has just started, by number of routers: the heaviest window
-//! of each seed against a budget of N calls, where an excess of 2·√N + 2 calls is put down to chance. Routers
-//! differ in traffic, a fifth of them has just started, a third neither sends nor receives peer messages,
-//! some attempts are rejected and retried elsewhere, and fills count at parents. All caches of one location
-//! and all parents start at the same time, so the location's whole traffic falls on them.
+//! What all routers together send to a node that has just started, by number of routers: for each seed, the
+//! work sent in the heaviest window is compared with a budget of N calls, where an excess of up to 2·√N + 2
+//! calls is attributed to chance. Routers differ in traffic, a fifth of them has just started, a third
+//! neither sends nor receives peer messages, some attempts are rejected and retried elsewhere, and fills
+//! count at parents. All caches of one location and all parents start at the same time, so the location's
+//! whole traffic falls on them.
 //!
-//!     cargo test --release -p fernslip --test slow_start -- --nocapture    # prints the figures
+//!     cargo test --release -p fernslip --test slow_start -- --nocapture    # prints the measurements
 mod common;
 use common::*;
 use fernslip::*;
@@ -21,9 +22,9 @@
 const MEAN_WORK_MS: f64 = (SIZES_KB[0] + SIZES_KB[1]) / 2.0;
 /// Number of caches at each location.
 const CACHES_PER_ZONE: usize = 5;
-/// How many answers at full pace a cache sends at once.
+/// Number of concurrent answers that a cache sends at full speed.
 const CACHE_WEIGHT: f64 = 6.0;
-/// As `CACHE_WEIGHT`, of a parent, for each location that it serves.
+/// Like `CACHE_WEIGHT`, but for a parent and for each location that the parent serves.
 const PARENT_WEIGHT: f64 = 14.0;
 /// Fraction of a location's capacity that its clients request.
 const LOAD_FRACTION: f64 = 0.6;
@@ -85,7 +86,7 @@
     Entry { weight: CACHE_WEIGHT, ..entry(&format!("z{zone}b{n}:1"), zone, 0) }
 }
 
-/// The endpoint list; where weights are not listed each is 1.
+/// The endpoint list; if `listed` is false, each weight is 1.
 fn endpoint_list(zones: usize, listed: bool, started: bool) -> Vec<Entry> {
     let started_ms = if started { STARTED_MS } else { 0.0 };
     let mut all = Vec::new();
@@ -141,7 +142,8 @@
                 Event::Endpoints { kind: ListKind::Full, entries: endpoint_list(zones, listed, false) },
             );
             simulation.schedule_request(BEGIN_MS + 1.0, r);
-            // Routers are notified of the starts within a second; a restarted router's first list has them.
+            // Routers are notified of the nodes' starts within a second; the first list of a restarted router
+            // contains them.
             let when = STARTED_MS + simulation.rng.random_range(0.0..1_000.0);
             simulation.schedule(
                 when,
@@ -167,7 +169,8 @@
     }
 
     fn run(mut self, zones: usize, per_zone: u32, listed: bool) -> Simulation {
-        // A fifth of the routers restarts at about the same time as the nodes, and knows only the list.
+        // A fifth of the routers restarts at about the same time as the nodes, and then knows only the
+        // endpoint list.
         let n = self.routers.len() as u32;
         let mut restarts: Vec<(f64, u32)> =
             (0..n).filter(|r| r % 5 == 0).map(|r| (STARTED_MS + 10.0 * f64::from(r % 50), r)).collect();
@@ -252,8 +255,8 @@
                 Action::SendToPeer { to, data } => self.send_message(now, router, to, data),
                 Action::SendToAllPeers { data } => {
                     let zone = self.zone_of[router as usize];
-                    // Greetings from other locations change nothing, so only those of the own location are
-                    // delivered, for speed.
+                    // Greetings from other locations change nothing, so for speed only those from the
+                    // router's own location are delivered.
                     let is_peer = |t: &u32| *t != router && self.zone_of[*t as usize] == zone;
                     let peers: Vec<u32> = (0..self.routers.len() as u32).filter(is_peer).collect();
                     for to in peers {
@@ -296,7 +299,7 @@
     }
 }
 
-/// No window exceeds the budget by more than is put down to chance, and part of the budget is used.
+/// No window exceeds the budget by more than is attributed to chance, and part of the budget is used.
 #[test]
 fn nodes_in_slow_start_are_not_overloaded_by_any_number_of_routers() {
     println!(
--- a/crates/fernslip/tests/streams.rs
+++ b/crates/fernslip/tests/streams.rs
@@ -29,7 +29,7 @@
         self.next() % n.max(1)
     }
 
-    /// Whether an event of this probability, in thousandths, happens.
+    /// Returns true with the given probability, in thousandths.
     fn chance(&mut self, per_mille: u64) -> bool {
         self.below(1000) < per_mille
     }
@@ -38,33 +38,33 @@
 /// What happens in a stream besides the ordinary requests and outcomes. The snapshot holds the variants'
 /// names.
 #[derive(Clone, Copy, Debug)]
-enum Kind {
+enum StreamKind {
     /// Only ordinary requests and outcomes.
     Calm,
     /// One cache answers most requests with errors.
     Failing,
-    /// A third of the caches, and one more, started half a second before.
+    /// A third of the caches, and one more, started half a second before the stream begins.
     Cold,
     /// Objects and whole groups are purged.
     Purges,
     /// Caches begin to drain and return to service.
     Drains,
-    /// Random bytes come as messages from a peer.
+    /// Random bytes arrive as messages from a peer.
     Peers,
-    /// Four times as many requests come, and half as many outcomes.
+    /// Four times as many requests as usual arrive, and half as many outcomes.
     Overload,
 }
 
 /// Feeds one stream to a router; returns the hash of all actions and their number.
 #[allow(
     clippy::too_many_lines,
-    reason = "a stream is generated and hashed in one place; the snapshot depends on the order of the draws"
+    reason = "a stream is generated and hashed in one place; its hash depends on the order of random numbers"
 )]
-fn run_stream(kind: Kind, caches: usize, seed: u64) -> (String, usize) {
+fn run_stream(kind: StreamKind, caches: usize, seed: u64) -> (String, usize) {
     let mut draw = Xorshift64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let mut router = Router::new(settings(), seed).expect("the test settings are valid");
     let mut now = 100_000.0;
-    let in_slow_start = if matches!(kind, Kind::Cold) { caches / 3 + 1 } else { 0 };
+    let in_slow_start = if matches!(kind, StreamKind::Cold) { caches / 3 + 1 } else { 0 };
     let all = wide_fleet(caches, in_slow_start, now - 500.0);
     let mut hash = Md5::new();
     let mut count = 0;
@@ -88,7 +88,7 @@
     for step in 0..400u64 {
         now += (1 + draw.below(20)) as f64;
         // A request, mostly for one of a few popular objects.
-        let requests = if matches!(kind, Kind::Overload) { 4 } else { 1 };
+        let requests = if matches!(kind, StreamKind::Overload) { 4 } else { 1 };
         for _ in 0..requests {
             let object = if draw.chance(700) { draw.below(30) } else { draw.below(5000) };
             let request = Request {
@@ -104,10 +104,10 @@
             collect_attempts_and_timers(&out, &mut open_attempts, &mut attempts, &mut timers, now);
         }
         // Outcomes of some open attempts; in overload most stay open.
-        let answers = if matches!(kind, Kind::Overload) { 1 } else { 2 };
+        let answers = if matches!(kind, StreamKind::Overload) { 1 } else { 2 };
         for _ in 0..answers {
             let Some((id, attempt, cache, _)) = open_attempts.pop_front() else { break };
-            let bad = matches!(kind, Kind::Failing) && *cache.0 == *failing;
+            let bad = matches!(kind, StreamKind::Failing) && *cache.0 == *failing;
             let ending = match () {
                 () if bad && draw.chance(800) => Ending::Errored,
                 () if draw.chance(30) => Ending::TimedOut,
@@ -136,11 +136,11 @@
             collect_attempts_and_timers(&out, &mut open_attempts, &mut attempts, &mut timers, now);
         }
         match kind {
-            Kind::Purges if draw.chance(100) => {
+            StreamKind::Purges if draw.chance(100) => {
                 let object = Some(ObjectId(draw.below(30))).filter(|_| draw.chance(900));
                 feed(&mut router, now, Event::Purged { object, group: draw.below(4), age_ms: 0.0 }, &mut out);
             }
-            Kind::Drains if draw.chance(20) => {
+            StreamKind::Drains if draw.chance(20) => {
                 let mut e = all[draw.below(caches as u64) as usize].clone();
                 e.phase = if draw.chance(500) { Phase::Draining } else { Phase::In };
                 feed(
@@ -150,7 +150,7 @@
                     &mut out,
                 );
             }
-            Kind::Peers if draw.chance(100) => {
+            StreamKind::Peers if draw.chance(100) => {
                 let data = (0..draw.below(40)).map(|_| draw.next() as u8).collect();
                 feed(&mut router, now, Event::PeerMessage { from: 1, data }, &mut out);
             }
@@ -201,9 +201,15 @@
 #[test]
 fn recorded_streams_give_the_same_actions() {
     let mut all = String::new();
-    for kind in
-        [Kind::Calm, Kind::Failing, Kind::Cold, Kind::Purges, Kind::Drains, Kind::Peers, Kind::Overload]
-    {
+    for kind in [
+        StreamKind::Calm,
+        StreamKind::Failing,
+        StreamKind::Cold,
+        StreamKind::Purges,
+        StreamKind::Drains,
+        StreamKind::Peers,
+        StreamKind::Overload,
+    ] {
         for caches in [3, 8, 20] {
             for seed in [1, 2] {
                 let (hash, count) = run_stream(kind, caches, seed);
@@ -216,10 +222,10 @@
 
 #[test]
 fn equal_seeds_give_equal_streams() {
-    assert_eq!(run_stream(Kind::Failing, 8, 5), run_stream(Kind::Failing, 8, 5));
+    assert_eq!(run_stream(StreamKind::Failing, 8, 5), run_stream(StreamKind::Failing, 8, 5));
     assert_ne!(
-        run_stream(Kind::Failing, 8, 5).0,
-        run_stream(Kind::Failing, 8, 6).0,
+        run_stream(StreamKind::Failing, 8, 5).0,
+        run_stream(StreamKind::Failing, 8, 6).0,
         "another seed gives another stream"
     );
 }
--- a/crates/fernslip/tests/weights.rs
+++ b/crates/fernslip/tests/weights.rs
@@ -4,14 +4,14 @@
 use common::*;
 use fernslip::*;
 
-/// A location of one cache whose link carries `real` transfers at full pace.
+/// A location of one cache whose link carries `real` concurrent transfers at full speed.
 struct SingleCache {
     rig: Rig,
     real: f64,
 }
 
 impl SingleCache {
-    /// The endpoint list gives every node the weight `listed`; 1: not known.
+    /// The endpoint list gives every node the weight `listed`; 1 means that the weight is not known.
     fn new(listed: f64, real: f64) -> SingleCache {
         let mut rig = Rig::with_settings(settings());
         let one = vec![entry("c1:1", 1, 0), entry("p1:1", 0, 1), entry("o1:1", 0, 2)];
@@ -24,7 +24,7 @@
     /// returns how many were forwarded.
     fn send_burst(&mut self, count: usize) -> usize {
         let open: Vec<SentAttempt> =
-            (0..count).filter_map(|_| sent_attempt(&self.rig.request_with(1, 0, 300.0))).collect();
+            (0..count).filter_map(|_| first_sent_attempt(&self.rig.request_with(1, 0, 300.0))).collect();
         let took = 300.0 * (open.len() as f64 / self.real).max(1.0);
         self.rig.now += took;
         open.iter().for_each(|s| drop(self.rig.end_attempt_after(s, 0, (Ending::Completed, 1), took)));
@@ -33,8 +33,8 @@
     }
 }
 
-/// Guards against rejections where the list gives no weights: each cache was taken to carry one transfer, and
-/// half of all requests were rejected.
+/// Regression test: without weights in the endpoint list each cache used to be taken to carry one transfer,
+/// and half of all requests were rejected.
 #[test]
 fn nothing_is_rejected_before_a_link_is_known_to_be_full() {
     let mut w = SingleCache::new(1.0, 50.0);
@@ -48,12 +48,13 @@
         (0..40).for_each(|_| {
             w.send_burst(200);
         });
-        // The objective is 400 ms plus twice the sending time, 1 s: met by up to 3.3 transfers per unit of
-        // capacity.
+        // The objective is 400 ms plus twice the sending time of 300 ms, so 1 s: it is met by up to 3.3
+        // transfers per unit of capacity.
         let fit = w.send_burst(200) as f64;
         assert!(
             fit >= 1.2 * real && fit <= 3.4 * real,
-            "{fit} requests are sent at once to a cache of listed weight {listed} and capacity {real}"
+            "{fit} requests are sent at once to a cache of listed weight {listed} and capacity {real}, \
+             1.2 to 3.4 times the capacity expected"
         );
     }
 }
@@ -81,7 +82,7 @@
     rig.update_endpoints(endpoints().into_iter().map(unweighted).collect());
     for o in 0..40 {
         let open: Vec<SentAttempt> =
-            (0..60).filter_map(|n| sent_attempt(&rig.request(o * 100 + n))).collect();
+            (0..60).filter_map(|n| first_sent_attempt(&rig.request(o * 100 + n))).collect();
         let at = |c: &str| open.iter().filter(|s| s.cache == c).count() as f64;
         let took: Vec<f64> = open.iter().map(|s| 100.0 * (at(&s.cache) / 10.0).max(1.0)).collect();
         rig.now += took.iter().copied().fold(100.0, f64::max);
@@ -89,18 +90,18 @@
     }
     rig.now += 2_000.0;
     rig.update_endpoint(Entry { weight: 1.0, started_ms: rig.now, ..entry("c1:1", 1, 0) });
-    // Links carry 10 transfers. The budget is a fifth of 10, times 4, for 1 s: 8 s of sending, so 80 requests
-    // of 0.1 s. Attempts stay open.
+    // Links carry 10 transfers. The budget is the initial fraction 0.2 of 10, times the slow-start multiple
+    // 4, for the window of 1 s: 8 s of sending, so 80 requests of 0.1 s. Attempts stay open.
     let to_warming_up =
-        (0..2000).filter_map(|o| sent_attempt(&rig.request(o))).filter(|s| s.cache == "c1:1").count();
+        (0..2000).filter_map(|o| first_sent_attempt(&rig.request(o))).filter(|s| s.cache == "c1:1").count();
     assert!(
         (5..=80).contains(&to_warming_up),
         "{to_warming_up} attempts are sent to the cache in slow start, 5 to 80 expected"
     );
 }
 
-/// Guards a front that restarts together with all caches of its location: it knew no capacity, took each
-/// cache to carry one transfer, and rejected nearly all requests until the caches were warm.
+/// Regression test: a front that restarted together with all caches of its location knew no capacity. It used
+/// to take each cache to carry one transfer, and rejected nearly all requests until the caches were warm.
 #[test]
 fn a_router_that_knows_nothing_learns_from_caches_in_slow_start() {
     let mut set = settings();
@@ -115,7 +116,8 @@
             .map(|e| Entry { weight: 1.0, started_ms: if e.kind == Some(0) { started } else { 0.0 }, ..e })
             .collect(),
     );
-    // Links carry 10 transfers when warm. A request of 200 ms every 20 ms gives each cache 3.3 transfers.
+    // Links carry 10 transfers when warm. A request of 200 ms every 20 ms gives each of the three caches 3.3
+    // concurrent transfers.
     let (real, work) = (10.0, 200.0);
     let current_capacity = |at: f64| real * (from + (1.0 - from) * ((at - started) / slow_start_ms).min(1.0));
     let mut open: Vec<(f64, SentAttempt)> = Vec::new();
@@ -127,7 +129,7 @@
         due.iter().for_each(|(at, s)| {
             drop(rig.end_attempt_after(s, 0, (Ending::Completed, 1), (rig.now - at).max(work)));
         });
-        if let Some(s) = sent_attempt(&rig.request_with(step as u64 % 40, 0, work)) {
+        if let Some(s) = first_sent_attempt(&rig.request_with(step as u64 % 40, 0, work)) {
             let there = 1.0 + open.iter().filter(|o| o.1.cache == s.cache).count() as f64;
             open.push((rig.now + work * (there / current_capacity(rig.now)).max(1.0), s.clone()));
             sends.push((rig.now, s.cache));
