--- a/crates/cli/tests/cli.rs
+++ b/crates/cli/tests/cli.rs
@@ -109,7 +109,7 @@
     assert!(lossy_text(&failed.stderr).contains("cycle.conf:1:1: "), "{}", lossy_text(&failed.stderr));
     assert_eq!(std::fs::read_to_string(&out).expect("the file can be read"), "as it was");
     assert!(!dir.join("report.json").exists());
-    // The same holds if the report cannot be written.
+    // An import whose report cannot be written fails and leaves existing files unchanged too.
     std::fs::write(&conf, "ProxyPass / http://h:1/\n").expect("the file can be written");
     assert_eq!(
         exit_code(&["import", "httpd", &conf, "-o", &out, "--report", &path("none/report.json")]),
--- a/crates/cli/tests/endings.rs
+++ b/crates/cli/tests/endings.rs
@@ -312,7 +312,8 @@
     assert_nothing_leaked(front);
 }
 
-/// In this protocol a client that shuts down its sending half counts as closed, so its call is cancelled.
+/// In this protocol a client that shuts down its sending half counts as disconnected, so its call is
+/// cancelled.
 fn a_half_closed_client_has_its_call_cancelled() {
     let mut front = ScriptedFront::start("half");
     let mut client = front.connect();
@@ -776,8 +777,8 @@
 }
 
 /// Calls on one connection to a node that does not answer time out together: each is answered, and the front
-/// keeps running. In a trial, the first call held a lock while it waited for its cancel to arrive, which
-/// stopped the whole front.
+/// keeps running. Regression test: the first call used to hold a lock while it waited for its cancel to
+/// arrive, which stopped the whole front.
 fn many_calls_that_time_out_together_are_all_answered() {
     let mut front = ScriptedFront::start("together-up");
     let mut client = front.connect();
@@ -875,7 +876,7 @@
     let limit: u64 = limit.parse().expect("the limit is a number of milliseconds");
     assert!(
         limit <= patience - released + 150,
-        "the limit is {limit} ms although {released} of {patience} ms had passed"
+        "the request's limit is {limit} ms although {released} ms of the client's {patience} ms had passed"
     );
     front.answer("a", &trace, "served - done");
     assert_eq!(read_answer(&mut client), r#"[1,1,null,["b:done",{}]]"#);
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -94,8 +94,8 @@
 
 #[test]
 fn a_rule_breach_is_reported_with_evidence_from_the_fronts() {
-    // The time is too short for a crash to become known. If the checker does not report this, it would report
-    // nothing.
+    // The time limit is too short for a crash to become known, so the checker must report a breach. A checker
+    // that reports none here would report none at all.
     let text = "scenario \"short\" serves-all=#false { kill count=2; await \"known\" within-ms=5; }";
     let s = Scenario::parse("short.kdl", text).expect("the scenario can be parsed");
     let p = run_to_end(&s, &options(5, 5));
--- a/crates/cli/tests/gossip.rs
+++ b/crates/cli/tests/gossip.rs
@@ -83,7 +83,7 @@
         self.status().lines().filter(|l| l.starts_with("member ") && l.contains(" alive ")).count() == fronts
     }
 
-    fn hearsay_score(&self, id: &str) -> f64 {
+    fn gossip_score(&self, id: &str) -> f64 {
         let status = self.status();
         let line = status.lines().find(|l| l.starts_with(&format!("hearsay {id} ")));
         line.and_then(|l| l.rsplit(' ').next()?.parse().ok()).unwrap_or(0.0)
@@ -120,10 +120,10 @@
                 client.call("docs", object);
             }
         }
-        peers[3].hearsay_score("box-1") > 0.2
+        peers[3].gossip_score("box-1") > 0.2
     });
     assert!(
-        ["box-0", "box-2", "box-3"].iter().all(|b| peers[3].hearsay_score(b) <= 0.0),
+        ["box-0", "box-2", "box-3"].iter().all(|b| peers[3].gossip_score(b) <= 0.0),
         "{}",
         peers[3].status()
     );
@@ -200,7 +200,7 @@
         object += 1;
         assert_eq!(client.call("docs", object), Answer::Served);
         accused += 1;
-        assert!(peers.iter().all(|p| p.hearsay_score("box-0") <= 0.0));
+        assert!(peers.iter().all(|p| p.gossip_score("box-0") <= 0.0));
     }
     let before = nodes[0].request_count();
     (0..60).for_each(|n| assert_eq!(client.call("docs", 5_000 + n), Answer::Served));
--- a/crates/cli/tests/handover.rs
+++ b/crates/cli/tests/handover.rs
@@ -34,7 +34,7 @@
         "{:?}",
         old.log_lines
     );
-    assert_eq!(old.addr, at, "the front listens on the passed socket, not on a port of its own");
+    assert_eq!(old.addr, at, "the front listens on the inherited socket, not on a port of its own");
     let mut persistent = old.client();
     assert_eq!(persistent.call("docs", 1), Answer::Served);
 
--- a/crates/cli/tests/source_layout.rs
+++ b/crates/cli/tests/source_layout.rs
@@ -263,8 +263,8 @@
     seen
 }
 
-/// Reads the glossary's table of words that stay: for each crate and word, how many identifiers may contain
-/// the word.
+/// Reads the glossary's table of allowed words: for each crate and withdrawn word, how many identifiers may
+/// contain the word.
 fn allowed_word_counts() -> BTreeMap<(String, String), usize> {
     let page = repository_root().join("docs/GLOSSARY.md");
     let text =
--- a/crates/front/src/clients/call.rs
+++ b/crates/front/src/clients/call.rs
@@ -4,10 +4,11 @@
 use crate::msgpack_rpc::Fields;
 use fernslip::{Class, ObjectId, Request, RequestId};
 
-/// Part of a client's patience that is reserved for transit on the network in both directions, in
-/// milliseconds.
+/// Part of a client's timeout (the call field `patience`) that is reserved for transit on the network in both
+/// directions, in milliseconds.
 const TRANSIT_RESERVE_MS: f64 = 20.0;
-/// Longest accepted patience of a client, in milliseconds; a larger value is taken for a mistake.
+/// Longest accepted timeout of a client (the call field `patience`), in milliseconds; a larger value is taken
+/// for a mistake.
 const MAX_PATIENCE_MS: f64 = 3_600_000.0;
 /// Largest accepted size of a part of an object, in KB; a larger value is taken for a mistake.
 const MAX_SIZE_KB: f64 = 1e9;
--- a/crates/front/src/clients/call/tests.rs
+++ b/crates/front/src/clients/call/tests.rs
@@ -9,7 +9,7 @@
 
 /// Parses a call whose fields are valid except for `change`: field names with a new value, or `None` to omit
 /// the field.
-fn parse_changed(
+fn parse_with_changed_fields(
     class: &str,
     change: &[(&str, Option<&str>)],
     body_len: usize,
@@ -32,26 +32,30 @@
 
 #[test]
 fn a_well_formed_call_is_parsed() {
-    let request = parse_changed("statement-docs", &[], 0).expect("a well-formed call is accepted");
+    let request =
+        parse_with_changed_fields("statement-docs", &[], 0).expect("a well-formed call is accepted");
     assert_eq!((request.id.0, request.object.0), (0x9b1f_03aa_5c7e_2d41, 0x7f3a_9c21_e0b4_d655));
     assert_eq!((request.part, request.group, request.size_kb, request.budget_ms), (3, 17, 412.5, 1480.0));
-    assert!(parse_changed("contribution-change", &[], 48_000).is_ok());
+    assert!(parse_with_changed_fields("contribution-change", &[], 48_000).is_ok());
 }
 
-/// Each of these invalid values once reached the decision crate's arithmetic and the lines sent to cache
-/// nodes.
+/// Regression test: each of the invalid values in this test used to reach the decision crate's arithmetic and
+/// the requests sent to cache nodes.
 #[test]
 fn an_invalid_call_is_reported_with_the_name_of_its_field() {
-    assert_eq!(parse_changed("no-such-class", &[], 0).unwrap_err(), CallError::UnknownClass);
-    assert_eq!(parse_changed("statement-docs", &[], 1).unwrap_err(), CallError::InvalidBody);
-    assert_eq!(parse_changed("contribution-change", &[], 48_001).unwrap_err(), CallError::InvalidBody);
+    assert_eq!(parse_with_changed_fields("no-such-class", &[], 0).unwrap_err(), CallError::UnknownClass);
+    assert_eq!(parse_with_changed_fields("statement-docs", &[], 1).unwrap_err(), CallError::InvalidBody);
+    assert_eq!(
+        parse_with_changed_fields("contribution-change", &[], 48_001).unwrap_err(),
+        CallError::InvalidBody
+    );
     for name in ["trace", "patience", "entity", "slice", "set", "size"] {
         assert_eq!(
-            parse_changed("statement-docs", &[(name, None)], 0).unwrap_err(),
+            parse_with_changed_fields("statement-docs", &[(name, None)], 0).unwrap_err(),
             CallError::MissingField(name)
         );
         for value in ["", "x", "-1", "+3", "1e3", "nan", "inf", "0x10", "99999999999999999999999", "1 "] {
-            let got = parse_changed("statement-docs", &[(name, Some(value))], 0);
+            let got = parse_with_changed_fields("statement-docs", &[(name, Some(value))], 0);
             assert_eq!(got.unwrap_err(), CallError::InvalidField(name), "{name}={value}");
         }
     }
@@ -63,7 +67,7 @@
         ("size", ".5"),
         ("size", "5."),
     ] {
-        let got = parse_changed("statement-docs", &[(name, Some(value))], 0);
+        let got = parse_with_changed_fields("statement-docs", &[(name, Some(value))], 0);
         assert_eq!(got.unwrap_err(), CallError::InvalidField(name), "{name}={value}");
     }
 }
--- a/crates/front/src/clients/connection.rs
+++ b/crates/front/src/clients/connection.rs
@@ -28,11 +28,11 @@
 /// Maximum number of bytes of unread answers on one connection: as many as the longest answers to all calls
 /// that may be open.
 const MAX_UNREAD_BYTES: usize = MAX_OPEN_CALLS * 256 * 1024;
-/// Longest wait at shutdown for the remainder of a message that has begun to arrive.
+/// Longest wait at shutdown for the remainder of a message of which a part has arrived.
 const PARTIAL_MESSAGE_GRACE: Duration = Duration::from_millis(200);
 /// Time within which a new client must send its first message, and any client must complete a message that
-/// it has begun. Guards the capacity for others against clients that connect and send nothing, or only part
-/// of a message.
+/// it has begun. Protects the capacity for other clients against those that connect and send nothing, or only
+/// part of a message.
 pub(super) const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Retry-After, in milliseconds, of calls rejected because the front shuts down: another process or front
 /// can accept them at once.
@@ -53,7 +53,8 @@
 pub(super) struct ConnectionState {
     /// Open calls by their number on this connection.
     pub(super) calls: HashMap<u32, OpenCall>,
-    /// When the connection became idle: since then no call has been open. `None` while one is.
+    /// When the connection became idle: when its last call ended, or else when it was accepted. `None` while
+    /// a call is open.
     pub(super) idle_since: Option<Instant>,
     /// When the incomplete message in the buffer began to arrive; `None` if there is none.
     pub(super) partial_since: Option<Instant>,
--- a/crates/front/src/clients/eviction.rs
+++ b/crates/front/src/clients/eviction.rs
@@ -9,22 +9,22 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Time after which a client that reads nothing of its waiting answers is disconnected.
+/// Time after which a client is disconnected if answers wait for it and it reads nothing of them.
 const UNREAD_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time after which an idle connection is closed. Clients close theirs after 4 s, but some keep them open
 /// indefinitely.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl ClientConnection {
-    /// Weight for closing the connection: the bytes of incomplete messages that this releases. A connection
-    /// with an open call weighs less than any without; `None` if no message is incomplete.
+    /// Priority of closing this connection when incomplete messages use too much memory: whether no call is
+    /// open, zero, and the bytes of the incomplete message. `None` if no message is incomplete.
     pub(super) fn partial_message_weight(&self, _: Instant) -> Option<(bool, Duration, usize)> {
         let open = lock(&self.open);
         (open.partial > 0).then_some((open.calls.is_empty(), Duration::ZERO, open.partial))
     }
 
-    /// Weight for closing the connection: the time for which its client has read nothing, then the bytes of
-    /// unread answers that this releases. `None` if no answer is unread.
+    /// Priority of closing this connection when unread answers use too much memory: `true`, the time for
+    /// which the client has read nothing, and the bytes of its unread answers. `None` if no answer is unread.
     pub(super) fn unread_weight(&self, now: Instant) -> Option<(bool, Duration, usize)> {
         self.link.stalled_for(now).map(|stalled| (true, stalled, self.link.unwritten_bytes()))
     }
@@ -72,9 +72,9 @@
 }
 
 impl Server {
-    /// Closes the connection with the highest weight, if any has one, for the given reason. Used where a
-    /// shared limit is reached, because the client that happens to exceed it is not necessarily the one at
-    /// fault.
+    /// Closes the connection for which `weight` returns the highest value, if it returns any, for the reason
+    /// `why`. Used where a shared limit is reached, because the client that happens to exceed it is not
+    /// necessarily the one at fault.
     pub(super) fn close_highest_weight(
         &self,
         why: Reason,
--- a/crates/front/src/clients/forward.rs
+++ b/crates/front/src/clients/forward.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Largest fraction of the client's patience that a request may wait for a permit of its pool.
+/// Largest fraction of the client's timeout for which a request may wait for a permit of its pool.
 const MAX_WAIT_FRACTION: f64 = 0.5;
 
 /// The final answer to a call.
@@ -60,7 +60,7 @@
     let retry_after_ms = queues.retry_after_ms();
     let client_deadline = Instant::now() + Duration::from_secs_f64(request.budget_ms / 1000.0);
     let Some(_reservation) = queues.reserve(request.id) else { return Answer::Rejected(retry_after_ms) };
-    // The wait is limited to a part of the client's patience, so that a request admitted late can still be
+    // The wait is limited to a part of the client's timeout, so that a request admitted late can still be
     // served in time.
     let wait_until_ms = clock.now() + request.budget_ms * MAX_WAIT_FRACTION;
     let Some(permit) = queue.acquire(clock, wait_until_ms, caller) else {
--- a/crates/front/src/clients/listen.rs
+++ b/crates/front/src/clients/listen.rs
@@ -16,7 +16,7 @@
 /// Environment variable that holds the descriptor number of the inherited listening socket.
 pub const INHERITED_SOCKET_VARIABLE: &str = "RELAY_PASSED_SOCKET";
 /// Lowest descriptor number that can be inherited: 0 to 2 are standard input, output and error.
-const MIN_PASSED_DESCRIPTOR: u32 = 3;
+const MIN_INHERITED_DESCRIPTOR: u32 = 3;
 /// Length of the kernel's queue of connections that wait to be accepted. At peak load thousands of clients
 /// connect at once, and the kernel drops those that do not fit.
 const LISTEN_BACKLOG: i32 = 4096;
@@ -37,7 +37,7 @@
 
 /// Why the descriptor in `$RELAY_PASSED_SOCKET` can't be used.
 #[derive(Debug, thiserror::Error)]
-pub enum PassedSocketError {
+pub enum InheritedSocketError {
     /// The value is not a descriptor number of 3 or more.
     #[error("{INHERITED_SOCKET_VARIABLE}={0:?} is not a descriptor number of 3 or more")]
     InvalidNumber(String),
@@ -53,34 +53,34 @@
 ///
 /// # Errors
 /// The value is not a number, or is less than 3.
-pub fn parse_descriptor(value: &str) -> Result<u32, PassedSocketError> {
+pub fn parse_descriptor(value: &str) -> Result<u32, InheritedSocketError> {
     match value.trim().parse::<u32>() {
-        Ok(fd) if fd >= MIN_PASSED_DESCRIPTOR => Ok(fd),
-        _ => Err(PassedSocketError::InvalidNumber(value.into())),
+        Ok(fd) if fd >= MIN_INHERITED_DESCRIPTOR => Ok(fd),
+        _ => Err(InheritedSocketError::InvalidNumber(value.into())),
     }
 }
 
 /// Takes over the inherited descriptor and checks that it is a listening TCP socket.
-fn take_passed_socket(fd: u32) -> Result<TcpListener, PassedSocketError> {
+fn take_inherited_socket(fd: u32) -> Result<TcpListener, InheritedSocketError> {
     // `listenfd` reads the number of inherited descriptors from these variables, as for socket activation.
-    std::env::set_var("LISTEN_FDS", (fd - MIN_PASSED_DESCRIPTOR + 1).to_string());
+    std::env::set_var("LISTEN_FDS", (fd - MIN_INHERITED_DESCRIPTOR + 1).to_string());
     std::env::remove_var("LISTEN_PID");
     let mut fds = listenfd::ListenFd::from_env();
-    let taken = fds.take_tcp_listener((fd - MIN_PASSED_DESCRIPTOR) as usize);
+    let taken = fds.take_tcp_listener((fd - MIN_INHERITED_DESCRIPTOR) as usize);
     std::env::remove_var("LISTEN_FDS");
     let listener = match taken {
         Ok(Some(l)) => l,
-        Ok(None) => return Err(PassedSocketError::WrongKind(fd, "not open")),
-        Err(e) => return Err(PassedSocketError::Io(fd, e)),
+        Ok(None) => return Err(InheritedSocketError::WrongKind(fd, "not open")),
+        Err(e) => return Err(InheritedSocketError::Io(fd, e)),
     };
     let socket = Socket::from(listener);
     match (socket.r#type(), socket.domain(), socket.is_listener()) {
         (Ok(Type::STREAM), Ok(Domain::IPV4 | Domain::IPV6), Ok(true)) => Ok(socket.into()),
         (Ok(Type::STREAM), Ok(Domain::IPV4 | Domain::IPV6), Ok(false)) => {
-            Err(PassedSocketError::WrongKind(fd, "not listening"))
+            Err(InheritedSocketError::WrongKind(fd, "not listening"))
         }
-        (Err(e), _, _) | (_, Err(e), _) | (_, _, Err(e)) => Err(PassedSocketError::Io(fd, e)),
-        _ => Err(PassedSocketError::WrongKind(fd, "not a TCP socket")),
+        (Err(e), _, _) | (_, Err(e), _) | (_, _, Err(e)) => Err(InheritedSocketError::Io(fd, e)),
+        _ => Err(InheritedSocketError::WrongKind(fd, "not a TCP socket")),
     }
 }
 
@@ -103,8 +103,8 @@
 /// # Errors
 /// The address can't be bound. An inherited descriptor that can't be used is only logged.
 pub fn open_client_listener(addr: SocketAddr) -> io::Result<(Listener, Origin)> {
-    let passed = std::env::var(INHERITED_SOCKET_VARIABLE).ok().filter(|v| !v.trim().is_empty());
-    let taken = match passed.as_deref().map(|v| parse_descriptor(v).and_then(take_passed_socket)) {
+    let inherited = std::env::var(INHERITED_SOCKET_VARIABLE).ok().filter(|v| !v.trim().is_empty());
+    let taken = match inherited.as_deref().map(|v| parse_descriptor(v).and_then(take_inherited_socket)) {
         Some(Ok(l)) => Some(l),
         Some(Err(error)) => {
             tracing::warn!("inherited listening socket is not used: {error}; binding {addr} instead");
--- a/crates/front/src/clients/listen/tests.rs
+++ b/crates/front/src/clients/listen/tests.rs
@@ -5,7 +5,7 @@
     assert_eq!(parse_descriptor("3").ok(), Some(3));
     assert_eq!(parse_descriptor(" 7\n").ok(), Some(7));
     for bad in ["", "2", "0", "fd3", "-3", "3.0"] {
-        assert!(matches!(parse_descriptor(bad), Err(PassedSocketError::InvalidNumber(_))), "{bad:?}");
+        assert!(matches!(parse_descriptor(bad), Err(InheritedSocketError::InvalidNumber(_))), "{bad:?}");
     }
 }
 
--- a/crates/front/src/clients/metrics.rs
+++ b/crates/front/src/clients/metrics.rs
@@ -73,9 +73,9 @@
         self.current.load(Ordering::Relaxed).max(0)
     }
 
-    /// All metrics as `name=value` lines, with the number of listed cache nodes and how many of these are
-    /// avoided.
-    pub fn metric_lines(&self, listed: usize, avoided: usize) -> String {
+    /// All metrics as `name=value` lines, with the number of listed cache nodes and how many of them are
+    /// draining.
+    pub fn metric_lines(&self, listed: usize, draining: usize) -> String {
         let mut out = String::new();
         for (name, c) in self.names.iter().zip(&self.classes) {
             for (what, n) in [
@@ -89,7 +89,7 @@
         }
         let _ = writeln!(out, "relay.current={}", self.current());
         let _ = writeln!(out, "relay.cluster_size={listed}");
-        let _ = writeln!(out, "relay.cluster_unhealthy={avoided}");
+        let _ = writeln!(out, "relay.cluster_unhealthy={draining}");
         out
     }
 }
--- a/crates/front/src/clients/msgpack_rpc.rs
+++ b/crates/front/src/clients/msgpack_rpc.rs
@@ -60,8 +60,9 @@
     decode_message(&data[..len]).map(|m| Some((len, m))).ok_or(RpcError::UnexpectedShape)
 }
 
-/// The data that follows a MessagePack marker: so many bytes; a length of so many bytes and then the data;
-/// so many values; or a count of so many bytes and then, for each counted element, so many values.
+/// The data that follows a MessagePack marker: a number of bytes; a length field (of the given width in
+/// bytes) and then the data; a number of values; or a count field (of the given width in bytes) and then, for
+/// each counted element, the given number of values.
 enum Payload {
     Bytes(usize),
     LengthPrefixedBytes(usize),
--- a/crates/front/src/clients/server.rs
+++ b/crates/front/src/clients/server.rs
@@ -36,7 +36,7 @@
     pub(super) unread: Arc<AtomicUsize>,
     /// Number of descriptors held by client connections.
     pub(super) descriptors: AtomicUsize,
-    /// Number of these connections that are being closed.
+    /// Number of client connections that are being closed.
     pub(super) closing: AtomicUsize,
     /// Bytes of the bodies of open write calls.
     pub(super) bodies: AtomicUsize,
@@ -48,8 +48,8 @@
     pub(super) evacuated: Mutex<Option<Instant>>,
     /// Whether connections are closed as soon as they are idle.
     pub(super) closing_idle: AtomicBool,
-    /// Latest time at which the process ends, if that is known; calls accepted from now on are to be
-    /// answered well before it.
+    /// Latest time at which the process ends; `None` if no end is scheduled; calls accepted from now on are
+    /// to be answered well before it.
     pub(super) shutdown_deadline: Mutex<Option<Instant>>,
 }
 
@@ -59,7 +59,7 @@
 pub struct Held {
     /// Number of descriptors held by client connections.
     pub connections: usize,
-    /// Number of these connections that are being closed.
+    /// Number of client connections that are being closed.
     pub leaving: usize,
     /// Bytes of answers that clients have not read yet.
     pub unread: usize,
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -1,13 +1,13 @@
-//! Module time, the time that the decision crate is given: a monotonic clock in milliseconds. For the wall
+//! The monotonic clock whose time the decision crate is given, in milliseconds ("clock time"). For the wall
 //! clock see [`crate::wall_clock`].
 
 use std::time::{Duration, Instant};
 
-/// Module time at the start of the clock, in milliseconds. It is far above 0, so that events from before the
+/// Clock time at the start of the clock, in milliseconds. It is far above 0, so that events from before the
 /// start have a time too; the decision crate takes 0 for 'long ago'.
 const START_MS: f64 = 10_000_000.0;
 
-/// A monotonic clock that gives module time.
+/// A monotonic clock; its times are the milliseconds that the decision crate is given.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -24,19 +24,19 @@
         self.start.elapsed()
     }
 
-    /// The current module time, in milliseconds.
+    /// The current clock time, in milliseconds.
     pub fn now(&self) -> f64 {
-        self.module_time_at(Instant::now())
+        self.clock_time_at(Instant::now())
     }
 
-    /// The module time at `when`, in milliseconds; instants before the start count as the start.
-    pub fn module_time_at(&self, when: Instant) -> f64 {
+    /// The clock time at `when`, in milliseconds; instants before the clock's start count as its start.
+    pub fn clock_time_at(&self, when: Instant) -> f64 {
         START_MS + when.saturating_duration_since(self.start).as_secs_f64() * 1000.0
     }
 
-    /// The time from now until `module_ms`: zero if it has passed, and at most one hour.
-    pub fn time_until(&self, module_ms: f64) -> Duration {
-        Duration::from_secs_f64(((module_ms - self.now()) / 1000.0).clamp(0.0, 3600.0))
+    /// The time from now until the clock time `until_ms`: zero if that has passed, and at most one hour.
+    pub fn time_until(&self, until_ms: f64) -> Duration {
+        Duration::from_secs_f64(((until_ms - self.now()) / 1000.0).clamp(0.0, 3600.0))
     }
 }
 
--- a/crates/front/src/control/admin/answer.rs
+++ b/crates/front/src/control/admin/answer.rs
@@ -37,15 +37,15 @@
     let EndpointCounts { listed, draining } =
         queues.first().map(|queue| queue.dispatcher.endpoint_counts()).unwrap_or_default();
     let view = front.fleet.as_ref().map_or(String::new(), |f| f.telemetry_lines());
-    let figures = front.metrics.metric_lines(listed, draining);
+    let counters = front.metrics.metric_lines(listed, draining);
     let (violations, reasons) = (front.invariants.metric_lines(), front.reason_counts.metric_lines());
-    let given_up = given_up_lines(front);
-    format!("200 telemetry\n{figures}{violations}{reasons}{given_up}{view}EOF\n")
+    let rejections = rejection_lines(front);
+    format!("200 telemetry\n{counters}{violations}{reasons}{rejections}{view}EOF\n")
 }
 
-/// Returns the number of requests given up for each reason, summed over the dispatch queues, as lines
+/// Returns the number of requests rejected for each reason, summed over the dispatch queues, as lines
 /// `relay.given_up.REASON=COUNT`.
-fn given_up_lines(front: &SharedState) -> String {
+fn rejection_lines(front: &SharedState) -> String {
     let mut all: BTreeMap<&'static str, u64> = BTreeMap::new();
     for (reason, n) in front.queues.as_slice().iter().flat_map(|queue| queue.dispatcher.rejection_counts()) {
         *all.entry(reason).or_default() += n;
--- a/crates/front/src/control/admin/exclusions.rs
+++ b/crates/front/src/control/admin/exclusions.rs
@@ -40,7 +40,7 @@
     if let Err(e) = front.manual_exclusions.save(&ids) {
         tracing::warn!(
             node = %id,
-            "admin: cannot store {}, no exclusion is changed: {e}",
+            "admin: no exclusion is changed, because {} cannot be stored: {e}",
             front.manual_exclusions
         );
         return format!("400 {id} can't be kept: {e}\n");
@@ -93,7 +93,9 @@
             }
         }
         Err(e) => {
-            tracing::warn!("admin: cannot restore the manual exclusions, no cache node is excluded: {e}");
+            tracing::warn!(
+                "admin: no cache node is excluded, because the manual exclusions cannot be restored: {e}"
+            );
         }
     }
 }
@@ -120,7 +122,7 @@
                 apply_manual_exclusions(&front, &ids.into_iter().collect());
             }
             Err(e) => tracing::warn!(
-                "admin: cannot read the manual exclusions, the current ones stay in effect: {e}"
+                "admin: the manual exclusions stay as they are, because the file cannot be read: {e}"
             ),
         }
     })?;
--- a/crates/front/src/control/discovery_watch.rs
+++ b/crates/front/src/control/discovery_watch.rs
@@ -31,8 +31,8 @@
 /// The maximum silence timeout. The timeout doubles after each connection that timed out without receiving a
 /// line.
 const MAX_SILENCE_TIMEOUT: Duration = Duration::from_millis(5000);
-/// The mean delay between the end of a bus connection and the next attempt to connect; each delay is drawn
-/// from 50 % to 150 % of it.
+/// The mean delay between the end of a bus connection and the next attempt to connect; each delay is a random
+/// value from 50 % to 150 % of it.
 const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 /// The maximum length in bytes of a line from the bus. The complete endpoint list of the largest deployment
 /// is far shorter.
@@ -45,9 +45,9 @@
     RECONNECT_DELAY.mul_f64(rng.random_range(0.5..1.5))
 }
 
-/// Applies an event to the dispatchers and the upstream connections. `since` is the module time in
-/// milliseconds of the last line received before the event, so the event was reported after it; `None` if no
-/// line was received before.
+/// Applies an event to the dispatchers and the upstream connections. `since` is the clock time in
+/// milliseconds at which the last line before the event was received, so the event was reported after it;
+/// `None` if no line was received before.
 pub fn apply_event(front: &SharedState, event: WatchEvent, since: Option<f64>) {
     match event {
         WatchEvent::Unknown => {}
@@ -62,7 +62,7 @@
     let now = front.clock.now();
     // Before the first line nothing bounds the time of the purge from below; the current time is the safe
     // choice.
-    let at = front.wall_clock.to_module_time(unix_ms, since.unwrap_or(now));
+    let at = front.wall_clock.to_clock_time(unix_ms, since.unwrap_or(now));
     for queue in front.queues.as_slice() {
         queue.dispatcher.purged(now, object, group, now - at);
     }
@@ -80,7 +80,7 @@
     let mut entries = Vec::new();
     for ListedNode { mut entry, addr } in nodes {
         entry.started_ms =
-            front.bus.starts.module_time(&front.wall_clock, &entry.cache, entry.started_ms, since);
+            front.bus.starts.clock_time(&front.wall_clock, &entry.cache, entry.started_ms, since);
         match (entry.phase, addr) {
             (Phase::Out, _) => front.upstream.remove_node(&entry.cache),
             (_, Some(addr)) => front.upstream.add_node(entry.cache.clone(), addr, entry.started_ms),
@@ -215,10 +215,10 @@
         }
     }
 
-    /// Returns the module time in milliseconds at which the last line was received. `None` if none was
+    /// Returns the clock time in milliseconds at which the last line was received. `None` if none was
     /// received yet.
     fn last_line_ms(&self, clock: &Clock) -> Option<f64> {
-        lock(&self.state).last_line.map(|at| clock.module_time_at(at))
+        lock(&self.state).last_line.map(|at| clock.clock_time_at(at))
     }
 
     /// Closes the bus connection if it has received nothing for longer than its silence timeout; called
--- a/crates/front/src/control/gossip.rs
+++ b/crates/front/src/control/gossip.rs
@@ -43,7 +43,7 @@
     by_id: HashMap<CacheId, CacheNodeKey>,
 }
 
-/// Returns the current module time and Unix time for the gossip.
+/// Returns the current clock time and Unix time for the gossip.
 fn current_time(clock: &Clock) -> Now {
     let mono_ms = clock.now();
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
--- a/crates/front/src/control/manual_exclusion.rs
+++ b/crates/front/src/control/manual_exclusion.rs
@@ -163,7 +163,7 @@
         let unreadable = |e: &FileError| matches!(e, FileError::Read(..));
         let loaded = retry_with_backoff(READ_RETRY_TIME, unreadable, |_| self.load());
         loaded.or_else(|error| {
-            tracing::warn!("admin: reading the file that all fronts of this name share instead: {error}");
+            tracing::warn!("admin: {error}; reading the file that all fronts of this name share instead");
             let ids = self.read_shared_ids()?;
             match ids.is_empty() {
                 true => Err(error),
--- a/crates/front/src/control/manual_exclusion/tests.rs
+++ b/crates/front/src/control/manual_exclusion/tests.rs
@@ -60,8 +60,8 @@
     }
 }
 
-/// Guards against a front taking over the exclusions of another customer's front that has the same name and
-/// runs on the same host.
+/// A front must not take over the exclusions of another customer's front that has the same name and runs on
+/// the same host.
 #[test]
 fn fronts_of_different_deployments_share_no_manual_exclusions() {
     let folder = TempFolder::new("two");
--- a/crates/front/src/control/node_starts.rs
+++ b/crates/front/src/control/node_starts.rs
@@ -1,4 +1,4 @@
-//! Start times of cache nodes: converts the Unix times that the discovery watch reports to module time,
+//! Start times of cache nodes: converts the Unix times that the discovery watch reports to clock time,
 //! unaffected by later steps of the wall clock.
 
 use crate::sync::lock;
@@ -14,35 +14,35 @@
 /// fleet has nodes at once.
 const MAX_RETAINED_STARTS: usize = 8192;
 
-/// A node's start time, as the discovery watch reported it and as module time.
+/// A node's start time, as the discovery watch reported it and as clock time.
 #[derive(Clone, Copy, Debug)]
 struct NodeStart {
     reported_unix_ms: f64,
-    module_ms: f64,
+    clock_ms: f64,
 }
 
-/// The module time of each node's start. A reported start time that has not changed keeps its module time, so
+/// The clock time of each node's start. A reported start time that has not changed keeps its clock time, so
 /// that a step of the wall clock does not look like a restart of every node.
 #[derive(Default)]
 pub struct NodeStarts(Mutex<HashMap<CacheId, NodeStart>>);
 
 impl NodeStarts {
-    /// Converts a node's start time from Unix milliseconds to module time in milliseconds; 0 means 'long ago'
-    /// in both. `not_before` is the module time of the last line received before the report (`None` if there
+    /// Converts a node's start time from Unix milliseconds to clock time in milliseconds; 0 means 'long ago'
+    /// in both. `not_before` is the clock time of the last line received before the report (`None` if there
     /// was none). A start time more than `MAX_REPORT_DELAY_MS` before it is implausible and replaced by the
     /// current time.
-    pub fn module_time(&self, wall: &WallClock, id: &CacheId, unix_ms: f64, not_before: Option<f64>) -> f64 {
+    pub fn clock_time(&self, wall: &WallClock, id: &CacheId, unix_ms: f64, not_before: Option<f64>) -> f64 {
         if unix_ms <= 0.0 {
             return 0.0;
         }
         let mut starts = lock(&self.0);
         match starts.get(id) {
-            Some(start) if start.reported_unix_ms == unix_ms => start.module_ms,
+            Some(start) if start.reported_unix_ms == unix_ms => start.clock_ms,
             _ => {
                 let earliest = not_before.map_or(f64::MIN, |at| at - MAX_REPORT_DELAY_MS);
-                let module_ms = wall.to_module_time(unix_ms, earliest).max(1.0);
-                starts.insert(id.clone(), NodeStart { reported_unix_ms: unix_ms, module_ms });
-                module_ms
+                let clock_ms = wall.to_clock_time(unix_ms, earliest).max(1.0);
+                starts.insert(id.clone(), NodeStart { reported_unix_ms: unix_ms, clock_ms });
+                clock_ms
             }
         }
     }
--- a/crates/front/src/control/reload.rs
+++ b/crates/front/src/control/reload.rs
@@ -104,7 +104,9 @@
             Ok(_) => self.loading = Some(receiver),
             // No thread can be created at the moment; the next poll tries again.
             Err(e) => {
-                tracing::warn!("reload: cannot start a thread to read the configuration, trying again: {e}");
+                tracing::warn!(
+                    "reload: no thread can be started to read the configuration; trying again: {e}"
+                );
                 self.requested.store(true, Ordering::Release);
             }
         }
--- a/crates/front/src/control/snapshot.rs
+++ b/crates/front/src/control/snapshot.rs
@@ -69,7 +69,7 @@
                 tracing::error!(
                     file = %path.display(),
                     aside = ?aside,
-                    "store: cannot be opened, creating an empty store: {e}"
+                    "store: the store cannot be opened and is replaced by an empty one: {e}"
                 );
                 Store::open(open_store_file(path)?, new_disk_id)?
             }
@@ -103,7 +103,7 @@
         };
         tracing::error!(
             file = %path.display(),
-            "store: cannot be opened, no peers are restored or stored: {reason}"
+            "store: no peers are restored or stored, because the store cannot be opened: {reason}"
         );
         None
     }
@@ -147,7 +147,9 @@
         loop {
             std::thread::sleep(PEER_CHECK_INTERVAL);
             if let Err(e) = self.write_changes(&fleet) {
-                tracing::error!("store: write failed, no more peers are stored until a restart: {e}");
+                tracing::error!(
+                    "store: no more peers are stored until a restart, because a write failed: {e}"
+                );
                 return;
             }
         }
--- a/crates/front/src/control/view.rs
+++ b/crates/front/src/control/view.rs
@@ -31,7 +31,7 @@
     clock: Clock,
 }
 
-/// Returns the current module time and Unix time for the membership view.
+/// Returns the current clock time and Unix time for the membership view.
 fn current_time(clock: &Clock) -> Now {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Now { mono_ms: clock.now(), unix_ms: unix.as_secs_f64() * 1000.0 }
--- a/crates/front/src/control/watch_history.rs
+++ b/crates/front/src/control/watch_history.rs
@@ -16,7 +16,8 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// The number of consecutive last offsets below this front's offset after which the bus counts as renumbered.
-/// A single low one proves nothing: the bus may have read its last offset just before it sent a newer event.
+/// A single low offset proves nothing: the bus may have read its last offset just before it sent a newer
+/// event.
 const LOW_OFFSETS_BEFORE_REPLAY: u32 = 2;
 
 /// The result of processing one line of the event bus.
--- a/crates/front/src/control/watch_history/tests.rs
+++ b/crates/front/src/control/watch_history/tests.rs
@@ -72,7 +72,7 @@
     }
     assert!(
         matches!(history.receive(b"2", &names), Ok(ReceivedLine::NothingNew)),
-        "one last offset that is too low changes nothing: it may have been read before the last event"
+        "a single last offset that is too low is ignored: the bus may have read it before the last event"
     );
     assert!(matches!(history.receive(b"3", &names), Ok(ReceivedLine::NothingNew)));
     assert!(matches!(history.receive(b"2", &names), Ok(ReceivedLine::NothingNew)));
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -29,8 +29,8 @@
 
 /// Number of bytes read from one connection before other coroutines run.
 const READ_QUANTUM: usize = 256 * 1024;
-/// Longest time for which a graceful close reads on: many round trips, and the 50 ms within which a request
-/// may cross a close.
+/// Longest time for which a graceful close reads on: many round trips, and the 50 ms within which a
+/// request that the other side sent before it noticed the close may still arrive.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum number of bytes that a graceful close reads and drops, in case the other side goes on sending.
 const MAX_LINGER_BYTES: usize = 128 * 1024;
--- a/crates/front/src/link/tests.rs
+++ b/crates/front/src/link/tests.rs
@@ -55,7 +55,7 @@
 }
 
 /// The queued answer is delivered, and the other side sees the end of the stream and no reset, even if it
-/// sends calls that cross the close: before the front closes or after.
+/// sends calls just before the front closes or after.
 #[test]
 fn a_graceful_close_delivers_the_last_answer() {
     for crossing in ["nothing", "before", "after"] {
@@ -74,7 +74,7 @@
             assert_eq!(other.read(&mut [0]).expect("the other side can read up to the end"), 0);
             for _ in 0..3 {
                 other
-                    .write_all(b"a call that crosses")
+                    .write_all(b"a call sent while the link closes")
                     .expect("the front still reads while it closes gracefully");
             }
         } else {
--- a/crates/front/src/log.rs
+++ b/crates/front/src/log.rs
@@ -98,8 +98,8 @@
 }
 
 impl Reason {
-    /// Whether the front ends a connection for this reason of its own accord, with nobody at fault; it must
-    /// then owe no answer on it.
+    /// Whether the front ends a connection for this reason of its own accord, with nobody at fault. No answer
+    /// may then be outstanding on that connection.
     pub fn is_own_choice(self) -> bool {
         matches!(
             self,
--- a/crates/front/src/main_loop.rs
+++ b/crates/front/src/main_loop.rs
@@ -18,7 +18,7 @@
 const SHUTDOWN_SWEEP_INTERVAL: Duration = Duration::from_millis(10);
 /// How long after the `evacuate` command the front begins to close idle client connections. The platform
 /// opens new connections for another 0.2 s, and a client between two requests gets time to send its second.
-const EVACUATE_GRACE: Duration = Duration::from_millis(300);
+const EVACUATION_GRACE_PERIOD: Duration = Duration::from_millis(300);
 
 /// The state of the main loop, which runs in a coroutine on the worker thread.
 pub(crate) struct MainLoop {
@@ -145,7 +145,7 @@
         let (front, plan) = (&self.front, &self.plan);
         let elapsed = self.shutdown_began.map(|at| at.elapsed());
         let closing = elapsed.is_some_and(|t| t >= plan.accepting_for);
-        let evacuated = front.server.evacuated_for().is_some_and(|t| t >= EVACUATE_GRACE);
+        let evacuated = front.server.evacuated_for().is_some_and(|t| t >= EVACUATION_GRACE_PERIOD);
         front.server.sweep(front, closing || evacuated);
         let (Some(began), true) = (self.shutdown_began, closing) else { return false };
         let over = front.server.has_answered_all() || began.elapsed() >= plan.answered_by;
--- a/crates/front/src/reconfigure.rs
+++ b/crates/front/src/reconfigure.rs
@@ -25,7 +25,9 @@
                 tracing::info!("reload: site: {changes}");
             }
             Err(why) => {
-                tracing::warn!("reload: the old site stays in effect, the new document is rejected: {why}");
+                tracing::warn!(
+                    "reload: the old site document stays in effect, because the new one is rejected: {why}"
+                );
             }
         }
     }
--- a/crates/front/src/shutdown.rs
+++ b/crates/front/src/shutdown.rs
@@ -21,14 +21,14 @@
 /// The time limits of a shutdown, each counted from SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownPlan {
-    /// Until then new calls are accepted; later ones are rejected at once.
+    /// How long new calls are accepted; later ones are rejected at once.
     pub accepting_for: Duration,
-    /// By then every accepted call is answered, if need be with an error.
+    /// Time by which every accepted call is answered, if need be with an error.
     pub answered_by: Duration,
-    /// By then the process has exited.
+    /// Time by which the process has exited.
     pub exit_by: Duration,
-    /// Whether another process accepts on the same socket. Connections that this process does not accept are
-    /// then accepted there, and not rejected.
+    /// Whether another process accepts on the same socket. If so, it accepts the connections that this
+    /// process does not accept, and none is rejected.
     pub hands_over: bool,
 }
 
--- a/crates/front/src/shutdown/tests.rs
+++ b/crates/front/src/shutdown/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Guards against a kill before the last answer: a front that accepted calls for 1 s after SIGTERM exited up
-/// to 1.5 s after the longest deadline, while the platform kills it 0.7 s after that deadline.
+/// Regression test: a front that accepted calls for 1 s after SIGTERM used to exit up to 1.5 s after the
+/// longest deadline, while the platform kills it 0.7 s after that deadline.
 #[test]
 fn the_front_exits_before_the_platform_kills_it() {
     for longest_deadline_ms in [200.0, 1_500.0, 3_000.0, 5_000.0, 60_000.0] {
--- a/crates/front/src/sleep.rs
+++ b/crates/front/src/sleep.rs
@@ -17,8 +17,8 @@
 /// rounded.
 const FINE_STEP_MS: u64 = 16;
 
-/// Returns the length of the next step of a wait: at most `remaining` rounded up to a millisecond, and one of
-/// few lengths. Steps are whole milliseconds, because `may` truncates a wait to them and takes 0 as 'for
+/// Returns the length of the next step of a wait: one of a few lengths, and at most `remaining` rounded up to
+/// a millisecond. Steps are whole milliseconds, because `may` truncates a wait to them and takes 0 as 'for
 /// ever'; above 16 ms only the leading four bits are used.
 fn step_length(remaining: Duration) -> Duration {
     let ms = remaining.as_micros().div_ceil(1000).clamp(1, 1 << 31) as u64;
@@ -54,7 +54,7 @@
         }
         #[expect(
             clippy::disallowed_methods,
-            reason = "the only caller, which limits the number of timer lengths"
+            reason = "the only caller of `may`'s sleep; it limits the number of timer lengths"
         )]
         may::coroutine::sleep(step_length(remaining));
         after_each_step();
--- a/crates/front/src/sleep/tests.rs
+++ b/crates/front/src/sleep/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use std::collections::BTreeSet;
 
-/// Guards against heap corruption in `may`: the waits of attempts alone had thousands of lengths, and a
-/// front's heap was corrupted after a minute.
+/// Regression test: the waits of attempts alone used to have thousands of lengths, for which `may` corrupted
+/// a front's heap after a minute.
 #[test]
 fn waits_of_up_to_an_hour_use_few_step_lengths() {
     let lengths: BTreeSet<Duration> =
--- a/crates/front/src/spawn.rs
+++ b/crates/front/src/spawn.rs
@@ -10,7 +10,8 @@
 const DEEP_STACK_WORDS: usize = 0x20000;
 
 /// Starts a coroutine with a stack that is large enough for parsing JSON. On an ordinary stack a deeply
-/// nested line from the event bus ended the coroutine silently, and the front received no further change.
+/// nested line from the event bus would end the coroutine silently, and the front would receive no further
+/// change.
 pub fn spawn_with_deep_stack(run: impl FnOnce() + Send + 'static) {
     // Fails only if memory for the stack cannot be allocated when the front starts.
     let _ = may::go_with!(DEEP_STACK_WORDS, run);
--- a/crates/front/src/startup.rs
+++ b/crates/front/src/startup.rs
@@ -119,7 +119,7 @@
 struct Sockets {
     peers: Option<Arc<Peers>>,
     clients: Listener,
-    /// Whether the clients' socket was bound by this process or passed to it.
+    /// Whether the clients' socket was bound by this process or inherited.
     origin: Origin,
 }
 
@@ -360,7 +360,7 @@
     let f = front.clone();
     spawn(move || loop {
         let next = f.queues.as_slice().iter().filter_map(|q| q.tick(&f.clock)).reduce(f64::min);
-        // Off the worker is safe here: the dispatchers and their host are guarded by locks.
+        // Sleeping off the worker thread is safe here: the dispatchers and their host are guarded by locks.
         let wait = next.map_or(MAX_TIMER_INTERVAL, |at| {
             f.clock.time_until(at).clamp(Duration::from_millis(1), MAX_TIMER_INTERVAL)
         });
--- a/crates/front/src/upstream/completed_attempt.rs
+++ b/crates/front/src/upstream/completed_attempt.rs
@@ -23,7 +23,8 @@
 pub struct CompletedAttempt {
     /// How the attempt ended.
     pub ending: Ending,
-    /// Number of the answer's `tell` value, from 1; 0 if the answer has none or an unknown one.
+    /// Code of the answer's `tell` value: its position in `ANSWER_DETAILS`, counted from 1; 0 if the answer
+    /// has no such field or its value is unknown.
     pub detail: u8,
     /// Time until the fill source's first byte as reported by the node, in milliseconds; 0 if not reported.
     pub fill_wait_ms: f64,
--- a/crates/front/src/upstream/connection.rs
+++ b/crates/front/src/upstream/connection.rs
@@ -53,14 +53,14 @@
     /// Ids of requests that were cancelled or answered on this connection, and when. They are not used here
     /// again, because a late or second answer may still arrive.
     retired_ids: HashMap<RequestId, Instant>,
-    /// Since when no attempt is in flight; `None` while one is, or if none ever was.
+    /// Since when no attempt is in flight; `None` while an attempt is in flight, or if none ever was.
     idle_since: Option<Instant>,
     /// When the last complete answer arrived. An incomplete answer says nothing about the node.
     last_answer: Option<Instant>,
     /// When bytes of an incomplete answer last arrived; `None` if no answer is incomplete.
     partial_answer_at: Option<Instant>,
-    /// An attempt timed out and no answer arrived while it was in flight. No new attempt is admitted until
-    /// an answer arrives.
+    /// Set when an attempt timed out and no answer arrived while it was in flight. No new attempt is admitted
+    /// until an answer arrives.
     suspect: bool,
     /// Number of attempts admitted so far.
     attempts_admitted: u64,
--- a/crates/front/src/upstream/connection/tests.rs
+++ b/crates/front/src/upstream/connection/tests.rs
@@ -2,8 +2,8 @@
 use crate::upstream::test_support::{first_attempt, AlwaysAllowed};
 use may::net::TcpStream;
 
-/// Guards against a duplicate answer: the second copy of an answer that had caused a retry ended the retry,
-/// which used the same connection.
+/// Regression test: the second copy of an answer that had caused a retry used to end the retry, which was on
+/// the same connection.
 #[test]
 fn an_answered_id_is_not_admitted_again_on_the_same_connection() {
     let connection = Connection::default();
@@ -20,8 +20,8 @@
     assert!(connection.admit(RequestId(99), &in_flight, 32));
 }
 
-/// Guards against losing an attempt: a connection that was to be closed but was not closed yet admitted one
-/// and never sent it.
+/// Regression test: a connection that was to be closed but was not closed yet used to admit an attempt and
+/// never sent it.
 #[test]
 fn a_closing_connection_admits_no_new_attempts() {
     let connection = Connection::default();
@@ -58,9 +58,9 @@
     assert_eq!(ends, [Some(Ending::ConnectionLost), Some(Ending::Retracted)]);
 }
 
-/// A node sees the end of a connection no sooner than a cancel. Attempts on a lost connection used to end
-/// at once, so the next attempt was in flight beside the first; in one run the first had been sent 0.553 s
-/// before and was not given up yet.
+/// The end of a connection takes as long as a cancel to reach the node. Regression test: attempts on a lost
+/// connection used to end at once, so two attempts of one request were in flight; in one run the first had
+/// been sent 0.553 s before the second and the node had not given it up yet.
 #[test]
 fn attempts_on_a_lost_connection_end_only_after_the_cancel_delay() {
     let (listener, connection) = (
--- a/crates/front/src/upstream/connection_pool.rs
+++ b/crates/front/src/upstream/connection_pool.rs
@@ -26,8 +26,8 @@
 /// The front closes an idle connection after this fraction of the time after which the node closes it, so
 /// that no request is sent while the node closes the connection.
 const IDLE_CLOSE_FRACTION: f64 = 0.6;
-/// Attempts that share a connection before another connection is opened, as long as more are allowed: a
-/// connection that fails ends all attempts that share it.
+/// Number of attempts that share a connection before another connection is opened, as long as more are
+/// allowed: a connection that fails ends all attempts that share it.
 const PREFERRED_ATTEMPTS_PER_CONNECTION: usize = 2;
 
 /// Connection limits of the deployment.
@@ -55,7 +55,7 @@
 /// A node and the connections to it.
 struct NodeConnections {
     addr: SocketAddr,
-    /// When the node's process started, in milliseconds on the module's clock.
+    /// When the node's process started, as clock time in milliseconds.
     started_ms: f64,
     connections: Vec<Arc<Connection>>,
     timeouts: NodeTimeouts,
@@ -124,7 +124,7 @@
         self.retire(removed);
     }
 
-    /// Removes all nodes except these.
+    /// Removes all nodes except those with these ids.
     pub fn retain_nodes(&self, ids: &[CacheId]) {
         let departed: Vec<CacheId> = lock(&self.nodes).keys().filter(|k| !ids.contains(k)).cloned().collect();
         departed.iter().for_each(|id| self.remove_node(id));
@@ -142,8 +142,8 @@
     }
 
     /// Withdraws the attempts that go to these draining nodes, or are filled from them, and were not sent
-    /// yet. The grace period of a draining node counts to a request's first byte, and a connection may be
-    /// established only after it.
+    /// yet. An attempt's first byte must be written within the grace period of a draining node, but its
+    /// connection may be established only after that period.
     pub fn withdraw_attempts_of_nodes(&self, ids: &[CacheId]) {
         for attempt in lock(&self.attempts).values() {
             if ids.iter().any(|id| *id == attempt.cache || Some(id) == attempt.source.as_ref()) {
@@ -335,9 +335,9 @@
     }
 
     /// Called periodically. Closes connections that are idle, of no further use or retired, and ends
-    /// attempts whose request a stuck connection has not begun to write within the connect timeout.
-    /// Otherwise such a request could be sent after the grace period of a draining node, which counts to
-    /// the first byte.
+    /// attempts of whose request a stuck connection has written no byte within the connect timeout.
+    /// Otherwise the first byte of such a request could be written after the grace period of a draining
+    /// node.
     pub fn sweep(&self) {
         let now = Instant::now();
         let idle_timeout =
--- a/crates/front/src/upstream/connection_pool/tests.rs
+++ b/crates/front/src/upstream/connection_pool/tests.rs
@@ -2,7 +2,8 @@
 use crate::upstream::connection::{MIN_CANCEL_DELAY, UNRESPONSIVE_AFTER};
 use crate::upstream::test_support::{first_attempt, AlwaysAllowed};
 
-/// Up to 32 attempts used to share one connection; when it stalled, all of them lost all of their time.
+/// Regression test: up to 32 attempts used to share one connection, and when it stalled, all of them lost all
+/// of their time.
 #[test]
 fn attempts_are_spread_and_avoid_unresponsive_connections() {
     let limits = ConnectionLimits {
@@ -105,9 +106,9 @@
     assert_eq!(upstream.attempts_in_flight(), 0);
 }
 
-/// All connections that the front may have lead to other nodes and one of them is idle, so that one is
-/// closed. The front's own limit used to be reported as the node's answer that it is full, and the node was
-/// ejected for it.
+/// If all connections that the front may have lead to other nodes and one of them is idle, the idle one is
+/// closed. Regression test: the front used to report its own connection limit as an answer of the node that
+/// it is full, and the node was ejected for it.
 #[test]
 fn an_idle_connection_is_closed_to_open_one_to_another_node() {
     let limits = ConnectionLimits {
--- a/crates/front/src/upstream/dispatch_queue.rs
+++ b/crates/front/src/upstream/dispatch_queue.rs
@@ -148,7 +148,7 @@
     }
 
     /// Takes a permit from the pool. If the pool queues the request, waits for the permit until
-    /// `wait_until_ms` on the module's clock. Returns `None` if the request is rejected or its client has
+    /// the clock time `wait_until_ms`. Returns `None` if the request is rejected or its client has
     /// disconnected. Yields.
     pub fn acquire(
         self: &Arc<DispatchQueue>,
@@ -184,8 +184,8 @@
         self.state.as_ref().map_or(0, |state| lock(state).queued.len())
     }
 
-    /// Runs the due timers of the pool and of the decision module. Returns when the next timer is due, in
-    /// milliseconds on the module's clock; `None` if there is none.
+    /// Runs the due timers of the pool and of the decision module. Returns when the next timer is due, as
+    /// clock time in milliseconds; `None` if there is none.
     pub fn tick(&self, clock: &Clock) -> Option<f64> {
         let pool_wake_ms = self.state.as_ref().and_then(|state| {
             let due = lock(state).pool.wake_at();
@@ -242,8 +242,8 @@
         timeout_ms.map_or(deadline, |ms| deadline.min(now + Duration::from_millis(ms)))
     }
 
-    /// Takes a retry from the pool's retry budget; returns whether there was one. Always true without a
-    /// pool.
+    /// Takes a retry from the pool's retry budget; returns whether the budget had one left. Always true
+    /// without a pool.
     pub fn try_retry(&self) -> bool {
         let actions = self.queue.handle_event(&self.clock, Event::RetryRequested { request: self.number });
         !self.queue.has_pool() || actions.iter().any(|a| matches!(a, Action::Retry { .. }))
--- a/crates/front/src/upstream/dispatch_queues/plan_updates.rs
+++ b/crates/front/src/upstream/dispatch_queues/plan_updates.rs
@@ -23,8 +23,8 @@
     /// A pool was added, removed or renamed.
     #[error("adding, removing or renaming a pool requires a restart")]
     Pools,
-    /// A member is in more pools than any member was at the start. Each queue's part of a node's capacity
-    /// was set then.
+    /// A member is in more pools than any member was at the start, when each queue's part of a node's
+    /// capacity was set.
     #[error("putting a member into more pools than any member was in at the start requires a restart")]
     PoolsPerMember,
 }
@@ -38,7 +38,7 @@
     pub removed: u32,
     /// Number of members with a new address.
     pub moved: u32,
-    /// Number of members with any other change.
+    /// Number of members that are neither new nor have a new address, and were changed in another way.
     pub changed: u32,
 }
 
@@ -70,7 +70,7 @@
             self.queues[*index].reconfigure(clock, spec, answer_timeouts);
         }
         if let Some(members) = members {
-            // The queues were reconfigured above: only from now on is nothing sent to removed members.
+            // Only now, after the queues were reconfigured, is nothing more sent to removed members.
             let mut members = lock(members);
             for id in members.keys().filter(|id| !plan.members.contains_key(*id)) {
                 upstream.remove_node(&CacheId(id.clone()));
@@ -100,8 +100,8 @@
         Ok(queue_of_pool)
     }
 
-    /// Applies new members, changed addresses, and sources. Members of pools drain and depart with their
-    /// pools' specifications.
+    /// Applies new members, changed addresses, and sources. Does not drain or remove members of pools: the
+    /// queues do that when [`DispatchQueues::apply_plan`] passes them their pools' new specifications.
     fn apply_members(
         &self,
         clock: &Clock,
--- a/crates/front/src/upstream/dispatch_queues/tests.rs
+++ b/crates/front/src/upstream/dispatch_queues/tests.rs
@@ -115,7 +115,8 @@
     queues
 }
 
-/// Guards the front's memory: each queue's decision module counts only its own requests.
+/// The limit on open requests applies to all queues together, which protects the front's memory: each queue's
+/// decision module counts only its own requests.
 #[test]
 fn open_requests_are_limited_over_all_queues() {
     let queues = two_queues(&Settings { max_in_flight: 3, ..example_settings().0 });
--- a/crates/front/src/upstream/node_registry.rs
+++ b/crates/front/src/upstream/node_registry.rs
@@ -21,7 +21,8 @@
     pub kind: Option<usize>,
     /// The node's cell from the endpoint list; 0 for members of the site document.
     pub cell: i64,
-    /// Bandwidth of the node's link, in answers at the settings' stream rate.
+    /// Bandwidth of the node's link, as the number of answers that it carries at once at the stream rate in
+    /// the settings.
     pub link: f64,
 }
 
--- a/crates/front/src/upstream/resp.rs
+++ b/crates/front/src/upstream/resp.rs
@@ -49,8 +49,8 @@
     /// A type byte, number or line end is not what RESP requires at its position.
     #[error("invalid RESP: unexpected type byte, number or line end")]
     Invalid,
-    /// The array has more parts or bytes than any answer has.
-    #[error("RESP array has more parts or bytes than any answer")]
+    /// The array has more parts or bytes than an answer may have.
+    #[error("RESP array has more parts or bytes than an answer may have")]
     TooLong,
     /// The array is not an answer.
     #[error("RESP array is not an answer: expected the UTF-8 texts id, outcome and fields, and a body")]
--- a/crates/front/src/upstream/send_guard.rs
+++ b/crates/front/src/upstream/send_guard.rs
@@ -1,7 +1,7 @@
 //! Decides whether an attempt may still be sent, and encodes its request.
 //!
-//! This is the only guard for sending. It checks when the first byte is about to be written, however long
-//! after the decision that is.
+//! This is the only guard for sending. It checks the attempt when its first byte is about to be written,
+//! however long after the decision.
 
 use crate::call::CallFields;
 use crate::clock::Clock;
@@ -48,9 +48,9 @@
         }
     }
 
-    /// Checks, after the attempt was sent, that at its first byte its client was still waiting, the
-    /// client's deadline had not passed, and its node and source were in service. `drain_grace_ms` is how
-    /// long after the start of a drain an attempt may still be sent.
+    /// Checks, after the attempt was sent, that when its first byte was written its client was still waiting,
+    /// the client's deadline had not passed, and the attempt's node and source were in service.
+    /// `drain_grace_ms` is how long after the start of a drain an attempt may still be sent.
     pub fn verify_sent_attempt(
         &self,
         invariants: &Invariants,
@@ -77,7 +77,7 @@
         let nodes = [Some(&self.attempt.cache), self.attempt.source.as_ref()].into_iter().flatten();
         let out_since_ms = nodes.filter_map(|node| self.queue.dispatcher.out_of_service_since(node));
         let drained_ms =
-            out_since_ms.map(|since_ms| clock.module_time_at(first_byte_at) - since_ms).fold(0.0, f64::max);
+            out_since_ms.map(|since_ms| clock.clock_time_at(first_byte_at) - since_ms).fold(0.0, f64::max);
         invariants.check(Invariant::SendToServingNode, drained_ms <= drain_grace_ms, || {
             format!("{} first byte written {drained_ms:.0} ms after its node or source began to drain", id())
         });
--- a/crates/front/src/upstream/waiter.rs
+++ b/crates/front/src/upstream/waiter.rs
@@ -4,7 +4,7 @@
 use may::sync::Blocker;
 use std::sync::Arc;
 
-/// Parks the calling coroutine or thread until it is woken.
+/// A waiter that parks the calling coroutine or thread until it is woken.
 pub struct BlockerWaiter(pub Arc<Blocker>);
 
 impl Waiter for BlockerWaiter {
--- a/crates/front/src/wall_clock.rs
+++ b/crates/front/src/wall_clock.rs
@@ -1,5 +1,5 @@
-//! The wall clock, which may be stepped at any time. A Unix time from another machine is converted to module
-//! time once, when it arrives.
+//! The wall clock, which may be stepped at any time. A Unix time from another machine is converted to the
+//! time of the monotonic clock ([`Clock`]) once, when it arrives.
 //!
 //! A step is detected by comparing the wall clock with the monotonic clock, at each use and every 100 ms.
 //! After a step no Unix time can be trusted: it may be from before the step, or from a machine whose clock
@@ -20,7 +20,7 @@
 /// The longest time that reading both clocks may take, in milliseconds. If it takes longer, the process was
 /// delayed between the readings and they cannot show a step.
 const MAX_READING_MS: f64 = 5.0;
-/// How often the pair of clocks is read until a reading is quick enough.
+/// How many times the two clocks are read at most until a reading is quick enough.
 const READING_ATTEMPTS: usize = 4;
 
 /// The current time of the wall clock, in Unix milliseconds.
@@ -29,7 +29,7 @@
 }
 
 struct State {
-    /// Unix time minus module time at the last reading, in milliseconds.
+    /// Unix time minus the monotonic clock's time at the last reading, in milliseconds.
     offset_ms: f64,
     /// The number of steps detected so far.
     steps: u64,
@@ -86,14 +86,14 @@
         state.steps
     }
 
-    /// Converts `unix_ms`, the date of an event that arrives now, to module time. The event is known not to
-    /// have happened before `not_before` (module time); an earlier date comes from a clock that differs from
-    /// this one and counts as now.
-    pub fn to_module_time(&self, unix_ms: f64, not_before: f64) -> f64 {
-        self.to_module_time_with(unix_ms, not_before, self::unix_ms)
+    /// Converts `unix_ms`, the date of an event that arrives now, to clock time in milliseconds. The event is
+    /// known not to have happened before the clock time `not_before`; an earlier date comes from a wall clock
+    /// that differs from this one and counts as now.
+    pub fn to_clock_time(&self, unix_ms: f64, not_before: f64) -> f64 {
+        self.to_clock_time_with(unix_ms, not_before, self::unix_ms)
     }
 
-    fn to_module_time_with(&self, unix_ms: f64, not_before: f64, read_wall: impl Fn() -> f64) -> f64 {
+    fn to_clock_time_with(&self, unix_ms: f64, not_before: f64, read_wall: impl Fn() -> f64) -> f64 {
         let (wall_ms, steps) = self.read_and_compare(read_wall);
         let (stepped, now) = (steps > 0, self.clock.now());
         let dated = now - (wall_ms - unix_ms).max(0.0);
--- a/crates/front/src/wall_clock/tests.rs
+++ b/crates/front/src/wall_clock/tests.rs
@@ -7,26 +7,26 @@
 }
 
 #[test]
-fn a_unix_time_is_converted_to_module_time_on_arrival() {
+fn a_unix_time_is_converted_to_clock_time_on_arrival() {
     let clock = Clock::start();
     let wall = WallClock::start(clock);
     let now = unix_ms();
-    assert!(within_a_second(wall.to_module_time(now - 5_000.0, f64::MIN), clock.now() - 5_000.0));
+    assert!(within_a_second(wall.to_clock_time(now - 5_000.0, f64::MIN), clock.now() - 5_000.0));
     assert!(
-        within_a_second(wall.to_module_time(now + HOUR_MS, f64::MIN), clock.now()),
+        within_a_second(wall.to_clock_time(now + HOUR_MS, f64::MIN), clock.now()),
         "a time in the future counts as now"
     );
     let bound = clock.now() - 2_000.0;
-    assert!(within_a_second(wall.to_module_time(now - 1_500.0, bound), clock.now() - 1_500.0));
+    assert!(within_a_second(wall.to_clock_time(now - 1_500.0, bound), clock.now() - 1_500.0));
     assert!(
-        within_a_second(wall.to_module_time(now - 5_000.0, bound), clock.now()),
+        within_a_second(wall.to_clock_time(now - 5_000.0, bound), clock.now()),
         "a time before the lower bound counts as now, because the clocks differ"
     );
     assert_eq!(wall.check_for_step(), 0);
 }
 
-/// Guards against a purge that counts as an hour old after the clock was stepped by an hour: copies older
-/// than the purge were then accepted.
+/// Regression test: a purge used to count as an hour old after the clock was stepped by an hour, and copies
+/// older than the purge were accepted.
 #[test]
 fn after_a_step_a_dated_event_counts_as_having_happened_now() {
     for step in [HOUR_MS, -HOUR_MS, 5_000.0, -5_000.0] {
@@ -35,7 +35,7 @@
         let stepped = unix_ms() + step;
         // A time from a machine whose clock was stepped as well, and one from a machine whose clock was not.
         for dated in [stepped - 400.0, stepped - 400.0 - step] {
-            let at = wall.to_module_time_with(dated, f64::MIN, || stepped);
+            let at = wall.to_clock_time_with(dated, f64::MIN, || stepped);
             assert!(
                 within_a_second(at, clock.now()) && at <= clock.now(),
                 "after a step of {step} ms a time of {dated} counts as {at}, not as now"
@@ -54,8 +54,8 @@
     assert_eq!(wall.detect_step(start + 1_000.0 + 10.0 * STEP_THRESHOLD_MS, wall.clock.now()), 1);
 }
 
-/// Guards against steps reported by a process that is delayed between the readings of the two clocks. With a
-/// small CPU share that happened repeatedly, and every node that had started since counted as cold.
+/// Regression test: a process that was delayed between the readings of the two clocks used to report a step.
+/// With a small CPU share that happened repeatedly, and every node that had started since counted as cold.
 #[test]
 fn a_delay_between_the_clock_readings_is_not_counted_as_a_step() {
     let wall = WallClock::start(Clock::start());
