--- a/crates/gossip/examples/model.rs
+++ b/crates/gossip/examples/model.rs
@@ -25,10 +25,14 @@
             GossipModel { false_alarms: 0, ..base.clone() },
         ),
         (
-            "the first case with a dead cache node",
+            "three fronts, one of them byzantine, one lost datagram, one time step, a dead cache node",
             GossipModel { dead: true, false_alarms: 0, ..base.clone() },
         ),
-        ("the first case with a false accusation by an honest front", base.clone()),
+        (
+            "three fronts, one of them byzantine, one lost datagram, one time step, \
+             one false accusation by an honest front",
+            base.clone(),
+        ),
         (
             "four fronts, one of them byzantine, one lost datagram",
             GossipModel { fronts: 4, time_steps: 0, false_alarms: 0, ..base },
--- a/crates/gossip/src/aggregate.rs
+++ b/crates/gossip/src/aggregate.rs
@@ -9,9 +9,9 @@
 //! [`MIN_REPORT_WEIGHT`], so no single peer changes a score. This front's own accusation of the node counts
 //! as one witness with trust 1, unless it rests on a single error. Each side's effect is the sum of its
 //! weights divided by `quorum * FULL_EFFECT_WEIGHT`, at most 1. The score is the effect of the accusing side
-//! minus that of the side that reports the node healthy, times [`MAX_SCORE`]. This front's own successful
-//! answers scale an accusing score by `1 - 0.5^(age / own half-life)`, so a score never outweighs what the
-//! front itself observes.
+//! minus that of the side that reports the node healthy, times [`MAX_SCORE`]. Successful answers to this
+//! front scale an accusing score by `1 - 0.5^(age / OWN_SUCCESS_HALF_LIFE_MS)`, so a score never outweighs
+//! what the front itself observes.
 
 use crate::message::{FrontId, Observation};
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 pub const MAX_SCORE: f64 = 0.8;
 /// Half-life of a report's weight, in milliseconds. Cache nodes fail and recover within tens of seconds.
 pub const REPORT_HALF_LIFE_MS: f64 = 8_000.0;
-/// Half-life, in milliseconds, of the effect that this front's own successful answer has against an accusing
+/// Half-life, in milliseconds, of the effect that a successful answer to this front has against an accusing
 /// score.
 pub const OWN_SUCCESS_HALF_LIFE_MS: f64 = 4_000.0;
 /// Reports with a lower weight than this are ignored.
--- a/crates/gossip/src/aggregate/tests.rs
+++ b/crates/gossip/src/aggregate/tests.rs
@@ -55,7 +55,7 @@
     assert_eq!(
         aggregate_score(&two, 4, Some(0.0)),
         0.0,
-        "a successful answer of this front just now cancels the score"
+        "a successful answer just received by this front cancels the score"
     );
     assert!(aggregate_score(&two, 4, Some(OWN_SUCCESS_HALF_LIFE_MS)) < 0.6 * full);
     assert!([2, 4, 20, 200].map(required_witnesses) == [2, 2, 2, 4]);
--- a/crates/gossip/src/config.rs
+++ b/crates/gossip/src/config.rs
@@ -46,8 +46,8 @@
 }
 
 impl Default for Config {
-    /// The default limit is 4,096 bytes per second. Probes and acks use about 250 of them at any size of the
-    /// fleet, and a witness's report reaches 200 fronts within four seconds.
+    /// The default limit is 4,096 bytes per second. Probes and acks use about 250 of these bytes at any size
+    /// of the fleet, and a witness's report reaches 200 fronts within four seconds.
     fn default() -> Config {
         Config {
             name: "front".into(),
--- a/crates/gossip/src/engine.rs
+++ b/crates/gossip/src/engine.rs
@@ -64,7 +64,8 @@
     /// The latest membership update of each member that is still being disseminated.
     updates: BTreeMap<FrontId, PendingUpdate>,
     own_reports: BTreeMap<CacheNodeKey, OwnReport>,
-    /// When this front's own answers last showed a cache node healthy.
+    /// When this front last observed each cache node as healthy, on the host's monotonic clock in
+    /// milliseconds.
     last_healthy_ms: BTreeMap<CacheNodeKey, f64>,
     /// When other witnesses' reports on a cache node were last compared with this front's own evidence.
     last_compared_ms: BTreeMap<CacheNodeKey, f64>,
@@ -80,8 +81,8 @@
     /// suspicion timeout.
     missed_acks: u32,
     /// An estimate of this front's own slowness from late ticks. It lowers the strength of the front's
-    /// accusations of cache nodes. Missed acks do not count here: where a third of all datagrams is lost,
-    /// every front would silence itself.
+    /// accusations of cache nodes. Missed acks do not raise this estimate: otherwise every front would weaken
+    /// all its accusations where a third of all datagrams is lost.
     tick_lag: u32,
     schedule: Schedule,
     counters: Counters,
--- a/crates/gossip/src/engine/dissemination.rs
+++ b/crates/gossip/src/engine/dissemination.rs
@@ -75,7 +75,7 @@
             if items.is_empty() {
                 return;
             }
-            // A peer that does not know this front yet accepts nothing else from it.
+            // A peer that does not know this front yet accepts its updates only with this announcement.
             let own = self.own_alive_item();
             if total_encoded_len(&items) + encoded_len(&own) <= ITEM_CAPACITY {
                 items.push(own);
--- a/crates/gossip/src/engine/evidence.rs
+++ b/crates/gossip/src/engine/evidence.rs
@@ -19,7 +19,7 @@
 /// changes the witnesses' trust.
 const COMPARISON_INTERVAL_MS: f64 = 1_000.0;
 /// Only reports younger than this, in milliseconds, are compared with this front's own evidence.
-const MAX_COMPARED_AGE_MS: f64 = REPORT_TTL_MS / 4.0;
+const MAX_COMPARED_REPORT_AGE_MS: f64 = REPORT_TTL_MS / 4.0;
 
 impl Gossip {
     /// Sets the cache nodes that exist, and removes what is stored about all others.
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Records what this front's own answers show of a cache node.
+    /// Records an observation that this front made of a cache node.
     pub(super) fn record_evidence(&mut self, now: Now, evidence: Evidence, actions: &mut Vec<Action>) {
         let Evidence { node, observation, .. } = evidence;
         if !self.suspicions.is_known_node(node) {
@@ -98,7 +98,7 @@
         let reports: Vec<(FrontId, HealthReport)> = self
             .suspicions
             .reports_on(node, at)
-            .filter(|(_, report)| report.age_ms < MAX_COMPARED_AGE_MS)
+            .filter(|(_, report)| report.age_ms < MAX_COMPARED_REPORT_AGE_MS)
             .collect();
         if !reports.is_empty() {
             self.last_compared_ms.insert(node, at);
--- a/crates/gossip/src/engine/membership.rs
+++ b/crates/gossip/src/engine/membership.rs
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Handles another front's suspicion or death notice about a member. Both only start or confirm a
-    /// suspicion here.
+    /// Handles another front's suspicion or death notice about a member. Either one only starts or
+    /// confirms a suspicion at this front.
     pub(super) fn receive_suspicion(&mut self, now: Now, id: FrontId, incarnation: u32, by: FrontId) {
         if id == self.id {
             if incarnation >= self.incarnation {
--- a/crates/gossip/src/engine/reports.rs
+++ b/crates/gossip/src/engine/reports.rs
@@ -13,7 +13,8 @@
 /// How many times each report is sent to each peer at first. With a third of all datagrams lost, one in forty
 /// peers receives none of them.
 const INITIAL_SENDS: u8 = 3;
-/// The gap between the first two of these sends, in milliseconds. The gap before the third is twice as long.
+/// The gap between the first two sends of a report to a peer, in milliseconds. The gap before the third is
+/// twice as long.
 const INITIAL_RESEND_GAP_MS: f64 = 400.0;
 /// The interval, in milliseconds, after which a report that still holds is sent again with its current age,
 /// for peers that missed it or joined since.
@@ -38,13 +39,13 @@
 #[derive(Clone, Copy, Default)]
 pub(super) struct Delivery {
     version: u32,
-    /// How many times that version was sent.
+    /// How many times `version` was sent to the peer.
     sends: u8,
     sent_ms: f64,
 }
 
 impl Delivery {
-    /// Returns whether the peer is due to be sent this version.
+    /// Returns whether the report's `version` is due to be sent to the peer.
     fn is_due(self, version: u32, now_ms: f64) -> bool {
         let gap_ms = if self.sends < INITIAL_SENDS {
             INITIAL_RESEND_GAP_MS * f64::from(self.sends)
@@ -54,7 +55,7 @@
         self.version < version || now_ms - self.sent_ms >= gap_ms
     }
 
-    /// Returns the delivery state after this version was sent once more.
+    /// Returns the delivery state after the report's `version` was sent once more.
     fn updated_after_send(self, version: u32, now_ms: f64) -> Delivery {
         let sends = if self.version < version { 1 } else { self.sends.saturating_add(1) };
         Delivery { version, sends, sent_ms: now_ms }
--- a/crates/gossip/src/event.rs
+++ b/crates/gossip/src/event.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What this front's own answers show of a cache node.
+/// An observation that this front made of a cache node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Evidence {
     /// The cache node that was observed.
@@ -32,7 +32,7 @@
         /// The datagram as it was received.
         bytes: Vec<u8>,
     },
-    /// This front's own answers show something of a cache node.
+    /// This front made an observation of a cache node.
     Evidence(Evidence),
     /// The complete set of cache nodes that exist.
     CacheNodes(Vec<CacheNodeKey>),
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,4 +1,5 @@
-//! A gossip protocol by which fronts exchange what their own answers show of slow or failing cache nodes.
+//! A gossip protocol by which fronts tell each other which cache nodes are slow or failing, as each front
+//! observes from the answers that it receives.
 //!
 //! [`Gossip`] is the state machine of one front: it takes [`Event`]s and the time and returns [`Action`]s. It
 //! has no sockets, threads or clocks, and equal inputs and seeds give equal outputs. Cache nodes are not
@@ -21,7 +22,7 @@
 //! - A cache node is identified by its id and its start: reports on a node that was replaced or restarted do
 //!   not apply to its successor.
 //! - [`Gossip::wake_at`] returns when the next [`Event::Tick`] is due. A late tick shows that this front is
-//!   slow. It then waits longer before it suspects others, and its own evidence counts for less.
+//!   slow. The front then waits longer before it suspects others, and its evidence counts for less.
 //!
 //! ```
 //! use fernslip_gossip::*;
--- a/crates/gossip/src/member.rs
+++ b/crates/gossip/src/member.rs
@@ -7,8 +7,9 @@
 /// The greatest number of members in the table, dead ones included. It is far more than a fleet has; only
 /// forgeries under a valid key come near it.
 const MAX_MEMBERS: usize = 2048;
-/// How long a dead or departed front remains in the table, in milliseconds. Until then old messages cannot
-/// bring it back, and a dead one is contacted now and then in case a partition has healed.
+/// How long a dead or departed front remains in the table, in milliseconds. During this time old
+/// messages cannot make it alive again, and a dead front is contacted occasionally in case a partition has
+/// healed.
 const DEAD_RETENTION_MS: f64 = 600_000.0;
 /// Suspicions by further fronts shorten the suspicion timeout; this many of them bring it to its minimum.
 const MAX_CONFIRMATIONS: usize = 3;
@@ -18,8 +19,8 @@
 /// The ratio of the maximum suspicion timeout to the minimum.
 const MAX_TO_MIN_TIMEOUT_RATIO: f64 = 3.0;
 /// A front's incarnation starts at the Unix seconds of its start. An incarnation that is further ahead of
-/// this front's clock than this many seconds is a forgery, which would leave its victim no higher one for a
-/// refutation.
+/// this front's clock than this many seconds is rejected as a forgery: the highest possible incarnation could
+/// not be refuted by its victim, because no higher one exists.
 pub(crate) const MAX_INCARNATION_LEAD_S: u32 = 86_400;
 
 /// The state of a front in the membership table.
@@ -214,7 +215,7 @@
     }
 
     /// Replaces the set of present members by those of the fleet's membership view; all others are dead.
-    /// Returns the fronts that joined or died by it.
+    /// Returns the fronts that joined or died as a result.
     pub fn apply_peer_list(
         &mut self,
         listed: &[(FrontId, PeerAddress)],
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// Identifies a run of a cache node by a hash of the node's id and by its start. A restarted node has another
+/// Identifies a run of a cache node by a hash of the node's id and by its start. A restarted node has a new
 /// key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CacheNodeKey {
@@ -145,7 +145,7 @@
     Reports {
         /// The front that made the reports.
         witness: FrontId,
-        /// The reports, each on another cache node.
+        /// The reports, each on a different cache node.
         reports: Vec<HealthReport>,
     },
     /// The number of cache nodes that a witness accuses, if they are too many to report individually.
--- a/crates/gossip/src/suspicion.rs
+++ b/crates/gossip/src/suspicion.rs
@@ -13,7 +13,7 @@
 /// A report that is less than this many milliseconds newer than the stored one is a duplicate, because ages
 /// are sent in steps of 100 ms.
 const DUPLICATE_REPORT_TOLERANCE_MS: f64 = 150.0;
-/// A change of strength up to this amount counts as none.
+/// A change of a report's strength up to this amount counts as no change.
 const STRENGTH_TOLERANCE: f64 = 0.02;
 
 /// A stored report. Its witness and cache node are the keys of the table.
@@ -22,7 +22,7 @@
     observation: Observation,
     strength: f64,
     count: u8,
-    /// When the witness observed it, on this front's monotonic clock in milliseconds.
+    /// When the witness made the observation, on this front's monotonic clock in milliseconds.
     observed_ms: f64,
 }
 
@@ -136,8 +136,8 @@
     }
 
     /// Makes room for a report by another witness on `node`: if a bound is reached, the oldest report on the
-    /// node is evicted. Returns `false` if none of them is older than the new report, which is then to be
-    /// dropped.
+    /// node is evicted. Returns `false` if no stored report on the node is older than the new one, which is
+    /// then to be dropped.
     fn make_space_for_report(&mut self, node: CacheNodeKey, observed_ms: f64) -> bool {
         let reports = self.reports.get(&node);
         let crowded = reports.is_some_and(|all| all.len() >= MAX_WITNESSES_PER_NODE);
--- a/crates/gossip/tests/common/model.rs
+++ b/crates/gossip/tests/common/model.rs
@@ -203,7 +203,7 @@
                 },
             ),
             Property::always(
-                "a successful answer of the front itself just now outweighs all reports",
+                "a successful answer just received by the front itself outweighs all reports",
                 |model: &GossipModel, state: &ModelState| {
                     model.honest_fronts().all(|front| {
                         state.last_success[front] != Some(state.time) || model.peer_score(state, front) <= 0.0
--- a/crates/gossip/tests/fault_scenarios.rs
+++ b/crates/gossip/tests/fault_scenarios.rs
@@ -89,8 +89,8 @@
     assert!((0..6).all(|n| sim.peer_score(n, all[3]) == 0.0));
 }
 
-/// A single peer accuses one cache node and all of them in turn without end. No honest front's score rises
-/// above 0 at any time.
+/// A single peer accuses one cache node and all cache nodes in turn, again and again. No honest front's score
+/// rises above 0 at any time.
 #[test]
 fn a_single_byzantine_peer_changes_no_score() {
     let (mut sim, all) = converged_simulation(5, 30, 0.1, 2);
@@ -102,8 +102,8 @@
     assert!((0..4).all(|n| sim.fronts[n].max_peer_score == 0.0), "no honest front's score ever rose above 0");
 }
 
-/// A byzantine peer's accusation and a single error of the front itself are not a quorum; the accusation and
-/// a refused connection are.
+/// A byzantine peer's accusation and a single error observed by the front itself are not a quorum; the
+/// accusation and a connection refused to the front itself are.
 #[test]
 fn a_single_error_seen_by_the_front_itself_is_no_witness() {
     for (strength, counts) in [(0.3, false), (0.5, true)] {
@@ -119,7 +119,7 @@
             "own evidence of strength {strength} gives a score of {}",
             sim.peer_score(0, all[0])
         );
-        // A successful answer of the front itself ends the effect.
+        // A successful answer to the front itself ends the effect of the accusations.
         sim.observe_node(0, all[0], Observation::Healthy, 1.0);
         assert_eq!(sim.peer_score(0, all[0]), 0.0);
     }
@@ -358,7 +358,7 @@
     let all = cache_nodes(5);
     sim.handle_event_on_all(Event::CacheNodes(all.clone()));
     sim.run_for_ms(10_000.0);
-    assert_eq!(sim.gossip(0).members().count(), 4, "front n4 is not on the roster and no member");
+    assert_eq!(sim.gossip(0).members().count(), 4, "front n4 is neither on the roster nor a member");
     assert!(
         (0..2).any(|n| sim.rejected_count(n, RejectReason::NotOnRoster) > 0),
         "a seed rejects the contact of front n4"
--- a/crates/gossip/tests/model.rs
+++ b/crates/gossip/tests/model.rs
@@ -38,7 +38,7 @@
 fn on_a_fair_network_every_honest_front_learns_of_a_dead_node() {
     let dead = GossipModel { dead: true, fair: true, drops: 0, honest: true, time_steps: 1, ..BASE_MODEL };
     assert!(explore(dead.clone()) > 100);
-    // A byzantine peer that reports the node healthy does not prevent this: each of the three honest fronts
-    // has two other honest witnesses.
+    // A byzantine peer that reports the dead node as healthy does not hide the failure: each of the three
+    // honest fronts has two other honest witnesses.
     assert!(explore(GossipModel { fronts: 4, honest: false, time_steps: 0, ..dead }) > 1_000);
 }
--- a/crates/record/examples/measure.rs
+++ b/crates/record/examples/measure.rs
@@ -8,7 +8,7 @@
 use common::Fleet;
 
 /// Median and maximum of the values as JSON, rounded; `null` if there are none.
-fn median_and_max(mut values: Vec<f64>) -> String {
+fn format_median_and_max(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
     match values.last() {
         Some(max) => format!("{{\"p50\": {:.0}, \"max\": {max:.0}}}", values[values.len() / 2]),
@@ -70,12 +70,12 @@
     println!(
         "{{\"fronts\": {fronts}, \"voters\": 5, \"seeds\": {seeds}, \"founded_ms\": {}, \"edit_ms\": {}, \"undo_ms\": {}, \
          \"edit_180kB_ms\": {}, \"healed_ms\": {}, \"leader_lost_ms\": {}, \"steady_bytes_per_s\": {}}}",
-        median_and_max(bootstraps),
-        median_and_max(edits),
-        median_and_max(undos),
-        median_and_max(large_edits),
-        median_and_max(healed),
-        median_and_max(leaders),
-        median_and_max(steady)
+        format_median_and_max(bootstraps),
+        format_median_and_max(edits),
+        format_median_and_max(undos),
+        format_median_and_max(large_edits),
+        format_median_and_max(healed),
+        format_median_and_max(leaders),
+        format_median_and_max(steady)
     );
 }
--- a/crates/record/src/engine/proposing.rs
+++ b/crates/record/src/engine/proposing.rs
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Notes that a voter found a text valid and has it on disk.
+    /// Records that a voter found a text valid and has it on disk.
     pub(super) fn on_text_stored(&mut self, digest: Digest, voter: VoterId) {
         self.proposals.text_voters.entry(digest).or_default().insert(voter);
     }
--- a/crates/record/src/engine/replicating.rs
+++ b/crates/record/src/engine/replicating.rs
@@ -25,7 +25,7 @@
 const MAX_PARTS_PER_REPLY: usize = MAX_PARTS_PER_REQUEST;
 /// Maximum number of peers whose status is remembered.
 const MAX_PEER_STATUSES: usize = 4096;
-/// Upper bound on the encoded size of [`MessageItem::Entries`] without its entries, in bytes, with reserve.
+/// Upper bound on the encoded size of [`MessageItem::Entries`] without its entries, in bytes, with a margin.
 const ENTRIES_OVERHEAD_BYTES: usize = 32;
 
 impl Record {
@@ -39,8 +39,8 @@
         })
     }
 
-    /// Notes the rules version that this front serves by now, and announces a change at once: other fronts
-    /// may await it.
+    /// Records the rules version that this front now serves by, and announces a change at once, because other
+    /// fronts may await it.
     pub(super) fn set_serving_version(&mut self, version: u64, actions: &mut Vec<Action>) {
         if std::mem::replace(&mut self.replication.serving_version, version) != version {
             self.replication.repeats_remaining = self.replication.repeats_remaining.max(1);
--- a/crates/record/src/events.rs
+++ b/crates/record/src/events.rs
@@ -41,7 +41,7 @@
         /// The new rules text if the command is an edit.
         text: Option<Vec<u8>>,
     },
-    /// The caller no longer awaits the answer to the command with that key.
+    /// The caller no longer awaits the answer to the command with this key.
     Abandoned(String),
     /// The validation that [`Action::Validate`] requested has ended.
     Validated {
@@ -50,7 +50,7 @@
         /// Why this front can't use the text; `None` if the text is valid.
         error: Option<String>,
     },
-    /// This front now serves by that version of the rules.
+    /// This front now serves by the rules version with this number.
     Serving(u64),
     /// An [`Action::Write`] failed.
     DiskFailed,
--- a/crates/record/src/rules.rs
+++ b/crates/record/src/rules.rs
@@ -148,7 +148,7 @@
         self.current
     }
 
-    /// The version of that number; `None` if it does not exist or is no longer retained.
+    /// The version with this number; `None` if it does not exist or is no longer retained.
     pub fn version(&self, number: u64) -> Option<&RulesVersion> {
         self.versions.get(&number)
     }
@@ -158,7 +158,7 @@
         self.versions.values()
     }
 
-    /// The answer to the command with that key; `None` if it was not applied or its answer is no longer
+    /// The answer to the command with this key; `None` if it was not applied or its answer is no longer
     /// retained.
     pub fn answer(&self, key: &str) -> Option<&Answer> {
         self.answers.get(key).map(|a| &a.1)
--- a/crates/record/src/rules/tests.rs
+++ b/crates/record/src/rules/tests.rs
@@ -53,7 +53,8 @@
     // again.
     assert_eq!(apply_edit(&mut rules, "e6", 5, "six"), Ok(6));
     assert_eq!(rules.edits_reverted_by_undo(1), Vec::<u64>::new());
-    // Going through an undo must still find the edits that it restored; the model check found this fault.
+    // Regression test for a fault found by the model check: an undo across an earlier undo used to miss the
+    // edits that the earlier one had restored.
     assert_eq!(apply_undo(&mut rules, "u7", 6, 4, &[]), Ok(7));
     assert_eq!(apply_edit(&mut rules, "e8", 7, "eight"), Ok(8));
     assert_eq!(
--- a/crates/record/src/state.rs
+++ b/crates/record/src/state.rs
@@ -1,5 +1,5 @@
-//! The replicated state that results from the committed log entries, and a hash chain over these: two fronts
-//! with the same chain hash have applied the same entries.
+//! The replicated state that results from the committed log entries, and a hash chain over the entries: two
+//! fronts with the same chain hash have applied the same entries.
 
 use crate::rules::{Answer, Command, Rules};
 use crate::texts::{Digest, TextRef};
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// Id of a Raft voter, derived from the front's name and its disk id: a front that lost its disk gets
-/// another.
+/// another voter id.
 pub type VoterId = u64;
 
 /// A committed log entry, as voters retain it and fronts replicate it.
--- a/crates/record/src/state/tests.rs
+++ b/crates/record/src/state/tests.rs
@@ -8,7 +8,7 @@
     assert_eq!(state.apply_entry(&LogEntry { index: 2, kind: ENTRY_KIND_NOOP, body: vec![] }), None);
     let before = state.clone();
     assert_eq!(state.apply_entry(&LogEntry { index: 4, kind: ENTRY_KIND_NOOP, body: vec![] }), None);
-    assert_eq!(state, before, "an entry that is not the next changes nothing");
+    assert_eq!(state, before, "an entry that is not the next in the log changes nothing");
     state.apply_entry(&LogEntry { index: 3, kind: 99, body: vec![1, 2] });
     state.apply_entry(&LogEntry { index: 3, kind: ENTRY_KIND_NOOP, body: vec![] });
     assert_eq!((state.applied_index, state.unsupported), (2, Some(UnsupportedEntry { index: 3, kind: 99 })));
--- a/crates/record/src/storage.rs
+++ b/crates/record/src/storage.rs
@@ -22,7 +22,7 @@
         state: Vec<u8>,
         /// Raft term of the last log entry that the snapshot covers.
         term: u64,
-        /// Ids of the voters as of that entry.
+        /// Ids of the voters after the last log entry that the snapshot covers.
         voters: Vec<VoterId>,
     },
 }
@@ -34,9 +34,9 @@
     Snapshot,
     /// Key of the only [`StoredValue::HardState`].
     HardState,
-    /// Key of the [`StoredValue::Entry`] with that index in the log.
+    /// Key of the [`StoredValue::Entry`] with this index in the log.
     Entry(u64),
-    /// Key of the [`StoredValue::Text`] with that digest.
+    /// Key of the [`StoredValue::Text`] with this digest.
     Text(Digest),
 }
 
--- a/crates/record/src/texts.rs
+++ b/crates/record/src/texts.rs
@@ -79,7 +79,7 @@
 }
 
 impl TextStore {
-    /// The text of that digest; `None` unless it is complete.
+    /// The text with this digest; `None` unless the complete text is stored.
     pub fn get(&self, digest: &Digest) -> Option<&[u8]> {
         self.complete.get(digest).map(Vec::as_slice)
     }
@@ -97,8 +97,8 @@
     }
 
     /// Indices of the parts of a text to be requested next, at most [`MAX_PARTS_PER_REQUEST`]; its
-    /// reassembly is begun if it was not. Empty if the text is complete, its length is invalid, or too many
-    /// other texts are being reassembled.
+    /// reassembly is begun if it has not begun yet. Empty if the text is complete, its length is invalid, or
+    /// too many other texts are being reassembled.
     pub fn missing_parts(&mut self, text: TextRef) -> Vec<u16> {
         let TextRef { digest, bytes } = text;
         let bytes = bytes as usize;
--- a/crates/record/src/wire.rs
+++ b/crates/record/src/wire.rs
@@ -155,11 +155,11 @@
 /// Why a received datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    /// The datagram has another format version, whose number this is.
+    /// The datagram has a format version that is not supported; the value is that version.
     #[error("datagram format version {0:#04x} is not supported; expected {FORMAT_VERSION:#04x}")]
     UnsupportedVersion(u8),
-    /// The datagram is too long, truncated, wrongly signed or can't be decoded.
-    #[error("datagram is too long, truncated, wrongly signed or can't be decoded")]
+    /// The datagram is too long, truncated, wrongly signed or undecodable.
+    #[error("datagram is too long, truncated, wrongly signed or undecodable")]
     Malformed,
 }
 
--- a/crates/record/tests/common/mod.rs
+++ b/crates/record/tests/common/mod.rs
@@ -31,7 +31,7 @@
     bytes: Vec<u8>,
 }
 
-/// How far a front has come, printed by failed assertions.
+/// The progress of a front in the log, printed by failed assertions.
 #[derive(Debug, PartialEq)]
 pub struct FrontProgress {
     pub applied_index: u64,
@@ -158,7 +158,8 @@
                     }
                     Action::Send { to, bytes } => {
                         self.sent_bytes += bytes.len() as u64;
-                        let to: usize = to[1..].parse().expect("the receiver is named f and its index");
+                        let to: usize =
+                            to[1..].parse().expect("the receiver's name is `f` followed by its index");
                         if !self.are_partitioned(front, to) && self.rng.random::<f64>() >= self.loss {
                             let delay_ms = self.rng.random_range(1.0..12.0);
                             self.in_flight.push(InFlightDatagram { at_ms: self.now + delay_ms, to, bytes });
@@ -194,7 +195,7 @@
         let known = *self.chain_hashes.entry((*record_id, *applied_index)).or_insert(*chain_hash);
         assert_eq!(
             known, *chain_hash,
-            "front {front} has another chain hash than other fronts at index {applied_index}, \
+            "front {front} has a different chain hash from the other fronts at index {applied_index}, \
              record {record_id:x}"
         );
         for v in rules.versions() {
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Runs the simulation for that many milliseconds, in steps of 5 ms.
+    /// Runs the simulation for `ms` milliseconds, in steps of 5 ms.
     pub fn run_for(&mut self, ms: f64) {
         let end = self.now + ms;
         while self.now < end {
@@ -257,7 +258,7 @@
         (0..self.fronts.len()).find(|n| self.fronts[*n].record.as_ref().is_some_and(Record::is_leader))
     }
 
-    /// Whether that version is current on all running fronts and its text has arrived there.
+    /// Whether `version` is current on all running fronts and its text has arrived there.
     pub fn all_have_version(&self, version: u64) -> bool {
         let is_at = |r: &Record| {
             r.state().rules.current() == version && (version == 0 || r.version_text(version).is_some())
--- a/crates/record/tests/fleet.rs
+++ b/crates/record/tests/fleet.rs
@@ -42,9 +42,9 @@
     f.run_until(3_000.0, "all fronts had the first edit", |f| f.all_have_version(1));
     // The minority: voters 0 and 1, with the followers 6, 7 and 8.
     f.partition = [0, 1, 6, 7, 8].iter().map(|n| (*n, 1)).collect();
-    f.propose_edit(7, "minority", 1, "edit of the minority");
+    f.propose_edit(7, "minority", 1, "edit proposed in the minority");
     f.run_for(4_000.0);
-    f.propose_edit(9, "majority", 1, "edit of the majority");
+    f.propose_edit(9, "majority", 1, "edit proposed in the majority");
     f.run_for(4_000.0);
     assert_eq!(f.answer_at(7, "minority"), None);
     assert_eq!(f.answer_at(9, "majority"), Some(&Ok(2)));
@@ -57,10 +57,9 @@
         .current()
         == 1));
     f.partition.clear();
-    let healed_ms =
-        f.run_until(5_000.0, "all fronts had the edit of the majority", |f| f.all_have_version(2));
+    let healed_ms = f.run_until(5_000.0, "all fronts had the majority's edit", |f| f.all_have_version(2));
     assert!(healed_ms < 5_000.0);
-    f.run_until(5_000.0, "the edit of the minority was answered", |f| f.answer_at(7, "minority").is_some());
+    f.run_until(5_000.0, "the minority's edit was answered", |f| f.answer_at(7, "minority").is_some());
     assert_eq!(f.answer_at(7, "minority"), Some(&Err(Rejection::Conflict { current: 2 })));
 }
 
@@ -174,7 +173,10 @@
     let panic = std::panic::catch_unwind(|| run(true))
         .expect_err("voters 1 and 2 must commit entries that contradict the committed edit");
     let message = panic.downcast_ref::<String>().expect("the panic has a formatted message");
-    assert!(message.contains("has another chain hash than other fronts"), "unexpected panic: {message}");
+    assert!(
+        message.contains("has a different chain hash from the other fronts"),
+        "unexpected panic: {message}"
+    );
     assert!(!run(false), "on an untrusted disk there must be no leader until the third voter is back");
 }
 
--- a/crates/record/tests/model.rs
+++ b/crates/record/tests/model.rs
@@ -43,7 +43,8 @@
 enum ModelAction {
     Refresh(usize),
     Edit(usize),
-    /// Undo to that version; if `true`, the edits reverted with it are acknowledged, otherwise none is.
+    /// An undo to the version in the second field; if the third field is `true`, the author acknowledges the
+    /// edits reverted with it, otherwise none.
     Undo(usize, u64, bool),
     /// The command is sent again with the same key, as after a lost answer.
     Repeat(usize),
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -151,7 +151,7 @@
 
 /// Runs a disk operation and turns a panic into an error: the database may panic on damaged contents, which
 /// must not end the front.
-fn catching_panics<T>(work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
+fn catch_panics<T>(work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
     catch_unwind(AssertUnwindSafe(work))
         .unwrap_or_else(|_| Err(disk_error("the database panicked, as it may on damaged contents")))
 }
@@ -185,7 +185,7 @@
         backend: impl StorageBackend,
         new_disk_id: u64,
     ) -> Result<(Store, Option<Marks>), StoreError> {
-        catching_panics(move || {
+        catch_panics(move || {
             let mut db = redb::Builder::new()
                 .set_cache_size(CACHE_BYTES)
                 .create_with_backend(ordered::OrderedDisk(backend))
@@ -226,7 +226,7 @@
         let marks = Marks { commits: self.marks.commits + 1, ..self.marks };
         let marks_change = Change::put(&(), &marks)?;
         let db = &self.db;
-        let committed = catching_panics(|| {
+        let committed = catch_panics(|| {
             let mut write = db.begin_write().map_err(disk_error)?;
             write.set_durability(Durability::Immediate);
             {
@@ -258,7 +258,7 @@
     /// The disk fails, or the value is damaged or of a later version.
     pub fn get<L: Layer>(&self, key: &L::Key) -> Result<Option<L>, StoreError> {
         let key = encode_key::<L>(key)?;
-        catching_panics(|| {
+        catch_panics(|| {
             let read_only = self.db.begin_read().map_err(disk_error)?;
             let table = match read_only.open_table(LAYERS_TABLE) {
                 Ok(t) => t,
@@ -276,7 +276,7 @@
     /// The disk fails, or a value is of a later version.
     pub fn all<L: Layer>(&self) -> Result<LayerContents<L>, StoreError> {
         let prefix = layer_prefix::<L>();
-        catching_panics(|| {
+        catch_panics(|| {
             let read_only = self.db.begin_read().map_err(disk_error)?;
             let table = match read_only.open_table(LAYERS_TABLE) {
                 Ok(t) => t,
--- a/crates/store/tests/disks.rs
+++ b/crates/store/tests/disks.rs
@@ -18,7 +18,7 @@
 }
 
 /// Number of the last commit by [`commit_numbered`] in the store; panics if the store holds only part of
-/// one.
+/// a commit.
 fn last_commit_in(store: &Store) -> Result<u64, StoreError> {
     let at = store.get::<Position>(&())?.map_or(0, |p| p.offset);
     let LayerContents { entries: purges, damaged } = store.all::<Purge>()?;
--- a/crates/view/src/engine/duplicate_name.rs
+++ b/crates/view/src/engine/duplicate_name.rs
@@ -24,8 +24,9 @@
             return;
         }
         if !other.state.is_live() || other.addr == self.own.addr {
-            // The fact is about an earlier process that has ended: it departed, or its address is this
-            // process's now. Its clock may have been ahead, so this process takes a higher generation.
+            // The fact is about an earlier process that has ended: it departed, or its address now
+            // belongs to this process. The clock of the earlier process may have been ahead, so this process
+            // takes a higher generation.
             if other.rank() >= self.own.rank() {
                 self.own.generation = other.generation + 1;
             }
--- a/crates/view/src/fact.rs
+++ b/crates/view/src/fact.rs
@@ -181,7 +181,7 @@
 pub struct Member {
     /// The highest-ranked fact known about the front.
     pub fact: Fact,
-    /// The rank of that fact.
+    /// The rank of `fact`.
     pub rank: Rank,
     /// The time at which the front entered its current state, by the clock of this process, in milliseconds.
     pub since_ms: f64,
--- a/crates/view/src/failure_detector/tests.rs
+++ b/crates/view/src/failure_detector/tests.rs
@@ -42,7 +42,7 @@
     assert_eq!(
         verdict_on_subject(&detector, 9, now_ms),
         Some(Verdict { is_confirmed: false }),
-        "a voter has another silent subject"
+        "a watcher that suspects the member has another silent subject"
     );
 }
 
--- a/crates/view/src/settlement.rs
+++ b/crates/view/src/settlement.rs
@@ -76,7 +76,7 @@
         self.settled_ms
     }
 
-    /// Returns the time at which this front took up its current view, in milliseconds.
+    /// Returns the time at which this front adopted its current view, in milliseconds.
     pub fn view_since(&self) -> f64 {
         self.view_since_ms
     }
--- a/crates/view/src/wire.rs
+++ b/crates/view/src/wire.rs
@@ -42,9 +42,9 @@
     Suspicion {
         /// The front that is or was suspected.
         of: Id,
-        /// The process of that front.
+        /// The process of the front that is or was suspected.
         process_id: u64,
-        /// The incarnation of that front in the sender's view.
+        /// The incarnation of the suspected front in the sender's view.
         incarnation: u32,
         /// A number that the sender raises with each new suspicion item; a higher one supersedes a lower one.
         number: u32,
--- a/crates/view/tests/common/net.rs
+++ b/crates/view/tests/common/net.rs
@@ -214,8 +214,8 @@
     /// The sides of the last partition, and the time in milliseconds at which it healed. Reports about the
     /// other side may be in flight for a moment after that.
     healed: (BTreeMap<usize, u8>, f64),
-    /// The source, destination and bytes of every datagram sent since this was set to an empty list, for
-    /// replays.
+    /// The source, destination and bytes of every datagram sent since this field was set to an empty list,
+    /// for replays.
     pub recorded: Option<Vec<(SocketAddr, SocketAddr, Vec<u8>)>>,
 }
 
@@ -437,7 +437,7 @@
         let begun = self.now_ms;
         while self.now_ms - begun < max_ms {
             self.step();
-            // The condition is checked only every fifth step, because it takes longer than a step.
+            // The condition is checked only every fifth step, because checking it takes longer than a step.
             if (self.now_ms / STEP_MS) as u64 % 5 == 0 && holds(self) {
                 return Some(self.now_ms - begun);
             }
--- a/crates/view/tests/returning_fronts.rs
+++ b/crates/view/tests/returning_fronts.rs
@@ -58,7 +58,7 @@
     let mut alone = [start_front(0, 0, &[0, 1], &[], 0.0)];
     let ms = run_fronts(&mut alone, 0.0, 40_000.0);
     assert_eq!(alone[0].settled_since(ms), None);
-    // A front that is the only seed and remembers no other is the first of its fleet and waits for nobody.
+    // A front that is the only seed and remembers no other is the first of its fleet and waits for none.
     let mut first = [start_front(0, 0, &[0], &[], 0.0)];
     let ms = run_fronts(&mut first, 0.0, 5_000.0);
     assert!(first[0].settled_since(ms).is_some());
