--- a/crates/import/benches/import.rs
+++ b/crates/import/benches/import.rs
@@ -1,6 +1,6 @@
 //! Measures the time and the peak memory of importing generated files with 1,000, 10,000 and 50,000 members,
-//! and the time of parsing the resulting document. Each figure is also given per member, which should not
-//! grow with their number.
+//! and the time of parsing the resulting document. Each value is also given per member; the value per member
+//! should not grow with the number of members.
 
 use fernslip_import::{import_httpd, import_modjk, Imported, MemoryFiles, Options};
 use fernslip_site::Site;
--- a/crates/import/src/builder.rs
+++ b/crates/import/src/builder.rs
@@ -65,7 +65,7 @@
 
     /// Returns the id of the member with this endpoint and these limits, and adds the member if there is none
     /// yet. Balancers with the same endpoint and limits share the member.
-    pub fn shared_member(&mut self, endpoint: &Endpoint, limits: MemberLimits) -> String {
+    pub fn get_or_add_member(&mut self, endpoint: &Endpoint, limits: MemberLimits) -> String {
         let key = (endpoint.clone(), format!("{limits:?}"));
         if let Some(id) = self.members.get(&key) {
             return id.clone();
@@ -108,7 +108,8 @@
     /// Adds the sets of routes to the site. Sets that share a host are merged, because a site selects a set
     /// by host only.
     pub fn add_routes(&mut self, ledger: &mut Ledger, sets: Vec<RouteRules>) {
-        // A host that a set gains by merging may also be in a third set. The first set then keeps the host.
+        // Merging adds hosts to a set, so several merged sets may name the same host. The first of them keeps
+        // it.
         let mut assigned = HashSet::new();
         for set in merge_sets(ledger, sets) {
             let hosts: Vec<String> =
--- a/crates/import/src/coverage.rs
+++ b/crates/import/src/coverage.rs
@@ -14,7 +14,7 @@
     pub name: &'static str,
     /// The verdict, unless the value requires a more severe one.
     pub verdict: Verdict,
-    /// What it becomes in the site document, or why it is omitted.
+    /// What the directive or parameter becomes in the site document, or why it is omitted.
     pub outcome: &'static str,
 }
 
@@ -36,10 +36,11 @@
 const NO_STICKY_SESSIONS: &str =
     "sticky sessions are not supported: the object of a request determines its member";
 const NO_HEALTH_CHECKS: &str = "fronts send no health checks: they judge a member's health by its answers";
-const WEB_SERVER_SOCKETS: &str = "a buffer or socket setting that only the web server has";
+const WEB_SERVER_ONLY_SETTING: &str = "a buffer or socket setting that only the web server has";
 const NO_FORWARD_PROXY: &str = "a setting of a forward proxy, which fernslip is not";
-const WEB_SERVER_LOGS: &str = "a setting of the web server's logs or shared memory";
-const EMBEDDED_JVM: &str = "configures a JVM inside the web server, which a site document cannot describe";
+const WEB_SERVER_LOG_SETTING: &str = "a setting of the web server's logs or shared memory";
+const EMBEDDED_JVM_SETTING: &str =
+    "configures a JVM inside the web server, which a site document cannot describe";
 
 /// Directives of httpd. A directive that is in no table is omitted for the reason [`NOT_ROUTING`].
 pub const HTTPD_DIRECTIVES: &[Row] = &[
@@ -95,9 +96,9 @@
     omitted("ProxyVia", "no headers are forwarded to members"),
     omitted("ProxyStatus", "a setting of the web server's status page"),
     omitted("ProxyBadHeader", "a setting of HTTP to members, which the front does not support yet"),
-    omitted("ProxyIOBufferSize", WEB_SERVER_SOCKETS),
-    omitted("ProxyReceiveBufferSize", WEB_SERVER_SOCKETS),
-    omitted("ProxySourceAddress", WEB_SERVER_SOCKETS),
+    omitted("ProxyIOBufferSize", WEB_SERVER_ONLY_SETTING),
+    omitted("ProxyReceiveBufferSize", WEB_SERVER_ONLY_SETTING),
+    omitted("ProxySourceAddress", WEB_SERVER_ONLY_SETTING),
     omitted("ProxyMaxForwards", NO_FORWARD_PROXY),
     omitted("ProxyBlock", NO_FORWARD_PROXY),
     omitted("NoProxy", NO_FORWARD_PROXY),
@@ -145,13 +146,13 @@
     omitted("ping", NO_HEALTH_CHECKS),
     omitted("disablereuse", "connections are always kept open and shared among requests"),
     omitted("enablereuse", "connections are always kept open and shared among requests"),
-    omitted("keepalive", WEB_SERVER_SOCKETS),
-    omitted("flushpackets", WEB_SERVER_SOCKETS),
-    omitted("flushwait", WEB_SERVER_SOCKETS),
-    omitted("flusher", WEB_SERVER_SOCKETS),
-    omitted("iobuffersize", WEB_SERVER_SOCKETS),
-    omitted("receivebuffersize", WEB_SERVER_SOCKETS),
-    omitted("responsefieldsize", WEB_SERVER_SOCKETS),
+    omitted("keepalive", WEB_SERVER_ONLY_SETTING),
+    omitted("flushpackets", WEB_SERVER_ONLY_SETTING),
+    omitted("flushwait", WEB_SERVER_ONLY_SETTING),
+    omitted("flusher", WEB_SERVER_ONLY_SETTING),
+    omitted("iobuffersize", WEB_SERVER_ONLY_SETTING),
+    omitted("receivebuffersize", WEB_SERVER_ONLY_SETTING),
+    omitted("responsefieldsize", WEB_SERVER_ONLY_SETTING),
     omitted("addressttl", "host names are resolved only once"),
     omitted("secret", "secrets are not copied, and AJP is not supported"),
     omitted("upgrade", "connections to members are not upgraded to other protocols"),
@@ -169,7 +170,8 @@
 pub const BALANCER_PARAMS: &[Row] = &[
     approximated(
         "lbmethod",
-        "byrequests only: a member's weight sets its share of the objects; requests are not sent in rotation",
+        "only the value `byrequests`: a member's weight sets its share of the objects; requests are \
+         not sent in rotation",
     ),
     mapped("maxattempts", "`retry attempts`, which includes the first attempt"),
     mapped("failonstatus", "`recovery fail-on`"),
@@ -212,7 +214,8 @@
     mapped("stopped", "the old form of activation"),
     approximated(
         "method",
-        "Request only: a member's weight sets its share of the objects; requests are not sent in rotation",
+        "only the value `Request`: a member's weight sets its share of the objects; requests are \
+         not sent in rotation",
     ),
     omitted("lock", "fernslip shares no counters among processes"),
     approximated(
@@ -235,7 +238,7 @@
         "reply_timeout",
         "`limits answer-ms`: limits the whole answer, not the time between two packets",
     ),
-    approximated("retries", "`retry attempts`: at any members, not only at the same one"),
+    approximated("retries", "`retry attempts`: at any member, not only at the same one"),
     approximated("recover_time", "`recovery first-ms`; it grows with each failed attempt"),
     approximated("max_reply_timeouts", "`recovery failures`: counts consecutive failures of any kind"),
     mapped("fail_on_status", "`recovery fail-on`; status codes with a minus sign are dropped"),
@@ -262,23 +265,23 @@
     omitted("connection_ping_interval", NO_HEALTH_CHECKS),
     omitted("connection_pool_minsize", "connections are opened on demand"),
     omitted("recycle_timeout", "connections are opened on demand"),
-    omitted("socket_keepalive", WEB_SERVER_SOCKETS),
-    omitted("socket_buffer", WEB_SERVER_SOCKETS),
+    omitted("socket_keepalive", WEB_SERVER_ONLY_SETTING),
+    omitted("socket_buffer", WEB_SERVER_ONLY_SETTING),
     omitted("max_packet_size", "a setting of AJP, which the front does not support yet"),
-    omitted("source", WEB_SERVER_SOCKETS),
+    omitted("source", WEB_SERVER_ONLY_SETTING),
     omitted("prefer_ipv6", "addresses are used exactly as they are written"),
     omitted("secret", "secrets are not copied, and AJP is not supported"),
     omitted("secretkey", "secrets are not copied, and AJP is not supported"),
-    omitted("class_path", EMBEDDED_JVM),
-    omitted("cmd_line", EMBEDDED_JVM),
-    omitted("jvm_lib", EMBEDDED_JVM),
-    omitted("native_lib", EMBEDDED_JVM),
-    omitted("bridge", EMBEDDED_JVM),
-    omitted("mx", EMBEDDED_JVM),
-    omitted("ms", EMBEDDED_JVM),
-    omitted("sysprops", EMBEDDED_JVM),
-    omitted("stdout", EMBEDDED_JVM),
-    omitted("stderr", EMBEDDED_JVM),
+    omitted("class_path", EMBEDDED_JVM_SETTING),
+    omitted("cmd_line", EMBEDDED_JVM_SETTING),
+    omitted("jvm_lib", EMBEDDED_JVM_SETTING),
+    omitted("native_lib", EMBEDDED_JVM_SETTING),
+    omitted("bridge", EMBEDDED_JVM_SETTING),
+    omitted("mx", EMBEDDED_JVM_SETTING),
+    omitted("ms", EMBEDDED_JVM_SETTING),
+    omitted("sysprops", EMBEDDED_JVM_SETTING),
+    omitted("stdout", EMBEDDED_JVM_SETTING),
+    omitted("stderr", EMBEDDED_JVM_SETTING),
     omitted("css", "a setting of a status worker, which is not imported"),
     omitted("read_only", "a setting of a status worker, which is not imported"),
     omitted("user", "a setting of a status worker, which is not imported"),
@@ -295,9 +298,9 @@
 pub const JK_GLOBAL_PROPERTIES: &[Row] = &[
     mapped("worker.list", "the workers that paths can be mounted onto"),
     omitted("worker.maintain", "failed members are tried again at the times that `recovery` sets"),
-    omitted("workers.tomcat_home", EMBEDDED_JVM),
-    omitted("workers.java_home", EMBEDDED_JVM),
-    omitted("ps", EMBEDDED_JVM),
+    omitted("workers.tomcat_home", EMBEDDED_JVM_SETTING),
+    omitted("workers.java_home", EMBEDDED_JVM_SETTING),
+    omitted("ps", EMBEDDED_JVM_SETTING),
 ];
 
 /// Attributes of a mount, written as `;NAME=VALUE`.
@@ -350,12 +353,12 @@
     omitted("JkLocalNameIndicator", "details of the client and its connection are not forwarded to members"),
     omitted("JkLocalPortIndicator", "details of the client and its connection are not forwarded to members"),
     omitted("JkIgnoreCLIndicator", "details of the client and its connection are not forwarded to members"),
-    omitted("JkLogFile", WEB_SERVER_LOGS),
-    omitted("JkLogLevel", WEB_SERVER_LOGS),
-    omitted("JkLogStampFormat", WEB_SERVER_LOGS),
-    omitted("JkRequestLogFormat", WEB_SERVER_LOGS),
-    omitted("JkShmFile", WEB_SERVER_LOGS),
-    omitted("JkShmSize", WEB_SERVER_LOGS),
+    omitted("JkLogFile", WEB_SERVER_LOG_SETTING),
+    omitted("JkLogLevel", WEB_SERVER_LOG_SETTING),
+    omitted("JkLogStampFormat", WEB_SERVER_LOG_SETTING),
+    omitted("JkRequestLogFormat", WEB_SERVER_LOG_SETTING),
+    omitted("JkShmFile", WEB_SERVER_LOG_SETTING),
+    omitted("JkShmSize", WEB_SERVER_LOG_SETTING),
     omitted("JkWatchdogInterval", "failed members are tried again at the times that `recovery` sets"),
 ];
 
@@ -364,7 +367,7 @@
     table.iter().find(|row| row.name.eq_ignore_ascii_case(name))
 }
 
-/// The outcome from the row for a name, or that the importer does not support the name.
+/// The outcome in the row for a name, or a text that says the importer does not support the name.
 pub fn outcome_of(table: &'static [Row], name: &str) -> &'static str {
     find_row(table, name).map_or("not supported by the importer", |row| row.outcome)
 }
--- a/crates/import/src/error.rs
+++ b/crates/import/src/error.rs
@@ -68,7 +68,7 @@
     Section {
         /// The position of the tag.
         location: Location,
-        /// The sections that do not match.
+        /// A description of the sections that do not match.
         message: String,
     },
 }
--- a/crates/import/src/httpd/balancer.rs
+++ b/crates/import/src/httpd/balancer.rs
@@ -76,7 +76,7 @@
         let Ok(endpoint) = endpoint_of(ledger, &worker, param_reason) else { return };
         let Worker { url, items, params } = worker;
         let settings = read_settings(ledger, params, timeout_ms, &url);
-        let id = builder.shared_member(&endpoint, settings.limits.clone());
+        let id = builder.get_or_add_member(&endpoint, settings.limits.clone());
         let target = format!("{} use \"{id}\"", self.target);
         for item in &items {
             ledger.report_mapped(*item, target.clone());
--- a/crates/import/src/httpd/member.rs
+++ b/crates/import/src/httpd/member.rs
@@ -208,7 +208,7 @@
     }
 
     /// The strictest state among those of the flags. An unknown flag gives `Stopped`: httpd would not start
-    /// with it, and the member must not receive requests, whatever was meant.
+    /// with it, and the member must not receive requests, whatever the flag was meant to say.
     fn state(&self) -> Option<State> {
         if !self.unknown.is_empty() {
             return Some(State::Stopped);
@@ -223,7 +223,7 @@
         states.reduce(State::stricter)
     }
 
-    /// The reason why the state does not express all flags; `None` if it does.
+    /// The reason why the state does not express all flags; `None` if the state expresses all of them.
     fn difference(&self) -> Option<String> {
         if !self.unknown.is_empty() {
             let unknown = &self.unknown;
@@ -238,8 +238,7 @@
     }
 }
 
-/// Sets the durations that members set in httpd but pools set in a site document. The lowest value takes
-/// effect.
+/// Sets the pool's durations, which httpd defines for each member. The lowest value takes effect.
 pub(super) fn set_pool_times(
     ledger: &mut Ledger,
     pool: &mut Pool,
--- a/crates/import/src/httpd/model.rs
+++ b/crates/import/src/httpd/model.rs
@@ -45,14 +45,14 @@
 
 /// The effect of a section on the directives inside it.
 pub(super) enum Scope {
-    /// They belong to a virtual host; `outer` is the index of the server that becomes current again when it
-    /// closes.
+    /// The directives inside belong to a virtual host; `outer` is the index of the server that becomes
+    /// current again when the section closes.
     VirtualHost { outer: usize },
-    /// Their path is `path`, a regular expression if `regex` is set.
+    /// The routes inside have the path `path`, which is a regular expression if `regex` is set.
     Location { path: String, regex: bool },
-    /// They belong to the balancer or worker with this URL.
+    /// The directives inside belong to the balancer or worker with this URL.
     Proxy { url: String },
-    /// The section has no effect on them.
+    /// The section has no effect on the directives inside.
     Other,
 }
 
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Worker {
     pub url: String,
-    /// The directives that add it or set its parameters.
+    /// The directives that add the worker or set its parameters.
     pub items: Vec<Item>,
     pub params: Params,
 }
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Balancer {
     pub name: String,
-    /// The opening tags of its `<Proxy>` sections.
+    /// The opening tags of the balancer's `<Proxy>` sections.
     pub items: Vec<Item>,
     pub params: Params,
     pub members: Vec<Worker>,
@@ -102,7 +102,7 @@
     Balancer(String),
     /// The worker with this URL.
     Worker(String),
-    /// None: the path is excluded from proxying.
+    /// No target: the path is excluded from proxying.
     Excluded,
 }
 
--- a/crates/import/src/httpd/pools.rs
+++ b/crates/import/src/httpd/pools.rs
@@ -10,9 +10,10 @@
 /// The pool names that rules can refer to, keyed by the index of the server.
 #[derive(Default)]
 pub(crate) struct PoolNames {
-    /// The pools of balancers, keyed also by the balancer's name.
+    /// The names of the pools of balancers, keyed by server index and balancer name.
     balancers: HashMap<(usize, String), String>,
-    /// The pools of workers, keyed also by the worker's URL, or the reason why a worker has no pool.
+    /// The names of the pools of workers, or the reason why a worker has no pool, keyed by server index and
+    /// URL.
     workers: HashMap<(usize, String), Result<String, String>>,
 }
 
@@ -95,7 +96,7 @@
 ) -> Result<String, String> {
     let endpoint = endpoint_of(ledger, &worker, str::to_string)?;
     let settings = read_settings(ledger, worker.params, timeout_ms, &worker.url);
-    let id = builder.shared_member(&endpoint, settings.limits.clone());
+    let id = builder.get_or_add_member(&endpoint, settings.limits.clone());
     let mut pool = builder.new_pool(&id);
     let target = format!("pool \"{}\"", pool.name);
     for item in &worker.items {
--- a/crates/import/src/httpd/sections.rs
+++ b/crates/import/src/httpd/sections.rs
@@ -7,7 +7,7 @@
 use crate::error::ImportError;
 use crate::location::Location;
 
-/// The scope of a section that was just opened, and the reason if its directives are skipped.
+/// The scope of a section that was just opened, and the reason why its directives are skipped, if they are.
 struct OpenedSection {
     scope: Scope,
     skip_reason: Option<String>,
@@ -60,8 +60,8 @@
             });
         }
         let OpenedSection { scope, skip_reason } = match skip {
-            true => self.open_skipped(&directive),
-            false => self.open_effective(&directive),
+            true => self.open_skipped_section(&directive),
+            false => self.open_effective_section(&directive),
         };
         self.sections.push(Section {
             name: directive.name,
@@ -72,13 +72,13 @@
         Ok(())
     }
 
-    fn open_skipped(&mut self, directive: &Directive) -> OpenedSection {
+    fn open_skipped_section(&mut self, directive: &Directive) -> OpenedSection {
         let reason = self.skip_reason().unwrap_or("inside a section that is not included").to_string();
         self.ledger.report_omitted(directive.item, reason.clone());
         OpenedSection::skipped(reason)
     }
 
-    fn open_effective(&mut self, directive: &Directive) -> OpenedSection {
+    fn open_effective_section(&mut self, directive: &Directive) -> OpenedSection {
         match directive.name.to_ascii_lowercase().as_str() {
             "virtualhost" => self.open_virtual_host(directive),
             "location" | "locationmatch" => self.open_location(directive),
--- a/crates/import/src/import.rs
+++ b/crates/import/src/import.rs
@@ -107,8 +107,8 @@
             let route = modjk.build_route(&mut ledger, &mut builder, mount);
             rules.longest_match.extend(route.map(|route| SourcedRoute { route, item: mount.item }));
         }
-        // Mounts of the main server apply to a virtual host only if they are copied to it, as above. So only
-        // `ProxyPass` rules are inherited.
+        // Only `ProxyPass` rules are inherited: mounts of the main server apply to a virtual host only if
+        // `JkMountCopy` copies them.
         rules.inherit = server.inherits_routes.unwrap_or(true) && !rules.first_match.is_empty();
         rule_sets.push(rules);
     }
--- a/crates/import/src/ledger.rs
+++ b/crates/import/src/ledger.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Item(usize);
 
-/// A directive or parameter at one position in the input; without an outcome until a verdict is set.
+/// A directive or parameter at one position in the input. It has no outcome until a verdict is set.
 struct Record {
     location: Location,
     directive: String,
--- a/crates/import/src/modjk/members.rs
+++ b/crates/import/src/modjk/members.rs
@@ -29,8 +29,8 @@
 ];
 
 impl ModJk {
-    /// Returns the id of a worker's member, which is added to the site if it is new, or the reason why it has
-    /// none.
+    /// Returns the id of a worker's member, which is added to the site if it is new, or the reason why the
+    /// worker has no member.
     pub(super) fn worker_member(
         &mut self,
         ledger: &mut Ledger,
--- a/crates/import/src/modjk/pools.rs
+++ b/crates/import/src/modjk/pools.rs
@@ -18,8 +18,8 @@
 }
 
 impl ModJk {
-    /// Returns the name of a worker's pool, which is added to the site if it is new, or the reason why it has
-    /// none.
+    /// Returns the name of a worker's pool, which is added to the site if it is new, or the reason why the
+    /// worker has no pool.
     pub(super) fn worker_pool(
         &mut self,
         ledger: &mut Ledger,
@@ -128,7 +128,7 @@
     values.flat_map(split_list).filter(|name| seen.insert(name.clone())).collect()
 }
 
-/// Sets a limit to the lower of its current value and `value`, if they are set.
+/// Sets a limit to the lower of its current value and `value`; where only one of them is set, to that one.
 fn lower_to(limit: &mut Option<u64>, value: Option<u64>) {
     *limit = match (*limit, value) {
         (Some(a), Some(b)) => Some(a.min(b)),
@@ -136,7 +136,7 @@
     };
 }
 
-/// Sets the values that a balancer or its members set in mod_jk but pools set in a site document. The lowest
+/// Sets the pool's values for those properties that mod_jk defines for a balancer or its members. The lowest
 /// value takes effect.
 fn set_pool_properties(ledger: &mut Ledger, worker: &Worker, pool: &mut Pool, is_balancer: bool) {
     let number = |name: &str| {
@@ -195,7 +195,7 @@
                 name: "retries",
                 target: "retry attempts",
                 value: pool.retry.attempts,
-                difference: "attempts go to any members, not only to the same one",
+                difference: "attempts go to any member, not only to the same one",
             },
             PoolProperty {
                 name: "max_reply_timeouts",
--- a/crates/import/src/modjk/routes.rs
+++ b/crates/import/src/modjk/routes.rs
@@ -17,7 +17,7 @@
 const POOL_ATTRIBUTES: [&str; 5] = ["active", "disabled", "stopped", "reply_timeout", "fail_on_status"];
 
 impl ModJk {
-    /// Builds the route of a mount; `None` if it is omitted, which is then reported.
+    /// Builds the route of a mount. If the mount is omitted, reports the omission and returns `None`.
     pub fn build_route(
         &mut self,
         ledger: &mut Ledger,
--- a/crates/import/src/report.rs
+++ b/crates/import/src/report.rs
@@ -10,11 +10,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// The site document expresses it completely.
+    /// The site document expresses the directive or parameter completely.
     Mapped,
     /// The site document expresses something similar; the entry's reason gives the difference.
     Approximated,
-    /// The site document does not express it; the entry's reason says why.
+    /// The site document does not express the directive or parameter; the entry's reason says why.
     #[serde(rename = "left_out")]
     Omitted,
 }
@@ -45,11 +45,11 @@
     /// The directive, or the directive and its parameter. Values are left out because some of them are
     /// secrets.
     pub directive: String,
-    /// How completely it was imported.
+    /// How completely the directive or parameter was imported.
     pub verdict: Verdict,
-    /// What it became in the site document; empty if it was omitted.
+    /// What the directive or parameter became in the site document; empty if it was omitted.
     pub target: String,
-    /// Why it was approximated or omitted; empty if it was mapped.
+    /// Why the directive or parameter was approximated or omitted; empty if it was mapped.
     #[serde(rename = "why")]
     pub reason: String,
 }
--- a/crates/import/src/text.rs
+++ b/crates/import/src/text.rs
@@ -1,4 +1,4 @@
-//! Splits files into lines and tokens, and keeps the position of each in the file.
+//! Splits files into lines and tokens, and records the position of each in the file.
 
 use crate::error::ImportError;
 use crate::location::Location;
@@ -22,9 +22,9 @@
 /// The position of one line of the file within a logical line.
 #[derive(Clone, Debug)]
 struct PhysicalLine {
-    /// The byte offset in the logical line's text at which it begins.
+    /// The byte offset in the logical line's text at which this line of the file begins.
     start: usize,
-    /// Its line number in the file, starting at 1.
+    /// The line number in the file, starting at 1.
     number: usize,
     /// The number of bytes of leading whitespace that were removed.
     trimmed: usize,
@@ -102,7 +102,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Token {
     pub text: String,
-    /// The byte offset in the line at which it begins.
+    /// The byte offset in the line at which the token begins.
     pub offset: usize,
 }
 
@@ -145,11 +145,11 @@
 
 /// A part of an expanded text: either copied from the source, or the value of one variable.
 struct Segment {
-    /// The byte offset in the expanded text at which it begins.
+    /// The byte offset in the expanded text at which the segment begins.
     start: usize,
     /// The byte offset in the source text at which the copied text or the variable begins.
     source: usize,
-    /// Whether it is copied from the source text; otherwise it is the value of a variable.
+    /// Whether the segment is copied from the source text; otherwise it is the value of a variable.
     is_literal: bool,
 }
 
--- a/crates/pool/src/health.rs
+++ b/crates/pool/src/health.rs
@@ -20,11 +20,11 @@
 /// What the recovery of an ejected member tells about its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Recovery {
-    /// Neither the ejecting failure nor a probe was a refused connection, so the process is taken to have run
-    /// throughout.
+    /// Neither the ejecting failure nor a probe ended in a refused connection, so the process is assumed to
+    /// have run throughout.
     SameProcess,
-    /// The ejecting failure or a probe was a refused connection, so the process that answers now has just
-    /// started.
+    /// The ejecting failure or a probe ended in a refused connection, so the process that answers now has
+    /// just started.
     JustStarted,
 }
 
@@ -42,8 +42,8 @@
         until_ms: f64,
         /// The backoff before this probe, without jitter.
         backoff_ms: f64,
-        /// Whether the failure that ejected the member, or a probe since, was a refused connection: a process
-        /// that answers later has then just started.
+        /// Whether the failure that ejected the member, or a later probe, ended in a refused connection; a
+        /// process that answers afterwards has then just started.
         connection_refused: bool,
     },
     /// One request at a time may probe the member.
@@ -52,7 +52,7 @@
         probe: Option<u64>,
         /// The backoff before the current probe, without jitter.
         backoff_ms: f64,
-        /// Whether the failure that ejected the member, or a probe since, was a refused connection.
+        /// Whether the failure that ejected the member, or a later probe, ended in a refused connection.
         connection_refused: bool,
     },
 }
--- a/crates/pool/src/message.rs
+++ b/crates/pool/src/message.rs
@@ -138,7 +138,7 @@
     pub admitted: u64,
     /// Requests that were put into the queue.
     pub waited: u64,
-    /// Requests rejected because the queue was full or they might not wait.
+    /// Requests rejected because the queue was full or because they were not allowed to wait.
     pub queue_full: u64,
     /// Requests rejected because they reached their deadline in the queue.
     pub timed_out: u64,
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -36,7 +36,7 @@
     attempts: u64,
 }
 
-/// The number of requests that a pool has at a moment.
+/// The numbers of admitted and of queued requests in a pool at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Occupancy {
     /// Requests admitted and not finished.
@@ -75,7 +75,7 @@
     /// The number of admitted requests whose first attempt has not been sent; each will take capacity.
     admitted_unsent: u64,
     counts: PoolCounts,
-    /// Whether an event was handled: members added after the first event join a pool that is in service.
+    /// Whether the pool has handled an event; members added after its first event join a pool in service.
     in_service: bool,
     /// Whether the endpoints may differ from the published ones.
     endpoints_changed: bool,
--- a/crates/pool/src/route.rs
+++ b/crates/pool/src/route.rs
@@ -197,7 +197,8 @@
 }
 
 impl RuleTarget {
-    /// `None` if the rule excludes requests from a pool that the site does not have, and so has no effect.
+    /// Returns the target of a rule, or `None` if the rule excludes requests from a pool that the site does
+    /// not have and therefore has no effect.
     fn from_route(rule: &Route, pools: &HashMap<&str, usize>) -> Option<RuleTarget> {
         let index = |name: &String| pools.get(name.as_str()).copied();
         match &rule.target {
--- a/crates/pool/src/select.rs
+++ b/crates/pool/src/select.rs
@@ -19,7 +19,7 @@
 
 /// Returns for each member, in the order of `members`, whether it may be picked.
 ///
-/// 1. The lowest tier that has a member to serve by rules 2 and 3 serves. A member is usable if it is in
+/// 1. The lowest tier in which rule 2 or 3 gives a member serves. A member is usable if it is in
 ///    service (ready, spare or standby), listed as up and healthy.
 /// 2. In a tier the usable ready members serve, and for each unusable ready member one usable spare, in the
 ///    order of the spares.
@@ -83,8 +83,8 @@
         None
     }
 
-    /// The members that serve if this tier does: the usable ready ones with a spare for each unusable one, or
-    /// else the usable standbys.
+    /// The members of a tier that may serve by rules 2 and 3 of [`select_endpoints`]: the usable ready ones
+    /// with a spare for each unusable one, or else the usable standbys.
     fn serving_members_of_tier(&self, tier_members: &[usize]) -> Vec<usize> {
         let in_state = |state| tier_members.iter().copied().filter(move |i| self.members[*i].state == state);
         let unusable_ready = in_state(State::Ready).filter(|i| !self.is_usable(*i)).count();
--- a/crates/pool/tests/invariants.rs
+++ b/crates/pool/tests/invariants.rs
@@ -181,7 +181,7 @@
                 assert_eq!(
                     self.listed_states[&p.id],
                     ListedState::Up,
-                    "member {} is serving, so the endpoint list must have it as up",
+                    "member {} is serving, so the endpoint list must list it as up",
                     p.id
                 );
             }
--- a/crates/rig/src/addresses.rs
+++ b/crates/rig/src/addresses.rs
@@ -8,9 +8,9 @@
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 
-/// Number of addresses in a block: the values of the last byte of an address, without those at both ends.
+/// Number of addresses in a block; their last bytes are 1 to 250.
 const ADDRESSES_PER_BLOCK: usize = 250;
-/// Number of blocks: one for each value of the third byte of an address except the last.
+/// Number of blocks: one for each value from 0 to 254 of the third byte of an address.
 const BLOCK_COUNT: usize = 255;
 
 /// Loopback addresses that are reserved for one run until this value is dropped.
@@ -50,17 +50,17 @@
     }
 
     /// The address at which front `endpoint` listens for gossip.
-    pub fn gossip_listen(&self, endpoint: usize) -> SocketAddr {
+    pub fn gossip_listen_address(&self, endpoint: usize) -> SocketAddr {
         self.address_in_network(10, endpoint, 7100)
     }
 
     /// The gossip address that front `endpoint` advertises to other fronts; the rig binds it.
-    pub fn gossip_advertised(&self, endpoint: usize) -> SocketAddr {
+    pub fn advertised_gossip_address(&self, endpoint: usize) -> SocketAddr {
         self.address_in_network(20, endpoint, 7100)
     }
 
     /// The address at which front `endpoint` listens for clients.
-    pub fn client_listen(&self, endpoint: usize) -> SocketAddr {
+    pub fn client_listen_address(&self, endpoint: usize) -> SocketAddr {
         self.address_in_network(10, endpoint, 4100)
     }
 
--- a/crates/rig/src/addresses/tests.rs
+++ b/crates/rig/src/addresses/tests.rs
@@ -3,16 +3,16 @@
 #[test]
 fn concurrent_runs_reserve_disjoint_addresses() {
     let (a, b) = (
-        LoopbackAddresses::reserve(300).expect("two free blocks"),
-        LoopbackAddresses::reserve(1).expect("a free block"),
+        LoopbackAddresses::reserve(300).expect("two free blocks of addresses"),
+        LoopbackAddresses::reserve(1).expect("a free block of addresses"),
     );
     let all = |addresses: &LoopbackAddresses, n| {
         (0..n)
             .flat_map(|i| {
                 [
-                    addresses.gossip_listen(i),
-                    addresses.gossip_advertised(i),
-                    addresses.client_listen(i),
+                    addresses.gossip_listen_address(i),
+                    addresses.advertised_gossip_address(i),
+                    addresses.client_listen_address(i),
                     addresses.cache_node(i, 3),
                 ]
             })
--- a/crates/rig/src/args.rs
+++ b/crates/rig/src/args.rs
@@ -17,13 +17,13 @@
 pub enum Command {
     /// Runs one scenario; exit code 3 if a check failed.
     Run(RunArgs),
-    /// Runs several scenarios with several seeds, with one row of figures for each; exit code 3 if a check
+    /// Runs several scenarios with several seeds, with one row of results for each; exit code 3 if a check
     /// failed.
     Suite(SuiteArgs),
     /// Runs this build together with an earlier revision: mixed, rolled forward and rolled back; exit code 3
     /// if a check failed.
     Pairs(PairsArgs),
-    /// Runs real fronts with the platform's configuration under overlapping faults, once for each seed; exit
+    /// Runs real fronts with the example configuration under overlapping faults, once for each seed; exit
     /// code 3 if a rule was broken.
     Soak(SoakArgs),
     /// Lists the names of the bundled scenarios.
--- a/crates/rig/src/cache_nodes.rs
+++ b/crates/rig/src/cache_nodes.rs
@@ -24,7 +24,8 @@
 /// The request class of writes, which must not be executed more than once.
 pub const WRITE_CLASS: &str = "change";
 
-/// The violations of the request rules that the cache nodes observed.
+/// The violations that the cache nodes detected: simultaneous attempts of one request, and repeated
+/// executions of a write.
 #[derive(Clone, Debug, Default)]
 pub struct Violations {
     /// The number of violations.
--- a/crates/rig/src/client_protocol.rs
+++ b/crates/rig/src/client_protocol.rs
@@ -50,8 +50,8 @@
     encode_value(&Value::Array(vec![2.into(), "forget".into(), Value::Array(vec![number.into()])]))
 }
 
-/// Queries whether a front is ready (`isWell`). A connection that ends without an answer means that it is
-/// not.
+/// Queries whether a front is ready (`isWell`). A connection that ends without an answer means that the front
+/// is not ready.
 ///
 /// # Errors
 /// The connection can't be made, or it fails.
--- a/crates/rig/src/fronts.rs
+++ b/crates/rig/src/fronts.rs
@@ -142,7 +142,7 @@
 
     /// Returns the address at which clients reach a front.
     pub fn client_address(&self, index: usize) -> std::net::SocketAddr {
-        self.addresses.client_listen(self.all[index].endpoint)
+        self.addresses.client_listen_address(self.all[index].endpoint)
     }
 
     /// Returns the path of the file with the gossip keys of the fleet.
@@ -321,9 +321,9 @@
         timeout(QUERY_TIMEOUT, answer).await.ok()?
     }
 
-    /// Takes the reports since the last call and returns the false ones: the reported front ran, had not been
-    /// stopped for long, and was reachable for the reporter. `is_cut(reporter, subject)` returns, for two
-    /// endpoints, whether a link between them is cut now or was cut within the last seconds.
+    /// Takes the reports since the last call and returns the false ones: the reported front was running, had
+    /// not been stopped for long, and was reachable from the reporter. `is_cut(reporter, subject)` returns,
+    /// for two endpoints, whether a link between them is cut now or was cut within the last few seconds.
     pub fn take_false_positives(&self, is_cut: impl Fn(usize, usize) -> bool) -> Vec<FailureReport> {
         let reports = std::mem::take(&mut *lock(&self.failure_reports));
         let is_false = |report: &FailureReport| {
--- a/crates/rig/src/fronts/site_document.rs
+++ b/crates/rig/src/fronts/site_document.rs
@@ -9,7 +9,7 @@
     pub(super) fn site_document(&self, name: &str, endpoint: usize, with_store: bool) -> String {
         let mut text = format!(
             "site \"rig\" members-from=\"file\"\nfront {name:?} listen=\"{}\" zone=\"z{}\"\n",
-            self.addresses.client_listen(endpoint),
+            self.addresses.client_listen_address(endpoint),
             endpoint % 3
         );
         for zone in 0..3 {
@@ -37,15 +37,15 @@
     fn view_document(&self, name: &str, endpoint: usize, with_store: bool) -> String {
         let key_file = self.key_file.display().to_string();
         let control = self.control_socket(endpoint).display().to_string();
-        let listen = self.addresses.gossip_listen(endpoint);
-        let advertised = self.addresses.gossip_advertised(endpoint);
+        let listen = self.addresses.gossip_listen_address(endpoint);
+        let advertised = self.addresses.advertised_gossip_address(endpoint);
         let store = self.dir.join(format!("{name}.store")).display().to_string();
         let store = if with_store { format!(" store={store:?}") } else { String::new() };
         format!(
             "view listen=\"{listen}\" advertise=\"{advertised}\" key-file={key_file:?} control={control:?}{store} {{\n    \
              seed \"{}\" \"{}\"\n}}\n",
-            self.addresses.gossip_advertised(0),
-            self.addresses.gossip_advertised(1)
+            self.addresses.advertised_gossip_address(0),
+            self.addresses.advertised_gossip_address(1)
         )
     }
 }
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -6,9 +6,9 @@
 //! - [`load`]: open-loop clients; [`client_protocol`]: the calls that they send.
 //! - [`fronts`]: starts, stops, kills and queries the front processes; [`programs`]: the builds they run.
 //! - [`run`]: runs one scenario with one seed; [`suite`]: runs several and summarizes each in a row of
-//!   figures; [`pairs`]: runs two builds in one fleet.
+//!   results; [`pairs`]: runs two builds in one fleet.
 //! - [`shim`]: machine faults injected into one process: failing system calls and a stepped wall clock.
-//! - [`soak`]: runs fronts with the platform's configuration under overlapping faults and checks the rules.
+//! - [`soak`]: runs fronts with the example configuration under overlapping faults and checks the rules.
 //! - [`chart`]: draws the member count of each front over time as an SVG file.
 //! - [`addresses`]: reserves the loopback addresses of a run.
 
--- a/crates/rig/src/links.rs
+++ b/crates/rig/src/links.rs
@@ -62,9 +62,9 @@
             || self.one_way.contains(&(from, to))
     }
 
-    /// Draws the delay of each copy of a datagram that is to be delivered. The result is empty if the
-    /// datagram is lost.
-    fn draw_deliveries(&self, from: usize, to: usize, rng: &mut ChaCha8Rng) -> Vec<Duration> {
+    /// Chooses at random the delay of each copy of a datagram that is to be delivered. The result is empty if
+    /// the datagram is lost.
+    fn choose_delivery_delays(&self, from: usize, to: usize, rng: &mut ChaCha8Rng) -> Vec<Duration> {
         if self.is_cut(from, to) {
             return Vec::new();
         }
@@ -132,9 +132,9 @@
     /// The advertised address can't be bound.
     pub async fn add_endpoint(self: &Arc<Links>) -> std::io::Result<usize> {
         let to = lock(&self.sockets).len();
-        let socket = Arc::new(UdpSocket::bind(self.addresses.gossip_advertised(to)).await?);
+        let socket = Arc::new(UdpSocket::bind(self.addresses.advertised_gossip_address(to)).await?);
         lock(&self.sockets).push(socket.clone());
-        lock(&self.senders).insert(self.addresses.gossip_listen(to), to);
+        lock(&self.senders).insert(self.addresses.gossip_listen_address(to), to);
         lock(&self.bytes_sent).push(Arc::default());
         let links = self.clone();
         tokio::spawn(async move {
@@ -163,7 +163,7 @@
                 Datagram { from, to, bytes: bytes.to_vec() };
         }
         drop(recorded);
-        let deliveries = lock(&self.faults).draw_deliveries(from, to, &mut lock(&self.rng));
+        let deliveries = lock(&self.faults).choose_delivery_delays(from, to, &mut lock(&self.rng));
         for delay in deliveries {
             self.deliver_datagram(from, to, bytes.to_vec(), delay);
         }
@@ -172,7 +172,7 @@
     /// Delivers a datagram to front `to` after a delay, from the advertised address of front `from`.
     pub fn deliver_datagram(self: &Arc<Links>, from: usize, to: usize, bytes: Vec<u8>, delay: Duration) {
         let Some(socket) = lock(&self.sockets).get(from).cloned() else { return };
-        let to = self.addresses.gossip_listen(to);
+        let to = self.addresses.gossip_listen_address(to);
         if delay.is_zero() {
             let _ = socket.try_send_to(&bytes, to);
             return;
--- a/crates/rig/src/links/tests.rs
+++ b/crates/rig/src/links/tests.rs
@@ -5,7 +5,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut faults =
         LinkFaults { one_way: [(1, 2)].into(), inbound_blocked: [3].into(), ..LinkFaults::default() };
-    let mut copies = |f: &LinkFaults, from, to| f.draw_deliveries(from, to, &mut rng).len();
+    let mut copies = |f: &LinkFaults, from, to| f.choose_delivery_delays(from, to, &mut rng).len();
     assert_eq!(
         [copies(&faults, 1, 2), copies(&faults, 2, 1), copies(&faults, 0, 3), copies(&faults, 3, 0)],
         [0, 1, 0, 1]
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -39,7 +39,7 @@
     pub errors: u64,
     /// The number of requests without an answer in time from a front that was running throughout.
     pub unanswered: u64,
-    /// The number of requests that were lost because their front was killed, stopped or had ended.
+    /// The number of requests that were lost because their front was killed, was stopped or had exited.
     pub lost: u64,
     /// The number of answers that belong to no pending request.
     pub unexpected: u64,
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// Prints the figures, false positives and breaches of a run on standard error.
+/// Prints the measurements, false positives and breaches of a run on standard error.
 fn print_report(report: &RunReport) {
     let awaited: Vec<String> = report
         .awaited
@@ -136,7 +136,7 @@
 /// Executes `suite`: runs several scenarios, each with several seeds.
 async fn suite_command(args: SuiteArgs) -> Result<Verdict, String> {
     let all: Vec<String> = match args.which.as_str() {
-        "view" => suite::bundled_names().into_iter().map(String::from).collect(),
+        "view" => suite::bundled_scenario_names().into_iter().map(String::from).collect(),
         "main" => suite::MAIN_SCENARIOS.map(String::from).to_vec(),
         other => return Err(format!("unknown suite `{other}`; expected `view` or `main`")),
     };
@@ -207,7 +207,7 @@
 async fn execute(args: Args) -> Result<Verdict, String> {
     match args.command {
         Command::List => {
-            suite::bundled_names().iter().for_each(|name| println!("{name}"));
+            suite::bundled_scenario_names().iter().for_each(|name| println!("{name}"));
             Ok(Verdict::Passed)
         }
         Command::Run(args) => run_command(args).await,
--- a/crates/rig/src/pairs.rs
+++ b/crates/rig/src/pairs.rs
@@ -82,7 +82,7 @@
     Ok(EarlierBuild { revision, program: Program { path, supports_store } })
 }
 
-/// Finds out with the program's `check` command whether it accepts a site document whose view has a store.
+/// Returns whether the program accepts a site document whose view has a store, as its `check` command tells.
 fn supports_store(program: &Path) -> Result<bool, String> {
     let file = tempfile::NamedTempFile::with_suffix(".kdl").map_err(|e| e.to_string())?;
     let text = "site \"pairs\"\nview listen=\"127.0.0.1:1\" key-file=\"keys\" store=\"store\"\n";
@@ -92,7 +92,7 @@
     Ok(!String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).contains("store"))
 }
 
-/// Runs all scenarios with both builds, once for each seed, and returns one row of figures per scenario and
+/// Runs all scenarios with both builds, once for each seed, and returns one row of results per scenario and
 /// mix. `on_run` is called with the report of each run.
 ///
 /// # Errors
--- a/crates/rig/src/programs.rs
+++ b/crates/rig/src/programs.rs
@@ -31,7 +31,7 @@
     /// All fronts start with the other build.
     Other,
     /// Every second front, beginning with the second one, so that the first seed front of the view runs the
-    /// own build.
+    /// build under test.
     Odd,
     /// Every second front, beginning with the first one.
     Even,
--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -72,7 +72,7 @@
     started: Instant,
     /// When the last event happened. The time until a goal is reached is measured from it.
     last_event: Instant,
-    /// The link faults of the last seconds, because reports that they caused may still be spreading.
+    /// Recent link faults, retained because reports that they caused may still be spreading.
     past_faults: Vec<PastFaults>,
     report: RunReport,
 }
@@ -146,7 +146,7 @@
         self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Records an event. `begins_fault` is whether a fault lasts from this event on.
+    /// Records an event. `begins_fault` says whether a fault lasts from this event on.
     fn record_event(&mut self, name: &str, begins_fault: bool) {
         let at_ms = self.elapsed_ms();
         self.report.events.push(Event { at_ms, name: name.into(), begins_fault });
@@ -160,15 +160,15 @@
         self.record_event(event, begins_fault);
     }
 
-    /// Draws running fronts and returns their indices. At least one front is never drawn, so that it can
-    /// report on the others.
+    /// Chooses running fronts at random and returns their indices. At least one front is never chosen, so
+    /// that it can report on the others.
     fn pick_fronts(&mut self, selection: Selection) -> Vec<usize> {
         let running = self.fronts.in_state(ProcessState::Running);
         let count = selection.count_of(running.len()).min(running.len().saturating_sub(1));
         running.choose_multiple(&mut self.rng, count).copied().collect()
     }
 
-    /// Draws running fronts and returns the indices of their endpoints.
+    /// Chooses running fronts at random and returns the indices of their endpoints.
     fn pick_endpoints(&mut self, selection: Selection) -> Vec<usize> {
         self.pick_fronts(selection).into_iter().map(|i| self.fronts.all[i].endpoint).collect()
     }
@@ -202,7 +202,7 @@
         self.report.rule_violations = violations.count;
         if violations.count > 0 {
             let at_ms = self.elapsed_ms();
-            let description = "the cache nodes observed violations of the request rules".into();
+            let description = "the cache nodes detected simultaneous attempts or repeated writes".into();
             self.report.breaches.push(Breach { description, at_ms, evidence: violations.texts });
         }
     }
--- a/crates/rig/src/run/observe.rs
+++ b/crates/rig/src/run/observe.rs
@@ -15,7 +15,7 @@
 /// The interval between two polls of all fronts during a `wait` step.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 /// How long fronts whose links were cut may still report each other gone after the links work again.
-const CUT_REPORT_SPREAD_TIME: Duration = Duration::from_secs(8);
+const LINK_CUT_REPORT_SPREAD_TIME: Duration = Duration::from_secs(8);
 
 /// The answer of a front to a poll.
 struct FrontSummary {
@@ -28,7 +28,7 @@
 #[derive(Default)]
 struct PartitionSide {
     fronts: usize,
-    /// The view digest of the first front polled on this side, which those of all others must equal.
+    /// The view digest of the first front polled on this side; the digests of all others must equal it.
     digest: Option<String>,
 }
 
@@ -48,7 +48,7 @@
     async fn poll_fronts(&mut self) -> Vec<FrontSummary> {
         let running = self.fronts.in_state(ProcessState::Running);
         let mut summaries = Vec::with_capacity(running.len());
-        // The fronts are polled one after the other: one poll costs little, but all at once would load the
+        // The fronts are polled one after the other, since many polls at the same time would load the
         // machine.
         for front in running {
             summaries.push(FrontSummary { front, summary: self.fronts.query(front, "summary").await });
@@ -63,7 +63,7 @@
         summaries
     }
 
-    /// Returns the first front because of which a goal is not reached, or `None` if it is reached.
+    /// Returns the first front that keeps a goal from being reached, or `None` if the goal is reached.
     fn deviating_front(&self, goal: Goal, summaries: &[FrontSummary]) -> Option<usize> {
         let faults = self.fronts.links.faults();
         let side_of = |front: usize| faults.side_of(self.fronts.all[front].endpoint);
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Polls the fronts again and returns the first one because of which a goal is not reached.
+    /// Polls the fronts again and returns the first one that keeps a goal from being reached.
     pub(super) async fn find_deviating_front(&mut self, goal: Goal) -> Option<usize> {
         let summaries = self.poll_fronts().await;
         self.deviating_front(goal, &summaries)
@@ -116,7 +116,7 @@
 
     /// Collects the reports that a live front is gone, except those that a fault explains.
     pub(super) fn collect_false_positives(&mut self) {
-        self.past_faults.retain(|past| past.until.elapsed() < CUT_REPORT_SPREAD_TIME);
+        self.past_faults.retain(|past| past.until.elapsed() < LINK_CUT_REPORT_SPREAD_TIME);
         let current = self.fronts.links.faults();
         let is_cut = |reporter: usize, subject: usize| {
             let cuts = |faults: &LinkFaults| {
--- a/crates/rig/src/run/report.rs
+++ b/crates/rig/src/run/report.rs
@@ -48,7 +48,7 @@
     pub ms: f64,
 }
 
-/// The result of a run. Lists of figures hold one value for each front and measurement.
+/// The result of a run. Lists of measured values hold one value for each front and measurement.
 #[derive(Clone, Debug, Default)]
 pub struct RunReport {
     /// The name of the scenario.
@@ -61,7 +61,7 @@
     pub start_ms: f64,
     /// The goals that were reached, with the time that each took.
     pub awaited: Vec<Awaited>,
-    /// The reports that a live front is gone which no fault explains.
+    /// The reports, not explained by any fault, that a live front is gone.
     pub false_positives: Vec<FailureReport>,
     /// The number of ended fronts that are still live members of a view at the end, summed over all views.
     pub stale_members: usize,
@@ -71,7 +71,8 @@
     pub cpu: Vec<f64>,
     /// The resident memory in steady state, in MB.
     pub memory_mb: Vec<f64>,
-    /// The number of violations of the request rules that the cache nodes observed.
+    /// The number of violations that the cache nodes detected: simultaneous attempts of one request, and
+    /// repeated executions of a write.
     pub rule_violations: usize,
     /// The outcomes of requests, as JSON; null without load.
     pub load: Value,
@@ -98,7 +99,7 @@
             |a: &Awaited| json!({ "goal": format!("{:?}", a.goal).to_lowercase(), "ms": a.ms.round() });
         let breach =
             |b: &Breach| json!({ "what": b.description, "at_ms": b.at_ms.round(), "told": b.evidence });
-        let false_positive = |r: &FailureReport| format!("{} by {}", r.subject, r.reporter);
+        let false_positive = |r: &FailureReport| format!("{} reported gone by {}", r.subject, r.reporter);
         json!({
             "scenario": self.name, "fronts": self.fronts, "seed": self.seed, "start_ms": self.start_ms.round(),
             "awaited": self.awaited.iter().map(awaited).collect::<Vec<_>>(),
--- a/crates/rig/src/run/steps.rs
+++ b/crates/rig/src/run/steps.rs
@@ -166,7 +166,8 @@
         }
     }
 
-    /// Draws `count` links as pairs of sender and receiver; fewer if there are not enough running fronts.
+    /// Chooses `count` links at random, as pairs of sender and receiver; fewer if there are not enough
+    /// running fronts.
     fn pick_one_way_links(&mut self, count: usize) -> BTreeSet<(usize, usize)> {
         let mut links = BTreeSet::new();
         while links.len() < count {
--- a/crates/rig/src/scenario/parse.rs
+++ b/crates/rig/src/scenario/parse.rs
@@ -181,7 +181,7 @@
         })
     }
 
-    /// Parses a node as a step about processes; `None` if it is another step.
+    /// Parses a node as a step that acts on processes; `None` if the step is of another kind.
     fn parse_process_step(&self, node: &KdlNode) -> Result<Option<ProcessStep>, ScenarioError> {
         Ok(Some(match node.name().value() {
             "kill" => ProcessStep::Kill(self.parse_selection(node)?),
@@ -203,7 +203,7 @@
         }))
     }
 
-    /// Parses a node as a step about link faults; `None` if it is another step.
+    /// Parses a node as a step that changes link faults; `None` if the step is of another kind.
     fn parse_fault_step(&self, node: &KdlNode) -> Result<Option<FaultStep>, ScenarioError> {
         Ok(Some(match node.name().value() {
             "partition" => FaultStep::Partition(self.parse_partition(node)?),
--- a/crates/rig/src/shim.rs
+++ b/crates/rig/src/shim.rs
@@ -65,7 +65,7 @@
 pub enum MachineFault {
     /// The offset of the wall clock, in nanoseconds.
     WallOffsetNs = 0,
-    /// `accept` fails. This value and all that follow are rates in a thousand.
+    /// `accept` fails. The values of this variant and of all that follow are rates per thousand calls.
     Accept = 1,
     /// `socket` and `connect` fail.
     Connect = 2,
--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -1,5 +1,5 @@
 //! The soak test: runs real fronts with the configuration of `examples/config.json` over real sockets while
-//! two or three faults at a time, drawn from a seed, are injected. Rules are checked from outside, at the
+//! two or three faults at a time, chosen by a seed, are injected. Rules are checked from outside, at the
 //! clients, the cache nodes and the discovery bus, and from inside, by the violations that the fronts log
 //! themselves.
 //!
--- a/crates/rig/src/soak/bus.rs
+++ b/crates/rig/src/soak/bus.rs
@@ -35,10 +35,10 @@
     Delayed(Duration),
 }
 
-/// Obligation of a front once it knows of an event.
+/// What an event obliges a front to do once the front knows of the event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EventObligation {
-    /// The event does not oblige the front to anything.
+pub enum FrontObligation {
+    /// The event has no obligation for the front.
     None,
     /// The front sends no new attempts to a node.
     Drain {
@@ -62,7 +62,7 @@
 /// An event in the feed of a front.
 struct BusEvent {
     text: String,
-    obligation: EventObligation,
+    obligation: FrontObligation,
     /// Whether the front knows of the event or is assumed to know.
     known: bool,
 }
@@ -146,13 +146,13 @@
         let mut first = list.clone();
         first["offset"] = 1.into();
         feed.events =
-            vec![BusEvent { text: first.to_string(), obligation: EventObligation::None, known: true }];
+            vec![BusEvent { text: first.to_string(), obligation: FrontObligation::None, known: true }];
         self.checker.on_front_started(self.front);
         first
     }
 
     /// Publishes an event to the front. After a fixed time the front is assumed to know it.
-    pub fn publish_event(self: &Arc<DiscoveryBus>, mut event: Value, obligation: EventObligation) {
+    pub fn publish_event(self: &Arc<DiscoveryBus>, mut event: Value, obligation: FrontObligation) {
         let (generation, number) = {
             let mut feed = lock(&self.feed);
             let number = feed.events.len() + 1;
@@ -160,7 +160,7 @@
             feed.events.push(BusEvent { text: event.to_string(), obligation, known: false });
             (feed.generation, number)
         };
-        if let EventObligation::Purge { object, at } = obligation {
+        if let FrontObligation::Purge { object, at } = obligation {
             self.checker.on_object_purged(self.front, object, at, None);
         }
         self.published.send_modify(|n| *n += 1);
@@ -173,7 +173,7 @@
 
     /// Records that the front knows the first `count` events of its feed or is assumed to know them.
     fn mark_events_known(&self, generation: u64, count: usize) {
-        let obligations: Vec<EventObligation> = {
+        let obligations: Vec<FrontObligation> = {
             let mut feed = lock(&self.feed);
             if feed.generation != generation {
                 return;
@@ -188,10 +188,10 @@
         let now = Instant::now();
         for obligation in obligations {
             match obligation {
-                EventObligation::None => {}
-                EventObligation::Drain { node } => self.checker.on_drain_known(self.front, node, now),
-                EventObligation::Restore { node } => self.checker.on_node_restored(self.front, node),
-                EventObligation::Purge { object, at } => {
+                FrontObligation::None => {}
+                FrontObligation::Drain { node } => self.checker.on_drain_known(self.front, node, now),
+                FrontObligation::Restore { node } => self.checker.on_node_restored(self.front, node),
+                FrontObligation::Purge { object, at } => {
                     self.checker.on_object_purged(self.front, object, at, Some(now));
                 }
             }
@@ -227,8 +227,8 @@
                 return Ok(());
             }
             if count > 0 {
-                // All lines are written at once. If each were delayed separately, many events would come
-                // later than the rules allow the bus to be.
+                // All lines are written at once. With a separate delay for each line, many events would
+                // arrive later than the rules allow.
                 self.write_line(&mut write, &text, current_mode).await?;
                 offset += count;
                 // The front does not know events that were written to a connection which it has closed.
--- a/crates/rig/src/soak/checker/attempts.rs
+++ b/crates/rig/src/soak/checker/attempts.rs
@@ -22,7 +22,7 @@
     text: String,
 }
 
-/// An attempt that has arrived at a node, with all that the rules need to know.
+/// An attempt that has arrived at a node, with the data that the rules are checked against.
 struct ArrivedAttempt<'a> {
     now: Instant,
     slack: Duration,
@@ -83,7 +83,8 @@
         (binds && self.field_value("via").is_some() && too_old).then(|| RuleBreach {
             rule: Rule::Purge,
             text: format!(
-                "accepts copies of age {oldest:?} (None: any age), but the purge was {since:?} ago"
+                "accepts copies up to a maximum age of {oldest:?} (`None`: no maximum), but the object was \
+                 purged {since:?} ago"
             ),
         })
     }
--- a/crates/rig/src/soak/checker/tests.rs
+++ b/crates/rig/src/soak/checker/tests.rs
@@ -39,7 +39,7 @@
     assert_eq!(broken_rules(&checker), []);
 }
 
-/// Guards against a rule that is not checked, and against one that is broken within its limits.
+/// Each rule must report a breach, and must report none for an attempt within the limits of the rule.
 #[test]
 fn each_rule_for_arriving_attempts_is_checked() {
     let found = |fields: &str, prepare: &dyn Fn(&RuleChecker)| {
--- a/crates/rig/src/soak/clients.rs
+++ b/crates/rig/src/soak/clients.rs
@@ -20,9 +20,9 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// A call that was sent within this time before the front closes an idle connection does not count as lost:
-/// the call and the close have crossed, and a real client would send the call again.
-const CLOSE_CROSSING_PERIOD: Duration = Duration::from_millis(50);
+/// A call that a client sends within this time before the front closes an idle connection does not count as
+/// lost: neither side knew of the other's action yet, and a real client would send the call again.
+const CLOSE_RACE_PERIOD: Duration = Duration::from_millis(50);
 /// Maximum number of requests in flight on one connection.
 pub(super) const MAX_IN_FLIGHT: usize = 32;
 /// Number of objects that are requested; those with low numbers are requested most often.
@@ -46,7 +46,7 @@
 /// Pause of a slow client after each read.
 const SLOW_READ_PAUSE: Duration = Duration::from_millis(8);
 
-/// A request class, as far as clients need to know it.
+/// The properties of a request class that simulated clients use.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
     /// Name of the class.
@@ -140,7 +140,8 @@
         }
     }
 
-    /// Sends requests on one connection until its lifetime, drawn at random, is over or the connection fails.
+    /// Sends requests on one connection until its lifetime, chosen at random, is over or the connection
+    /// fails.
     async fn run_connection(
         &self,
         front: usize,
@@ -213,8 +214,8 @@
         let object = (rng.random_fraction().powi(3) * OBJECT_COUNT as f64) as u64;
         let part = rng.random_range(0..3);
         // Some clients wait for only a very short time.
-        let min_patience_ms = if rng.random_bool(0.05) { 1 } else { 300 };
-        let patience_ms = rng.random_range(min_patience_ms..class.deadline_ms);
+        let min_wait_ms = if rng.random_bool(0.05) { 1 } else { 300 };
+        let patience_ms = rng.random_range(min_wait_ms..class.deadline_ms);
         let body_len = if class.writes { rng.random_range(0..MAX_BODY_LEN) as usize } else { 0 };
         let call = Call { part, patience_ms, body_len, ..default_call(&class.name, number, trace, object) };
         // The request is recorded before its last byte is written, since the answer may come immediately
@@ -283,7 +284,7 @@
         let crossing = closed_by_front
             && unanswered
                 .iter()
-                .all(|call| ended.saturating_duration_since(call.sent_at) < CLOSE_CROSSING_PERIOD);
+                .all(|call| ended.saturating_duration_since(call.sent_at) < CLOSE_RACE_PERIOD);
         let reason =
             if closed_by_front { "the front closed the connection" } else { "the client stopped waiting" };
         for call in unanswered {
--- a/crates/rig/src/soak/environment.rs
+++ b/crates/rig/src/soak/environment.rs
@@ -1,7 +1,7 @@
 //! The environment of a soak run: its fronts, the simulated services around them, and the state of each node
 //! as the discovery bus publishes it.
 
-use super::bus::{DiscoveryBus, EventObligation};
+use super::bus::{DiscoveryBus, FrontObligation};
 use super::checker::{ExecutionSemantics, RuleChecker};
 use super::clients::{RequestClass, SoakClients};
 use super::nodes::{NodeRole, SimulatedNode};
@@ -19,7 +19,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The platform's configuration of a front. Each front gets a copy with its own names, addresses and fleet.
+/// The example configuration. Each front gets a copy with its own name, addresses and fleet settings.
 pub(super) const BASE_CONFIGURATION: &str = include_str!("../../../../examples/config.json");
 /// Number of locations that fronts and cache nodes are spread over.
 const LOCATION_COUNT: usize = 3;
@@ -76,12 +76,12 @@
         json!({"ban": {"url": format!("{:016x}", self.object), "ts": self.unix_ms}})
     }
 
-    fn obligation(&self) -> EventObligation {
-        EventObligation::Purge { object: self.object, at: self.at }
+    fn obligation(&self) -> FrontObligation {
+        FrontObligation::Purge { object: self.object, at: self.at }
     }
 }
 
-/// Everything that takes part in a run.
+/// The fronts, simulated services and clients of a run, and the state of each node as published on the bus.
 pub(super) struct SoakEnvironment {
     pub checker: Arc<RuleChecker>,
     pub nodes: Vec<Arc<SimulatedNode>>,
@@ -140,9 +140,9 @@
         folder: &Path,
         shim: &Shim,
     ) -> io::Result<Arc<SoakEnvironment>> {
-        // The address after those of the fronts stands for all fronts.
+        // One address more than there are fronts is reserved: messages to all fronts are sent to it.
         let addresses = Arc::new(LoopbackAddresses::reserve(options.fronts + 1)?);
-        let all_peers = addresses.gossip_advertised(options.fronts);
+        let all_peers = addresses.advertised_gossip_address(options.fronts);
         start_gossip_relay(&addresses, options.fronts, all_peers, options.seed).await?;
         let mut nodes = Vec::new();
         for (number, role) in node_roles().enumerate() {
@@ -199,10 +199,11 @@
         }
         let fronts = self.fronts.len();
         config["name"] = format!("n{front}").into();
-        config["listen"] = self.addresses.client_listen(front).to_string().into();
+        config["listen"] = self.addresses.client_listen_address(front).to_string().into();
         config["seed"] = format!("{:016x}", self.rng.random_range(0..u64::MAX)).into();
-        config["peer_listen"] = self.addresses.gossip_listen(front).to_string().into();
-        config["peers"] = (0..fronts).map(|f| self.addresses.gossip_advertised(f).to_string()).collect();
+        config["peer_listen"] = self.addresses.gossip_listen_address(front).to_string().into();
+        config["peers"] =
+            (0..fronts).map(|f| self.addresses.advertised_gossip_address(f).to_string()).collect();
         config["peers_all"] = self.all_peers.to_string().into();
         config["bus"] = self.buses[front].addresses[0].to_string().into();
         config["known"] = json!({"offset": 1, "batch": [first_event]});
@@ -240,22 +241,22 @@
     pub fn drain_node(&self, node: usize) {
         let started_ms = lock(&self.listed)[node].started_ms;
         let listed = ListedNode { state: NodeState::Terminating, started_ms };
-        self.publish_node_state(node, listed, EventObligation::Drain { node });
+        self.publish_node_state(node, listed, FrontObligation::Drain { node });
     }
 
     /// Publishes to all fronts that a node is removed.
     pub fn remove_node(&self, node: usize) {
         let listed = ListedNode { state: NodeState::Removed, started_ms: 0 };
-        self.publish_node_state(node, listed, EventObligation::Drain { node });
+        self.publish_node_state(node, listed, FrontObligation::Drain { node });
     }
 
     /// Publishes to all fronts that a node is ready, as a process that has just started.
     pub fn restore_node(&self, node: usize) {
         let listed = ListedNode { state: NodeState::Ready, started_ms: unix_time_ms() };
-        self.publish_node_state(node, listed, EventObligation::Restore { node });
+        self.publish_node_state(node, listed, FrontObligation::Restore { node });
     }
 
-    fn publish_node_state(&self, node: usize, listed: ListedNode, obligation: EventObligation) {
+    fn publish_node_state(&self, node: usize, listed: ListedNode, obligation: FrontObligation) {
         lock(&self.listed)[node] = listed;
         for (front, bus) in self.buses.iter().enumerate() {
             if listed.state == NodeState::Ready {
@@ -286,7 +287,8 @@
 ) -> io::Result<FrontProcessSettings> {
     let folder = folder.join(format!("n{front}"));
     std::fs::create_dir_all(&folder)?;
-    let (clients, mut admin) = (addresses.client_listen(front), addresses.client_listen(front));
+    let (clients, mut admin) =
+        (addresses.client_listen_address(front), addresses.client_listen_address(front));
     admin.set_port(admin.port() + 1);
     Ok(FrontProcessSettings {
         number: front,
--- a/crates/rig/src/soak/faulty_clients.rs
+++ b/crates/rig/src/soak/faulty_clients.rs
@@ -13,7 +13,7 @@
 const IO_TIMEOUT: Duration = Duration::from_secs(1);
 /// Head of a message with a string of 53,248 bytes, which is more than the client sends after it.
 const TRUNCATED_STRING_HEAD: [u8; 6] = [0x94, 0x00, 0x01, 0xda, 0xd0, 0x00];
-/// Number of bytes of that string that the client sends.
+/// Number of bytes that the client sends of the string announced by `TRUNCATED_STRING_HEAD`.
 const TRUNCATED_STRING_LEN: usize = 50_000;
 
 impl SoakClients {
--- a/crates/rig/src/soak/inject.rs
+++ b/crates/rig/src/soak/inject.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Time for which a front is suspended: as long as a busy machine may prevent it from running.
+/// Time for which a front is suspended; a busy machine may delay a process by as much.
 const PAUSE_DURATION: Duration = Duration::from_millis(200);
 /// Time after the admin command within which a manual exclusion has to take effect.
 const EXCLUSION_EFFECT_DELAY: Duration = Duration::from_secs(1);
@@ -76,7 +76,9 @@
             }
             FaultKind::SystemCalls { front, rates } => self.fail_system_calls(front, rates, duration).await?,
             FaultKind::FaultyClients { front, count } => {
-                self.clients.run_faulty_clients(self.addresses.client_listen(front), count, duration).await;
+                self.clients
+                    .run_faulty_clients(self.addresses.client_listen_address(front), count, duration)
+                    .await;
             }
         }
         Ok(())
--- a/crates/rig/src/soak/nodes.rs
+++ b/crates/rig/src/soak/nodes.rs
@@ -37,7 +37,7 @@
     Failing,
     /// Half of the answers say that the node is overloaded.
     Full,
-    /// The node resets the connection at one in twenty requests, chosen at random.
+    /// The node resets the connection for one in twenty requests, chosen at random.
     Resetting,
     /// Some answers are truncated and some are sent twice.
     Corrupting,
@@ -54,7 +54,7 @@
 
 /// A simulated cache node, parent or origin.
 pub struct SimulatedNode {
-    /// Node id, as it stands in the endpoint list.
+    /// Node id in the endpoint list.
     pub id: String,
     /// Zone and kind of the node.
     pub role: NodeRole,
@@ -64,7 +64,7 @@
     mode: watch::Sender<NodeMode>,
     /// Indices of the fronts whose link to this node is stalled.
     stalled: watch::Sender<HashSet<usize>>,
-    /// Number of the node's process; a connection is closed when it changes.
+    /// Number of the node's current process; a connection is closed when this number changes.
     incarnation: watch::Sender<u64>,
     /// Time at which the node or one of its links was last blocked.
     last_blocked: Mutex<Option<Instant>>,
@@ -135,7 +135,7 @@
         self.mode.send_replace(mode);
     }
 
-    /// Stalls the link from a front, or ends the stall, so that data sent meanwhile is delivered.
+    /// Stalls the link from a front, or ends the stall; data sent during the stall is then delivered.
     pub fn set_link_stalled(&self, front: usize, stalled: bool) {
         self.record_blocked();
         self.stalled
@@ -326,8 +326,8 @@
     resp::encode_array(&[id.as_bytes(), status.as_bytes(), report.as_bytes(), &body])
 }
 
-/// Returns the body of a part of an object, which the client that requested it has to receive. Depending on
-/// the object, its length is between some hundred bytes and far more than a socket buffers.
+/// Returns the body of one part of an object, which a client that requests the part has to receive. Depending
+/// on the object, the body is between a few hundred bytes long and far longer than a socket can buffer.
 pub fn object_body(object: &str, part: &str) -> Vec<u8> {
     let unit = format!("{object}/{part}/");
     let size_class = u64::from_str_radix(object, 16).unwrap_or(0) % 7;
--- a/crates/rig/src/soak/peers.rs
+++ b/crates/rig/src/soak/peers.rs
@@ -29,7 +29,7 @@
     /// Forwards a message from the relay address of its sender, unless the message is dropped at random.
     async fn forward_message(&self, from: usize, to: usize, message: &[u8]) {
         if !self.rng.random_bool(MESSAGE_LOSS_RATE) {
-            let _ = self.sockets[from].send_to(message, self.addresses.gossip_listen(to)).await;
+            let _ = self.sockets[from].send_to(message, self.addresses.gossip_listen_address(to)).await;
         }
     }
 
@@ -68,13 +68,13 @@
 ) -> io::Result<()> {
     let mut sockets = Vec::new();
     for front in 0..fronts {
-        sockets.push(UdpSocket::bind(addresses.gossip_advertised(front)).await?);
+        sockets.push(UdpSocket::bind(addresses.advertised_gossip_address(front)).await?);
     }
     let all = UdpSocket::bind(all_peers).await?;
     let relay = Arc::new(GossipRelay {
         addresses: addresses.clone(),
         sockets,
-        senders: (0..fronts).map(|front| (addresses.gossip_listen(front), front)).collect(),
+        senders: (0..fronts).map(|front| (addresses.gossip_listen_address(front), front)).collect(),
         rng: SeededRng::new(seed, 3_000),
     });
     for to in 0..fronts {
--- a/crates/rig/src/soak/plan.rs
+++ b/crates/rig/src/soak/plan.rs
@@ -1,5 +1,5 @@
-//! The plan of faults: which fault is injected when. It is drawn from the seed before the run begins, so
-//! that two or three faults are active at any time.
+//! The plan of faults: which fault is injected when. The plan is generated from the seed before the run
+//! begins; two or three faults are active at any time.
 
 use super::bus::BusMode;
 use super::nodes::NodeMode;
@@ -99,7 +99,8 @@
         /// Number of objects to purge.
         objects: u64,
     },
-    /// A front's wall clock is set to a fixed offset from the real time, which it keeps.
+    /// A front's wall clock is shifted by a fixed offset from real time. The offset remains when the fault
+    /// ends.
     StepWallClock {
         /// Index of the front.
         front: usize,
@@ -144,20 +145,20 @@
     pub sources: usize,
 }
 
-/// Draws all faults of a run from its seed; none starts after `run_duration`.
-pub fn draw_fault_plan(seed: u64, run_duration: Duration, fleet: FleetSize) -> Vec<PlannedFault> {
+/// Generates all faults of a run from its seed; none starts after `run_duration`.
+pub fn generate_fault_plan(seed: u64, run_duration: Duration, fleet: FleetSize) -> Vec<PlannedFault> {
     let rng = SeededRng::new(seed, 5_000);
     let mut plan = Vec::new();
     let mut after = FIRST_FAULT_DELAY;
     while after < run_duration {
         let duration = Duration::from_millis(rng.random_range(FAULT_DURATION_MS));
-        plan.push(PlannedFault { after, duration, kind: draw_fault_kind(&rng, fleet) });
+        plan.push(PlannedFault { after, duration, kind: choose_fault_kind(&rng, fleet) });
         after += Duration::from_millis(rng.random_range(FAULT_INTERVAL_MS));
     }
     plan
 }
 
-fn draw_fault_kind(rng: &SeededRng, FleetSize { fronts, nodes, sources }: FleetSize) -> FaultKind {
+fn choose_fault_kind(rng: &SeededRng, FleetSize { fronts, nodes, sources }: FleetSize) -> FaultKind {
     let front = rng.random_range(0..fronts as u64) as usize;
     let cache_node = rng.random_range(0..(nodes - sources) as u64) as usize;
     // Sources fail less often than cache nodes: without a source nothing can be filled, and little would be
@@ -173,17 +174,17 @@
         7 => FaultKind::Exclude { front, node: cache_node },
         8 => FaultKind::StallLink { front, node },
         9 | 10 => FaultKind::ReplaceNode { node: cache_node },
-        11 => FaultKind::Bus { front, mode: draw_bus_mode(rng) },
-        12 => FaultKind::AllBuses { mode: draw_bus_mode(rng) },
+        11 => FaultKind::Bus { front, mode: choose_bus_mode(rng) },
+        12 => FaultKind::AllBuses { mode: choose_bus_mode(rng) },
         13 | 14 => FaultKind::Purge { objects: rng.random_range(3..60) },
         15 => FaultKind::StepWallClock { front, by_ms: *rng.choose(&WALL_CLOCK_STEPS_MS) },
-        16 | 17 => FaultKind::SystemCalls { front, rates: draw_system_call_faults(rng) },
+        16 | 17 => FaultKind::SystemCalls { front, rates: choose_system_call_faults(rng) },
         18 => FaultKind::FaultyClients { front, count: rng.random_range(5..80) },
-        _ => FaultKind::Node { node, mode: draw_node_mode(rng) },
+        _ => FaultKind::Node { node, mode: choose_node_mode(rng) },
     }
 }
 
-fn draw_bus_mode(rng: &SeededRng) -> BusMode {
+fn choose_bus_mode(rng: &SeededRng) -> BusMode {
     match rng.random_range(0..4) {
         0 => BusMode::Down,
         1 => BusMode::Silent,
@@ -191,7 +192,7 @@
     }
 }
 
-fn draw_node_mode(rng: &SeededRng) -> NodeMode {
+fn choose_node_mode(rng: &SeededRng) -> NodeMode {
     match rng.random_range(0..8) {
         0 | 1 => NodeMode::Hanging,
         2 => NodeMode::Dead,
@@ -203,7 +204,7 @@
     }
 }
 
-fn draw_system_call_faults(rng: &SeededRng) -> Vec<SystemFaultRate> {
+fn choose_system_call_faults(rng: &SeededRng) -> Vec<SystemFaultRate> {
     let chosen = MachineFault::RATE_FAULTS.into_iter().filter(|_| rng.random_bool(0.5));
     chosen.map(|fault| SystemFaultRate { fault, per_thousand: rng.random_range(20..300) as i64 }).collect()
 }
--- a/crates/rig/src/soak/plan/tests.rs
+++ b/crates/rig/src/soak/plan/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 #[test]
-fn a_seed_always_draws_the_same_faults_and_several_of_them_overlap() {
+fn a_seed_always_gives_the_same_plan_with_overlapping_faults() {
     let fleet = FleetSize { fronts: 24, nodes: 15, sources: 3 };
-    let plan_of = |seed| draw_fault_plan(seed, Duration::from_secs(20), fleet);
+    let plan_of = |seed| generate_fault_plan(seed, Duration::from_secs(20), fleet);
     let text = |seed| format!("{:?}", plan_of(seed));
     assert_eq!(text(1), text(1));
     assert_ne!(text(1), text(2));
--- a/crates/rig/src/soak/process.rs
+++ b/crates/rig/src/soak/process.rs
@@ -23,7 +23,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time beyond its longest class deadline within which a process has to end after SIGTERM.
 const TERMINATION_GRACE: Duration = Duration::from_millis(700);
-/// Lower bound of the longest class deadline when the time to end is computed.
+/// Lower bound of the longest class deadline in computing the time within which a process has to end.
 const MIN_LONGEST_DEADLINE: Duration = Duration::from_secs(3);
 /// Additional time that a process may take to end, since the machine may be busy.
 const BUSY_MACHINE_SLACK: Duration = Duration::from_millis(1500);
@@ -106,7 +106,7 @@
         {
             if started.elapsed() > READY_TIMEOUT || self.has_ended() {
                 let text = format!(
-                    "front {number} was not ready within {READY_TIMEOUT:?} or ended; last log lines: {:?}",
+                    "front {number} ended or was not ready within {READY_TIMEOUT:?}; last log lines: {:?}",
                     self.last_log_lines()
                 );
                 self.checker.record_breach(Rule::Process, text);
--- a/crates/rig/src/soak/run.rs
+++ b/crates/rig/src/soak/run.rs
@@ -4,7 +4,7 @@
 use super::checker::{GracePeriods, Rule, RuleChecker, SoakVerdict};
 use super::environment::{SoakEnvironment, BASE_CONFIGURATION, NODE_COUNT, SOURCE_COUNT};
 use super::options::SoakOptions;
-use super::plan::{draw_fault_plan, FleetSize, PlannedFault};
+use super::plan::{generate_fault_plan, FleetSize, PlannedFault};
 use crate::shim::Shim;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -78,7 +78,7 @@
     let monitor = tokio::spawn(monitor_run(environment.clone()));
     let plan = match options.without_faults {
         true => Vec::new(),
-        false => draw_fault_plan(options.seed, options.fault_period, soak_fleet_size(options.fronts)),
+        false => generate_fault_plan(options.seed, options.fault_period, soak_fleet_size(options.fronts)),
     };
     let faults = plan.len();
     inject_plan(&environment, plan, options.fault_period).await?;
--- a/crates/rig/src/soak/seeded_rng.rs
+++ b/crates/rig/src/soak/seeded_rng.rs
@@ -6,10 +6,10 @@
 use std::ops::Range;
 use std::sync::Mutex;
 
-/// Factor for the stream number, so that consecutive streams get seeds that are far apart.
+/// Factor by which stream numbers are multiplied, so that the seeds of consecutive streams are far apart.
 const STREAM_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// A random number generator shared by several tasks. Its numbers are repeatable as far as the tasks request
+/// A random number generator shared by several tasks. Its numbers are repeatable as long as the tasks request
 /// them in the same order.
 pub struct SeededRng(Mutex<ChaCha8Rng>);
 
--- a/crates/rig/src/suite.rs
+++ b/crates/rig/src/suite.rs
@@ -1,4 +1,4 @@
-//! The scenarios that are bundled with the rig, and their runs with several seeds as rows of figures.
+//! The scenarios that are bundled with the rig, and a table of the results of their runs with several seeds.
 
 use crate::run::report::median_and_max;
 use crate::run::{run_scenario, Options, RunReport};
@@ -58,18 +58,18 @@
         column: 1,
         message: format!(
             "there is no bundled scenario of this name; expected one of: {}",
-            bundled_names().join(", ")
+            bundled_scenario_names().join(", ")
         ),
     })?;
     Scenario::parse(&format!("{name}.kdl"), text)
 }
 
 /// Returns the names of the bundled scenarios.
-pub fn bundled_names() -> Vec<&'static str> {
+pub fn bundled_scenario_names() -> Vec<&'static str> {
     BUNDLED_SCENARIOS.iter().map(|(name, _)| *name).collect()
 }
 
-/// Summarizes the runs of one scenario with several seeds as a row of figures.
+/// Summarizes the runs of one scenario with several seeds as a row of results.
 pub fn summary_row(runs: &[RunReport]) -> Value {
     let awaited = |goal: Goal| -> Vec<f64> {
         let all = runs.iter().flat_map(|r| &r.awaited);
@@ -129,7 +129,7 @@
     Ok(runs)
 }
 
-/// Runs bundled scenarios with several seeds and returns one row of figures for each scenario. `on_run` is
+/// Runs bundled scenarios with several seeds and returns one row of results for each scenario. `on_run` is
 /// called with the report of each run.
 ///
 /// # Errors
--- a/crates/site/src/check.rs
+++ b/crates/site/src/check.rs
@@ -29,7 +29,7 @@
     is_host.then_some((bare, port))
 }
 
-/// Reports a reference to a name that is not among the defined ones; `kind` says of what, such as `pool`.
+/// Reports a reference to an undefined name; `kind` is the kind of object that is named, such as `pool`.
 fn check_reference<V>(
     kind: &str,
     name: &str,
--- a/crates/site/src/error.rs
+++ b/crates/site/src/error.rs
@@ -1,4 +1,4 @@
-//! Mistakes and warnings about a document, with their positions.
+//! Mistakes in a document and warnings about it, with their positions.
 
 use miette::{Diagnostic, NamedSource, SourceSpan};
 
--- a/crates/site/src/fields.rs
+++ b/crates/site/src/fields.rs
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Reads a time in milliseconds, at most one day: a larger number probably has another unit by mistake.
+    /// Reads a time in milliseconds, at most one day: a larger number was probably written in another unit.
     pub fn milliseconds_property(&mut self, name: &'static str) -> Option<u64> {
         self.integer_property(name, 0..=86_400_000)
     }
--- a/crates/site/src/model/class.rs
+++ b/crates/site/src/model/class.rs
@@ -9,7 +9,8 @@
 pub struct Class {
     /// The name of the class, unique in the site.
     pub name: String,
-    /// The latency objective in milliseconds (KDL key `aim-ms`); a response within it counts at full weight.
+    /// The latency objective in milliseconds (KDL key `aim-ms`); a response within it counts with the full
+    /// priority weight.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: u64,
     /// The multiple of a request's own sending time by which its latency objective is extended, up to the
--- a/crates/site/src/parse.rs
+++ b/crates/site/src/parse.rs
@@ -57,8 +57,8 @@
     }
 }
 
-/// A message that says which limit the text exceeds, so that it must not be passed to the KDL parser; `None`
-/// if it is within the limits.
+/// Returns a message that names the limit that the text exceeds, or `None`. A text beyond a limit must not
+/// reach the KDL parser.
 fn exceeded_limit(text: &str) -> Option<String> {
     if text.len() > MAX_DOCUMENT_BYTES {
         return Some(format!(
--- a/crates/site/src/read/name.rs
+++ b/crates/site/src/read/name.rs
@@ -7,8 +7,8 @@
 /// The greatest weight that a `member` or `use` node may have.
 pub(super) const MAX_WEIGHT: f64 = 1e6;
 
-/// Reads the name that is a node's first argument. An empty name, or one that an earlier node of the kind
-/// has, is reported.
+/// Reads the name that is a node's first argument. An empty name, or a name that an earlier node of the same
+/// kind has, is reported as a mistake.
 pub(super) fn unique_name(
     reader: &mut NodeReader<'_, '_, '_>,
     defined: &mut HashMap<String, SourceSpan>,
--- a/crates/site/src/spans.rs
+++ b/crates/site/src/spans.rs
@@ -11,15 +11,15 @@
     pub members: HashMap<String, SourceSpan>,
     pub pools: HashMap<String, SourceSpan>,
     pub front_zone: Option<SourceSpan>,
-    /// The address of each member, or the member's node if it has no address.
+    /// The position of each member's address, or of the member's node if it has no address.
     pub addresses: Vec<SourceSpan>,
-    /// The zone of each member; `None` if the member has none.
+    /// The position of each member's zone; `None` if the member has no zone.
     pub member_zones: Vec<Option<SourceSpan>>,
-    /// The `use` nodes of each pool.
+    /// The positions in the `use` nodes of each pool.
     pub uses: Vec<Vec<UseSpans>>,
-    /// The name of each `routes` node.
+    /// The position of the name of each `routes` node.
     pub route_sets: Vec<SourceSpan>,
-    /// The `route` nodes of each `routes` node.
+    /// The positions in the `route` nodes of each `routes` node.
     pub routes: Vec<Vec<RouteSpans>>,
 }
 
--- a/crates/site/tests/mistakes.rs
+++ b/crates/site/tests/mistakes.rs
@@ -68,7 +68,7 @@
         let error = Site::parse("x", &open.repeat(100_000)).unwrap_err();
         assert!(
             error.to_string().contains("nested deeper"),
-            "100,000 times `{open}` must be rejected as too deep"
+            "`{open}` repeated 100,000 times must be rejected as too deep"
         );
     }
     assert!(
