--- a/crates/fernslip/src/policy.rs
+++ b/crates/fernslip/src/policy.rs
@@ -105,7 +105,7 @@
 // the full stream rate. It is a moving average that decays to 1.
 /// Half-life of the weight that a cache node's slowdown has in its load estimate during slow start, in
 /// milliseconds.
-const SLOW_START_SLOWDOWN_HALF_LIFE_MS: f64 = 1_000.0;
+const SLOW_START_SLOWDOWN_HALVING_MS: f64 = 1_000.0;
 /// Duration of a fill besides its transfer time, in milliseconds.
 const FILL_OVERHEAD_MS: f64 = 100.0;
 /// Duration of a hit besides its transfer time, in milliseconds.
--- a/crates/fernslip/src/policy/capacity.rs
+++ b/crates/fernslip/src/policy/capacity.rs
@@ -1,7 +1,7 @@
 //! Capacity of nodes, from their measured bandwidth and slowdown, and the load on them.
 
 use super::Router;
-use super::{SLOWDOWN_OUTLIER_FACTOR, SLOW_NODE_SPEED_FACTOR, SLOW_START_SLOWDOWN_HALF_LIFE_MS};
+use super::{SLOWDOWN_OUTLIER_FACTOR, SLOW_NODE_SPEED_FACTOR, SLOW_START_SLOWDOWN_HALVING_MS};
 use crate::api::*;
 use crate::bandwidth::{AnswerSample, Bandwidth};
 use crate::state::{mean_proven_capacity, Node};
@@ -92,7 +92,7 @@
         }
         // The slow-start ramp is only a lower bound on the node's capacity, and the traffic of other routers
         // is an estimate. The duration of the node's recent hits is better evidence of the load.
-        let fading = (-(self.now_ms - node.slowdown_updated_ms) / SLOW_START_SLOWDOWN_HALF_LIFE_MS).exp2();
+        let fading = (-(self.now_ms - node.slowdown_updated_ms) / SLOW_START_SLOWDOWN_HALVING_MS).exp2();
         let trust = fading * (1.0 - 1.0 / routers);
         counted + (counted.min(node.slowdown) - counted) * trust
     }
