--- a/crates/fernslip/src/bootstrap.rs
+++ b/crates/fernslip/src/bootstrap.rs
@@ -26,7 +26,8 @@
     pub proven: Bandwidth,
     /// Moving average of the duration of the node's answers divided by their duration at the full rate.
     pub slowdown: f64,
-    /// Slowdown of the node's fastest answers, as in [`crate::state::Node`].
+    /// Low quantile of the slowdown of the node's answers (about a fifth of them are faster), as in
+    /// [`crate::state::Node`].
     pub low_slowdown: f64,
     /// Moving average of the fraction of the node's attempts that failed, from 0 to 1.
     pub failure_rate: f64,
--- a/crates/fernslip/src/facade/host.rs
+++ b/crates/fernslip/src/facade/host.rs
@@ -19,9 +19,9 @@
     /// Writes a line to the operators' log.
     fn log(&self, line: &str);
     /// Announces that caches now drain or are removed. The front withdraws each attempt at one of them, or
-    /// with one as its source, whose first byte was not sent, and reports it as [`Ending::Retracted`]. A
-    /// draining cache accepts no attempt whose first byte was not sent yet, and the connection for an attempt
-    /// may be established long after the decision.
+    /// with one as its source, whose first byte was not sent, and reports it as [`Ending::Retracted`]: an
+    /// attempt whose first byte was not sent must not begin at a draining cache, and its connection may be
+    /// established long after the decision.
     fn draining(&self, _caches: &[CacheId]) {}
     /// Announces that the objects of these open requests were purged. The front withdraws each of their
     /// attempts whose first byte was not sent and reports it as [`Ending::Retracted`], upon which the
--- a/crates/fernslip/src/in_flight/tests.rs
+++ b/crates/fernslip/src/in_flight/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Regression test: the only router of a location used to replace its exact count by a load report, which
-/// arrives late. It then sent a node too many requests, by those of a sixth of a second, and then too few.
+/// arrives late. It then sent a node the requests of a sixth of a second too many, and later too few.
 #[test]
 fn a_router_alone_in_its_location_ignores_load_reports() {
     let mut in_flight = InFlight::default();
--- a/crates/fernslip/src/state.rs
+++ b/crates/fernslip/src/state.rs
@@ -67,7 +67,7 @@
     /// Slowdown of the node: moving average, at time `slowdown_updated_ms`, of the duration of its answers
     /// divided by their duration at the full stream rate.
     pub slowdown: f64,
-    /// Slowdown of the node's fastest answers: about a fifth of its answers are faster.
+    /// Low quantile of the slowdown of the node's answers: about a fifth of them are faster.
     pub low_slowdown: f64,
     /// Time of the last update of `slowdown` and `low_slowdown`, in milliseconds.
     pub slowdown_updated_ms: f64,
@@ -257,8 +257,9 @@
         1.0 + (self.slowdown - 1.0) * (-(now - self.slowdown_updated_ms) / SLOWDOWN_DECAY_MS).exp()
     }
 
-    /// Slowdown of the node's fastest answers at time `now`, decayed towards 1. For a parent it shows the
-    /// parent's own speed, without waits for the origin behind it.
+    /// Low quantile of the slowdown of the node's answers (about a fifth of them are faster) at time `now`,
+    /// decayed towards 1. For a parent it shows the parent's own speed, without waits for the origin behind
+    /// it.
     pub fn low_slowdown_at(&self, now: f64) -> f64 {
         1.0 + (self.low_slowdown - 1.0) * (-(now - self.slowdown_updated_ms) / SLOWDOWN_DECAY_MS).exp()
     }
--- a/crates/rig/examples/plan.rs
+++ b/crates/rig/examples/plan.rs
@@ -1,5 +1,5 @@
-//! Prints the faults of a soak that are generated from a seed. Usage: `cargo run --release -p fernslip-rig
-//! --example plan -- SEED SECONDS FRONTS`.
+//! Prints the faults of a soak that are generated from a seed. Usage:
+//! `cargo run --release -p fernslip-rig --example plan -- SEED SECONDS FRONTS`.
 
 use fernslip_rig::soak::plan::generate_fault_plan;
 use fernslip_rig::soak::run::soak_fleet_size;
--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -4,7 +4,7 @@
 //! themselves.
 //!
 //! - [`run`]: runs one seed from start to end; [`options`]: the options of such a run.
-//! - [`plan`]: draws from the seed which fault is injected when; `inject`: injects the faults.
+//! - [`plan`]: determines from the seed which fault is injected when; `inject`: injects the faults.
 //! - [`environment`]: the fronts and the simulated services around them.
 //! - [`bus`], [`nodes`], [`peers`]: the simulated services; [`clients`], [`faulty_clients`]: the simulated
 //!   clients.
--- a/crates/rig/src/soak/bus.rs
+++ b/crates/rig/src/soak/bus.rs
@@ -38,7 +38,7 @@
 /// What an event obliges a front to do once the front knows of the event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrontObligation {
-    /// The event has no obligation for the front.
+    /// The event requires nothing of the front.
     None,
     /// The front sends no new attempts to a node.
     Drain {
